--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -152,7 +152,7 @@
 func NewEntry(ctx context.Context, s settings.Entry, p platform.Settings, n Network) *Entry {
 	requests := telemetry.NewRequestLog(slog.Default())
 	c := entryConfig(p, n, s.Without.Policy)
-	c.Requests = requests
+	c.RequestLog = requests
 	if off := s.Without.String(); off != "" {
 		slog.Warn("mechanisms are switched off", "without", off)
 	}
@@ -209,14 +209,14 @@
 		Decode: platform.Decode,
 		Pace:   pace,
 		Mesh: &router.Mesh{
-			Self:         relay.Node{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
-			Timing:       relay.TimingFor(bound),
-			Packets:      n.Packets,
-			Calls:        n.Calls,
-			Dial:         n.Routers,
-			Slept:        n.Slept,
-			Members:      platform.Runners{Regions: p.Regions},
-			MemberTiming: memberTiming(p, on),
+			Self:          relay.Node{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
+			Timing:        relay.TimingFor(bound),
+			Packets:       n.Packets,
+			Calls:         n.Calls,
+			Dial:          n.Routers,
+			SuspendedTime: n.Slept,
+			Members:       platform.Runners{Regions: p.Regions},
+			MemberTiming:  memberTiming(p, on),
 		},
 		Direct:        exchange.NewClient(platform.Calls{}, n.Upstreams),
 		Tuning:        tuning(p, on),
@@ -279,7 +279,7 @@
 
 // Account returns what this router holds against each upstream.
 func (e *Entry) Account() []admin.UpstreamAccount {
-	return e.router.Account(time.Now())
+	return e.router.DirectUpstreams(time.Now())
 }
 
 // upstreams serves what this router holds against each upstream.
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -56,7 +56,7 @@
 func (o operators) serveRouter(ctx context.Context, r *router.Router, h *health) {
 	if o.listener != nil {
 		o.serve(ctx, admin.NewServer(admin.Config{
-			VM: o.vm, Node: r.Operators(o.vm), Token: o.token, Leaving: h.leaving.Load,
+			VM: o.vm, Node: r.AdminNode(o.vm), Token: o.token, Leaving: h.leaving.Load,
 		}), h)
 	}
 }
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -67,13 +67,13 @@
 // awaitStart waits until the router is ready, if it has only just started.
 func (g *Hosted) awaitStart(x *hostedExchange) {
 	left := startWait - time.Since(g.started)
-	if left <= 0 || g.router.Ready() || !g.router.Waits() {
+	if left <= 0 || g.router.Ready() || !g.router.WaitsForConfig() {
 		return
 	}
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
-	case <-g.router.Began():
+	case <-g.router.FirstReady():
 	case <-timer.C:
 	case <-x.r.Context().Done():
 	}
@@ -105,18 +105,18 @@
 	defer span.End()
 	span.Set(telemetry.AttrProfile, x.profile.Name)
 	answer, err := g.router.Dispatch(x.r.Context(), router.Request{
-		Org:       x.org,
-		Profile:   x.profile,
-		Session:   x.said.Session,
-		Call:      wire.Call{Method: x.r.Method, Path: x.target(), Header: without(x.r.Header, notForwarded), Body: body},
-		Trace:     string(span.Traceparent()),
-		ID:        x.said.ID,
-		Host:      x.r.Host,
-		Urgency:   urgency(x.profile, x.org),
-		Arrived:   x.arrived,
-		Patience:  x.said.Patience,
-		LastEvent: x.said.LastEvent,
-		Gone:      x.gone,
+		Org:           x.org,
+		Profile:       x.profile,
+		Session:       x.said.Session,
+		Call:          wire.Call{Method: x.r.Method, Path: x.target(), Header: without(x.r.Header, notForwarded), Body: body},
+		Trace:         string(span.Traceparent()),
+		ID:            x.said.ID,
+		Host:          x.r.Host,
+		Urgency:       urgency(x.profile, x.org),
+		Arrived:       x.arrived,
+		CallerTimeout: x.said.Patience,
+		LastEvent:     x.said.LastEvent,
+		CallerGone:    x.gone,
 	})
 	if err != nil {
 		span.Fail(string(verdict.From(err).Reason))
--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -11,8 +11,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Account returns what this router holds against each upstream that has no sidecar, by pool.
-func (r *Router) Account(now time.Time) []admin.UpstreamAccount {
+// DirectUpstreams returns what this router holds against each upstream that has no sidecar, by pool.
+func (r *Router) DirectUpstreams(now time.Time) []admin.UpstreamAccount {
 	var out []admin.UpstreamAccount
 	for _, p := range r.View().Pools {
 		for _, vm := range p.VMs {
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -31,20 +31,20 @@
 	convicted = "convicted" // answered at once
 )
 
-// Operators is a Router as the operators' API sees it. It implements admin.Node.
-type Operators struct {
+// AdminNode is a Router as the operators' API sees it. It implements admin.Node.
+type AdminNode struct {
 	router  *Router
 	vm      string
 	started time.Time
 }
 
-// Operators returns the face of the router on a VM for the operators' API.
-func (r *Router) Operators(vm string) *Operators {
-	return &Operators{router: r, vm: vm, started: time.Now()}
+// AdminNode returns the face of the router on a VM for the operators' API.
+func (r *Router) AdminNode(vm string) *AdminNode {
+	return &AdminNode{router: r, vm: vm, started: time.Now()}
 }
 
 // Status implements admin.Node.
-func (o *Operators) Status(brief bool) admin.Status {
+func (o *AdminNode) Status(brief bool) admin.Status {
 	now := time.Now()
 	view := o.router.View()
 	s := admin.Status{
@@ -73,7 +73,7 @@
 
 // upstreams returns the upstreams of the list of VMs by pool, those included
 // that take no new work because they are to leave.
-func (o *Operators) upstreams() map[string][]topo.VM {
+func (o *AdminNode) upstreams() map[string][]topo.VM {
 	pools := make(map[string][]topo.VM)
 	for _, vm := range o.VMs() {
 		if vm.Role == topo.RoleUpstream {
@@ -124,13 +124,13 @@
 }
 
 // InForce implements admin.Node.
-func (o *Operators) InForce(ref topo.Ref) admin.InForce { return o.router.ledger.InForce(ref) }
+func (o *AdminNode) InForce(ref topo.Ref) admin.InForce { return o.router.ledger.InForce(ref) }
 
 // Complete implements admin.Node.
-func (o *Operators) Complete() topo.Version { return o.router.ledger.Complete() }
+func (o *AdminNode) Complete() topo.Version { return o.router.ledger.Complete() }
 
 // Rejected implements admin.Node.
-func (o *Operators) Rejected() []topo.Ref {
+func (o *AdminNode) Rejected() []topo.Ref {
 	var refs []topo.Ref
 	for _, p := range o.router.ledger.Status().Rejected {
 		refs = append(refs, p.Ref)
@@ -139,13 +139,13 @@
 }
 
 // Changed implements admin.Node.
-func (o *Operators) Changed() <-chan struct{} { return o.router.ledger.Next() }
+func (o *AdminNode) Changed() <-chan struct{} { return o.router.ledger.Next() }
 
 // Refresh implements admin.Node.
-func (o *Operators) Refresh() { o.router.refreshConfig() }
+func (o *AdminNode) Refresh() { o.router.refreshConfig() }
 
 // VMs implements admin.Node.
-func (o *Operators) VMs() []topo.VM {
+func (o *AdminNode) VMs() []topo.VM {
 	view := o.router.View()
 	vms := make([]topo.VM, 0, len(view.VMs))
 	for _, vm := range view.VMs {
@@ -197,7 +197,7 @@
 }
 
 // Explain implements admin.Node.
-func (o *Operators) Explain(q admin.Query) (admin.Explanation, error) {
+func (o *AdminNode) Explain(q admin.Query) (admin.Explanation, error) {
 	now := time.Now()
 	view := o.router.View()
 	org, p, err := view.find(q)
@@ -239,7 +239,7 @@
 }
 
 // why says what put an upstream among the candidates and where.
-func (o *Operators) why(now time.Time, vm topo.VM, session, ticket bool, r load.Report, bound int) string {
+func (o *AdminNode) why(now time.Time, vm topo.VM, session, ticket bool, r load.Report, bound int) string {
 	var parts []string
 	switch {
 	case ticket:
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -48,7 +48,7 @@
 	ticket := r.tickets
 	r.asked[ticket] = reply
 	r.mu.Unlock()
-	r.loop.Post(ConfigAsked{Now: time.Now(), Set: set, Peer: peer, Query: q, Ticket: ticket})
+	r.loop.Post(ConfigQueried{Now: time.Now(), Set: set, Peer: peer, Query: q, Ticket: ticket})
 	select {
 	case d := <-reply:
 		return d, nil
@@ -78,7 +78,7 @@
 // nearPeers tells the follower which of the sidecars with a copy of the
 // configuration there is a connection to.
 func (r *Router) nearPeers() {
-	copies := r.View().Copies
+	copies := r.View().ConfigCopies
 	r.mu.Lock()
 	var near []config.Peer
 	for at, p := range r.peers {
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -102,7 +102,7 @@
 // connection while its request waited for this router's processor is gone, though
 // nobody has read that from the connection yet: its runner would work for nobody.
 func (a direct) pass(at *attempt) bool {
-	if a.req.Gone != nil && a.req.Gone() {
+	if a.req.CallerGone != nil && a.req.CallerGone() {
 		at.gate.seal()
 		return false
 	}
--- a/internal/router/ledger_test.go
+++ b/internal/router/ledger_test.go
@@ -31,7 +31,7 @@
 		o := topo.Object{Ref: p.Ref(), Version: v, Value: value}
 		listed := config.Listed{Now: time.Unix(int64(v), 0), Objects: []topo.Object{o}, Version: v}
 		for _, e := range s.Step(ConfigEvent{Event: listed}) {
-			if followed, ok := e.(Followed); ok {
+			if followed, ok := e.(ConfigApplied); ok {
 				l.Take(followed.Followed)
 			}
 		}
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -135,11 +135,11 @@
 }
 
 func (a *Answer) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
-	a.router.config.Requests.Line(class, msg, a.req.ID, attrs...)
+	a.router.config.RequestLog.Line(class, msg, a.req.ID, attrs...)
 }
 
 // logFollowed tells of configuration that has come into force, or was rejected.
-func logFollowed(e Followed) {
+func logFollowed(e ConfigApplied) {
 	if len(e.Objects) > 0 {
 		newest := topo.Version(0)
 		for _, o := range e.Objects {
@@ -149,7 +149,7 @@
 	}
 	for _, order := range e.Drained {
 		drainedDomains.Set(int64(order.InForce))
-		slog.Warn("order to a failure domain is in force", "failure_domain", order.Domain, "drained", order.Leave, "version", order.Version)
+		slog.Warn("order to a failure domain is in force", "failure_domain", order.Domain, "drained", order.Drained, "version", order.Version)
 	}
 	for _, p := range e.Rejected {
 		slog.Error("configuration is invalid here and not in force", "object", p.Ref.String(), "problem", p.Message)
@@ -157,7 +157,7 @@
 }
 
 // logMembers tells which upstreams have joined, are leaving or have left.
-func logMembers(e Members) {
+func logMembers(e MembershipChanged) {
 	for _, c := range e.Changes {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "upstream "+string(c.State),
 			slog.String("upstream", c.VM.ID), slog.String("addr", c.VM.Addr), slog.String("pool", c.VM.Pool),
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -31,8 +31,8 @@
 	Packets net.PacketConn
 	Calls   net.Listener
 	Dial    topo.DialFunc
-	// Slept returns for how long the machine has been suspended in all; nil: never.
-	Slept func() time.Duration
+	// SuspendedTime returns for how long the machine has been suspended in all; nil: never.
+	SuspendedTime func() time.Duration
 	// Members reads the entries of upstreams.
 	Members      membership.Reader
 	MemberTiming membership.Timing
@@ -106,7 +106,7 @@
 	go m.hear()
 	go m.accept(ctx)
 	go m.register.Run(ctx)
-	if m.Slept != nil {
+	if m.SuspendedTime != nil {
 		go m.watchSleep(ctx)
 	}
 }
@@ -276,13 +276,13 @@
 func (m *mesh) watchSleep(ctx context.Context) {
 	tick := time.NewTicker(config.TickEvery)
 	defer tick.Stop()
-	slept := m.Slept()
+	slept := m.SuspendedTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			if total := m.Slept(); total > slept+sleepSlack {
+			if total := m.SuspendedTime(); total > slept+sleepSlack {
 				slog.Warn("the machine was suspended", "for", total-slept)
 				slept = total
 				m.router.loop.Post(RelayEvent{Event: relay.Woke{Now: now}})
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -29,13 +29,13 @@
 // Notify tells a sidecar that its VM is to leave or to stay. NoticeTaken
 // follows if it was told.
 type Notify struct {
-	VM     topo.VM
-	Notice wire.Notice
-	Seek   bool // connect on purpose; otherwise only if there is a connection
+	VM      topo.VM
+	Notice  wire.Notice
+	Connect bool // connect on purpose; otherwise only if there is a connection
 }
 
-// NoticeTaken is a sidecar that has taken a notice, or needs none of this router.
-type NoticeTaken struct {
+// NoticeAccepted is a sidecar that has taken a notice, or needs none of this router.
+type NoticeAccepted struct {
 	VM     string
 	Notice wire.Notice
 }
@@ -46,9 +46,9 @@
 	VM string
 }
 
-func (Notify) isEffect()     {}
-func (NoticeTaken) isEvent() {}
-func (NoticeLost) isEvent()  {}
+func (Notify) isEffect()        {}
+func (NoticeAccepted) isEvent() {}
+func (NoticeLost) isEvent()     {}
 
 // sent is a notice that is on its way or has arrived.
 type sent struct {
@@ -83,7 +83,7 @@
 			continue
 		}
 		s.sent[vm.ID] = sent{notice: n, at: now}
-		effects = append(effects, Notify{VM: vm, Notice: n, Seek: s.seeks(vm.ID)})
+		effects = append(effects, Notify{VM: vm, Notice: n, Connect: s.seeks(vm.ID)})
 	}
 	return effects
 }
@@ -121,7 +121,7 @@
 	return placement.Seed(router + "\x00" + vm)
 }
 
-func (s *State) taken(e NoticeTaken) {
+func (s *State) taken(e NoticeAccepted) {
 	if former, ok := s.sent[e.VM]; ok && former.notice == e.Notice {
 		former.taken = true
 		s.sent[e.VM] = former
@@ -141,7 +141,7 @@
 func (r *Router) notify(e Notify) {
 	go func() {
 		peer := r.peer(e.VM)
-		if e.Seek || peer.Connected() {
+		if e.Connect || peer.Connected() {
 			ctx, done := context.WithTimeout(r.ctx, noticeTimeout)
 			defer done()
 			notices.Inc()
@@ -149,6 +149,6 @@
 				return // it is due again after noticeRetry
 			}
 		}
-		r.loop.Post(NoticeTaken{VM: e.VM.ID, Notice: e.Notice})
+		r.loop.Post(NoticeAccepted{VM: e.VM.ID, Notice: e.Notice})
 	}()
 }
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -40,7 +40,7 @@
 		if len(sent) != 1 {
 			t.Fatalf("router %d sends %v", i, sent)
 		}
-		if sent[0].Seek {
+		if sent[0].Connect {
 			seekers++
 		}
 	}
@@ -63,7 +63,7 @@
 	if len(notify(s, now)) != 1 {
 		t.Fatal("not sent again although it was not taken")
 	}
-	s.Step(NoticeTaken{VM: "engine", Notice: first[0].Notice})
+	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
 	now = now.Add(noticeRetry)
 	if len(notify(s, now)) != 0 {
 		t.Fatal("sent again although it was taken")
@@ -72,7 +72,7 @@
 	if len(notify(s, now)) != 1 {
 		t.Fatal("not sent again to a sidecar that has restarted")
 	}
-	s.Step(NoticeTaken{VM: "engine", Notice: first[0].Notice})
+	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
 	if len(notify(s, now.Add(noticeRepeat))) != 1 {
 		t.Fatal("word from the list lapses at the sidecar")
 	}
--- a/internal/router/order.go
+++ b/internal/router/order.go
@@ -19,7 +19,7 @@
 func (r *Router) Desired() controller.Desired {
 	view := r.View()
 	var d controller.Desired
-	for name, p := range view.Loads {
+	for name, p := range view.PoolSpecs {
 		d.Pools = append(d.Pools, *p)
 		if pool := view.Pools[name]; pool != nil {
 			d.VMs = append(d.VMs, pool.VMs...)
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -64,7 +64,7 @@
 // configuration hear of its version.
 func (r *Router) control(now time.Time, vm string, pool *Pool, print uint64) wire.Control {
 	var c wire.Control
-	if view := r.View(); view.Copies[vm] {
+	if view := r.View(); view.ConfigCopies[vm] {
 		c.Config, c.ConfigDigest = view.Version, view.Digest
 	}
 	_, c.Suspects = r.suspects.rule(now, print)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -26,20 +26,20 @@
 // MembersEffect is something to be done for the follower of entries.
 type MembersEffect struct{ Effect config.Effect }
 
-// Unusable tells of an entry that names no upstream which could be used.
-type Unusable struct {
-	Err   error
-	Again bool // it was so for the same reason before it was written anew
+// UnusableEntry tells of an entry that names no upstream which could be used.
+type UnusableEntry struct {
+	Err      error
+	Repeated bool // it was so for the same reason before it was written anew
 }
 
-// Restarted tells of upstreams that have started again, and of writes of former
+// UpstreamsRestarted tells of upstreams that have started again, and of writes of former
 // incarnations that came late.
-type Restarted struct{ membership.Taken }
+type UpstreamsRestarted struct{ membership.Taken }
 
-func (RelayEffect) isEffect()   {}
-func (Unusable) isEffect()      {}
-func (Restarted) isEffect()     {}
-func (MembersEffect) isEffect() {}
+func (RelayEffect) isEffect()        {}
+func (UnusableEntry) isEffect()      {}
+func (UpstreamsRestarted) isEffect() {}
+func (MembersEffect) isEffect()      {}
 
 // relayed is what a router keeps that relies on others to read the store: a
 // follower of the upstreams' entries beside that of the configuration, and whom it
@@ -63,9 +63,9 @@
 // store counts as not answering this router. A single answer may be lost.
 const failingAfter = 2
 
-// Relaying makes the State follow the entries of upstreams like the configuration,
+// EnableRelay makes the State follow the entries of upstreams like the configuration,
 // with relay's choice of who reads them.
-func (s *State) Relaying(r *relay.State, reader membership.Reader, timing membership.Timing, pace config.Pace, seed uint64) {
+func (s *State) EnableRelay(r *relay.State, reader membership.Reader, timing membership.Timing, pace config.Pace, seed uint64) {
 	pace.RetryMost *= membersRetry
 	s.relayed = &relayed{
 		relay:    r,
@@ -99,8 +99,8 @@
 	return out
 }
 
-// Listed returns how many routers of the region are listed; zero: that is not known.
-func (s *State) Listed() int {
+// ListedRouters returns how many routers of the region are listed; zero: that is not known.
+func (s *State) ListedRouters() int {
 	if s.relayed == nil {
 		return 0
 	}
@@ -129,7 +129,7 @@
 			changes, unusable := r.changes(effect.Objects)
 			out = append(out, unusable...)
 			if t := r.entries.Take(now, changes); t.Outdated > 0 || len(t.Replaced) > 0 {
-				out = append(out, Restarted{Taken: t})
+				out = append(out, UpstreamsRestarted{Taken: t})
 			}
 			changed = true
 		case config.StoreRestored:
@@ -169,7 +169,7 @@
 		entry, err := r.reader.Entry(o)
 		if err != nil {
 			c.Kind = membership.Unusable
-			unusable = append(unusable, Unusable{Err: err, Again: r.unusable[o.Name] == err.Error()})
+			unusable = append(unusable, UnusableEntry{Err: err, Repeated: r.unusable[o.Name] == err.Error()})
 			r.unusable[o.Name] = err.Error()
 		} else {
 			c.Entry = entry
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -45,14 +45,14 @@
 
 	// The rest is for upstreams without a sidecar.
 
-	ID        string        // of the caller's attempt, unlike those of its repeats
-	Host      string        // that the caller named
-	Urgency   int           // as in package exchange
-	Arrived   time.Time     // from when on its deadlines count
-	Patience  time.Duration // for which the caller waits; zero: it does not say
-	LastEvent string        // id of the last event that the caller has of an earlier answer
-	Gone      func() bool   // reports whether the caller has closed its connection; nil: not known
-	Trace     string        // W3C traceparent for the sidecar, or empty
+	ID            string        // of the caller's attempt, unlike those of its repeats
+	Host          string        // that the caller named
+	Urgency       int           // as in package exchange
+	Arrived       time.Time     // from when on its deadlines count
+	CallerTimeout time.Duration // for which the caller waits; zero: it does not say
+	LastEvent     string        // id of the last event that the caller has of an earlier answer
+	CallerGone    func() bool   // reports whether the caller has closed its connection; nil: not known
+	Trace         string        // W3C traceparent for the sidecar, or empty
 }
 
 // regions returns where the request may run: where its profile and its organisation both
@@ -100,7 +100,7 @@
 	if p.Resumable && on.Switches {
 		p.SwitchAfter = time.Duration(switchShare * float64(objective))
 	}
-	if until := after(r.Arrived, r.Patience); r.Patience > 0 && (p.Deadline.IsZero() || until.Before(p.Deadline)) {
+	if until := after(r.Arrived, r.CallerTimeout); r.CallerTimeout > 0 && (p.Deadline.IsZero() || until.Before(p.Deadline)) {
 		p.Deadline = until
 	}
 	return p
@@ -118,7 +118,7 @@
 // by more than the objective: its answer is late already. Callers that are less patient
 // than others look alike.
 func (r *Request) mayHaveComeBack() bool {
-	return r.Patience > 0 && r.Profile.Deadline.Std()-r.Patience > r.Profile.Objective.Std()
+	return r.CallerTimeout > 0 && r.Profile.Deadline.Std()-r.CallerTimeout > r.Profile.Objective.Std()
 }
 
 // objective returns in which time the first byte is wanted; zero: no matter. A stream that
@@ -133,10 +133,10 @@
 
 // left returns how much of its caller's time is left; zero: it is not known.
 func (r *Request) left(now time.Time) time.Duration {
-	if r.Patience == 0 {
+	if r.CallerTimeout == 0 {
 		return 0
 	}
-	return max(r.Arrived.Add(r.Patience).Sub(now), time.Millisecond)
+	return max(r.Arrived.Add(r.CallerTimeout).Sub(now), time.Millisecond)
 }
 
 // treatment returns what the sidecar is to know, with what is left of the
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -49,9 +49,9 @@
 	Decode func(topo.Object) (profile.Object, error)
 	// Pace of the calls of the store; zero: config.DefaultPace.
 	Pace config.Pace
-	// VMsEvery is how often the list of VMs is read; zero: listEvery.
-	VMsEvery time.Duration
-	Ring     *token.Ring
+	// VMListInterval is how often the list of VMs is read; zero: listEvery.
+	VMListInterval time.Duration
+	Ring           *token.Ring
 	// Dial connects to the sidecar of a VM and makes sure that it is that one.
 	Dial func(ctx context.Context, vm topo.VM) (net.Conn, error)
 	// Direct calls upstreams that have no sidecar; nil where all have one.
@@ -60,8 +60,8 @@
 	Mesh *Mesh
 	// Tuning at the start.
 	Tuning Tuning
-	// Requests takes the lines about single requests; nil: none are written.
-	Requests *telemetry.RequestLog
+	// RequestLog takes the lines about single requests; nil: none are written.
+	RequestLog *telemetry.RequestLog
 	// VM on which the router runs, by its id in the list.
 	VM string
 	// FailureDomain in which the router runs; empty: not known.
@@ -90,8 +90,8 @@
 	return r.tuning.Load().Policy
 }
 
-// Waits reports whether requests wait for the router's first configuration.
-func (r *Router) Waits() bool {
+// WaitsForConfig reports whether requests wait for the router's first configuration.
+func (r *Router) WaitsForConfig() bool {
 	return r.policy().StartWait
 }
 
@@ -135,8 +135,8 @@
 	if c.Pace == (config.Pace{}) {
 		c.Pace = config.DefaultPace()
 	}
-	if c.VMsEvery == 0 {
-		c.VMsEvery = listEvery
+	if c.VMListInterval == 0 {
+		c.VMListInterval = listEvery
 	}
 	r := &Router{
 		config:     c,
@@ -156,7 +156,7 @@
 		conditions: condition.NewBook(),
 	}
 	if c.Decode != nil {
-		r.state.Decoding(c.Decode)
+		r.state.SetDecoder(c.Decode)
 	}
 	r.Tune(c.Tuning)
 	r.runner = &follow.Runner{
@@ -169,7 +169,7 @@
 	context.AfterFunc(ctx, r.closePeers)
 	if c.Mesh != nil {
 		r.mesh = newMesh(r, *c.Mesh)
-		r.state.Relaying(relay.New(c.Mesh.Self, c.Mesh.Timing), c.Mesh.Members, c.Mesh.MemberTiming, c.Pace, rand.Uint64())
+		r.state.EnableRelay(relay.New(c.Mesh.Self, c.Mesh.Timing), c.Mesh.Members, c.Mesh.MemberTiming, c.Pace, rand.Uint64())
 		r.mesh.run(ctx)
 	}
 	go r.loop.Run(ctx)
@@ -199,21 +199,21 @@
 		r.reply(e)
 	case Notify:
 		r.notify(e)
-	case Followed:
+	case ConfigApplied:
 		r.ledger.Take(e.Followed)
 		logFollowed(e)
-	case Members:
+	case MembershipChanged:
 		logMembers(e)
 	case RelayEffect:
 		r.mesh.do(e.Effect)
 	case MembersEffect:
 		r.mesh.members.Do(r.ctx, e.Effect)
-	case Unusable:
+	case UnusableEntry:
 		unusableEntries.Inc()
-		if !e.Again {
+		if !e.Repeated {
 			slog.Error("an entry names no upstream that could be used", "error", e.Err)
 		}
-	case Restarted:
+	case UpstreamsRestarted:
 		r.restarted(e)
 	}
 }
@@ -227,7 +227,7 @@
 }
 
 // restarted takes in which upstreams have started again.
-func (r *Router) restarted(e Restarted) {
+func (r *Router) restarted(e UpstreamsRestarted) {
 	outdatedEntries.Add(int64(e.Outdated))
 	for _, vm := range e.Replaced {
 		slog.Warn("upstream has started again: what it worked on is lost", "upstream", vm.ID, "addr", vm.Addr, "pool", vm.Pool)
@@ -250,7 +250,7 @@
 // publish shows traffic the new state, and then tells operators of it.
 func (r *Router) publish() {
 	r.view.Store(r.state.View())
-	r.warming.listed.Store(int64(r.state.Listed()))
+	r.warming.listed.Store(int64(r.state.ListedRouters()))
 	r.ledger.Publish()
 	r.abandon()
 	if r.Ready() {
@@ -266,11 +266,11 @@
 // Ready reports whether the router knows a configuration and upstreams.
 func (r *Router) Ready() bool {
 	v := r.View()
-	return v.Trusted && len(v.Profiles) > 0 && len(v.VMs) > 0
+	return v.ConfigRecent && len(v.Profiles) > 0 && len(v.VMs) > 0
 }
 
-// Began is closed when the router is ready for the first time.
-func (r *Router) Began() <-chan struct{} {
+// FirstReady is closed when the router is ready for the first time.
+func (r *Router) FirstReady() <-chan struct{} {
 	return r.began
 }
 
@@ -294,7 +294,7 @@
 			tag = r.readVMs(ctx, tag)
 			r.nearPeers()
 		}
-		sleep(ctx, r.config.VMsEvery)
+		sleep(ctx, r.config.VMListInterval)
 	}
 }
 
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -28,8 +28,8 @@
 	Event config.Event
 }
 
-// ConfigAsked is a sidecar or another router that asks for objects of a set.
-type ConfigAsked struct {
+// ConfigQueried is a sidecar or another router that asks for objects of a set.
+type ConfigQueried struct {
 	Now    time.Time
 	Set    relay.Set
 	Peer   config.Peer
@@ -43,28 +43,28 @@
 	VMs topo.VMs
 }
 
-func (ConfigEvent) isEvent() {}
-func (ConfigAsked) isEvent() {}
-func (VMsChanged) isEvent()  {}
+func (ConfigEvent) isEvent()   {}
+func (ConfigQueried) isEvent() {}
+func (VMsChanged) isEvent()    {}
 
-// Members is an Effect: the list of VMs has changed.
-type Members struct{ Changes []topo.VMChange }
+// MembershipChanged is an Effect: the list of VMs has changed.
+type MembershipChanged struct{ Changes []topo.VMChange }
 
-func (Members) isEffect() {}
+func (MembershipChanged) isEffect() {}
 
-// Followed is an Effect: objects have come into force, or were rejected.
-type Followed struct {
+// ConfigApplied is an Effect: objects have come into force, or were rejected.
+type ConfigApplied struct {
 	ledger.Followed
 	Drained []DomainOrder
 	Edition int64 // the operators' number of a configuration that is written as a whole
 }
 
-func (Followed) isEffect() {}
+func (ConfigApplied) isEffect() {}
 
 // DomainOrder is an order to a failure domain that has come into force.
 type DomainOrder struct {
 	Domain  string
-	Leave   bool // else it is taken back
+	Drained bool // else it is taken back
 	Version topo.Version
 	InForce int // failure domains that are under an order now
 }
@@ -133,8 +133,8 @@
 	}
 }
 
-// Decoding makes the State read objects that are not as parsleyctl writes them.
-func (s *State) Decoding(decode func(topo.Object) (profile.Object, error)) {
+// SetDecoder makes the State read objects that are not as parsleyctl writes them.
+func (s *State) SetDecoder(decode func(topo.Object) (profile.Object, error)) {
 	s.decode = decode
 }
 
@@ -148,7 +148,7 @@
 			return append(effects, s.tickRelay(tick.Now)...)
 		}
 		return append(effects, s.followed(e.Event.When())...)
-	case NoticeTaken:
+	case NoticeAccepted:
 		s.taken(e)
 	case NoticeLost:
 		s.lost(e)
@@ -156,10 +156,10 @@
 		return s.stepRelay(e.Event.When(), e.Event)
 	case MembersEvent:
 		return s.membersEvent(e.Event)
-	case ConfigAsked:
+	case ConfigQueried:
 		return s.asked(e)
 	case VMsChanged:
-		members := Members{Changes: topo.Changes(s.vms.Entries, e.VMs.Entries)}
+		members := MembershipChanged{Changes: topo.Changes(s.vms.Entries, e.VMs.Entries)}
 		s.vms = e.VMs
 		s.join(e.Now)
 		s.stale.pools = true
@@ -186,7 +186,7 @@
 }
 
 // asked answers a node that lacks objects.
-func (s *State) asked(e ConfigAsked) []Effect {
+func (s *State) asked(e ConfigQueried) []Effect {
 	if e.Set == relay.SetMembers {
 		if s.relayed == nil {
 			return []Effect{ConfigReply{Ticket: e.Ticket}}
@@ -214,7 +214,7 @@
 // configure passes an event to the follower and takes what it says is in force.
 func (s *State) configure(e config.Event) []Effect {
 	var effects []Effect
-	followed := Followed{}
+	followed := ConfigApplied{}
 	for _, effect := range s.follower.Step(e) {
 		switch effect := effect.(type) {
 		case config.Changed:
@@ -254,7 +254,7 @@
 	}
 	doubted := false
 	for _, order := range orders {
-		if !order.Leave {
+		if !order.Drained {
 			s.relayed.entries.Doubt(now, order.Domain, order.Version, s.warmup)
 			doubted = true
 		}
@@ -275,13 +275,13 @@
 
 // apply takes an object. One that is invalid for this release is not taken: the
 // version before stays in force.
-func (s *State) apply(o topo.Object, f *Followed) {
+func (s *State) apply(o topo.Object, f *ConfigApplied) {
 	if err := s.take(o); err != nil {
 		f.Rejected = append(f.Rejected, rejection(o.Ref, err))
 		return
 	}
 	if o.Kind == topo.KindDomainDrain {
-		f.Drained = append(f.Drained, DomainOrder{Domain: o.Name, Leave: !o.Deleted, Version: o.Version, InForce: len(s.orders.Domains())})
+		f.Drained = append(f.Drained, DomainOrder{Domain: o.Name, Drained: !o.Deleted, Version: o.Version, InForce: len(s.orders.Domains())})
 	}
 	f.Objects = append(f.Objects, admin.ObjectVersion{Ref: o.Ref, Version: o.Version})
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -17,19 +17,19 @@
 // View is an immutable picture of a router's control state, for traffic. Views
 // share the parts that have not changed between them.
 type View struct {
-	Version  topo.Version // of the configuration, as nodes tell each other
-	Digest   uint64       // of the configuration at that version
-	Trusted  bool         // the configuration is known to be a recent one
-	Profiles profile.ByName
-	Orgs     map[string]*profile.Organisation // by the hash of an API key
-	Limits   *profile.Limits                  // of what callers may send; nil: the defaults
-	hosts    profile.Hosts
-	Pools    map[string]*Pool
-	VMs      map[string]topo.VM
-	Loads    map[string]*profile.Pool // what pools load
-	Leaving  map[string]bool          // VMs that are to leave
-	Copies   map[string]bool          // VMs whose sidecars keep a copy of the configuration
-	Routers  int                      // that the list of VMs knows, at least one
+	Version      topo.Version // of the configuration, as nodes tell each other
+	Digest       uint64       // of the configuration at that version
+	ConfigRecent bool         // the configuration is known to be a recent one
+	Profiles     profile.ByName
+	Orgs         map[string]*profile.Organisation // by the hash of an API key
+	Limits       *profile.Limits                  // of what callers may send; nil: the defaults
+	hosts        profile.Hosts
+	Pools        map[string]*Pool
+	VMs          map[string]topo.VM
+	PoolSpecs    map[string]*profile.Pool // what pools load
+	Leaving      map[string]bool          // VMs that are to leave
+	ConfigCopies map[string]bool          // VMs whose sidecars keep a copy of the configuration
+	Routers      int                      // that the list of VMs knows, at least one
 }
 
 // Pool is the upstreams of one pool.
@@ -53,12 +53,12 @@
 // shows in it has changed.
 func (s *State) View() *View {
 	mark, trusted := s.follower.Set().Mark(), s.follower.Ready()
-	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.Trusted == trusted
+	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == trusted
 	if s.stale == (changes{}) && same {
 		return s.view
 	}
 	v := *s.view
-	v.Version, v.Digest, v.Trusted = mark.Version, mark.Digest, trusted
+	v.Version, v.Digest, v.ConfigRecent = mark.Version, mark.Digest, trusted
 	if s.stale.profiles {
 		v.Profiles = maps.Clone(s.profiles)
 		v.hosts = profile.ByHost(s.profiles)
@@ -107,11 +107,11 @@
 		}
 	}
 	v.Routers = max(v.Routers, 1)
-	v.Copies = make(map[string]bool)
+	v.ConfigCopies = make(map[string]bool)
 	for _, p := range s.peers() {
-		v.Copies[string(p)] = true
+		v.ConfigCopies[string(p)] = true
 	}
-	v.Loads = maps.Clone(s.loads)
+	v.PoolSpecs = maps.Clone(s.loads)
 	v.Leaving = make(map[string]bool)
 	for vm, n := range s.wanted {
 		if n.Leaving {
