--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -36,7 +36,7 @@
 func (t *Tracker) Known(now time.Time, members []load.VM) Shared {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Shared{Loads: t.loads.PackKnown(now, members), Outcomes: t.outliers.Told(now, members), Speeds: t.speed.Told(now, members)}
+	return Shared{Loads: t.loads.PackKnown(now, members), Outcomes: t.outliers.Summary(now, members), Speeds: t.speed.Summary(now, members)}
 }
 
 // Seen returns what a router has seen of upstreams since a time, for the one that it
@@ -51,7 +51,7 @@
 func (t *Tracker) MergeKnown(now time.Time, members []load.VM, s Shared) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return stderrors.Join(t.loads.MergeKnown(now, members, s.Loads), t.outliers.MergeTold(now, members, s.Outcomes), t.speed.MergeTold(now, members, s.Speeds))
+	return stderrors.Join(t.loads.MergeKnown(now, members, s.Loads), t.outliers.MergeSummary(now, members, s.Outcomes), t.speed.MergeSummary(now, members, s.Speeds))
 }
 
 // MergeSeen takes in what a router has seen that relies on this one.
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -33,18 +33,18 @@
 // Tracker is what a router knows of the upstreams of one pool.
 type Tracker struct {
 	mu       sync.Mutex
-	loads    *load.Tally
+	loads    *load.PoolLoad
 	demand   *load.Demand
-	pace     *load.Pace
+	pace     *load.RelativeLatency
 	outliers *outlier.Detector
 	speed    *load.Speed
-	mix      load.Mix
+	mix      load.UrgencyMix
 	places   int // of an engine; zero: they do not tell
 }
 
 // NewTracker returns a Tracker that knows nothing.
 func NewTracker() *Tracker {
-	return &Tracker{loads: load.NewTally(), demand: load.NewDemand(), pace: load.NewPace(), outliers: outlier.New(), speed: load.NewSpeed()}
+	return &Tracker{loads: load.NewPoolLoad(), demand: load.NewDemand(), pace: load.NewRelativeLatency(), outliers: outlier.New(), speed: load.NewSpeed()}
 }
 
 // Request is a request that looks for an upstream.
@@ -76,7 +76,7 @@
 	}
 	idle := p.Idle()
 	if r.Multiple > 0 {
-		seen := t.loads.Seen(p.Len(), idle)
+		seen := t.loads.OwnShare(p.Len(), idle)
 		r.Multiple, r.Soft = fillTo(r.Multiple, seen), softness(seen)
 	}
 	if !on.SoftBounds {
@@ -85,7 +85,7 @@
 	l := loadsAt{Tracker: t, on: on, now: now, n: p.Len(), idle: idle, request: r}
 	queues := on.Waits && t.places > 0 && r.Objective > 0
 	if queues {
-		l.request.Within, l.request.Most = r.Objective.Seconds(), t.mix.Objective().Seconds()*t.speed.Lightness(r.Profile)
+		l.request.Within, l.request.Most = r.Objective.Seconds(), t.mix.ShortestObjective().Seconds()*t.speed.DurationFactor(r.Profile)
 	}
 	n, basis := p.Bounded(l, l.request.Query, out)
 	if queues && r.Left > 0 && (basis.Late || r.Late) {
@@ -159,14 +159,14 @@
 func (t *Tracker) Ask(now time.Time, session uint64, profile string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.demand.Ask(now, session, profile)
+	return t.demand.RecordRequest(now, session, profile)
 }
 
 // Took takes in how long a request of a session was in flight.
 func (t *Tracker) Took(profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.demand.Took(profile, d)
+	t.demand.RecordDuration(profile, d)
 }
 
 // Report takes in that an upstream says how many requests it has, those of this router
@@ -189,35 +189,35 @@
 func (t *Tracker) Arrived(urgency int, objective time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.Arrived(urgency, objective)
+	t.mix.SetObjective(urgency, objective)
 }
 
 // Sent counts an attempt that waits for its first byte.
 func (t *Tracker) Sent(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.Sent(a.Urgency)
+	t.mix.AddWaiting(a.Urgency)
 }
 
 // Begun counts the first byte of an attempt that Sent has counted, or its end without one.
 func (t *Tracker) Begun(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.Begun(a.Urgency)
+	t.mix.RemoveWaiting(a.Urgency)
 }
 
 // Events takes in that n events of a stream came within a time after the one before.
 func (t *Tracker) Events(now time.Time, vm load.VM, profile string, n int, within time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.speed.Events(now, vm, profile, n, within)
+	t.speed.RecordEvents(now, vm, profile, n, within)
 }
 
 // Served takes in how long an answer took from its first byte to its end.
 func (t *Tracker) Served(now time.Time, vm load.VM, profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.speed.Took(now, vm, profile, d)
+	t.speed.RecordAnswer(now, vm, profile, d)
 }
 
 // Begin counts an attempt that goes to an upstream.
@@ -258,21 +258,21 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !well {
-		t.pace.Waited(now, a.VM, a.Profile, d)
+		t.pace.RecordFailure(now, a.VM, a.Profile, d)
 		t.outliers.Failed(now, a.VM)
 		return
 	}
-	t.pace.Took(now, a.VM, a.Profile, d)
+	t.pace.RecordAnswer(now, a.VM, a.Profile, d)
 	t.outliers.Succeeded(now, a.VM)
 	if t.places > 0 && !a.Behind {
-		t.speed.First(now, a.VM, a.Profile, d, t.behind(a.Load, a.Urgency))
+		t.speed.RecordFirstByte(now, a.VM, a.Profile, d, t.behind(a.Load, a.Urgency))
 	}
 }
 
 // behind returns behind how many others a request of an urgency waits at an engine with
 // some load.
 func (t *Tracker) behind(load float64, urgency int) float64 {
-	return max(load+1-float64(t.places), 0) * t.mix.Before(urgency)
+	return max(load+1-float64(t.places), 0) * t.mix.FractionAhead(urgency)
 }
 
 // Failed takes in that an attempt failed at an upstream, beside what Went has said of it.
@@ -294,7 +294,7 @@
 func (t *Tracker) Suspected(now time.Time, vm load.VM) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.outliers.Suspects(now, vm)
+	return t.outliers.IsSuspected(now, vm)
 }
 
 // Load returns the believed load of an upstream.
@@ -323,19 +323,19 @@
 func (l loadsAt) Wait(vm load.VM) float64 {
 	wait := l.loads.Load(l.now, vm) + 1
 	if l.on.Pace {
-		wait *= l.pace.Slowness(l.now, vm)
+		wait *= l.pace.Factor(l.now, vm)
 	}
 	return wait
 }
 
 // Expect implements placement.Loads.
 func (l loadsAt) Expect(vm load.VM) placement.Expected {
-	load := l.loads.Queued(l.now, vm)
+	load := l.loads.RecentLoad(l.now, vm)
 	behind := l.Tracker.behind(load, l.request.Urgency)
-	first := l.speed.Until(l.now, vm, l.request.Profile, 0, l.places)
+	first := l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, 0, l.places)
 	until := first
 	if behind > 0 {
-		until = l.speed.Until(l.now, vm, l.request.Profile, behind, l.places)
+		until = l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, behind, l.places)
 	}
 	if l.behind && load >= queueShare*float64(l.places) {
 		until = math.Inf(1)
@@ -344,12 +344,12 @@
 		Until:    until,
 		Wait:     until - first,
 		Waits:    behind > 0,
-		Slowness: l.speed.Slowness(l.now, vm),
+		Slowness: l.speed.Slowdown(l.now, vm),
 	}
 }
 
 // Upper implements placement.Loads.
-func (l loadsAt) Upper(vm load.VM) float64 { return l.loads.Upper(l.now, vm) }
+func (l loadsAt) Upper(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
 
 // Mean implements placement.Loads. It is that of all upstreams, also while some are
 // suspected: measured against those that take their requests on, the bound would be far
@@ -363,5 +363,5 @@
 
 // Suspects implements placement.Loads.
 func (l loadsAt) Suspects(vm load.VM) bool {
-	return l.on.Outliers && l.outliers.Suspects(l.now, vm)
+	return l.on.Outliers && l.outliers.IsSuspected(l.now, vm)
 }
--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -17,10 +17,10 @@
 	unreachableFor = 2 * time.Second
 )
 
-// Book is what a router notes of upstreams on the path of its requests: what their answers say
+// Observations is what a router notes of upstreams on the path of its requests: what their answers say
 // of them, and whether they can be reached. An upstream's own word is newer than what the
-// platform's store says of it, and no entry takes it back. A Book is safe for concurrent use.
-type Book struct {
+// platform's store says of it, and no entry takes it back. A Observations is safe for concurrent use.
+type Observations struct {
 	mu      sync.Mutex
 	records map[string]*record // by the id of the upstream
 }
@@ -35,13 +35,13 @@
 	listed      time.Time // when it was in the list last, or something was noted
 }
 
-// NewBook returns a Book that has heard nothing.
-func NewBook() *Book {
-	return &Book{records: make(map[string]*record)}
+// NewObservations returns a Book that has heard nothing.
+func NewObservations() *Observations {
+	return &Observations{records: make(map[string]*record)}
 }
 
-// Leaves notes that an upstream has said that it leaves, and reports whether that is new.
-func (b *Book) Leaves(now time.Time, vm string) bool {
+// RecordLeaving notes that an upstream has said that it leaves, and reports whether that is new.
+func (b *Observations) RecordLeaving(now time.Time, vm string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(now, vm)
@@ -52,8 +52,8 @@
 	return news
 }
 
-// Told notes that another router has heard an upstream say that it leaves.
-func (b *Book) Told(now time.Time, vm string) {
+// RecordReportedLeaving notes that another router has heard an upstream say that it leaves.
+func (b *Observations) RecordReportedLeaving(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.record(now, vm); r.told.IsZero() {
@@ -63,7 +63,7 @@
 
 // Leaving returns the upstreams that have said that they leave, the latest first: to this
 // router, or also to those that have told it.
-func (b *Book) Leaving(told bool) []string {
+func (b *Observations) Leaving(told bool) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -86,9 +86,9 @@
 	return r.leaving
 }
 
-// Rests notes that an upstream wants nothing from this router for a time. Each wish holds to
+// RecordResting notes that an upstream wants nothing from this router for a time. Each wish holds to
 // its own end.
-func (b *Book) Rests(now time.Time, vm string, d time.Duration) {
+func (b *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(now, vm)
@@ -98,8 +98,8 @@
 	r.resting = latest(r.resting, now.Add(d))
 }
 
-// Unreachable notes that no connection to an upstream could be opened.
-func (b *Book) Unreachable(now time.Time, vm string) {
+// RecordUnreachable notes that no connection to an upstream could be opened.
+func (b *Observations) RecordUnreachable(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.record(now, vm).unreachable = now.Add(unreachableFor)
@@ -112,7 +112,7 @@
 	return a
 }
 
-func (b *Book) record(now time.Time, vm string) *record {
+func (b *Observations) record(now time.Time, vm string) *record {
 	r := b.records[vm]
 	if r == nil {
 		r = &record{}
@@ -122,8 +122,8 @@
 	return r
 }
 
-// Of returns the conditions of an upstream.
-func (b *Book) Of(now time.Time, vm string) Set {
+// Conditions returns the conditions of an upstream.
+func (b *Observations) Conditions(now time.Time, vm string) Set {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[vm]
@@ -150,9 +150,9 @@
 // Forever is how long what has no end lasts.
 const Forever = time.Duration(math.MaxInt64)
 
-// Opens returns after what time an upstream may get work, as far as the Book knows: zero if it
+// AvailableIn returns after what time an upstream may get work, as far as the Book knows: zero if it
 // may now, Forever if it leaves.
-func (b *Book) Opens(now time.Time, vm string) time.Duration {
+func (b *Observations) AvailableIn(now time.Time, vm string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[vm]
@@ -166,15 +166,15 @@
 }
 
 // Empty reports whether nothing is noted of any upstream.
-func (b *Book) Empty() bool {
+func (b *Observations) Empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.records) == 0
 }
 
-// Keep takes in which upstreams are listed now. It forgets what is over, and what was said by
+// Prune takes in which upstreams are listed now. It forgets what is over, and what was said by
 // those that have not been listed for long.
-func (b *Book) Keep(now time.Time, listed func(vm string) bool) {
+func (b *Observations) Prune(now time.Time, listed func(vm string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for vm, r := range b.records {
@@ -211,7 +211,7 @@
 )
 
 // Statements returns what is noted of an upstream.
-func (b *Book) Statements(now time.Time, vm string) []Statement {
+func (b *Observations) Statements(now time.Time, vm string) []Statement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[vm]
--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -11,13 +11,13 @@
 
 // Guards against a rest that is cut short by a shorter wish that comes after it.
 func TestEachWishForRestHoldsToItsEnd(t *testing.T) {
-	b, now := NewBook(), time.Unix(1000, 0)
-	b.Rests(now, engine, 10*time.Second)
-	b.Rests(now.Add(time.Second), engine, time.Second)
+	b, now := NewObservations(), time.Unix(1000, 0)
+	b.RecordResting(now, engine, 10*time.Second)
+	b.RecordResting(now.Add(time.Second), engine, time.Second)
 	for after, want := range map[time.Duration]Set{
 		0: Of(Resting), 9 * time.Second: Of(Resting), 10 * time.Second: 0, time.Hour: 0,
 	} {
-		if got := b.Of(now.Add(after), engine); got != want {
+		if got := b.Conditions(now.Add(after), engine); got != want {
 			t.Errorf("after %v: %q", after, got)
 		}
 	}
@@ -25,8 +25,8 @@
 
 // Guards against work for an upstream that leaves, after its entry has lapsed and come back.
 func TestWordOutlivesTheEntry(t *testing.T) {
-	b, now := NewBook(), time.Unix(1000, 0)
-	if !b.Leaves(now, engine) || b.Leaves(now, engine) {
+	b, now := NewObservations(), time.Unix(1000, 0)
+	if !b.RecordLeaving(now, engine) || b.RecordLeaving(now, engine) {
 		t.Error("only the first word is news")
 	}
 	listed, gone := func(string) bool { return true }, func(string) bool { return false }
@@ -41,8 +41,8 @@
 		{time.Hour + 2*forgetAfter, gone, false},
 	} {
 		at := now.Add(step.after)
-		b.Keep(at, step.listed)
-		if got := b.Of(at, engine).Has(Leaving); got != step.leaving {
+		b.Prune(at, step.listed)
+		if got := b.Conditions(at, engine).Has(Leaving); got != step.leaving {
 			t.Errorf("after %v: leaving %v", step.after, got)
 		}
 	}
@@ -53,18 +53,18 @@
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name string
-		note func(*Book)
+		note func(*Observations)
 		want time.Duration
 	}{
-		{"nothing", func(*Book) {}, 0},
-		{"a rest", func(b *Book) { b.Rests(now, engine, time.Second) }, time.Second},
-		{"a rest that is over", func(b *Book) { b.Rests(now.Add(-time.Second), engine, time.Second) }, 0},
-		{"no connection", func(b *Book) { b.Unreachable(now, engine) }, 0},
-		{"leaving, in a rest", func(b *Book) { b.Rests(now, engine, time.Second); b.Leaves(now, engine) }, Forever},
+		{"nothing", func(*Observations) {}, 0},
+		{"a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second) }, time.Second},
+		{"a rest that is over", func(b *Observations) { b.RecordResting(now.Add(-time.Second), engine, time.Second) }, 0},
+		{"no connection", func(b *Observations) { b.RecordUnreachable(now, engine) }, 0},
+		{"leaving, in a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second); b.RecordLeaving(now, engine) }, Forever},
 	} {
-		b := NewBook()
+		b := NewObservations()
 		c.note(b)
-		if got := b.Opens(now, engine); got != c.want {
+		if got := b.AvailableIn(now, engine); got != c.want {
 			t.Errorf("%s: opens in %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -72,14 +72,14 @@
 
 // Guards against a memory that grows with each upstream that could not be reached once.
 func TestWhatIsOverIsForgotten(t *testing.T) {
-	b, now := NewBook(), time.Unix(1000, 0)
+	b, now := NewObservations(), time.Unix(1000, 0)
 	for i := range 100 {
 		vm := fmt.Sprint("engine-", i)
-		b.Unreachable(now, vm)
-		b.Rests(now, vm, time.Second)
+		b.RecordUnreachable(now, vm)
+		b.RecordResting(now, vm, time.Second)
 	}
-	b.Leaves(now, engine)
-	b.Keep(now.Add(unreachableFor), func(string) bool { return true })
+	b.RecordLeaving(now, engine)
+	b.Prune(now.Add(unreachableFor), func(string) bool { return true })
 	if len(b.records) != 1 || b.Empty() {
 		t.Errorf("%d are remembered, want the one that leaves", len(b.records))
 	}
@@ -87,11 +87,11 @@
 
 // Guards against a page for operators that lacks who says what, since when and until when.
 func TestStatements(t *testing.T) {
-	b, now := NewBook(), time.Unix(1000, 0)
-	b.Leaves(now, engine)
-	b.Rests(now, engine, 3*time.Second)
-	b.Rests(now.Add(time.Second), engine, 4*time.Second)
-	b.Unreachable(now.Add(time.Second), engine)
+	b, now := NewObservations(), time.Unix(1000, 0)
+	b.RecordLeaving(now, engine)
+	b.RecordResting(now, engine, 3*time.Second)
+	b.RecordResting(now.Add(time.Second), engine, 4*time.Second)
+	b.RecordUnreachable(now.Add(time.Second), engine)
 	want := []Statement{
 		{Kind: Leaving, By: ByAnswers, Since: now},
 		{Kind: Resting, By: ByAnswers, Since: now, Until: now.Add(5 * time.Second)},
--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -67,23 +67,23 @@
 // Uses returns all uses.
 func Uses() []Use { return []Use{Work, Prompt} }
 
-// Leave is how far an upstream may be used, the least first.
-type Leave uint8
+// Permission is how far an upstream may be used, the least first.
+type Permission uint8
 
 // Degrees of Leave.
 const (
-	Never  Leave = iota // not at all
-	Last                // after all others
-	Freely              // like any other
+	Never  Permission = iota // not at all
+	Last                     // after all others
+	Freely                   // like any other
 )
 
 var leaveNames = [...]string{"never", "last", "freely"}
 
 // String returns the name of the degree.
-func (l Leave) String() string { return leaveNames[l] }
+func (l Permission) String() string { return leaveNames[l] }
 
 // leaves is what each kind allows by itself.
-var leaves = [useCount][kindCount]Leave{
+var leaves = [useCount][kindCount]Permission{
 	Work: {
 		Gone: Never, OutOfRegion: Never, Drained: Never, Leaving: Never, Resting: Never, Cold: Never,
 		Unreachable: Last, Suspected: Last,
@@ -107,15 +107,15 @@
 	return s
 }
 
-// And returns the conditions of both.
-func (s Set) And(other Set) Set { return s | other }
+// Union returns the conditions of both.
+func (s Set) Union(other Set) Set { return s | other }
 
 // Has reports whether a kind is in the Set.
 func (s Set) Has(k Kind) bool { return s&(1<<k) != 0 }
 
 // Allows returns how far the upstream may be used, and what says so: the kind that allows
 // least, the first of several.
-func (s Set) Allows(u Use) (Leave, Kind) {
+func (s Set) Allows(u Use) (Permission, Kind) {
 	least, by := Freely, kindCount
 	if s == 0 {
 		return least, by
--- a/internal/condition/condition_test.go
+++ b/internal/condition/condition_test.go
@@ -60,7 +60,7 @@
 
 // Guards against sets that lose a kind.
 func TestSetsKeepTheirKinds(t *testing.T) {
-	if got := Of(Leaving).And(Of(Cold)).And(0); got != Of(Cold, Leaving) || got.String() != "leaving, cold" {
+	if got := Of(Leaving).Union(Of(Cold)).Union(0); got != Of(Cold, Leaving) || got.String() != "leaving, cold" {
 		t.Errorf("%q", got)
 	}
 	if Of().String() != "" || kindCount.String() != "none" {
--- a/internal/load/demand.go
+++ b/internal/load/demand.go
@@ -39,8 +39,8 @@
 	return &Demand{clock: decay.NewClock(demandFor), counts: make(map[uint64]float64), took: make(map[string]time.Duration)}
 }
 
-// Took takes in how long a request of a kind was in flight.
-func (d *Demand) Took(kind string, took time.Duration) {
+// RecordDuration takes in how long a request of a kind was in flight.
+func (d *Demand) RecordDuration(kind string, took time.Duration) {
 	former, ok := d.took[kind]
 	if !ok {
 		former = took
@@ -48,11 +48,11 @@
 	d.took[kind] = former + time.Duration(tookShare*float64(took-former))
 }
 
-// Ask counts a request of a session, and returns which part of all requests in flight
+// RecordRequest counts a request of a session, and returns which part of all requests in flight
 // its session has at least. The estimate is one request and half a standard deviation
 // below what was counted: of a session that comes by chance twice in a row it says
 // next to nothing.
-func (d *Demand) Ask(now time.Time, session uint64, kind string) float64 {
+func (d *Demand) RecordRequest(now time.Time, session uint64, kind string) float64 {
 	takes, ok := d.took[kind]
 	if !ok {
 		takes = tookUsually
--- a/internal/load/demand_test.go
+++ b/internal/load/demand_test.go
@@ -15,10 +15,10 @@
 	for i := range 120 {
 		now = now.Add(40 * time.Millisecond)
 		if i%3 == 0 {
-			share = d.Ask(now, 1, "chat")
+			share = d.RecordRequest(now, 1, "chat")
 			continue
 		}
-		most = max(most, d.Ask(now, uint64(2+i%97), "chat"))
+		most = max(most, d.RecordRequest(now, uint64(2+i%97), "chat"))
 	}
 	if share < 0.15 || share > 1.0/3 {
 		t.Errorf("share %.2f of a session with a third of the requests", share)
@@ -26,7 +26,7 @@
 	if most > 0.01 {
 		t.Errorf("share %.2f of a session that came by chance", most)
 	}
-	if share := d.Ask(now.Add(5*demandFor), 1, "chat"); share != 0 {
+	if share := d.RecordRequest(now.Add(5*demandFor), 1, "chat"); share != 0 {
 		t.Errorf("share %.2f long after the surge", share)
 	}
 }
@@ -37,7 +37,7 @@
 	now := start
 	for i := range 200_000 {
 		now = now.Add(40 * time.Millisecond)
-		d.Ask(now, uint64(i), "chat")
+		d.RecordRequest(now, uint64(i), "chat")
 	}
 	if n := len(d.counts); n > 2000 {
 		t.Errorf("%d sessions are kept", n)
@@ -56,12 +56,12 @@
 		if i%2 == 0 {
 			kind, took = "report", 900*time.Millisecond
 		}
-		d.Took(kind, took)
+		d.RecordDuration(kind, took)
 		session := uint64(10 + i)
 		if i%6 < 2 {
 			session = uint64(i % 2)
 		}
-		share := d.Ask(now, session, kind)
+		share := d.RecordRequest(now, session, kind)
 		if session < 2 {
 			shares[kind] = share
 		}
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -5,30 +5,30 @@
 // urgencies are told apart, from 0 on.
 const urgencies = 10
 
-// Mix is how urgent the requests are of which one router awaits the first byte. Each
+// UrgencyMix is how urgent the requests are of which one router awaits the first byte. Each
 // router's are a sample of those that wait at the engines of the pool, which take what is
 // more urgent first: of what waits at one, only that part goes before a request. The zero
-// value is ready to use. A Mix is not safe for concurrent use.
-type Mix struct {
+// value is ready to use. A UrgencyMix is not safe for concurrent use.
+type UrgencyMix struct {
 	waiting    [urgencies]int
 	objectives [urgencies]time.Duration
 }
 
-// Arrived takes in within which objective the first byte of a request is wanted.
-func (m *Mix) Arrived(urgency int, objective time.Duration) {
+// SetObjective takes in within which objective the first byte of a request is wanted.
+func (m *UrgencyMix) SetObjective(urgency int, objective time.Duration) {
 	m.objectives[bounded(urgency)] = objective
 }
 
-// Sent counts a request that waits for its first byte.
-func (m *Mix) Sent(urgency int) { m.waiting[bounded(urgency)]++ }
+// AddWaiting counts a request that waits for its first byte.
+func (m *UrgencyMix) AddWaiting(urgency int) { m.waiting[bounded(urgency)]++ }
 
-// Begun counts the first byte of a request that Sent has counted, or its end without one.
-func (m *Mix) Begun(urgency int) { m.waiting[bounded(urgency)]-- }
+// RemoveWaiting counts the first byte of a request that Sent has counted, or its end without one.
+func (m *UrgencyMix) RemoveWaiting(urgency int) { m.waiting[bounded(urgency)]-- }
 
 func bounded(urgency int) int { return min(max(urgency, 0), urgencies-1) }
 
-// Objective returns the shortest objective of the pool's requests; zero: none has one.
-func (m *Mix) Objective() time.Duration {
+// ShortestObjective returns the shortest objective of the pool's requests; zero: none has one.
+func (m *UrgencyMix) ShortestObjective() time.Duration {
 	shortest := time.Duration(0)
 	for _, d := range m.objectives {
 		if d > 0 && (shortest == 0 || d < shortest) {
@@ -38,9 +38,9 @@
 	return shortest
 }
 
-// Before returns the part of the requests that wait which are as urgent as one of an
+// FractionAhead returns the part of the requests that wait which are as urgent as one of an
 // urgency, or more.
-func (m *Mix) Before(urgency int) float64 {
+func (m *UrgencyMix) FractionAhead(urgency int) float64 {
 	before, all := 0, 0
 	for i, n := range m.waiting {
 		all += n
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -26,10 +26,10 @@
 	usualShare = 0.02
 )
 
-// Pace is how fast upstreams answer next to each other, as one router sees it. Of
+// RelativeLatency is how fast upstreams answer next to each other, as one router sees it. Of
 // upstreams that do not tell their load, it is the only sign that requests of other
 // routers wait there, or that one has become slow. It is not safe for concurrent use.
-type Pace struct {
+type RelativeLatency struct {
 	usual map[string]float64 // seconds, by kind of request
 	seen  map[VM]pace
 }
@@ -39,41 +39,41 @@
 	at       time.Time
 }
 
-// NewPace returns a Pace that has seen nothing.
-func NewPace() *Pace {
-	return &Pace{usual: make(map[string]float64), seen: make(map[VM]pace)}
+// NewRelativeLatency returns a Pace that has seen nothing.
+func NewRelativeLatency() *RelativeLatency {
+	return &RelativeLatency{usual: make(map[string]float64), seen: make(map[VM]pace)}
 }
 
-// Took takes in how long an upstream took to begin the answer to a request of a kind.
-func (p *Pace) Took(now time.Time, vm VM, kind string, d time.Duration) {
+// RecordAnswer takes in how long an upstream took to begin the answer to a request of a kind.
+func (p *RelativeLatency) RecordAnswer(now time.Time, vm VM, kind string, d time.Duration) {
 	usual := p.usual[kind]
 	if usual <= 0 {
 		usual = max(d, paceLeast).Seconds()
 	}
 	x := min(max(d, paceLeast).Seconds()/usual, paceMost)
 	p.usual[kind] = usual * (1 + usualShare*(x-1))
-	slowness := p.Slowness(now, vm)
+	slowness := p.Factor(now, vm)
 	p.seen[vm] = pace{slowness: slowness + paceShare*(x-slowness), at: now}
 }
 
-// Waited takes in that an attempt ended without a proper answer after a time. Its request
+// RecordFailure takes in that an attempt ended without a proper answer after a time. Its request
 // has to be made again, and an answer would have taken at least as long. An upstream that
 // fails its requests at once is not fast: taken for that, it is sent .83 of the requests
 // of a pool of three, until it is suspected, in place of .30
 // (TestAnUpstreamThatFailsAtOnceIsNotFast).
-func (p *Pace) Waited(now time.Time, vm VM, kind string, d time.Duration) {
+func (p *RelativeLatency) RecordFailure(now time.Time, vm VM, kind string, d time.Duration) {
 	usual := p.usual[kind]
 	if usual <= 0 {
 		return
 	}
-	slowness := p.Slowness(now, vm)
+	slowness := p.Factor(now, vm)
 	if x := min(max(d.Seconds()/usual, failedCounts), paceMost); x > slowness {
 		p.seen[vm] = pace{slowness: slowness + paceShare*(x-slowness), at: now}
 	}
 }
 
-// Slowness returns how many times longer than usual an upstream is believed to take.
-func (p *Pace) Slowness(now time.Time, vm VM) float64 {
+// Factor returns how many times longer than usual an upstream is believed to take.
+func (p *RelativeLatency) Factor(now time.Time, vm VM) float64 {
 	s, known := p.seen[vm]
 	if !known {
 		return 1
@@ -83,7 +83,7 @@
 }
 
 // Keep forgets every upstream that is not among members.
-func (p *Pace) Keep(members []VM) {
+func (p *RelativeLatency) Keep(members []VM) {
 	wanted := SetOf(members)
 	maps.DeleteFunc(p.seen, func(vm VM, _ pace) bool { return !wanted[vm] })
 }
--- a/internal/load/pack.go
+++ b/internal/load/pack.go
@@ -25,8 +25,8 @@
 	maxPacked = 64 // samples that are read from one message
 )
 
-// ErrPacked is a list of samples that cannot be read.
-var ErrPacked = errors.New("load: malformed samples")
+// ErrMalformed is a list of samples that cannot be read.
+var ErrMalformed = errors.New("load: malformed samples")
 
 // Pack returns the n freshest samples for another node, other than those of the
 // upstreams in except, which the receiver knows better.
@@ -77,7 +77,7 @@
 // already, it keeps.
 func (t *Table) Merge(now time.Time, packed []byte) error {
 	if len(packed)%sampleSize != 0 || len(packed) > maxPacked*sampleSize {
-		return ErrPacked
+		return ErrMalformed
 	}
 	ms := now.UnixMilli()
 	for b := packed; len(b) > 0; b = b[sampleSize:] {
--- a/internal/load/share.go
+++ b/internal/load/share.go
@@ -56,7 +56,7 @@
 
 // PackObserved returns what this router, or one that tells it, has heard of members
 // after a time; nil: nothing.
-func (t *Tally) PackObserved(now, after time.Time, members []VM) []byte {
+func (t *PoolLoad) PackObserved(now, after time.Time, members []VM) []byte {
 	var heard []VM
 	for _, vm := range members {
 		if e := t.entries[vm]; e != nil && !e.told && e.at.After(after) {
@@ -70,7 +70,7 @@
 // PackKnown returns what this router knows of members; nil: nothing. Of a pool that does
 // not fit into a message, it returns the highest loads, and of the others those that were
 // not told for longest.
-func (t *Tally) PackKnown(now time.Time, members []VM) []byte {
+func (t *PoolLoad) PackKnown(now time.Time, members []VM) []byte {
 	var known []VM
 	for _, vm := range members {
 		if e := t.entries[vm]; e != nil && !e.at.IsZero() && now.Sub(e.at) <= sharedFor {
@@ -90,11 +90,11 @@
 	return t.pack(now, known)
 }
 
-func (t *Tally) highestFirst(now time.Time, vms []VM) {
+func (t *PoolLoad) highestFirst(now time.Time, vms []VM) {
 	slices.SortStableFunc(vms, func(a, b VM) int { return cmp.Compare(t.Load(now, b), t.Load(now, a)) })
 }
 
-func (t *Tally) pack(now time.Time, vms []VM) []byte {
+func (t *PoolLoad) pack(now time.Time, vms []VM) []byte {
 	var b []byte
 	for _, vm := range vms {
 		e := t.entries[vm]
@@ -112,18 +112,18 @@
 }
 
 // MergeObserved takes in what a router has heard that tells this one. It is passed on.
-func (t *Tally) MergeObserved(now time.Time, members []VM, packed []byte) error {
+func (t *PoolLoad) MergeObserved(now time.Time, members []VM, packed []byte) error {
 	return t.mergeAll(now, members, packed, false)
 }
 
 // MergeKnown takes in what the router knows that this one relies on.
-func (t *Tally) MergeKnown(now time.Time, members []VM, packed []byte) error {
+func (t *PoolLoad) MergeKnown(now time.Time, members []VM, packed []byte) error {
 	return t.mergeAll(now, members, packed, true)
 }
 
-func (t *Tally) mergeAll(now time.Time, members []VM, packed []byte, told bool) error {
+func (t *PoolLoad) mergeAll(now time.Time, members []VM, packed []byte, told bool) error {
 	if len(packed)%shareSize != 0 {
-		return ErrPacked
+		return ErrMalformed
 	}
 	named := ShortNames(members)
 	for b := packed; len(b) > 0; b = b[shareSize:] {
@@ -136,7 +136,7 @@
 
 // merge takes in a load of an earlier moment, unless what is known is as new. Without its
 // age, what comes through three routers would take the place of newer knowledge.
-func (t *Tally) merge(at time.Time, vm VM, load int, told bool) {
+func (t *PoolLoad) merge(at time.Time, vm VM, load int, told bool) {
 	e := t.entry(vm)
 	if at.Sub(e.at) <= 0 || !e.told && at.Sub(e.at) < ownWordFor {
 		return
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -22,7 +22,7 @@
 func TestKnownLoadsReachThoseThatRely(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := vms(rapid.IntRange(1, 2*sharedMost).Draw(t, "upstreams"))
-		reader, router := NewTally(), NewTally()
+		reader, router := NewPoolLoad(), NewPoolLoad()
 		highest := 0
 		for _, vm := range members {
 			load := rapid.IntRange(0, loadMost).Draw(t, "load")
@@ -54,7 +54,7 @@
 func TestLargePoolsAreToldInFull(t *testing.T) {
 	for _, c := range []struct{ upstreams, messages int }{{117, 1}, {160, 1}, {400, 4}, {2900, 23}} {
 		members := vms(c.upstreams)
-		reader, router := NewTally(), NewTally()
+		reader, router := NewPoolLoad(), NewPoolLoad()
 		now := start
 		for range c.messages {
 			for i, vm := range members {
@@ -85,7 +85,7 @@
 // heard a newer one from the upstream's own answer, and must keep it.
 func TestOldLoadsDoNotReplaceNewerOnes(t *testing.T) {
 	members := vms(1)
-	first, second, last := NewTally(), NewTally(), NewTally()
+	first, second, last := NewPoolLoad(), NewPoolLoad(), NewPoolLoad()
 	first.Observe(start, members[0], 20)
 	then := start.Add(500 * time.Millisecond)
 	if err := second.MergeObserved(then, members, first.PackObserved(then, time.Time{}, members)); err != nil {
@@ -105,7 +105,7 @@
 // other, a load that was true once would go between them for good.
 func TestToldLoadsAreNotToldBack(t *testing.T) {
 	members := vms(3)
-	reader, router := NewTally(), NewTally()
+	reader, router := NewPoolLoad(), NewPoolLoad()
 	reader.Observe(start, members[0], 9)
 	if err := router.MergeKnown(start, members, reader.PackKnown(start, members)); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 // An upstream's own word is newer than what another router heard of it before.
 func TestOwnWordGoesBeforeAnothersForAMoment(t *testing.T) {
 	members := vms(1)
-	reader, router := NewTally(), NewTally()
+	reader, router := NewPoolLoad(), NewPoolLoad()
 	reader.Observe(start, members[0], 20)
 	told := reader.PackKnown(start, members)
 	router.Observe(start, members[0], 3)
@@ -151,13 +151,13 @@
 // What is not known of an upstream's load counts against it, the more of it there
 // is and the longer ago the upstream has told.
 func TestUpperGrowsWithAge(t *testing.T) {
-	a := NewTally()
+	a := NewPoolLoad()
 	for _, vm := range vms(4) {
 		a.Observe(start, vm, 9)
 	}
 	vm, former := VM(1), 9.0
 	for _, age := range []time.Duration{0, time.Second, 4 * time.Second} {
-		upper := a.Upper(start.Add(age), vm)
+		upper := a.UpperBound(start.Add(age), vm)
 		if upper < former {
 			t.Errorf("upper bound %v after %v, want at least %v", upper, age, former)
 		}
@@ -171,7 +171,7 @@
 // FuzzShared feeds a tally with what a router of any release may send.
 func FuzzShared(f *testing.F) {
 	members := vms(5)
-	known := NewTally()
+	known := NewPoolLoad()
 	known.Observe(start, members[2], 7)
 	f.Add(known.PackKnown(start, members))
 	f.Add(known.PackObserved(start, time.Time{}, members))
@@ -179,7 +179,7 @@
 	f.Add([]byte{0, 1, 255, 255, 0, 1, 7, 0})
 	f.Add([]byte{9})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		tally := NewTally()
+		tally := NewPoolLoad()
 		err := tally.MergeKnown(start, members, b)
 		for _, vm := range members {
 			l := tally.Load(start, vm)
@@ -197,12 +197,12 @@
 		own, told int
 		want      float64
 	}{{0, 0, 1}, {3, 0, 1}, {1, 3, 0.25}, {0, 4, 0}} {
-		a := NewTally()
+		a := NewPoolLoad()
 		for range c.own {
 			a.Begin(1)
 		}
 		a.Observe(start, 1, c.own+c.told)
-		if got := a.Seen(1, 0); math.Abs(got-c.want) > 1e-9 {
+		if got := a.OwnShare(1, 0); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%d of its own and %d told: seen %v, want %v", c.own, c.told, got, c.want)
 		}
 	}
--- a/internal/load/speed.go
+++ b/internal/load/speed.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Events takes in that n events of a stream came within a time after the one before.
-func (s *Speed) Events(now time.Time, vm VM, kind string, n int, within time.Duration) {
+// RecordEvents takes in that n events of a stream came within a time after the one before.
+func (s *Speed) RecordEvents(now time.Time, vm VM, kind string, n int, within time.Duration) {
 	pause := within.Seconds() / float64(n)
 	usual, known := s.usual[kind]
 	if !known {
@@ -123,9 +123,9 @@
 	s.news[vm] = s.news[vm].plus(e)
 }
 
-// First takes in how long the first byte of an answer took behind so many requests.
-func (s *Speed) First(now time.Time, vm VM, kind string, d time.Duration, behind float64) {
-	took := d.Seconds() / s.Slowness(now, vm)
+// RecordFirstByte takes in how long the first byte of an answer took behind so many requests.
+func (s *Speed) RecordFirstByte(now time.Time, vm VM, kind string, d time.Duration, behind float64) {
+	took := d.Seconds() / s.Slowdown(now, vm)
 	if behind > 0 {
 		s.waited.add(now, max(0, took-s.first[kind]), behind)
 		return
@@ -137,9 +137,9 @@
 	s.first[kind] = former + firstShare*(min(took, 4*former)-former)
 }
 
-// Took takes in how long an answer took from its first byte to its end.
-func (s *Speed) Took(now time.Time, vm VM, kind string, d time.Duration) {
-	took := d.Seconds() / s.Slowness(now, vm)
+// RecordAnswer takes in how long an answer took from its first byte to its end.
+func (s *Speed) RecordAnswer(now time.Time, vm VM, kind string, d time.Duration) {
+	took := d.Seconds() / s.Slowdown(now, vm)
 	if s.answer[kind] == 0 {
 		s.answer[kind] = took
 	}
@@ -153,10 +153,10 @@
 // leastLightness bounds by how much sooner long answers wait behind others.
 const leastLightness = 0.4
 
-// Lightness returns 1 for a kind of request of which the answers take less than others,
+// DurationFactor returns 1 for a kind of request of which the answers take less than others,
 // and less the longer they take. Each long one that waits lets several short ones begin in
 // time.
-func (s *Speed) Lightness(kind string) float64 {
+func (s *Speed) DurationFactor(kind string) float64 {
 	answer := s.answer[kind]
 	if answer <= s.took {
 		return 1
@@ -164,8 +164,8 @@
 	return max(s.took/answer, leastLightness)
 }
 
-// Slowness returns how many times longer than usual an engine takes for each event.
-func (s *Speed) Slowness(now time.Time, vm VM) float64 {
+// Slowdown returns how many times longer than usual an engine takes for each event.
+func (s *Speed) Slowdown(now time.Time, vm VM) float64 {
 	e := s.known(vm)
 	weight := s.clock.Weight(now)
 	return (e.pauses/weight + speedPrior) / (e.count/weight + speedPrior)
@@ -180,16 +180,16 @@
 	return e
 }
 
-// Until returns in how many seconds the first byte of an answer is to be expected from an
+// EstimateFirstByte returns in how many seconds the first byte of an answer is to be expected from an
 // engine that works on so many requests at a time, behind so many that wait. Where the
 // answers of each place take as long as usual that is worked out from it; how long
 // requests did wait lately tells what else there is, such as prompts to be read.
-func (s *Speed) Until(now time.Time, vm VM, kind string, behind float64, places int) float64 {
+func (s *Speed) EstimateFirstByte(now time.Time, vm VM, kind string, behind float64, places int) float64 {
 	until := s.first[kind]
 	if behind > 0 && places > 0 {
 		until += behind * s.waited.each(now, s.took/float64(places))
 	}
-	return until * s.Slowness(now, vm)
+	return until * s.Slowdown(now, vm)
 }
 
 // Keep forgets every engine that is not among members.
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -9,7 +9,7 @@
 // stream has an engine make events of a stream for a second, with a pause between them.
 func stream(s *Speed, now time.Time, vm VM, pause time.Duration) {
 	for at := time.Duration(0); at < time.Second; at += pause {
-		s.Events(now.Add(at), vm, "chat", 1, pause)
+		s.RecordEvents(now.Add(at), vm, "chat", 1, pause)
 	}
 }
 
@@ -38,12 +38,12 @@
 	if err := reader.MergeReport(now, members, router.Report(members)); err != nil {
 		t.Fatal(err)
 	}
-	if err := other.MergeTold(now, members, reader.Told(now, members)); err != nil {
+	if err := other.MergeSummary(now, members, reader.Summary(now, members)); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []*Speed{router, other} {
 		for i, vm := range members {
-			if slow := s.Slowness(now, vm); (slow > slowTold) != (i < 2) {
+			if slow := s.Slowdown(now, vm); (slow > slowTold) != (i < 2) {
 				t.Errorf("engine %d is taken to be %.2f times slower", i, slow)
 			}
 		}
@@ -53,7 +53,7 @@
 		stream(router, now, vm, 40*time.Millisecond)
 		stream(router, now.Add(time.Second), vm, 40*time.Millisecond)
 	}
-	if slow := router.Slowness(now.Add(2*time.Second), members[0]); slow > slowTold {
+	if slow := router.Slowdown(now.Add(2*time.Second), members[0]); slow > slowTold {
 		t.Errorf("two seconds after the engine has recovered it is taken to be %.2f times slower", slow)
 	}
 }
@@ -64,37 +64,37 @@
 func TestWaitsAreExpectedFromAnswersAndThenFromWaits(t *testing.T) {
 	s, now := NewSpeed(), start
 	for range 50 {
-		s.Took(now, 1, "chat", time.Second)
-		s.First(now, 1, "chat", 80*time.Millisecond, 0)
+		s.RecordAnswer(now, 1, "chat", time.Second)
+		s.RecordFirstByte(now, 1, "chat", 80*time.Millisecond, 0)
 	}
-	if got, want := s.Until(now, 1, "chat", 8, 16), 0.58; math.Abs(got-want) > 0.02 {
+	if got, want := s.EstimateFirstByte(now, 1, "chat", 8, 16), 0.58; math.Abs(got-want) > 0.02 {
 		t.Errorf("a first byte is expected after %.2f s, want %.2f", got, want)
 	}
 	for range 50 {
-		s.First(now, 1, "chat", 1080*time.Millisecond, 8)
+		s.RecordFirstByte(now, 1, "chat", 1080*time.Millisecond, 8)
 	}
-	if got, want := s.Until(now, 1, "chat", 8, 16), 1.08; math.Abs(got-want) > 0.06 {
+	if got, want := s.EstimateFirstByte(now, 1, "chat", 8, 16), 1.08; math.Abs(got-want) > 0.06 {
 		t.Errorf("after waits of a second a first byte is expected after %.2f s, want %.2f", got, want)
 	}
 }
 
 // Of what a router awaits most is of little urgency: an urgent request goes before it.
 func TestUrgentRequestsWaitBehindFew(t *testing.T) {
-	var m Mix
+	var m UrgencyMix
 	for range 9 {
-		m.Sent(7)
+		m.AddWaiting(7)
 	}
-	m.Sent(0)
-	if got := m.Before(0); math.Abs(got-2.0/11) > 1e-9 {
+	m.AddWaiting(0)
+	if got := m.FractionAhead(0); math.Abs(got-2.0/11) > 1e-9 {
 		t.Errorf("%.3f of what waits goes before an urgent request", got)
 	}
-	if got := m.Before(7); got != 1 {
+	if got := m.FractionAhead(7); got != 1 {
 		t.Errorf("%.3f goes before one of little urgency", got)
 	}
 	for range 9 {
-		m.Begun(7)
+		m.RemoveWaiting(7)
 	}
-	if got := m.Before(0); got != 1 {
+	if got := m.FractionAhead(0); got != 1 {
 		t.Errorf("%.3f goes before an urgent one when only urgent ones wait", got)
 	}
 }
@@ -105,16 +105,16 @@
 	known := NewSpeed()
 	stream(known, start, 3, 40*time.Millisecond)
 	stream(known, start, 3, 400*time.Millisecond)
-	f.Add(known.Told(start, members))
+	f.Add(known.Summary(start, members))
 	f.Add(known.Report(members))
 	f.Add([]byte{0, 1, 0, 255, 0, 2, 255, 0})
 	f.Add([]byte{9})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := NewSpeed()
 		_ = s.MergeReport(start, members, b)
-		_ = s.MergeTold(start, members, b)
+		_ = s.MergeSummary(start, members, b)
 		for _, vm := range members {
-			if slow := s.Slowness(start, vm); !(slow > 0 && slow < 2*speedMost) {
+			if slow := s.Slowdown(start, vm); !(slow > 0 && slow < 2*speedMost) {
 				t.Fatalf("slowness %v", slow)
 			}
 		}
@@ -130,14 +130,14 @@
 	stream(reader, start, members[1], 40*time.Millisecond)
 	stream(reader, start.Add(time.Second), members[0], 400*time.Millisecond)
 	now := start.Add(2 * time.Second)
-	told := reader.Told(now, members)
+	told := reader.Summary(now, members)
 	started, quiet := NewSpeed(), NewSpeed()
 	stream(quiet, now.Add(-time.Hour), members[1], 40*time.Millisecond)
 	for name, s := range map[string]*Speed{"started": started, "quiet": quiet} {
-		if err := s.MergeTold(now, members, told); err != nil {
+		if err := s.MergeSummary(now, members, told); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := s.Slowness(now, members[0]), reader.Slowness(now, members[0]); !(math.Abs(got-want) < 0.3) {
+		if got, want := s.Slowdown(now, members[0]), reader.Slowdown(now, members[0]); !(math.Abs(got-want) < 0.3) {
 			t.Errorf("%s: the engine is taken to be %.2f times slower, want %.2f", name, got, want)
 		}
 	}
--- a/internal/load/speedshare.go
+++ b/internal/load/speedshare.go
@@ -45,13 +45,13 @@
 	return eachEvents(packed, members, func(vm VM, e events) { s.add(now, vm, e) })
 }
 
-// Told returns what the routers that rely on this one are to know: the engines that are
+// Summary returns what the routers that rely on this one are to know: the engines that are
 // slow; nil: none.
-func (s *Speed) Told(now time.Time, members []VM) []byte {
+func (s *Speed) Summary(now time.Time, members []VM) []byte {
 	slowness := make(map[VM]float64)
 	var slow []VM
 	for _, vm := range members {
-		if x := s.Slowness(now, vm); x > slowTold {
+		if x := s.Slowdown(now, vm); x > slowTold {
 			slowness[vm] = x
 			slow = append(slow, vm)
 		}
@@ -65,9 +65,9 @@
 	return b
 }
 
-// MergeTold takes in what the router tells that this one relies on. It takes the place
+// MergeSummary takes in what the router tells that this one relies on. It takes the place
 // of what was told before.
-func (s *Speed) MergeTold(now time.Time, members []VM, packed []byte) error {
+func (s *Speed) MergeSummary(now time.Time, members []VM, packed []byte) error {
 	s.rebase(now)
 	weight := s.clock.Weight(now)
 	told := make(map[VM]events)
@@ -90,7 +90,7 @@
 
 func eachEvents(packed []byte, members []VM, f func(VM, events)) error {
 	if len(packed)%speedSize != 0 {
-		return ErrPacked
+		return ErrMalformed
 	}
 	named := ShortNames(members)
 	for b := packed; len(b) > 0; b = b[speedSize:] {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -16,11 +16,11 @@
 // othersFor: of one upstream nothing newer may be known, but of a pool there always is.
 const meanFor = 500 * time.Millisecond
 
-// Tally is what one router knows of the loads of upstreams that it calls itself,
+// PoolLoad is what one router knows of the loads of upstreams that it calls itself,
 // with no sidecar to decide for them: its own requests, which it counts, and
 // those of other routers, as far as upstreams tell their load with answers. It is
 // not safe for concurrent use.
-type Tally struct {
+type PoolLoad struct {
 	entries map[VM]*tally
 	own     int // sum of the router's requests
 	clock   decay.Clock
@@ -37,12 +37,12 @@
 	packed time.Time // when it was told to other routers last; zero: never
 }
 
-// NewTally returns an empty Tally.
-func NewTally() *Tally {
-	return &Tally{clock: decay.NewClock(meanFor), entries: make(map[VM]*tally)}
+// NewPoolLoad returns an empty Tally.
+func NewPoolLoad() *PoolLoad {
+	return &PoolLoad{clock: decay.NewClock(meanFor), entries: make(map[VM]*tally)}
 }
 
-func (t *Tally) entry(vm VM) *tally {
+func (t *PoolLoad) entry(vm VM) *tally {
 	e := t.entries[vm]
 	if e == nil {
 		e = &tally{}
@@ -52,13 +52,13 @@
 }
 
 // Begin counts a request that goes to an upstream.
-func (t *Tally) Begin(vm VM) {
+func (t *PoolLoad) Begin(vm VM) {
 	t.entry(vm).own++
 	t.own++
 }
 
 // End counts the end of a request that Begin has counted.
-func (t *Tally) End(vm VM) {
+func (t *PoolLoad) End(vm VM) {
 	if e := t.entries[vm]; e != nil && e.own > 0 {
 		e.own--
 		t.own--
@@ -67,7 +67,7 @@
 
 // Observe takes in that an upstream works on load requests, or has them wait. The
 // router's own are among them.
-func (t *Tally) Observe(now time.Time, vm VM, load int) {
+func (t *PoolLoad) Observe(now time.Time, vm VM, load int) {
 	e := t.entry(vm)
 	t.forget(e)
 	e.others, e.at, e.told = max(load-e.own, 0), now, false
@@ -79,14 +79,14 @@
 }
 
 // sum works the sums out anew, which also takes out what rounding has left.
-func (t *Tally) sum() {
+func (t *PoolLoad) sum() {
 	t.others, t.weights = 0, 0
 	for _, e := range t.entries {
 		t.add(e)
 	}
 }
 
-func (t *Tally) add(e *tally) {
+func (t *PoolLoad) add(e *tally) {
 	if e.at.IsZero() {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // forget takes what an upstream has told out of the sums.
-func (t *Tally) forget(e *tally) {
+func (t *PoolLoad) forget(e *tally) {
 	if e.at.IsZero() {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // Keep forgets every upstream that is not among members.
-func (t *Tally) Keep(members []VM) {
+func (t *PoolLoad) Keep(members []VM) {
 	wanted := SetOf(members)
 	for vm, e := range t.entries {
 		if !wanted[vm] {
@@ -132,12 +132,12 @@
 }
 
 // Load returns the believed load of an upstream.
-func (t *Tally) Load(now time.Time, vm VM) float64 {
+func (t *PoolLoad) Load(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	return t.believed(e, e.trust(now))
 }
 
-func (t *Tally) believed(e *tally, trust float64) float64 {
+func (t *PoolLoad) believed(e *tally, trust float64) float64 {
 	if e == nil {
 		return t.meanOthers()
 	}
@@ -149,9 +149,9 @@
 // those that are not sent bring no news of it: without this, nothing would be sent for good.
 const queueFor = time.Second
 
-// Queued returns the load of an upstream as it has told it lately, from which the wait
+// RecentLoad returns the load of an upstream as it has told it lately, from which the wait
 // there is worked out.
-func (t *Tally) Queued(now time.Time, vm VM) float64 {
+func (t *PoolLoad) RecentLoad(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	if e == nil {
 		return 0
@@ -164,10 +164,10 @@
 // Upper adds.
 const upperDeviations = 1.0
 
-// Upper returns a load that an upstream seldom exceeds: what is believed of it, and
+// UpperBound returns a load that an upstream seldom exceeds: what is believed of it, and
 // some deviations of the part that was not heard of lately. Requests of others come
 // by chance, so that their number varies by its root.
-func (t *Tally) Upper(now time.Time, vm VM) float64 {
+func (t *PoolLoad) UpperBound(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	trust := e.trust(now)
 	return t.believed(e, trust) + upperDeviations*(1-trust)*math.Sqrt(t.meanOthers())
@@ -177,15 +177,15 @@
 // there, and get nothing. They tell nothing either, so that what the others tell would
 // pass for the mean of all, and a bound that counts all would be broken: with a third of
 // a pool drained, the others would be filled half as much again.
-func (t *Tally) Mean(n, idle int) float64 {
+func (t *PoolLoad) Mean(n, idle int) float64 {
 	all := float64(max(n, 1))
 	working := float64(n-idle) / all
 	return float64(t.own)/all + working*t.meanOthers()
 }
 
-// Seen returns which part of the load of n upstreams, of which some are idle, is the
+// OwnShare returns which part of the load of n upstreams, of which some are idle, is the
 // router's own, which it counts and need not be told.
-func (t *Tally) Seen(n, idle int) float64 {
+func (t *PoolLoad) OwnShare(n, idle int) float64 {
 	mean := t.Mean(n, idle)
 	if mean <= 0 {
 		return 1
@@ -199,7 +199,7 @@
 // had in a surge stay in the mean for seconds after it, and no bound holds: of 653
 // requests in five calm seconds, 63 found their upstream over the operators' bound, and
 // 31 with this (four runs of a day).
-func (t *Tally) meanOthers() float64 {
+func (t *PoolLoad) meanOthers() float64 {
 	if t.weights <= 0 {
 		return 0
 	}
--- a/internal/load/tally_test.go
+++ b/internal/load/tally_test.go
@@ -10,7 +10,7 @@
 // nothing any more. The loads that they told in the surge stayed in the mean for as long,
 // no upstream seemed to be over the bound, and sessions piled up at the other six.
 func TestMeanForgetsLoadsThatNobodyTellsAnyMore(t *testing.T) {
-	tally, now := NewTally(), time.Unix(1000, 0)
+	tally, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(18) {
 		tally.Observe(now, vm, 100)
 	}
@@ -28,7 +28,7 @@
 // An upstream that is asked once in a while tells its load as seldom. With nothing newer,
 // that is what is known.
 func TestMeanOfOldLoadsIsTheirMean(t *testing.T) {
-	tally, now := NewTally(), time.Unix(1000, 0)
+	tally, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(4) {
 		tally.Observe(now, vm, 10)
 	}
@@ -43,7 +43,7 @@
 // so ten times a second; the others are asked nothing, and so tell nothing. Three seconds
 // later what they told in the surge made up half of the mean, and with it of the bound.
 func TestMeanFollowsThoseThatTell(t *testing.T) {
-	tally, now := NewTally(), time.Unix(1000, 0)
+	tally, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(46) {
 		tally.Observe(now, vm, 150)
 	}
--- a/internal/model/callers.go
+++ b/internal/model/callers.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	return func(i int) bool {
-		leave, _ := r.said.Of(f.clock.now, f.upstreams[i].name).Allows(condition.Work)
+		leave, _ := r.said.Conditions(f.clock.now, f.upstreams[i].name).Allows(condition.Work)
 		return leave == condition.Never
 	}
 }
@@ -229,7 +229,7 @@
 		}
 		end()
 		if u.rest > 0 {
-			r.said.Rests(f.clock.now, u.name, u.rest)
+			r.said.RecordResting(f.clock.now, u.name, u.rest)
 		}
 		judge(false)
 		f.again(r, c, q)
@@ -311,7 +311,7 @@
 func (f *fleet) opens(r *router) time.Duration {
 	soonest := condition.Forever
 	for _, u := range f.upstreams {
-		soonest = min(soonest, r.said.Opens(f.clock.now, u.name))
+		soonest = min(soonest, r.said.AvailableIn(f.clock.now, u.name))
 	}
 	return soonest
 }
@@ -319,13 +319,13 @@
 // refuse tells a caller when to come back.
 func (f *fleet) refuse(r *router, c *call) {
 	left := f.config.Callers.Patience - f.clock.now.Sub(c.asked)
-	back := max(r.returns.Advise(f.clock.now, left, f.random.Float64()), f.opens(r))
+	back := max(r.returns.Schedule(f.clock.now, left, f.random.Float64()), f.opens(r))
 	f.result.turnedAway(c.asked)
 	if c.tries >= f.config.Callers.Tries {
 		c.ended = true
 		f.result.refused(c.asked)
 		return
 	}
-	most := time.Duration(retry.AwayShare * float64(left))
+	most := time.Duration(retry.MaxDelayShare * float64(left))
 	f.clock.after(min(back, most), func() { f.ask(c) })
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -53,8 +53,8 @@
 	tracker *balance.Tracker
 	placed  *placement.Pool
 	window  retry.Window
-	returns retry.Returns
-	said    *condition.Book
+	returns retry.ReturnScheduler
+	said    *condition.Observations
 	last    map[uint64]int // upstream that has served a session last
 }
 
@@ -91,7 +91,7 @@
 		f.routers = append(f.routers, &router{
 			tracker: balance.NewTracker(),
 			placed:  placement.NewPool(members, placement.Locality{Domain: domainName(i % domains)}),
-			said:    condition.NewBook(),
+			said:    condition.NewObservations(),
 			last:    make(map[uint64]int),
 		})
 	}
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -210,14 +210,14 @@
 	return out
 }
 
-// Suspects reports whether an upstream is suspected.
-func (d *Detector) Suspects(now time.Time, vm load.VM) bool {
+// IsSuspected reports whether an upstream is suspected.
+func (d *Detector) IsSuspected(now time.Time, vm load.VM) bool {
 	d.refresh(now)
 	return d.suspicions[vm].now
 }
 
-// Suspected returns how many upstreams are suspected.
-func (d *Detector) Suspected(now time.Time) int {
+// SuspectedCount returns how many upstreams are suspected.
+func (d *Detector) SuspectedCount(now time.Time) int {
 	d.refresh(now)
 	n := 0
 	for _, s := range d.suspicions {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -36,17 +36,17 @@
 		d.Succeeded(start, vm)
 	}
 	d.Failed(start, vms[0])
-	if d.Suspects(start, vms[0]) {
+	if d.IsSuspected(start, vms[0]) {
 		t.Error("suspected after a single failure")
 	}
 	now := start.Add(500 * time.Millisecond)
 	d.Failed(now, vms[0])
 	for _, vm := range vms {
-		if d.Suspects(now, vm) != (vm == vms[0]) {
-			t.Errorf("upstream %d suspected: %v", vm, d.Suspects(now, vm))
+		if d.IsSuspected(now, vm) != (vm == vms[0]) {
+			t.Errorf("upstream %d suspected: %v", vm, d.IsSuspected(now, vm))
 		}
 	}
-	if d.Suspects(now.Add(3*memory), vms[0]) {
+	if d.IsSuspected(now.Add(3*memory), vms[0]) {
 		t.Error("still suspected long after")
 	}
 }
@@ -69,7 +69,7 @@
 				}
 			}
 		}
-		if n := d.Suspected(now); n > 0 {
+		if n := d.SuspectedCount(now); n > 0 {
 			t.Errorf("%d of %d upstreams are suspected", n, len(vms))
 		}
 	})
@@ -103,7 +103,7 @@
 			}
 		}
 		began := now
-		for d.Suspects(now, vms[0]) {
+		for d.IsSuspected(now, vms[0]) {
 			now = now.Add(memory / 15)
 		}
 		lasted = now.Sub(began)
@@ -138,17 +138,17 @@
 			}
 		}
 	}
-	if err := other.MergeTold(start, vms, d.Told(start, vms)); err != nil {
+	if err := other.MergeSummary(start, vms, d.Summary(start, vms)); err != nil {
 		t.Fatal(err)
 	}
-	if d.Suspected(start) != 12 || other.Suspected(start) != 12 {
-		t.Fatalf("%d and %d are suspected, want 12", d.Suspected(start), other.Suspected(start))
+	if d.SuspectedCount(start) != 12 || other.SuspectedCount(start) != 12 {
+		t.Fatalf("%d and %d are suspected, want 12", d.SuspectedCount(start), other.SuspectedCount(start))
 	}
 	now := start.Add(suspectFor + 2*judgeEvery)
-	if n := d.Suspected(now); n != 0 {
+	if n := d.SuspectedCount(now); n != 0 {
 		t.Errorf("%d are suspected after %v", n, now.Sub(start))
 	}
-	if n := other.Suspected(now); n != 0 {
+	if n := other.SuspectedCount(now); n != 0 {
 		t.Errorf("%d are suspected after %v by a router that is told", n, now.Sub(start))
 	}
 }
@@ -173,9 +173,9 @@
 		for vm := range load.VM(upstreams * 2 / 3) {
 			d.Succeeded(now, vm)
 		}
-		d.Suspected(now)
+		d.SuspectedCount(now)
 	}
-	if n := d.Suspected(now); n > 0 {
+	if n := d.SuspectedCount(now); n > 0 {
 		t.Errorf("%d of %d upstreams are suspected 3 s after the surge", n, upstreams)
 	}
 }
@@ -200,7 +200,7 @@
 				} else {
 					d.Succeeded(now, vm)
 				}
-				worst = max(worst, d.Suspected(now))
+				worst = max(worst, d.SuspectedCount(now))
 			}
 		}
 		if most := upstreams / 3; worst > most {
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -42,8 +42,8 @@
 	return each(b, members, 1, func(vm load.VM, c count) { d.add(now, vm, c) })
 }
 
-// Told returns what the routers that rely on this one are to know; nil: nothing.
-func (d *Detector) Told(now time.Time, members []load.VM) []byte {
+// Summary returns what the routers that rely on this one are to know; nil: nothing.
+func (d *Detector) Summary(now time.Time, members []load.VM) []byte {
 	if !d.failing {
 		return nil
 	}
@@ -56,9 +56,9 @@
 	return pack(members, known, scale, toldMost)
 }
 
-// MergeTold takes in what the router tells that this one relies on. It takes the place
+// MergeSummary takes in what the router tells that this one relies on. It takes the place
 // of what was told before.
-func (d *Detector) MergeTold(now time.Time, members []load.VM, b []byte) error {
+func (d *Detector) MergeSummary(now time.Time, members []load.VM, b []byte) error {
 	d.rebase(now)
 	weight := d.clock.Weight(now)
 	told := make(map[load.VM]count)
--- a/internal/outlier/share_test.go
+++ b/internal/outlier/share_test.go
@@ -29,18 +29,18 @@
 			t.Error("what was reported is reported again")
 		}
 	}
-	told := reader.Told(start, vms)
+	told := reader.Summary(start, vms)
 	for i, r := range routers {
-		if err := r.MergeTold(start, vms, told); err != nil {
+		if err := r.MergeSummary(start, vms, told); err != nil {
 			t.Fatal(err)
 		}
-		if !r.Suspects(start, vms[4]) || r.Suspected(start) != 1 {
-			t.Errorf("router %d suspects %d upstreams", i, r.Suspected(start))
+		if !r.IsSuspected(start, vms[4]) || r.SuspectedCount(start) != 1 {
+			t.Errorf("router %d suspects %d upstreams", i, r.SuspectedCount(start))
 		}
-		if err := r.MergeTold(start, vms, nil); err != nil {
+		if err := r.MergeSummary(start, vms, nil); err != nil {
 			t.Fatal(err)
 		}
-		if i == 2 && r.Suspected(start.Add(suspectFor)) > 0 {
+		if i == 2 && r.SuspectedCount(start.Add(suspectFor)) > 0 {
 			t.Error("suspected although nobody is told of any more")
 		}
 	}
@@ -52,7 +52,7 @@
 	vms := pool(2)
 	reader, router := New(), New()
 	reader.Failed(start, vms[0])
-	if err := router.MergeTold(start, vms, reader.Told(start, vms)); err != nil {
+	if err := router.MergeSummary(start, vms, reader.Summary(start, vms)); err != nil {
 		t.Fatal(err)
 	}
 	if b := router.Report(vms); b != nil {
@@ -134,9 +134,9 @@
 			t.Fatal(err)
 		}
 	}
-	told := routers[0].Told(now, vms)
+	told := routers[0].Summary(now, vms)
 	for _, r := range routers[1:] {
-		if err := r.MergeTold(now, vms, told); err != nil {
+		if err := r.MergeSummary(now, vms, told); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -146,7 +146,7 @@
 func choose(d *Detector, now time.Time, vms []load.VM, session int, suspicion bool) int {
 	ranking := rand.New(rand.NewPCG(uint64(session), 9)).Perm(len(vms))
 	for _, vm := range ranking {
-		if !suspicion || !d.Suspects(now, vms[vm]) {
+		if !suspicion || !d.IsSuspected(now, vms[vm]) {
 			return vm
 		}
 	}
@@ -174,15 +174,15 @@
 	vms := pool(5)
 	d := New()
 	d.Failed(start, vms[1])
-	f.Add(d.Told(start, vms))
+	f.Add(d.Summary(start, vms))
 	f.Add(d.Report(vms))
 	f.Add([]byte{255, 255, 9, 1})
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := New()
 		_ = d.MergeReport(start, vms, b)
-		_ = d.MergeTold(start, vms, b)
-		if n := d.Suspected(start); n > len(vms) {
+		_ = d.MergeSummary(start, vms, b)
+		if n := d.SuspectedCount(start); n > len(vms) {
 			t.Fatalf("%d of %d upstreams are suspected", n, len(vms))
 		}
 		for _, c := range d.counts {
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -29,8 +29,8 @@
 	random  *rand.Rand
 	ids     []load.VM
 	pools   [plainRouters]*Pool
-	tallies [plainRouters]*load.Tally
-	paces   [plainRouters]*load.Pace
+	tallies [plainRouters]*load.PoolLoad
+	paces   [plainRouters]*load.RelativeLatency
 	free    [plainUpstreams][plainSlots]time.Time // when each slot of an upstream is free
 	waiting [plainUpstreams]int                   // or running
 	ends    dones
@@ -48,7 +48,7 @@
 	}
 	for i := range p.pools {
 		p.pools[i] = NewPool(ms, Locality{Domain: names[i%len(names)]})
-		p.tallies[i], p.paces[i] = load.NewTally(), load.NewPace()
+		p.tallies[i], p.paces[i] = load.NewPoolLoad(), load.NewRelativeLatency()
 	}
 	return p
 }
@@ -79,9 +79,9 @@
 func (p *plain) learn(e done) {
 	pace, vm, took := p.paces[e.router], p.ids[e.member], e.at.Sub(e.began)
 	if e.member == p.broken {
-		pace.Waited(e.at, vm, "login", took)
+		pace.RecordFailure(e.at, vm, "login", took)
 	} else {
-		pace.Took(e.at, vm, "login", took)
+		pace.RecordAnswer(e.at, vm, "login", took)
 	}
 }
 
@@ -123,14 +123,14 @@
 
 // plainAt is what a router believes at one moment. It implements Loads.
 type plainAt struct {
-	tally *load.Tally
-	pace  *load.Pace
+	tally *load.PoolLoad
+	pace  *load.RelativeLatency
 	now   time.Time
 }
 
 func (l plainAt) Load(vm load.VM) float64  { return l.tally.Load(l.now, vm) }
-func (l plainAt) Upper(vm load.VM) float64 { return l.tally.Upper(l.now, vm) }
-func (l plainAt) Wait(vm load.VM) float64  { return l.pace.Slowness(l.now, vm) * (l.Load(vm) + 1) }
+func (l plainAt) Upper(vm load.VM) float64 { return l.tally.UpperBound(l.now, vm) }
+func (l plainAt) Wait(vm load.VM) float64  { return l.pace.Factor(l.now, vm) * (l.Load(vm) + 1) }
 func (l plainAt) Suspects(load.VM) bool    { return false }
 func (l plainAt) Closed(int) bool          { return false }
 func (l plainAt) Expect(load.VM) Expected  { return Expected{} }
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -67,7 +67,7 @@
 	ids     []load.VM
 	pool    *Pool
 	idle    int // upstreams that are drained
-	tallies [sliverRouters]*load.Tally
+	tallies [sliverRouters]*load.PoolLoad
 	running []int
 	ends    dones
 	shared  time.Time
@@ -84,7 +84,7 @@
 	}
 	s.drain(0)
 	for i := range s.tallies {
-		s.tallies[i], s.demands[i] = load.NewTally(), load.NewDemand()
+		s.tallies[i], s.demands[i] = load.NewPoolLoad(), load.NewDemand()
 	}
 	s.running = make([]int, sliverUpstreams)
 	return s
@@ -114,7 +114,7 @@
 		if s.by.soft {
 			q.Soft = sliverSoft
 		}
-		if share := s.demands[router].Ask(now, q.Session, "chat"); s.by.spread {
+		if share := s.demands[router].RecordRequest(now, q.Session, "chat"); s.by.spread {
 			q.Share = share
 		}
 		var out [Candidates]Choice
@@ -186,14 +186,14 @@
 
 // tallyAt is what a router believes at one moment. It implements Loads.
 type tallyAt struct {
-	tally *load.Tally
+	tally *load.PoolLoad
 	now   time.Time
 	idle  int
 }
 
 func (l tallyAt) Load(vm load.VM) float64  { return l.tally.Load(l.now, vm) }
 func (l tallyAt) Wait(vm load.VM) float64  { return l.Load(vm) }
-func (l tallyAt) Upper(vm load.VM) float64 { return l.tally.Upper(l.now, vm) }
+func (l tallyAt) Upper(vm load.VM) float64 { return l.tally.UpperBound(l.now, vm) }
 func (l tallyAt) Suspects(load.VM) bool    { return false }
 func (l tallyAt) Closed(int) bool          { return false }
 func (l tallyAt) Expect(load.VM) Expected  { return Expected{} }
--- a/internal/retry/pools.go
+++ b/internal/retry/pools.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Pools is what the requests of one router to each pool share: the Window of their retries, and
+// PoolBudgets is what the requests of one router to each pool share: the Window of their retries, and
 // the Returns of callers that were turned away. It is safe for concurrent use.
-type Pools struct {
+type PoolBudgets struct {
 	mu    sync.Mutex
 	pools map[string]*pool
 	rule  Rule
@@ -16,23 +16,23 @@
 
 type pool struct {
 	window  Window
-	returns Returns
+	returns ReturnScheduler
 }
 
-// NewPools returns Pools of which no request is known.
-func NewPools() *Pools {
-	return &Pools{pools: make(map[string]*pool)}
+// NewPoolBudgets returns Pools of which no request is known.
+func NewPoolBudgets() *PoolBudgets {
+	return &PoolBudgets{pools: make(map[string]*pool)}
 }
 
-// Tune replaces the rule of the windows.
-func (p *Pools) Tune(rule Rule) {
+// SetRule replaces the rule of the windows.
+func (p *PoolBudgets) SetRule(rule Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rule = rule
 }
 
 // Request counts a request of a caller to a pool, and returns the PoolBudget that it draws on.
-func (p *Pools) Request(now time.Time, name string) PoolBudget {
+func (p *PoolBudgets) Request(now time.Time, name string) PoolBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of := p.pools[name]
@@ -45,16 +45,16 @@
 	return PoolBudget{pools: p, pool: of}
 }
 
-// CallersReturn reports whether callers that a pool has turned away may still come back.
-func (p *Pools) CallersReturn(now time.Time, name string) bool {
+// AwaitsCallers reports whether callers that a pool has turned away may still come back.
+func (p *PoolBudgets) AwaitsCallers(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	of := p.pools[name]
-	return of != nil && of.returns.Awaited(now)
+	return of != nil && of.returns.Pending(now)
 }
 
 // Answered counts an answer of a pool.
-func (p *Pools) Answered(now time.Time, name string) {
+func (p *PoolBudgets) Answered(now time.Time, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if of := p.pools[name]; of != nil {
@@ -64,7 +64,7 @@
 
 // PoolBudget is what one request draws on, by the clock of the machine.
 type PoolBudget struct {
-	pools *Pools
+	pools *PoolBudgets
 	pool  *pool
 }
 
@@ -79,5 +79,5 @@
 func (b PoolBudget) RetryAfter(left time.Duration) time.Duration {
 	b.pools.mu.Lock()
 	defer b.pools.mu.Unlock()
-	return b.pool.returns.Advise(time.Now(), left, rand.Float64())
+	return b.pool.returns.Schedule(time.Now(), left, rand.Float64())
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -6,32 +6,32 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// Next is what may follow a failed attempt.
-type Next uint8
+// Decision is what may follow a failed attempt.
+type Decision uint8
 
 const (
 	// Stop means that the failure is final.
-	Stop Next = iota
-	// Walk means that the request may be offered to another upstream. The
+	Stop Decision = iota
+	// Reroute means that the request may be offered to another upstream. The
 	// failed attempt reached none, so this costs no budget.
-	Walk
-	// Again means that the request may run again, if the budget allows.
-	Again
+	Reroute
+	// Retry means that the request may run again, if the budget allows.
+	Retry
 )
 
 // Failure is how an attempt has failed.
 type Failure struct {
 	Err *verdict.Error
-	// Asked reports that the upstream was asked, even if it took nothing.
-	Asked bool
+	// Reached reports that the upstream was asked, even if it took nothing.
+	Reached bool
 	// Final reports that no other upstream would take the request.
 	Final bool
 }
 
-// Asked reports whether a request that its sidecar had admitted got as far as
+// ReachedUpstream reports whether a request that its sidecar had admitted got as far as
 // the upstream before it failed. One that only waited there has cost the
 // upstream nothing.
-func Asked(err *verdict.Error) bool {
+func ReachedUpstream(err *verdict.Error) bool {
 	switch err.Reason {
 	case verdict.ReasonDraining, verdict.ReasonDeadline, verdict.ReasonSuspect:
 		return err.Verdict != verdict.NotRun
@@ -41,28 +41,28 @@
 
 // Conditions are the properties of a request on which a retry depends.
 type Conditions struct {
-	Idempotent bool // the profile allows the request to run more than once
-	Read       bool // the method is safe: it changes nothing
-	Sent       bool // the caller has been sent a part of the answer
+	Idempotent    bool // the profile allows the request to run more than once
+	ReadOnly      bool // the method is safe: it changes nothing
+	AnswerStarted bool // the caller has been sent a part of the answer
 }
 
-// After returns what may follow a failure.
+// Decide returns what may follow a failure.
 //
 // Once a part of the answer has gone out, nothing may: a second run may answer
 // differently, and the caller would get the head of one answer with the tail
 // of another.
-func After(f Failure, c Conditions) Next {
-	if c.Sent || f.Final || !elsewhere(f.Err.Reason) {
+func Decide(f Failure, c Conditions) Decision {
+	if c.AnswerStarted || f.Final || !elsewhere(f.Err.Reason) {
 		return Stop
 	}
 	notRun := f.Err.Verdict == verdict.NotRun
 	switch {
 	case !notRun && f.Err.Reason == verdict.ReasonDeadline:
 		return Stop
-	case notRun && !f.Asked:
-		return Walk
+	case notRun && !f.Reached:
+		return Reroute
 	case notRun || c.Idempotent:
-		return Again
+		return Retry
 	default:
 		return Stop
 	}
@@ -94,7 +94,7 @@
 // out. Only for reads: of a write that is called idempotent, two runs at the
 // same time are still more than one run after the other.
 func MayHedge(c Conditions) bool {
-	return c.Idempotent && c.Read && !c.Sent
+	return c.Idempotent && c.ReadOnly && !c.AnswerStarted
 }
 
 const (
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -62,23 +62,23 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		c := Conditions{
-			Idempotent: rapid.Bool().Draw(t, "idempotent"),
-			Read:       rapid.Bool().Draw(t, "read"),
-			Sent:       rapid.Bool().Draw(t, "sent"),
+			Idempotent:    rapid.Bool().Draw(t, "idempotent"),
+			ReadOnly:      rapid.Bool().Draw(t, "read"),
+			AnswerStarted: rapid.Bool().Draw(t, "sent"),
 		}
 		v := rapid.SampledFrom([]verdict.Verdict{verdict.MayHaveRun, verdict.NotRun, verdict.Ran}).Draw(t, "verdict")
 		r := rapid.SampledFrom(reasons).Draw(t, "reason")
-		next := After(Failure{Err: verdict.New(v, r, ""), Asked: rapid.Bool().Draw(t, "asked")}, c)
-		if next != Stop && c.Sent {
+		next := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "asked")}, c)
+		if next != Stop && c.AnswerStarted {
 			t.Fatal("a second run after a part of the answer was sent")
 		}
 		if next != Stop && v != verdict.NotRun && !c.Idempotent {
 			t.Fatal("a second run of what may have run")
 		}
-		if next == Walk && v != verdict.NotRun {
+		if next == Reroute && v != verdict.NotRun {
 			t.Fatal("a free second run of what may have run")
 		}
-		if MayHedge(c) && !(c.Idempotent && c.Read && !c.Sent) {
+		if MayHedge(c) && !(c.Idempotent && c.ReadOnly && !c.AnswerStarted) {
 			t.Fatal("hedged what is no idempotent read")
 		}
 	})
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -18,12 +18,12 @@
 	// leastRoom is the part of what a pool answers that is left to callers that come
 	// back, however many new ones come: they have waited longest.
 	leastRoom = 0.2
-	// AwayShare is the part of the time that it has left for which a caller stays away, at
+	// MaxDelayShare is the part of the time that it has left for which a caller stays away, at
 	// most, when it is told to come back: it wants time for two more tries.
-	AwayShare = 1.0 / 3
+	MaxDelayShare = 1.0 / 3
 )
 
-// Returns tells callers that a pool has turned away when to come back. It spreads
+// ReturnScheduler tells callers that a pool has turned away when to come back. It spreads
 // them over the next seconds so that the pool has room for them beside those who
 // come for the first time, and counts in those whom it has told before. Each router
 // sees the same part of the pool's arrivals and of its answers, so that none needs to
@@ -34,8 +34,8 @@
 // back were turned away 15453 times, and 1799 with this; with 8 s, 15890 and 7371
 // (TestCallersComeBackWhenThereIsRoom). Callers with 4 s have no time to let it pass.
 //
-// The zero value is ready to use. A Returns is not safe for concurrent use.
-type Returns struct {
+// The zero value is ready to use. A ReturnScheduler is not safe for concurrent use.
+type ReturnScheduler struct {
 	booked  [returnSlots]float64 // callers by the slot to which they come back
 	slots   slots
 	arrived float64   // requests of callers, their weight lowered by age
@@ -44,32 +44,32 @@
 	until   time.Time // when the last of the callers that were told will have come back
 }
 
-// Awaited reports whether callers that were told to come back may still do so.
-func (r *Returns) Awaited(now time.Time) bool {
+// Pending reports whether callers that were told to come back may still do so.
+func (r *ReturnScheduler) Pending(now time.Time) bool {
 	return now.Before(r.until)
 }
 
 // Arrived counts a request of a caller, also of one that comes back.
-func (r *Returns) Arrived(now time.Time) {
+func (r *ReturnScheduler) Arrived(now time.Time) {
 	r.advance(now)
 	r.arrived++
 }
 
 // Answered counts an answer of the pool.
-func (r *Returns) Answered(now time.Time) {
+func (r *ReturnScheduler) Answered(now time.Time) {
 	r.advance(now)
 	r.answers++
 }
 
-// Advise returns when a caller that is turned away now is to come back, if it has some time
+// Schedule returns when a caller that is turned away now is to come back, if it has some time
 // left, or zero if it has any: in the first slot that has room, of those up to which it
 // would stay away, or the emptiest. spread, from 0 to 1, is where in the slot.
-func (r *Returns) Advise(now time.Time, left time.Duration, spread float64) time.Duration {
+func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, spread float64) time.Duration {
 	r.advance(now)
 	room := r.room()
 	first, end := int64(soonestReturn/returnSlot), int64(returnSlots)
 	if left > 0 {
-		most := time.Duration(AwayShare * float64(left))
+		most := time.Duration(MaxDelayShare * float64(left))
 		end = min(max(int64(most/returnSlot), first+1), end)
 	}
 	best := first
@@ -87,19 +87,19 @@
 }
 
 // room returns for how many callers that come back a slot has room.
-func (r *Returns) room() float64 {
+func (r *ReturnScheduler) room() float64 {
 	seconds := ratesFor.Seconds()
 	perSlot := returnSlot.Seconds() / seconds
 	fresh := math.Max(0, r.arrived-r.booked[r.slot(0)]/perSlot)
 	return math.Max(r.answers-fresh, leastRoom*r.answers) * perSlot
 }
 
-func (r *Returns) slot(ahead int64) int {
+func (r *ReturnScheduler) slot(ahead int64) int {
 	return r.slots.index(ahead, returnSlots)
 }
 
 // advance makes the slot of now the present one, and lowers the weights.
-func (r *Returns) advance(now time.Time) {
+func (r *ReturnScheduler) advance(now time.Time) {
 	if r.last.IsZero() {
 		r.last = now
 	}
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -53,7 +53,7 @@
 }
 
 // playSurge plays it for callers that have some time each, with what routers advise.
-func playSurge(seed uint64, patience time.Duration, advise func(router int, now time.Time, left time.Duration) time.Duration, told [surgeRouters]*Returns) surgeOutcome {
+func playSurge(seed uint64, patience time.Duration, advise func(router int, now time.Time, left time.Duration) time.Duration, told [surgeRouters]*ReturnScheduler) surgeOutcome {
 	random := rand.New(rand.NewPCG(seed, 6))
 	var next visits
 	start := time.Unix(1000, 0)
@@ -101,9 +101,9 @@
 	return b
 }
 
-func newReturns() (told [surgeRouters]*Returns) {
+func newReturns() (told [surgeRouters]*ReturnScheduler) {
 	for i := range told {
-		told[i] = &Returns{}
+		told[i] = &ReturnScheduler{}
 	}
 	return told
 }
@@ -127,7 +127,7 @@
 			random := rand.New(rand.NewPCG(seed, 8))
 			told := newReturns()
 			planned = planned.plus(playSurge(seed, c.patience, func(router int, now time.Time, left time.Duration) time.Duration {
-				return told[router].Advise(now, left, random.Float64())
+				return told[router].Schedule(now, left, random.Float64())
 			}, told))
 		}
 		t.Logf("of %d callers with %v, turned away after they came back: %d with a fixed second, %d as advised; unserved: %d, %d",
@@ -142,7 +142,7 @@
 // Whatever has happened, the advice lies between the soonest and the farthest slot.
 func TestAdviceIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Returns
+		var r ReturnScheduler
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(0, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
@@ -152,7 +152,7 @@
 			case 1:
 				r.Answered(now)
 			default:
-				d := r.Advise(now, time.Hour, rapid.Float64Range(0, 1).Draw(t, "spread"))
+				d := r.Schedule(now, time.Hour, rapid.Float64Range(0, 1).Draw(t, "spread"))
 				if d < soonestReturn || d > returnSlots*returnSlot {
 					t.Fatalf("advised %v", d)
 				}
@@ -164,7 +164,7 @@
 // A router that has turned away one caller of a pool that is otherwise quiet tells it
 // to come back soon; one whose pool answers nothing spreads its callers evenly.
 func TestAdviceFollowsTheRoom(t *testing.T) {
-	var quiet Returns
+	var quiet ReturnScheduler
 	now := time.Unix(1000, 0)
 	for range 50 {
 		now = now.Add(20 * time.Millisecond)
@@ -172,13 +172,13 @@
 		quiet.Answered(now)
 		quiet.Answered(now)
 	}
-	if got := quiet.Advise(now, time.Hour, 0); got != soonestReturn {
+	if got := quiet.Schedule(now, time.Hour, 0); got != soonestReturn {
 		t.Errorf("with room at once: %v, want %v", got, soonestReturn)
 	}
-	var dark Returns
+	var dark ReturnScheduler
 	seen := make(map[time.Duration]int)
 	for range returnSlots {
-		seen[dark.Advise(now, time.Hour, 0)]++
+		seen[dark.Schedule(now, time.Hour, 0)]++
 	}
 	if len(seen) != returnSlots-int(soonestReturn/returnSlot) {
 		t.Errorf("%d moments for callers of a pool that answers nothing: %v", len(seen), seen)
@@ -188,16 +188,16 @@
 // Callers that were told to come back are awaited until the last of them may have come, and
 // nobody is before.
 func TestCallersAreAwaitedAsLongAsTheyWereTold(t *testing.T) {
-	var r Returns
+	var r ReturnScheduler
 	now := time.Unix(1000, 0)
-	if r.Awaited(now) {
+	if r.Pending(now) {
 		t.Error("callers are awaited before any was turned away")
 	}
-	back := r.Advise(now, 9*time.Second, 0.5)
-	if !r.Awaited(now.Add(back)) {
+	back := r.Schedule(now, 9*time.Second, 0.5)
+	if !r.Pending(now.Add(back)) {
 		t.Errorf("a caller that was told to come back after %v is not awaited then", back)
 	}
-	if late := now.Add(back + returnSlots*returnSlot); r.Awaited(late) {
+	if late := now.Add(back + returnSlots*returnSlot); r.Pending(late) {
 		t.Errorf("it is still awaited %v later", late.Sub(now))
 	}
 }
--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -32,7 +32,7 @@
 	set := r.against(now, p, vm.ID)
 	statements := append(p.statements(now, vm.ID), r.conditions.Statements(now, vm.ID)...)
 	if p.tracker.Suspected(now, id) {
-		set = set.And(condition.Of(condition.Suspected))
+		set = set.Union(condition.Of(condition.Suspected))
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
 	}
 	leave, why := set.Allows(condition.Work)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -96,7 +96,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, upstreams := range []int{130, 1000, 2900} {
 		ring, _ := token.NewRing(token.Secret{ID: 1, Value: make([]byte, 16)})
-		r := &Router{config: Config{Ring: ring}, limits: newLimits(), suspects: newSuspects(), conditions: condition.NewBook()}
+		r := &Router{config: Config{Ring: ring}, limits: newLimits(), suspects: newSuspects(), conditions: condition.NewObservations()}
 		v := benchState(1, upstreams).View()
 		r.view.Store(v)
 		req := Request{Org: benchOrg(0), Profile: v.Profiles["chat"], Session: "s", Call: wire.Call{Method: "POST", Path: "/", Body: make([]byte, 1024)}}
@@ -161,7 +161,7 @@
 		return near, nil
 	}
 	r := &Router{config: Config{Ring: ring, Dial: dial}, ctx: ctx, limits: newLimits(), suspects: newSuspects(),
-		peers: make(map[endpoint]*wire.Peer), conditions: condition.NewBook()}
+		peers: make(map[endpoint]*wire.Peer), conditions: condition.NewObservations()}
 	v := benchState(1, 1).View()
 	r.view.Store(v)
 	body := bytes.Repeat([]byte("b"), 1024)
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -28,13 +28,13 @@
 	now, vm := time.Now(), at.vm.ID
 	if w.Leaving {
 		wordsHeard.Inc(condition.Leaving.String())
-		if a.router.conditions.Leaves(now, vm) {
+		if a.router.conditions.RecordLeaving(now, vm) {
 			a.log(telemetry.LineFailure, "upstream says that it leaves", at.vmAttrs()...)
 		}
 	}
 	if w.Rest > 0 {
 		wordsHeard.Inc(condition.Resting.String())
-		a.router.conditions.Rests(now, vm, w.Rest)
+		a.router.conditions.RecordResting(now, vm, w.Rest)
 		a.log(telemetry.LineFailure, "upstream wants rest", append(at.vmAttrs(), slog.Int64("rest_ms", w.Rest.Milliseconds()))...)
 	}
 }
@@ -54,10 +54,10 @@
 func (u upstream) listed() condition.Set {
 	var s condition.Set
 	if u.vm.Leaving {
-		s = s.And(condition.Of(condition.Leaving))
+		s = s.Union(condition.Of(condition.Leaving))
 	}
 	if u.drained {
-		s = s.And(condition.Of(condition.Drained))
+		s = s.Union(condition.Of(condition.Drained))
 	}
 	return s
 }
@@ -77,9 +77,9 @@
 // against returns what speaks against an upstream of a pool now, but for its outcomes, which
 // count against others' in the choice.
 func (r *Router) against(now time.Time, p *Pool, id string) condition.Set {
-	s := p.of(id).And(r.conditions.Of(now, id))
+	s := p.of(id).Union(r.conditions.Conditions(now, id))
 	if r.coldClosed(now, p, id) {
-		s = s.And(condition.Of(condition.Cold))
+		s = s.Union(condition.Of(condition.Cold))
 	}
 	return s
 }
@@ -126,12 +126,12 @@
 
 // givesPrompts reports whether others may get cached prompts from an upstream.
 func (r *Router) givesPrompts(now time.Time, view *View, vm topo.VM, allowed residency.Regions) bool {
-	s := r.conditions.Of(now, vm.ID)
+	s := r.conditions.Conditions(now, vm.ID)
 	if _, listed := view.VMs[vm.ID]; !listed {
-		s = s.And(condition.Of(condition.Gone))
+		s = s.Union(condition.Of(condition.Gone))
 	}
 	if !allowed.Has(topo.Region(vm.FailureDomain)) {
-		s = s.And(condition.Of(condition.OutOfRegion))
+		s = s.Union(condition.Of(condition.OutOfRegion))
 	}
 	leave, _ := s.Allows(condition.Prompt)
 	return leave != condition.Never
@@ -167,7 +167,7 @@
 		if p.members[i].Leaving {
 			continue
 		}
-		ends := r.conditions.Opens(now, vm.ID)
+		ends := r.conditions.AvailableIn(now, vm.ID)
 		if r.coldClosed(now, p, vm.ID) {
 			ends = max(ends, coldEnds)
 		}
@@ -195,7 +195,7 @@
 // keepConditions forgets the conditions of upstreams that are gone for long.
 func (r *Router) keepConditions(now time.Time) {
 	vms := r.View().VMs
-	r.conditions.Keep(now, func(id string) bool {
+	r.conditions.Prune(now, func(id string) bool {
 		_, listed := vms[id]
 		return listed
 	})
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -73,7 +73,7 @@
 		a.counted = true
 		a.share = a.pool.tracker.Ask(now, a.session, req.Profile.Name)
 	}
-	a.late = req.mayHaveComeBack() && r.retries.CallersReturn(now, pool)
+	a.late = req.mayHaveComeBack() && r.retries.AwaitsCallers(now, pool)
 	a.targets = a.choices(now)
 	if len(a.targets) == 0 {
 		a.Close()
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -176,9 +176,9 @@
 
 func (s *State) conditions() retry.Conditions {
 	return retry.Conditions{
-		Idempotent: s.plan.Idempotent || s.plan.Resumable,
-		Read:       s.plan.Read,
-		Sent:       s.begun && !s.resume,
+		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
+		ReadOnly:      s.plan.Read,
+		AnswerStarted: s.begun && !s.resume,
 	}
 }
 
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -37,7 +37,7 @@
 	a.reconnects++
 	err := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the connection to the upstream was lost")
 	if s.plan.Direct || a.reconnects > maxReconnects {
-		return s.failed(i, retry.Failure{Err: err, Asked: true})
+		return s.failed(i, retry.Failure{Err: err, Reached: true})
 	}
 	if a.reconnects > reconnectsHere && s.alive() == 1 && s.mayRunElsewhere() && s.budget.Withdraw() {
 		a.phase = over
@@ -71,7 +71,7 @@
 	// An attach is refused by a sidecar that has the request no longer, or by
 	// the next incarnation. The request had been admitted there.
 	asked := a.phase == admitted || s.plan.Direct
-	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Asked: asked, Final: e.Final})
+	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: asked, Final: e.Final})
 }
 
 // opened handles the first piece of an answer. The first attempt to get there
@@ -92,11 +92,11 @@
 	if s.winner != none || s.attempts[e.Attempt].phase == over {
 		return nil
 	}
-	f := retry.Failure{Err: e.Err, Asked: true}
+	f := retry.Failure{Err: e.Err, Reached: true}
 	if s.begun { // of another answer, which this one cannot go on with
 		return append([]Effect{Drop{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
 	}
-	if retry.After(f, s.conditions()) != retry.Again || s.spent() || s.alive() > 1 || !s.budget.Withdraw() {
+	if retry.Decide(f, s.conditions()) != retry.Retry || s.spent() || s.alive() > 1 || !s.budget.Withdraw() {
 		return s.opened(Opened{Now: e.Now, Attempt: e.Attempt})
 	}
 	s.attempts[e.Attempt].phase = over
@@ -117,7 +117,7 @@
 
 func (s *State) ended(e Ended) []Effect {
 	if e.Err != nil {
-		return s.failed(e.Attempt, retry.Failure{Err: e.Err, Asked: retry.Asked(e.Err)})
+		return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: retry.ReachedUpstream(e.Err)})
 	}
 	s.attempts[e.Attempt].phase = over
 	s.finished = true
@@ -152,11 +152,11 @@
 		s.full = a.candidate
 	}
 	switch {
-	case next == retry.Walk && s.spent() && s.askAgain && s.full != none:
+	case next == retry.Reroute && s.spent() && s.askAgain && s.full != none:
 		return s.offerAgain()
 	case s.plan.Resume || s.spent() || next == retry.Stop:
 		return s.finish(f.Err)
-	case next == retry.Again && !s.budget.Withdraw():
+	case next == retry.Retry && !s.budget.Withdraw():
 		return s.finish(f.Err)
 	default:
 		return s.offer(false)
@@ -166,11 +166,11 @@
 // after returns what may follow a failure. A refusal of a key that the caller
 // holds is remembered by the sidecar and told to every copy of the request, so
 // no copy may run under another key.
-func (s *State) after(a attempt, f retry.Failure) retry.Next {
+func (s *State) after(a attempt, f retry.Failure) retry.Decision {
 	if a.held && f.Err.Verdict == verdict.NotRun {
 		return retry.Stop
 	}
-	return retry.After(f, s.conditions())
+	return retry.Decide(f, s.conditions())
 }
 
 // note remembers what an attempt's failure says about the request as a whole.
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -76,12 +76,12 @@
 
 // avoid puts an upstream behind the others for a while: it could not be reached.
 func (r *Router) avoid(vm string) {
-	r.conditions.Unreachable(time.Now(), vm)
+	r.conditions.RecordUnreachable(time.Now(), vm)
 }
 
 // avoids reports whether an upstream is avoided at now.
 func (r *Router) avoids(vm string, now time.Time) bool {
-	return r.conditions.Of(now, vm).Has(condition.Unreachable)
+	return r.conditions.Conditions(now, vm).Has(condition.Unreachable)
 }
 
 // prunePeers forgets the sidecars of VMs that have left. VMs come and go by the
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -106,7 +106,7 @@
 	began    chan struct{} // closed when the router is ready for the first time
 	begin    sync.Once
 	limits   *limits
-	retries  *retry.Pools // of upstreams without a sidecar
+	retries  *retry.PoolBudgets // of upstreams without a sidecar
 	claims   *claimBudget
 	claimer  *claim.Keeper
 	suspects *suspects
@@ -118,7 +118,7 @@
 	mesh     *mesh
 	replaced []topo.VM // incarnations to be abandoned; owned by the control loop
 
-	conditions *condition.Book // of upstreams
+	conditions *condition.Observations // of upstreams
 
 	mu      sync.Mutex
 	parent  relay.Node                   // that reads the store for this router
@@ -145,7 +145,7 @@
 		began:      make(chan struct{}),
 		asked:      make(map[uint64]chan config.Delta),
 		limits:     newLimits(),
-		retries:    retry.NewPools(),
+		retries:    retry.NewPoolBudgets(),
 		claims:     newClaimBudget(time.Now()),
 		claimer:    claim.NewKeeper(c.Store),
 		suspects:   newSuspects(),
@@ -153,7 +153,7 @@
 		holders:    balance.NewHolders[topo.VM](),
 		warming:    warming{gate: warmup.NewGate(c.VM)},
 		peers:      make(map[endpoint]*wire.Peer),
-		conditions: condition.NewBook(),
+		conditions: condition.NewObservations(),
 	}
 	if c.Decode != nil {
 		r.state.SetDecoder(c.Decode)
@@ -184,7 +184,7 @@
 // Tune replaces the router's tuning.
 func (r *Router) Tune(t Tuning) {
 	r.tuning.Store(&t)
-	r.retries.Tune(t.Retries)
+	r.retries.SetRule(t.Retries)
 }
 
 // act carries out an effect, on the loop's goroutine.
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -109,7 +109,7 @@
 	}
 	for id := range m.router.View().VMs {
 		if slices.Contains(leaving, xxh3.HashString(id)) {
-			m.router.conditions.Told(now, id)
+			m.router.conditions.RecordReportedLeaving(now, id)
 		}
 	}
 }
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -20,7 +20,7 @@
 	for i, id := range upstreams {
 		vms[i] = topo.VM{ID: id, Role: topo.RoleDirect, Pool: "llm"}
 	}
-	r := &Router{conditions: condition.NewBook()}
+	r := &Router{conditions: condition.NewObservations()}
 	r.tuning.Store(&Tuning{Policy: policy.All()})
 	r.view.Store(&View{Pools: map[string]*Pool{"llm": newPool(listed(vms), newBeliefs(), balance.NewTracker(), placement.Locality{})}})
 	return &mesh{router: r}
