--- a/bench/policy/fleet_test.go
+++ b/bench/policy/fleet_test.go
@@ -140,13 +140,13 @@
 		}
 	}
 	if f.bound {
-		q.Multiple = f.multiple
+		q.LoadMultiple = f.multiple
 	}
 	beliefs := r.table
 	if !f.skip {
 		beliefs = load.NewTable()
 	}
-	var out [placement.Candidates]int
+	var out [placement.MaxCandidates]int
 	n := r.pool.Choose(f.now, beliefs, q, &out)
 	for _, i := range out[:n] {
 		if f.offer(r, f.upstreams[r.vms[i]]) {
--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -10,32 +10,32 @@
 // of those that may come back go through one router; each takes 150 bytes.
 const sessionsKept = 32 << 10
 
-// Holders knows which upstream has answered each session last through this router, as what V
+// LastServed knows which upstream has answered each session last through this router, as what V
 // stands for. It holds the session's prompt, whatever the ranking says now: upstreams may have
 // joined and left since that have never seen it. It is safe for concurrent use.
-type Holders[V any] struct {
+type LastServed[V any] struct {
 	mu       sync.Mutex
 	sessions *simplelru.LRU[uint64, V]
 }
 
-// NewHolders returns a Holders that knows none.
-func NewHolders[V any]() *Holders[V] {
+// NewLastServed returns a Holders that knows none.
+func NewLastServed[V any]() *LastServed[V] {
 	sessions, err := simplelru.NewLRU[uint64, V](sessionsKept, nil)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return &Holders[V]{sessions: sessions}
+	return &LastServed[V]{sessions: sessions}
 }
 
-// Served takes in that an upstream has begun to answer a request of a session.
-func (h *Holders[V]) Served(session uint64, by V) {
+// Record takes in that an upstream has begun to answer a request of a session.
+func (h *LastServed[V]) Record(session uint64, by V) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sessions.Add(session, by)
 }
 
-// Last returns the upstream that has answered the session last.
-func (h *Holders[V]) Last(session uint64) (V, bool) {
+// Get returns the upstream that has answered the session last.
+func (h *LastServed[V]) Get(session uint64) (V, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sessions.Get(session)
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -21,14 +21,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// HangTimes its objective is how long an attempt may wait for its first byte before
+// HangMultiple its objective is how long an attempt may wait for its first byte before
 // that speaks against its upstream. An answer that is merely late does not: at a
 // start, or where a session's long prompt has to be read, many are, and upstreams
 // that are well would be suspected by turns. Their sessions left them, had their
 // prompts read again elsewhere, and made others late. With 1 in its place, half as
 // much memory again goes between upstreams on days with faults, and in surges beside
 // slow upstreams a tenth more answers are late (five days and one, three seeds each).
-const HangTimes = 2.5
+const HangMultiple = 2.5
 
 // Tracker is what a router knows of the upstreams of one pool.
 type Tracker struct {
@@ -50,13 +50,13 @@
 // Request is a request that looks for an upstream.
 type Request struct {
 	placement.Query
-	Profile   string
-	Urgency   int           // 0 is first
-	Objective time.Duration // for the first byte; zero: none, it goes as it is
-	Left      time.Duration // of its caller's time; zero: not known
-	Late      bool          // it cannot be answered within its objective any more
-	// Closed reports whether upstream i of the pool may get no request now; nil: none is closed.
-	Closed func(i int) bool
+	Profile         string
+	Urgency         int           // 0 is first
+	Objective       time.Duration // for the first byte; zero: none, it goes as it is
+	TimeLeft        time.Duration // of its caller's time; zero: not known
+	ObjectiveMissed bool          // it cannot be answered within its objective any more
+	// Unavailable reports whether upstream i of the pool may get no request now; nil: none is closed.
+	Unavailable func(i int) bool
 }
 
 // Choose writes the upstreams of p to which a request is offered to out, in order, and
@@ -67,35 +67,35 @@
 // time for that. It is served when a surge is over, and takes no place from those that come
 // meanwhile. Of 28456 callers in a surge of twice what the pool can do, 16593 get their
 // answer in time, 11608 without (TestSurgeBeyondThePoolIsServedInTime).
-func (t *Tracker) Choose(now time.Time, p *placement.Pool, on policy.Policy, r Request, out *[placement.Candidates]placement.Choice) (int, placement.Basis) {
+func (t *Tracker) Choose(now time.Time, p *placement.Pool, on policy.Policy, r Request, out *[placement.MaxCandidates]placement.Choice) (int, placement.Basis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r.Flat = !on.DomainSpill
+	r.IgnoreDomains = !on.DomainSpill
 	if !on.HotSpread {
-		r.Share = 0
+		r.SessionShare = 0
 	}
-	idle := p.Idle()
-	if r.Multiple > 0 {
+	idle := p.Drained()
+	if r.LoadMultiple > 0 {
 		seen := t.loads.OwnShare(p.Len(), idle)
-		r.Multiple, r.Soft = fillTo(r.Multiple, seen), softness(seen)
+		r.LoadMultiple, r.BoundJitter = fillTo(r.LoadMultiple, seen), softness(seen)
 	}
 	if !on.SoftBounds {
-		r.Soft = 0
+		r.BoundJitter = 0
 	}
 	l := loadsAt{Tracker: t, on: on, now: now, n: p.Len(), idle: idle, request: r}
 	queues := on.Waits && t.places > 0 && r.Objective > 0
 	if queues {
-		l.request.Within, l.request.Most = r.Objective.Seconds(), t.mix.ShortestObjective().Seconds()*t.speed.DurationFactor(r.Profile)
+		l.request.LatencyLimit, l.request.ShortestObjective = r.Objective.Seconds(), t.mix.ShortestObjective().Seconds()*t.speed.DurationFactor(r.Profile)
 	}
-	n, basis := p.Bounded(l, l.request.Query, out)
-	if queues && r.Left > 0 && (basis.Late || r.Late) {
+	n, basis := p.ChooseBounded(l, l.request.Query, out)
+	if queues && r.TimeLeft > 0 && (basis.ShouldReject || r.ObjectiveMissed) {
 		l.behind = true
 		l.request.Urgency = min(r.Urgency+lastUrgencies, leastUrgency)
-		l.request.Within = waitShare * r.Left.Seconds()
-		l.request.Patient = true
-		n, basis = p.Bounded(l, l.request.Query, out)
+		l.request.LatencyLimit = waitShare * r.TimeLeft.Seconds()
+		l.request.Deferred = true
+		n, basis = p.ChooseBounded(l, l.request.Query, out)
 	}
-	basis.Urgency, basis.Behind = l.request.Urgency, l.behind
+	basis.Urgency, basis.Deferred = l.request.Urgency, l.behind
 	return n, basis
 }
 
@@ -155,80 +155,80 @@
 	return max(multiple*boundShare(seen), min(1+roomShare*(multiple-1), roomMost))
 }
 
-// Ask counts a request of a session and returns its share of the pool's.
-func (t *Tracker) Ask(now time.Time, session uint64, profile string) float64 {
+// RecordRequest counts a request of a session and returns its share of the pool's.
+func (t *Tracker) RecordRequest(now time.Time, session uint64, profile string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.demand.RecordRequest(now, session, profile)
 }
 
-// Took takes in how long a request of a session was in flight.
-func (t *Tracker) Took(profile string, d time.Duration) {
+// RecordDuration takes in how long a request of a session was in flight.
+func (t *Tracker) RecordDuration(profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.demand.RecordDuration(profile, d)
 }
 
-// Report takes in that an upstream says how many requests it has, those of this router
+// RecordLoad takes in that an upstream says how many requests it has, those of this router
 // among them.
-func (t *Tracker) Report(now time.Time, vm load.VM, requests int) {
+func (t *Tracker) RecordLoad(now time.Time, vm load.VM, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.Observe(now, vm, requests)
 }
 
-// Places takes in how many requests an engine works on at a time. Those of a pool are
+// SetSlots takes in how many requests an engine works on at a time. Those of a pool are
 // alike.
-func (t *Tracker) Places(n int) {
+func (t *Tracker) SetSlots(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.places = n
 }
 
-// Arrived takes in within which objective the first byte of a request is wanted.
-func (t *Tracker) Arrived(urgency int, objective time.Duration) {
+// RecordObjective takes in within which objective the first byte of a request is wanted.
+func (t *Tracker) RecordObjective(urgency int, objective time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mix.SetObjective(urgency, objective)
 }
 
-// Sent counts an attempt that waits for its first byte.
-func (t *Tracker) Sent(a Attempt) {
+// BeginWait counts an attempt that waits for its first byte.
+func (t *Tracker) BeginWait(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mix.AddWaiting(a.Urgency)
 }
 
-// Begun counts the first byte of an attempt that Sent has counted, or its end without one.
-func (t *Tracker) Begun(a Attempt) {
+// EndWait counts the first byte of an attempt that Sent has counted, or its end without one.
+func (t *Tracker) EndWait(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mix.RemoveWaiting(a.Urgency)
 }
 
-// Events takes in that n events of a stream came within a time after the one before.
-func (t *Tracker) Events(now time.Time, vm load.VM, profile string, n int, within time.Duration) {
+// RecordEvents takes in that n events of a stream came within a time after the one before.
+func (t *Tracker) RecordEvents(now time.Time, vm load.VM, profile string, n int, within time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.speed.RecordEvents(now, vm, profile, n, within)
 }
 
-// Served takes in how long an answer took from its first byte to its end.
-func (t *Tracker) Served(now time.Time, vm load.VM, profile string, d time.Duration) {
+// RecordAnswerTime takes in how long an answer took from its first byte to its end.
+func (t *Tracker) RecordAnswerTime(now time.Time, vm load.VM, profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.speed.RecordAnswer(now, vm, profile, d)
 }
 
-// Begin counts an attempt that goes to an upstream.
-func (t *Tracker) Begin(vm load.VM) {
+// BeginAttempt counts an attempt that goes to an upstream.
+func (t *Tracker) BeginAttempt(vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.Begin(vm)
 }
 
-// End counts the end of an attempt that Begin has counted.
-func (t *Tracker) End(vm load.VM) {
+// EndAttempt counts the end of an attempt that Begin has counted.
+func (t *Tracker) EndAttempt(vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.End(vm)
@@ -246,15 +246,15 @@
 
 // Attempt is one attempt of a request at an upstream.
 type Attempt struct {
-	VM      load.VM
-	Profile string
-	Urgency int     // 0 is first
-	Load    float64 // that was believed of the upstream when it was chosen
-	Behind  bool    // as of the choice's Basis
+	VM       load.VM
+	Profile  string
+	Urgency  int     // 0 is first
+	Load     float64 // that was believed of the upstream when it was chosen
+	Deferred bool    // as of the choice's Basis
 }
 
-// Went takes in how an attempt went, and how long that took to show.
-func (t *Tracker) Went(now time.Time, a Attempt, d time.Duration, well bool) {
+// RecordOutcome takes in how an attempt went, and how long that took to show.
+func (t *Tracker) RecordOutcome(now time.Time, a Attempt, d time.Duration, well bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !well {
@@ -264,7 +264,7 @@
 	}
 	t.pace.RecordAnswer(now, a.VM, a.Profile, d)
 	t.outliers.Succeeded(now, a.VM)
-	if t.places > 0 && !a.Behind {
+	if t.places > 0 && !a.Deferred {
 		t.speed.RecordFirstByte(now, a.VM, a.Profile, d, t.behind(a.Load, a.Urgency))
 	}
 }
@@ -275,16 +275,16 @@
 	return max(load+1-float64(t.places), 0) * t.mix.FractionAhead(urgency)
 }
 
-// Failed takes in that an attempt failed at an upstream, beside what Went has said of it.
-func (t *Tracker) Failed(now time.Time, vm load.VM) {
+// RecordFailure takes in that an attempt failed at an upstream, beside what Went has said of it.
+func (t *Tracker) RecordFailure(now time.Time, vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outliers.Failed(now, vm)
 }
 
-// Suspicions returns the upstreams of which the judgement has changed since it was called
+// SuspicionChanges returns the upstreams of which the judgement has changed since it was called
 // last.
-func (t *Tracker) Suspicions() []outlier.Change {
+func (t *Tracker) SuspicionChanges() []outlier.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outliers.Changes()
@@ -318,9 +318,9 @@
 // Load implements placement.Loads.
 func (l loadsAt) Load(vm load.VM) float64 { return l.loads.Load(l.now, vm) }
 
-// Wait implements placement.Loads: the time of an answer grows with what waits before
+// Cost implements placement.Loads: the time of an answer grows with what waits before
 // it, of which this router knows its own requests.
-func (l loadsAt) Wait(vm load.VM) float64 {
+func (l loadsAt) Cost(vm load.VM) float64 {
 	wait := l.loads.Load(l.now, vm) + 1
 	if l.on.Pace {
 		wait *= l.pace.Factor(l.now, vm)
@@ -328,8 +328,8 @@
 	return wait
 }
 
-// Expect implements placement.Loads.
-func (l loadsAt) Expect(vm load.VM) placement.Expected {
+// Estimate implements placement.Loads.
+func (l loadsAt) Estimate(vm load.VM) placement.Estimate {
 	load := l.loads.RecentLoad(l.now, vm)
 	behind := l.Tracker.behind(load, l.request.Urgency)
 	first := l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, 0, l.places)
@@ -340,11 +340,11 @@
 	if l.behind && load >= queueShare*float64(l.places) {
 		until = math.Inf(1)
 	}
-	return placement.Expected{
-		Until:    until,
-		Wait:     until - first,
-		Waits:    behind > 0,
-		Slowness: l.speed.Slowdown(l.now, vm),
+	return placement.Estimate{
+		Start:     until,
+		QueueWait: until - first,
+		Queued:    behind > 0,
+		Slowdown:  l.speed.Slowdown(l.now, vm),
 	}
 }
 
@@ -356,12 +356,12 @@
 // above the operators', who count all.
 func (l loadsAt) Mean() float64 { return l.loads.Mean(l.n, l.idle) }
 
-// Closed implements placement.Loads.
-func (l loadsAt) Closed(i int) bool {
-	return l.request.Closed != nil && l.request.Closed(i)
+// Unavailable implements placement.Loads.
+func (l loadsAt) Unavailable(i int) bool {
+	return l.request.Unavailable != nil && l.request.Unavailable(i)
 }
 
-// Suspects implements placement.Loads.
-func (l loadsAt) Suspects(vm load.VM) bool {
+// IsSuspected implements placement.Loads.
+func (l loadsAt) IsSuspected(vm load.VM) bool {
 	return l.on.Outliers && l.outliers.IsSuspected(l.now, vm)
 }
--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -54,22 +54,22 @@
 	home := pool.Home(session)
 	for i := range ids {
 		for range 4 {
-			first.Went(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, i != home)
+			first.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, i != home)
 		}
 	}
 	for i := range ids {
 		if i != home {
-			third.Went(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, true)
+			third.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, true)
 		}
 	}
-	if err := reader.MergeSeen(now, ids, first.Seen(now, time.Time{}, ids)); err != nil {
+	if err := reader.MergeObserved(now, ids, first.PackObserved(now, time.Time{}, ids)); err != nil {
 		t.Fatal(err)
 	}
-	if err := third.MergeKnown(now, ids, reader.Known(now, ids)); err != nil {
+	if err := third.MergeKnown(now, ids, reader.PackKnown(now, ids)); err != nil {
 		t.Fatal(err)
 	}
 	chosen := func(on policy.Policy) int {
-		var out [placement.Candidates]placement.Choice
+		var out [placement.MaxCandidates]placement.Choice
 		third.Choose(now, pool, on, Request{Query: placement.Query{Session: session, Now: now}}, &out)
 		return out[0].Index
 	}
@@ -91,14 +91,14 @@
 	var members []placement.Member
 	for i := range upstreams {
 		m := member(i)
-		m.Idle, m.Leaving = i < drained, i < drained
-		if !m.Idle {
-			tracker.Report(now, m.VM, each)
+		m.Drained, m.Leaving = i < drained, i < drained
+		if !m.Drained {
+			tracker.RecordLoad(now, m.VM, each)
 		}
 		members = append(members, m)
 	}
-	var out [placement.Candidates]placement.Choice
-	q := placement.Query{Session: 7, Multiple: 2, Now: now}
+	var out [placement.MaxCandidates]placement.Choice
+	q := placement.Query{Session: 7, LoadMultiple: 2, Now: now}
 	_, basis := tracker.Choose(now, placement.NewPool(members, placement.Locality{}), policy.All(), Request{Query: q}, &out)
 	if want := float64(each) * (upstreams - drained) / upstreams; math.Abs(basis.Mean-want) > 0.01 {
 		t.Errorf("a mean of %.2f, want %.2f", basis.Mean, want)
--- a/internal/balance/waits_test.go
+++ b/internal/balance/waits_test.go
@@ -24,21 +24,21 @@
 		id := load.Hash(name)
 		ids = append(ids, id)
 		ms = append(ms, placement.Member{VM: id, Seed: placement.Seed(name)})
-		t.Report(now, id, requests)
+		t.RecordLoad(now, id, requests)
 	}
-	t.Places(places)
-	t.Arrived(0, objective)
+	t.SetSlots(places)
+	t.RecordObjective(0, objective)
 	for range 50 {
-		t.Served(now, ids[0], "chat", time.Second)
-		t.Went(now, Attempt{VM: ids[0], Profile: "chat"}, 80*time.Millisecond, true)
+		t.RecordAnswerTime(now, ids[0], "chat", time.Second)
+		t.RecordOutcome(now, Attempt{VM: ids[0], Profile: "chat"}, 80*time.Millisecond, true)
 	}
 	return t, placement.NewPool(ms, placement.Locality{}), ids
 }
 
 func ask(t *Tracker, now time.Time, p *placement.Pool, on policy.Policy, random uint64, left time.Duration) (placement.Choice, placement.Basis) {
-	var out [placement.Candidates]placement.Choice
-	q := placement.Query{Session: 7, Multiple: 4, Random: random, Now: now}
-	_, basis := t.Choose(now, p, on, Request{Query: q, Profile: "chat", Objective: objective, Left: left}, &out)
+	var out [placement.MaxCandidates]placement.Choice
+	q := placement.Query{Session: 7, LoadMultiple: 4, Random: random, Now: now}
+	_, basis := t.Choose(now, p, on, Request{Query: q, Profile: "chat", Objective: objective, TimeLeft: left}, &out)
 	return out[0], basis
 }
 
@@ -62,8 +62,8 @@
 		tracker, pool, _ := engines(now, c.requests)
 		for random := range uint64(50) {
 			_, basis := ask(tracker, now, pool, policy.All(), random, c.left)
-			if basis.Behind != c.behind || basis.Late != c.late {
-				t.Errorf("%s: behind %v, turned away %v", c.name, basis.Behind, basis.Late)
+			if basis.Deferred != c.behind || basis.ShouldReject != c.late {
+				t.Errorf("%s: behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
 			}
 			if want := map[bool]int{false: 0, true: lastUrgencies}[c.behind]; basis.Urgency != want {
 				t.Errorf("%s: urgency %d, want %d", c.name, basis.Urgency, want)
@@ -73,8 +73,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, basis := ask(tracker, now, pool, without, 1, c.left); basis.Behind || basis.Late {
-			t.Errorf("%s: switched off, behind %v, turned away %v", c.name, basis.Behind, basis.Late)
+		if _, basis := ask(tracker, now, pool, without, 1, c.left); basis.Deferred || basis.ShouldReject {
+			t.Errorf("%s: switched off, behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 	now := time.Unix(1000, 0)
 	tracker, pool, ids := engines(now, 8)
 	home, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second)
-	tracker.Report(now, ids[home.Index], 17)
+	tracker.RecordLoad(now, ids[home.Index], 17)
 	for range 40 {
-		tracker.Went(now, Attempt{VM: ids[home.Index], Profile: "chat", Load: 17}, 900*time.Millisecond, true)
+		tracker.RecordOutcome(now, Attempt{VM: ids[home.Index], Profile: "chat", Load: 17}, 900*time.Millisecond, true)
 	}
 	if got, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index != home.Index {
 		t.Error("the session leaves a home that has a queue")
@@ -99,7 +99,7 @@
 			pause *= 5
 		}
 		for range 20 {
-			tracker.Events(now, id, "chat", 1, pause)
+			tracker.RecordEvents(now, id, "chat", 1, pause)
 		}
 	}
 	if got, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index == home.Index {
@@ -113,11 +113,11 @@
 func TestNobodyIsTurnedAwayForOldQueues(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker, pool, _ := engines(now, 60)
-	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); !basis.Late {
+	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); !basis.ShouldReject {
 		t.Fatal("with full queues nobody is turned away")
 	}
 	now = now.Add(4 * time.Second)
-	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); basis.Late {
+	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); basis.ShouldReject {
 		t.Error("a request is turned away for queues of which nothing was heard for 4 s")
 	}
 }
@@ -128,13 +128,13 @@
 	now := time.Unix(1000, 0)
 	tracker, pool, _ := engines(now, 28)
 	for urgency, want := range map[int]int{0: 5, 4: 9, 7: 9, 9: 9} {
-		var out [placement.Candidates]placement.Choice
-		q := placement.Query{Session: 7, Multiple: 4, Now: now}
+		var out [placement.MaxCandidates]placement.Choice
+		q := placement.Query{Session: 7, LoadMultiple: 4, Now: now}
 		_, basis := tracker.Choose(now, pool, policy.All(), Request{
-			Query: q, Profile: "chat", Urgency: urgency, Objective: objective, Left: 10 * time.Second,
+			Query: q, Profile: "chat", Urgency: urgency, Objective: objective, TimeLeft: 10 * time.Second,
 		}, &out)
-		if !basis.Behind || basis.Urgency != want {
-			t.Errorf("urgency %d: sent with %d (behind %v), want %d", urgency, basis.Urgency, basis.Behind, want)
+		if !basis.Deferred || basis.Urgency != want {
+			t.Errorf("urgency %d: sent with %d (behind %v), want %d", urgency, basis.Urgency, basis.Deferred, want)
 		}
 	}
 }
@@ -146,11 +146,11 @@
 	now := time.Unix(1000, 0)
 	for _, requests := range []int{28, 40} {
 		tracker, pool, _ := engines(now, requests)
-		var out [placement.Candidates]placement.Choice
-		q := placement.Query{Session: 7, Multiple: 4, Now: now}
-		_, basis := tracker.Choose(now, pool, policy.All(), Request{Query: q, Profile: "chat", Left: 10 * time.Second, Late: true}, &out)
-		if basis.Behind || basis.Late || basis.Urgency != 0 {
-			t.Errorf("%d requests at each engine: behind %v, turned away %v, urgency %d", requests, basis.Behind, basis.Late, basis.Urgency)
+		var out [placement.MaxCandidates]placement.Choice
+		q := placement.Query{Session: 7, LoadMultiple: 4, Now: now}
+		_, basis := tracker.Choose(now, pool, policy.All(), Request{Query: q, Profile: "chat", TimeLeft: 10 * time.Second, ObjectiveMissed: true}, &out)
+		if basis.Deferred || basis.ShouldReject || basis.Urgency != 0 {
+			t.Errorf("%d requests at each engine: behind %v, turned away %v, urgency %d", requests, basis.Deferred, basis.ShouldReject, basis.Urgency)
 		}
 	}
 }
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -6,7 +6,7 @@
 )
 
 // givenUpTimes is HangTimes for an attempt that is given up before.
-const givenUpTimes = HangTimes / 2
+const givenUpTimes = HangMultiple / 2
 
 // Watch tells how one attempt at a direct upstream goes, for the choice of upstreams
 // for others: well with the first byte of its answer, badly if that does not come
@@ -28,29 +28,29 @@
 	return &Watch{tracker: t, attempt: a, objective: objective}
 }
 
-// Begin starts the watch, as the attempt is sent.
-func (w *Watch) Begin() {
+// Start starts the watch, as the attempt is sent.
+func (w *Watch) Start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sent, w.waits = time.Now(), true
-	w.tracker.Sent(w.attempt)
+	w.tracker.BeginWait(w.attempt)
 	if w.objective > 0 {
-		w.late = time.AfterFunc(times(HangTimes, w.objective), func() { w.Judge(false) })
+		w.late = time.AfterFunc(times(HangMultiple, w.objective), func() { w.RecordOutcome(false) })
 	}
 }
 
-// Begun says that the first byte is there, or will not come.
-func (w *Watch) Begun() {
+// EndWait says that the first byte is there, or will not come.
+func (w *Watch) EndWait() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.waits {
 		w.waits = false
-		w.tracker.Begun(w.attempt)
+		w.tracker.EndWait(w.attempt)
 	}
 }
 
-// Judge says how the attempt went, unless that is known.
-func (w *Watch) Judge(well bool) {
+// RecordOutcome says how the attempt went, unless that is known.
+func (w *Watch) RecordOutcome(well bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.judged || w.sent.IsZero() {
@@ -59,23 +59,23 @@
 	w.judged = true
 	w.stop()
 	now := time.Now()
-	w.tracker.Went(now, w.attempt, now.Sub(w.sent), well)
+	w.tracker.RecordOutcome(now, w.attempt, now.Sub(w.sent), well)
 }
 
-// Broke says that an answer broke off that had begun well.
-func (w *Watch) Broke() {
-	w.tracker.Failed(time.Now(), w.attempt.VM)
+// RecordFailure says that an answer broke off that had begun well.
+func (w *Watch) RecordFailure() {
+	w.tracker.RecordFailure(time.Now(), w.attempt.VM)
 }
 
-// GiveUp ends the watch of an attempt whose answer nobody waits for any more.
-func (w *Watch) GiveUp() {
-	w.Begun()
+// Abandon ends the watch of an attempt whose answer nobody waits for any more.
+func (w *Watch) Abandon() {
+	w.EndWait()
 	w.mu.Lock()
 	slow := w.objective > 0 && time.Since(w.sent) > times(givenUpTimes, w.objective)
 	w.stop()
 	w.mu.Unlock()
 	if slow {
-		w.Judge(false)
+		w.RecordOutcome(false)
 	}
 }
 
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -23,8 +23,8 @@
 	vms, domains map[string]Order
 }
 
-// Take takes in an object, and reports whether it is an order.
-func (o *Orders) Take(object topo.Object) bool {
+// Apply takes in an object, and reports whether it is an order.
+func (o *Orders) Apply(object topo.Object) bool {
 	order := Order{Leave: !object.Deleted, Version: object.Version}
 	switch object.Kind {
 	case topo.KindDrain:
@@ -44,17 +44,17 @@
 	(*orders)[name] = order
 }
 
-// Of returns what is wanted of the upstream on a VM of a failure domain; false: nobody
+// Lookup returns what is wanted of the upstream on a VM of a failure domain; false: nobody
 // has said. It leaves while either is to leave: an order to the VM outlives the end of
 // its failure domain's.
-func (o *Orders) Of(vm, domain string) (Order, bool) {
+func (o *Orders) Lookup(vm, domain string) (Order, bool) {
 	own, ordered := o.vms[vm]
 	all, orderedAll := o.domains[domain]
 	return Order{Leave: own.Leave || all.Leave, Version: max(own.Version, all.Version)}, ordered || orderedAll
 }
 
-// Domains returns the failure domains that are to leave, sorted.
-func (o *Orders) Domains() []string {
+// DrainedDomains returns the failure domains that are to leave, sorted.
+func (o *Orders) DrainedDomains() []string {
 	var out []string
 	for name, order := range o.domains {
 		if order.Leave {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -24,16 +24,16 @@
 // get work with the others.
 func TestOrderToAVMOutlivesThatToItsDomain(t *testing.T) {
 	var o Orders
-	o.Take(object(topo.KindDrain, "broken", 3, false))
-	o.Take(object(topo.KindDomainDrain, "hall", 5, false))
-	o.Take(object(topo.KindDomainDrain, "hall", 9, true))
-	if got, _ := o.Of("broken", "hall"); got != (Order{Leave: true, Version: 9}) {
+	o.Apply(object(topo.KindDrain, "broken", 3, false))
+	o.Apply(object(topo.KindDomainDrain, "hall", 5, false))
+	o.Apply(object(topo.KindDomainDrain, "hall", 9, true))
+	if got, _ := o.Lookup("broken", "hall"); got != (Order{Leave: true, Version: 9}) {
 		t.Errorf("the engine's order is %+v", got)
 	}
-	if got, ok := o.Of("well", "hall"); !ok || got != (Order{Version: 9}) {
+	if got, ok := o.Lookup("well", "hall"); !ok || got != (Order{Version: 9}) {
 		t.Errorf("another engine's order is %+v, %v", got, ok)
 	}
-	if drained := o.Domains(); len(drained) != 0 {
+	if drained := o.DrainedDomains(); len(drained) != 0 {
 		t.Errorf("drained are %v", drained)
 	}
 }
@@ -41,10 +41,10 @@
 // Whatever else is in the configuration is no order, and nobody is drained by it.
 func TestOtherObjectsAreNoOrders(t *testing.T) {
 	var o Orders
-	if o.Take(object(topo.KindProfile, "hall", 1, false)) {
+	if o.Apply(object(topo.KindProfile, "hall", 1, false)) {
 		t.Error("a profile is taken for an order")
 	}
-	if _, ok := o.Of("hall", "hall"); ok {
+	if _, ok := o.Lookup("hall", "hall"); ok {
 		t.Error("somebody has an order")
 	}
 }
@@ -60,15 +60,15 @@
 		for version := topo.Version(1); version <= 20; version++ {
 			name, deleted := rapid.SampledFrom(names).Draw(t, "name"), rapid.Bool().Draw(t, "deleted")
 			if rapid.Bool().Draw(t, "domain") {
-				o.Take(object(topo.KindDomainDrain, name, version, deleted))
+				o.Apply(object(topo.KindDomainDrain, name, version, deleted))
 				domains[name] = !deleted
 			} else {
-				o.Take(object(topo.KindDrain, name, version, deleted))
+				o.Apply(object(topo.KindDrain, name, version, deleted))
 				vms[name] = !deleted
 			}
 			for _, vm := range names {
 				for _, domain := range names {
-					got, _ := o.Of(vm, domain)
+					got, _ := o.Lookup(vm, domain)
 					if got.Leave != (vms[vm] || domains[domain]) {
 						t.Fatalf("vm %s in %s: %+v", vm, domain, got)
 					}
@@ -77,8 +77,8 @@
 					}
 					last[vm+domain] = got.Version
 				}
-				if slices.Contains(o.Domains(), vm) != domains[vm] {
-					t.Fatalf("domains %v, %s: %v", o.Domains(), vm, domains[vm])
+				if slices.Contains(o.DrainedDomains(), vm) != domains[vm] {
+					t.Fatalf("domains %v, %s: %v", o.DrainedDomains(), vm, domains[vm])
 				}
 			}
 		}
--- a/internal/model/callers.go
+++ b/internal/model/callers.go
@@ -118,10 +118,10 @@
 	now := f.clock.now
 	r.window.Request(now, f.rule())
 	r.returns.Arrived(now)
-	r.tracker.Arrived(0, f.config.Callers.Objective)
-	q := placement.Query{Session: c.session.id, Multiple: f.config.Pool.LoadMultiple, Random: f.random.Uint64(), Now: now}
+	r.tracker.RecordObjective(0, f.config.Callers.Objective)
+	q := placement.Query{Session: c.session.id, LoadMultiple: f.config.Pool.LoadMultiple, Random: f.random.Uint64(), Now: now}
 	if c.session.id != 0 {
-		q.Share = r.tracker.Ask(now, c.session.id, kind)
+		q.SessionShare = r.tracker.RecordRequest(now, c.session.id, kind)
 	}
 	f.clock.after(hop, func() { f.send(r, c, q) })
 }
@@ -135,13 +135,13 @@
 	if c.ended {
 		return
 	}
-	var out [placement.Candidates]placement.Choice
+	var out [placement.MaxCandidates]placement.Choice
 	q.Now = f.clock.now
 	n, basis := r.tracker.Choose(q.Now, r.placed, f.on, balance.Request{
 		Query: q, Profile: kind, Objective: f.config.Callers.Objective,
-		Left: f.config.Callers.Patience - q.Now.Sub(c.asked), Late: c.tries > 1, Closed: f.closed(r),
+		TimeLeft: f.config.Callers.Patience - q.Now.Sub(c.asked), ObjectiveMissed: c.tries > 1, Unavailable: f.closed(r),
 	}, &out)
-	if basis.Late {
+	if basis.ShouldReject {
 		f.refuse(r, c)
 		return
 	}
@@ -170,19 +170,19 @@
 // attempt sends a request to one upstream.
 func (f *fleet) attempt(r *router, c *call, q placement.Query, choice placement.Choice, basis placement.Basis) {
 	u, sent, judged := f.upstreams[choice.Index], f.clock.now, false
-	a := balance.Attempt{VM: u.id, Profile: kind, Urgency: basis.Urgency, Load: choice.Load, Behind: basis.Behind}
-	r.tracker.Sent(a)
+	a := balance.Attempt{VM: u.id, Profile: kind, Urgency: basis.Urgency, Load: choice.Load, Deferred: basis.Deferred}
+	r.tracker.BeginWait(a)
 	waits := true
 	begun := func() {
 		if waits {
 			waits = false
-			r.tracker.Begun(a)
+			r.tracker.EndWait(a)
 		}
 	}
 	judge := func(well bool) {
 		if !judged {
 			judged = true
-			r.tracker.Went(f.clock.now, a, f.clock.now.Sub(sent), well)
+			r.tracker.RecordOutcome(f.clock.now, a, f.clock.now.Sub(sent), well)
 		}
 	}
 	over := false
@@ -190,11 +190,11 @@
 		if !over {
 			over = true
 			begun()
-			r.tracker.End(u.id)
+			r.tracker.EndAttempt(u.id)
 		}
 	}
-	r.tracker.Begin(u.id)
-	j := &job{call: c, donor: f.donor(r, c, choice), behind: basis.Behind}
+	r.tracker.BeginAttempt(u.id)
+	j := &job{call: c, donor: f.donor(r, c, choice), behind: basis.Deferred}
 	var first, last time.Time
 	j.first = func() {
 		begun()
@@ -203,20 +203,20 @@
 		f.begun(r, c, choice.Index)
 	}
 	j.event = func() {
-		r.tracker.Events(f.clock.now, u.id, kind, 1, f.clock.now.Sub(last))
+		r.tracker.RecordEvents(f.clock.now, u.id, kind, 1, f.clock.now.Sub(last))
 		last = f.clock.now
 	}
 	j.done = func(well bool) {
 		end()
 		if well {
-			r.tracker.Served(f.clock.now, u.id, kind, f.clock.now.Sub(first))
+			r.tracker.RecordAnswerTime(f.clock.now, u.id, kind, f.clock.now.Sub(first))
 			f.answered(r, c)
 			return
 		}
 		judge(false)
 		f.again(r, c, q)
 	}
-	f.clock.after(time.Duration(balance.HangTimes*float64(f.config.Callers.Objective)), func() { judge(false) })
+	f.clock.after(time.Duration(balance.HangMultiple*float64(f.config.Callers.Objective)), func() { judge(false) })
 	f.clock.after(f.config.Callers.Patience-f.clock.now.Sub(c.asked), end)
 	f.watchCrash(u, u.life, func() bool { return over || c.ended }, func() {
 		end()
@@ -267,8 +267,8 @@
 // begun takes in the first byte of an answer.
 func (f *fleet) begun(r *router, c *call, at int) {
 	if f.config.Pool.TellsLoad {
-		r.tracker.Report(f.clock.now, f.upstreams[at].id, f.upstreams[at].load())
-		r.tracker.Places(f.upstreams[at].places)
+		r.tracker.RecordLoad(f.clock.now, f.upstreams[at].id, f.upstreams[at].load())
+		r.tracker.SetSlots(f.upstreams[at].places)
 	}
 	r.returns.Answered(f.clock.now)
 	if c.session.id != 0 {
@@ -289,7 +289,7 @@
 	if f.config.Callers.Grows {
 		c.session.prompt = max(c.session.prompt, c.prompt+c.fresh+c.answer)
 	}
-	r.tracker.Took(kind, f.clock.now.Sub(c.asked))
+	r.tracker.RecordDuration(kind, f.clock.now.Sub(c.asked))
 	f.result.answered(c.asked, c.late)
 }
 
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -21,8 +21,8 @@
 			for _, kind := range []string{"session", "spread"} {
 				b.Run(fmt.Sprintf("upstreams=%d/weights=%d/%s", n, weights, kind), func(b *testing.B) {
 					b.ReportAllocs()
-					var out [Candidates]int
-					q := Query{Ticket: None, Multiple: 1.25}
+					var out [MaxCandidates]int
+					q := Query{Ticket: None, LoadMultiple: 1.25}
 					for i := range b.N {
 						q.Random = uint64(i)
 						if kind == "session" {
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -14,16 +14,16 @@
 	Load(vm load.VM) float64
 	Upper(vm load.VM) float64
 	Mean() float64
-	// Wait returns how long a request more is believed to take at an upstream, in
+	// Cost returns how long a request more is believed to take at an upstream, in
 	// units that mean something only next to those of the pool's others.
-	Wait(vm load.VM) float64
-	// Expect returns when the request's answer is expected to begin at an upstream.
-	Expect(vm load.VM) Expected
-	// Suspects reports whether an upstream fails more of its requests than others.
-	Suspects(vm load.VM) bool
-	// Closed reports whether upstream i of the pool may get no request now, whatever its load:
+	Cost(vm load.VM) float64
+	// Estimate returns when the request's answer is expected to begin at an upstream.
+	Estimate(vm load.VM) Estimate
+	// IsSuspected reports whether an upstream fails more of its requests than others.
+	IsSuspected(vm load.VM) bool
+	// Unavailable reports whether upstream i of the pool may get no request now, whatever its load:
 	// it leaves, or is cold and has got what it bears.
-	Closed(i int) bool
+	Unavailable(i int) bool
 }
 
 const (
@@ -45,45 +45,45 @@
 	newcomerFor = 5 * time.Second
 )
 
-// Expected is when the answer to a request is expected to begin at an upstream.
-type Expected struct {
-	Until    float64 // seconds until its first byte
-	Wait     float64 // seconds of them that others take which go before it
-	Waits    bool    // there is no free place
-	Slowness float64 // how many times longer than usual the upstream takes
+// Estimate is when the answer to a request is expected to begin at an upstream.
+type Estimate struct {
+	Start     float64 // seconds until its first byte
+	QueueWait float64 // seconds of them that others take which go before it
+	Queued    bool    // there is no free place
+	Slowdown  float64 // how many times longer than usual the upstream takes
 }
 
 // Basis is what a choice rests on, for those who ask why.
 type Basis struct {
-	Mean  float64 // believed mean load of the pool
-	Bound float64 // over which an upstream comes last; infinite: none
-	Until float64 // seconds until the first byte is expected, at the first choice
-	Wait  float64 // seconds of waiting at the session's upstreams, by what each can do
+	Mean           float64 // believed mean load of the pool
+	Bound          float64 // over which an upstream comes last; infinite: none
+	EstimatedStart float64 // seconds until the first byte is expected, at the first choice
+	QueueWait      float64 // seconds of waiting at the session's upstreams, by what each can do
 	// Urgency is with which the request is sent, 0 first, and Behind tells that it waits
 	// behind all those that can still be answered in time.
-	Urgency int
-	Behind  bool
+	Urgency  int
+	Deferred bool
 	// Home is the upstream that ranks first for the session, None without one, and Passed why
 	// it is not the first choice.
-	Home   int
-	Passed Passed
-	// Late tells that the request had better be turned away: more come than the pool
+	Home       int
+	PassedOver PassOverReason
+	// ShouldReject tells that the request had better be turned away: more come than the pool
 	// answers in time, and the first choice has no free place.
-	Late bool
+	ShouldReject bool
 }
 
-// Passed is why the upstream that ranks first for a session is not the first choice.
-type Passed string
+// PassOverReason is why the upstream that ranks first for a session is not the first choice.
+type PassOverReason string
 
 // Reasons to pass over an upstream.
 const (
-	NotPassed    Passed = ""
-	PassedClosed Passed = "closed" // it may get no request
-	PassedSpread Passed = "spread" // the session has more requests than it may hold
+	NotPassedOver         PassOverReason = ""
+	PassedOverUnavailable PassOverReason = "closed" // it may get no request
+	PassedOverSpread      PassOverReason = "spread" // the session has more requests than it may hold
 )
 
 // passedFor names the classes for which an upstream is passed over.
-var passedFor = map[class]Passed{
+var passedFor = map[class]PassOverReason{
 	suspected: "suspected", loaded: "loaded", lateFree: "slow", queued: "queued", far: "far", overBound: "over bound",
 }
 
@@ -94,16 +94,16 @@
 	Donor int     // upstream that is the likeliest to hold the session's prompt beside it, or None
 }
 
-// Bounded writes the upstreams to which a request is offered to out, where no
+// ChooseBounded writes the upstreams to which a request is offered to out, where no
 // sidecar bounds their load: the session's ranking, with those behind that may be
 // over the multiple of the mean. It returns how many there are, and why.
 //
 // The ranking keeps a session where its prompt is cached. Under a surge of one
 // session it spills over to the next in the ranking, always in the same order at
 // each router, so that few upstreams read the same prompt.
-func (p *Pool) Bounded(l Loads, q Query, out *[Candidates]Choice) (int, Basis) {
+func (p *Pool) ChooseBounded(l Loads, q Query, out *[MaxCandidates]Choice) (int, Basis) {
 	basis := Basis{Mean: l.Mean(), Bound: math.Inf(1), Home: None}
-	if q.Multiple > 0 {
+	if q.LoadMultiple > 0 {
 		basis.Bound = q.bound(basis.Mean)
 	}
 	if q.Session == 0 {
@@ -116,8 +116,8 @@
 	}
 	p.spreadHot(l, q, basis, order)
 	n, first := p.underFirst(l, q, &basis, order, out)
-	basis.Until = first.expected.Until
-	basis.Late = first.expected.Waits && tooMuch(q, basis)
+	basis.EstimatedStart = first.expected.Start
+	basis.ShouldReject = first.expected.Queued && tooMuch(q, basis)
 	// Upstreams of other regions come last.
 	for _, i := range ranked[:p.remote.top(q.Session, ranked[:])] {
 		n = p.add(l, out, n, i)
@@ -137,20 +137,20 @@
 // request, the bound has them leave one after the other.
 func (q Query) bound(mean float64) float64 {
 	draw := unit(mix(q.Random ^ boundSalt))
-	multiple := 1 + q.Soft*(softLow+draw*(softHigh-softLow)-1)
-	slack := boundSlack + q.Soft*(slackLow+draw*(slackHigh-slackLow)-boundSlack)
-	return multiple*q.Multiple*mean + slack
+	multiple := 1 + q.BoundJitter*(softLow+draw*(softHigh-softLow)-1)
+	slack := boundSlack + q.BoundJitter*(slackLow+draw*(slackHigh-slackLow)-boundSlack)
+	return multiple*q.LoadMultiple*mean + slack
 }
 
 // takes reports whether upstream i may get a request now.
 func (p *Pool) takes(l Loads, i int) bool {
-	return !p.members[i].Leaving && !l.Closed(i)
+	return !p.members[i].Leaving && !l.Unavailable(i)
 }
 
 // rank writes the indices of the region's upstreams to best, in the order in which a
 // session prefers them, and returns how many there are.
 func (p *Pool) rank(q Query, best []int) int {
-	if q.Flat {
+	if q.IgnoreDomains {
 		return p.regional.top(q.Session, best)
 	}
 	return p.local.top(q.Session, best)
@@ -165,12 +165,12 @@
 // tooMuch reports whether a request is not to be sent to its first choice as it is.
 func tooMuch(q Query, b Basis) bool {
 	switch {
-	case q.Within <= 0:
+	case q.LatencyLimit <= 0:
 		return false
-	case q.Patient:
-		return b.Until > q.Within
+	case q.Deferred:
+		return b.EstimatedStart > q.LatencyLimit
 	}
-	share := (b.Wait/q.Most - calmShare) / (fullShare - calmShare)
+	share := (b.QueueWait/q.ShortestObjective - calmShare) / (fullShare - calmShare)
 	return share > unit(mix(q.Random))
 }
 
@@ -178,7 +178,7 @@
 // returns how many there are, and the first of them. It notes in basis when an answer is
 // expected to begin there, by what each can do: of those that work slowly few requests are
 // in question.
-func (p *Pool) underFirst(l Loads, q Query, basis *Basis, order []int, out *[Candidates]Choice) (int, weighed) {
+func (p *Pool) underFirst(l Loads, q Query, basis *Basis, order []int, out *[MaxCandidates]Choice) (int, weighed) {
 	var ranked [depth]weighed
 	pass := pass{spare: spareMultiple*basis.Mean + spareSlack}
 	n := 0
@@ -191,11 +191,11 @@
 	if n == 0 {
 		return 0, weighed{index: None, class: overBound}
 	}
-	basis.Wait = pass.wait / pass.speeds
+	basis.QueueWait = pass.wait / pass.speeds
 	slices.SortStableFunc(ranked[:n], weighed.compare)
 	first := ranked[0]
 	basis.passed(p.takes(l, basis.Home), ranked[:n])
-	n = min(n, Candidates)
+	n = min(n, MaxCandidates)
 	for at, w := range ranked[:n] {
 		out[at] = p.choice(l, q, order, w.index)
 	}
@@ -209,13 +209,13 @@
 	case order[0].index == b.Home:
 		return
 	case !taken:
-		b.Passed = PassedClosed
+		b.PassedOver = PassedOverUnavailable
 		return
 	}
-	b.Passed = PassedSpread
+	b.PassedOver = PassedOverSpread
 	for _, w := range order {
 		if w.index == b.Home && w.class != eligible {
-			b.Passed = passedFor[w.class]
+			b.PassedOver = passedFor[w.class]
 		}
 	}
 }
@@ -240,9 +240,9 @@
 		w.class = far
 	}
 	s.late = s.late || w.class == lateFree || w.class == queued
-	s.atPace = s.atPace || w.expected.Slowness < slowFrom
-	speed := 1 / max(w.expected.Slowness, 1)
-	s.wait += speed * w.expected.Wait
+	s.atPace = s.atPace || w.expected.Slowdown < slowFrom
+	speed := 1 / max(w.expected.Slowdown, 1)
+	s.wait += speed * w.expected.QueueWait
 	s.speeds += speed
 	return w
 }
@@ -250,14 +250,14 @@
 // weigh says what speaks against an upstream.
 func (p *Pool) weigh(l Loads, q Query, basis Basis, i int) weighed {
 	vm := p.members[i].VM
-	w := weighed{index: i, upper: l.Upper(vm), expected: l.Expect(vm)}
-	late := q.Within > 0 && w.expected.Until > q.Within
+	w := weighed{index: i, upper: l.Upper(vm), expected: l.Estimate(vm)}
+	late := q.LatencyLimit > 0 && w.expected.Start > q.LatencyLimit
 	switch {
 	case w.upper >= basis.Bound:
 		w.class = overBound
-	case late && w.expected.Waits:
+	case late && w.expected.Queued:
 		w.class = queued
-	case l.Suspects(vm):
+	case l.IsSuspected(vm):
 		w.class = suspected
 	case late:
 		w.class = lateFree
@@ -295,7 +295,7 @@
 	index    int
 	class    class
 	upper    float64 // the load that it seldom exceeds
-	expected Expected
+	expected Estimate
 }
 
 // compare orders by class, in a class by the ranking, and those over the bound by their
@@ -355,10 +355,10 @@
 // slow, its routers would send it all their requests. In a surge of three times the
 // traffic, .02 of the requests come late or are turned away, .24 to .50 if they stay in
 // the domain (TestRequestsGoAroundASlowUpstream).
-func (p *Pool) leastLoaded(l Loads, random uint64, out *[Candidates]Choice) int {
+func (p *Pool) leastLoaded(l Loads, random uint64, out *[MaxCandidates]Choice) int {
 	n := 0
 	for range p.regional.index {
-		if n == Candidates {
+		if n == MaxCandidates {
 			return n
 		}
 		i := p.soonest(l, p.own, &random)
@@ -401,21 +401,21 @@
 	a, b := p.members[i], p.members[j]
 	return cmp.Or(
 		compareBools(!p.takes(l, i), !p.takes(l, j)),
-		compareBools(l.Suspects(a.VM), l.Suspects(b.VM)),
-		cmp.Compare(ratio*l.Wait(a.VM), l.Wait(b.VM)),
+		compareBools(l.IsSuspected(a.VM), l.IsSuspected(b.VM)),
+		cmp.Compare(ratio*l.Cost(a.VM), l.Cost(b.VM)),
 	) < 0
 }
 
 // better reports whether upstream i is to get a request of a session rather than j.
 func (p *Pool) better(l Loads, i, j int) bool {
 	a, b := p.members[i].VM, p.members[j].VM
-	return cmp.Or(compareBools(l.Suspects(a), l.Suspects(b)), cmp.Compare(l.Load(a), l.Load(b))) < 0
+	return cmp.Or(compareBools(l.IsSuspected(a), l.IsSuspected(b)), cmp.Compare(l.Load(a), l.Load(b))) < 0
 }
 
 // add adds upstream i to the n that are chosen, if there is room and it is not
 // among them, and returns how many there are then.
-func (p *Pool) add(l Loads, out *[Candidates]Choice, n, i int) int {
-	if n == Candidates || chosen(out[:n], i) || !p.takes(l, i) {
+func (p *Pool) add(l Loads, out *[MaxCandidates]Choice, n, i int) int {
+	if n == MaxCandidates || chosen(out[:n], i) || !p.takes(l, i) {
 		return n
 	}
 	out[n] = Choice{Index: i, Load: l.Load(p.members[i].VM), Donor: None}
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -17,13 +17,13 @@
 
 func (l loads) Load(vm load.VM) float64 { return l[vm] }
 
-func (l loads) Wait(vm load.VM) float64 { return l[vm] }
+func (l loads) Cost(vm load.VM) float64 { return l[vm] }
 
 func (l loads) Upper(vm load.VM) float64 { return l[vm] }
 
-func (l loads) Suspects(load.VM) bool   { return false }
-func (l loads) Closed(int) bool         { return false }
-func (l loads) Expect(load.VM) Expected { return Expected{} }
+func (l loads) IsSuspected(load.VM) bool  { return false }
+func (l loads) Unavailable(int) bool      { return false }
+func (l loads) Estimate(load.VM) Estimate { return Estimate{} }
 
 func (l loads) Mean() float64 {
 	sum := 0.0
@@ -35,8 +35,8 @@
 
 // bounded returns the indices of the upstreams that are chosen.
 func bounded(p *Pool, l Loads, q Query) []int {
-	var out [Candidates]Choice
-	n, _ := p.Bounded(l, q, &out)
+	var out [MaxCandidates]Choice
+	n, _ := p.ChooseBounded(l, q, &out)
 	var chosen []int
 	for _, c := range out[:n] {
 		chosen = append(chosen, c.Index)
@@ -56,9 +56,9 @@
 		now := start.Add(time.Hour)
 		ms[len(ms)-1].Joined = now
 		q := Query{Session: rapid.Uint64Min(1).Draw(t, "session"), Now: now}
-		var before, after [Candidates]Choice
-		NewPool(ms[:len(ms)-1], Locality{}).Bounded(loads{}, q, &before)
-		NewPool(ms, Locality{}).Bounded(loads{}, q, &after)
+		var before, after [MaxCandidates]Choice
+		NewPool(ms[:len(ms)-1], Locality{}).ChooseBounded(loads{}, q, &before)
+		NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &after)
 		home := after[0]
 		if home.Index == before[0].Index {
 			return
@@ -81,12 +81,12 @@
 			l[ms[i].VM] = float64(rapid.IntRange(0, 12).Draw(t, "load"))
 		}
 		q := Query{
-			Session:  rapid.Uint64().Draw(t, "session"),
-			Multiple: rapid.SampledFrom([]float64{0, 1.2, 1.6}).Draw(t, "multiple"),
-			Random:   rapid.Uint64().Draw(t, "random"),
+			Session:      rapid.Uint64().Draw(t, "session"),
+			LoadMultiple: rapid.SampledFrom([]float64{0, 1.2, 1.6}).Draw(t, "multiple"),
+			Random:       rapid.Uint64().Draw(t, "random"),
 		}
-		var out [Candidates]Choice
-		n, basis := NewPool(ms, Locality{}).Bounded(l, q, &out)
+		var out [MaxCandidates]Choice
+		n, basis := NewPool(ms, Locality{}).ChooseBounded(l, q, &out)
 		seen := make(map[int]bool)
 		over := false
 		for _, c := range out[:n] {
@@ -108,7 +108,7 @@
 				serving++
 			}
 		}
-		if want := min(serving, Candidates); n != want && len(ms) <= depth {
+		if want := min(serving, MaxCandidates); n != want && len(ms) <= depth {
 			t.Errorf("%d are chosen of %d that serve", n, serving)
 		}
 	})
@@ -120,21 +120,21 @@
 	suspected map[load.VM]bool
 }
 
-func (d suspecting) Suspects(vm load.VM) bool { return d.suspected[vm] }
+func (d suspecting) IsSuspected(vm load.VM) bool { return d.suspected[vm] }
 
 // A session's home loses answers, and the next of its ranking is over the bound: the
 // third serves it, and the home is still offered before the one that has no room.
 func TestSuspectedUpstreamsComeLast(t *testing.T) {
 	ms := members(8)
-	q := Query{Session: 42, Multiple: 1.6, Now: start.Add(time.Hour)}
+	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
 	order := bounded(NewPool(ms, Locality{}), loads{}, q)
 	l := suspecting{loads: loads{}, suspected: map[load.VM]bool{ms[order[0]].VM: true}}
 	for _, m := range ms {
 		l.loads[m.VM] = 4
 	}
 	l.loads[ms[order[1]].VM] = 40
-	var out [Candidates]Choice
-	NewPool(ms, Locality{}).Bounded(l, q, &out)
+	var out [MaxCandidates]Choice
+	NewPool(ms, Locality{}).ChooseBounded(l, q, &out)
 	if out[0].Index != order[2] {
 		t.Errorf("served by %d, want %d", out[0].Index, order[2])
 	}
@@ -160,8 +160,8 @@
 	q := Query{Session: 42, Now: start.Add(time.Hour)}
 	chosen := bounded(NewPool(ms, Locality{}), loads{}, q)
 	ms[chosen[0]].Leaving = true
-	var out [Candidates]Choice
-	NewPool(ms, Locality{}).Bounded(loads{}, q, &out)
+	var out [MaxCandidates]Choice
+	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
 	if out[0].Index != chosen[1] || out[0].Donor != chosen[0] {
 		t.Errorf("served by %d with donor %d, want %d and %d", out[0].Index, out[0].Donor, chosen[1], chosen[0])
 	}
@@ -178,15 +178,15 @@
 		ms[i].Joined = start
 	}
 	ms[order[0]].Joined, ms[order[1]].Joined = now, now.Add(-newcomerFor)
-	var out [Candidates]Choice
-	NewPool(ms, Locality{}).Bounded(loads{}, q, &out)
+	var out [MaxCandidates]Choice
+	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
 	if out[0].Donor != order[2] {
 		t.Errorf("the donor is %d, want the home %d", out[0].Donor, order[2])
 	}
 	for i := range ms {
 		ms[i].Joined = now // a router that has just started knows nobody for longer
 	}
-	NewPool(ms, Locality{}).Bounded(loads{}, q, &out)
+	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
 	if out[0].Donor != order[1] {
 		t.Errorf("the donor is %d, want the next in the ranking %d", out[0].Donor, order[1])
 	}
@@ -217,8 +217,8 @@
 // Without a bound nothing is over it.
 func TestNoMultipleIsNoBound(t *testing.T) {
 	ms := members(3)
-	var out [Candidates]Choice
-	_, basis := NewPool(ms, Locality{}).Bounded(loads{ms[0].VM: 99}, Query{Session: 1}, &out)
+	var out [MaxCandidates]Choice
+	_, basis := NewPool(ms, Locality{}).ChooseBounded(loads{ms[0].VM: 99}, Query{Session: 1}, &out)
 	if !math.IsInf(basis.Bound, 1) {
 		t.Errorf("bound %v", basis.Bound)
 	}
@@ -233,7 +233,7 @@
 // keeps what the next of the ranking has little room for.
 func TestSuspectedUpstreamsKeepWhatOthersHaveLittleRoomFor(t *testing.T) {
 	ms := members(8)
-	q := Query{Session: 42, Multiple: 1.6, Now: start.Add(time.Hour)}
+	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
 	order := bounded(NewPool(ms, Locality{}), loads{}, q)
 	l := suspecting{loads: loads{}, suspected: make(map[load.VM]bool)}
 	for i, m := range ms {
@@ -288,7 +288,7 @@
 	closed map[int]bool
 }
 
-func (c closing) Closed(i int) bool { return c.closed[i] }
+func (c closing) Unavailable(i int) bool { return c.closed[i] }
 
 // Guards against lines that do not say why a request did not go to its session's home.
 func TestBasisSaysWhyTheHomeIsPassedOver(t *testing.T) {
@@ -296,28 +296,28 @@
 	for _, m := range p.members {
 		l[m.VM] = 4
 	}
-	q := Query{Session: 7, Multiple: 2}
+	q := Query{Session: 7, LoadMultiple: 2}
 	home := p.Home(q.Session)
 	vm := p.members[home].VM
 	for _, c := range []struct {
 		name  string
 		loads Loads
 		share float64
-		want  Passed
+		want  PassOverReason
 	}{
-		{"nothing", l, 0, NotPassed},
-		{"closed", closing{l, map[int]bool{home: true}}, 0, PassedClosed},
+		{"nothing", l, 0, NotPassedOver},
+		{"closed", closing{l, map[int]bool{home: true}}, 0, PassedOverUnavailable},
 		{"suspected", suspecting{loads: l, suspected: map[load.VM]bool{vm: true}}, 0, "suspected"},
 		{"over the bound", over(l, vm), 0, "over bound"},
 	} {
-		var out [Candidates]Choice
-		_, basis := p.Bounded(c.loads, q, &out)
-		if basis.Home != home || basis.Passed != c.want {
-			t.Errorf("%s: home %d passed over since %q, want %d, %q", c.name, basis.Home, basis.Passed, home, c.want)
+		var out [MaxCandidates]Choice
+		_, basis := p.ChooseBounded(c.loads, q, &out)
+		if basis.Home != home || basis.PassedOver != c.want {
+			t.Errorf("%s: home %d passed over since %q, want %d, %q", c.name, basis.Home, basis.PassedOver, home, c.want)
 		}
 	}
-	var out [Candidates]Choice
-	if _, basis := p.Bounded(l, Query{Multiple: 2}, &out); basis.Home != None {
+	var out [MaxCandidates]Choice
+	if _, basis := p.ChooseBounded(l, Query{LoadMultiple: 2}, &out); basis.Home != None {
 		t.Errorf("a request without a session has home %d", basis.Home)
 	}
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -17,28 +17,28 @@
 
 // Query is a request that looks for an upstream.
 type Query struct {
-	Session   uint64        // hash of organisation and session; zero: none
-	Ticket    int           // index of the upstream that served the session last, or None
-	TicketAge time.Duration // since the ticket was given
-	Multiple  float64       // bound on load as a multiple of the mean; zero: none
-	Random    uint64        // for choices that chance decides
-	// Soft is how far chance draws the bound of the request, from 0, not at all, to 1.
-	Soft  float64
-	Share float64 // part of the pool's requests that the session has at least
-	Now   time.Time
-	Flat  bool // failure domains do not count in the ranking
-	// Within is in how many seconds the first byte of the answer is wanted; zero: no matter.
-	Within float64
-	// Most is the shortest objective of the pool's requests, in seconds.
-	Most float64
-	// Patient tells that the request is in the way of no other.
-	Patient bool
+	Session      uint64        // hash of organisation and session; zero: none
+	Ticket       int           // index of the upstream that served the session last, or None
+	TicketAge    time.Duration // since the ticket was given
+	LoadMultiple float64       // bound on load as a multiple of the mean; zero: none
+	Random       uint64        // for choices that chance decides
+	// BoundJitter is how far chance draws the bound of the request, from 0, not at all, to 1.
+	BoundJitter   float64
+	SessionShare  float64 // part of the pool's requests that the session has at least
+	Now           time.Time
+	IgnoreDomains bool // failure domains do not count in the ranking
+	// LatencyLimit is in how many seconds the first byte of the answer is wanted; zero: no matter.
+	LatencyLimit float64
+	// ShortestObjective is the shortest objective of the pool's requests, in seconds.
+	ShortestObjective float64
+	// Deferred tells that the request is in the way of no other.
+	Deferred bool
 }
 
 // Choose writes the upstreams to which a request is offered to out, in order,
 // and returns how many there are. It is advice: each upstream's sidecar decides.
-func (p *Pool) Choose(now time.Time, t *load.Table, q Query, out *[Candidates]int) int {
-	c := chooser{pool: p, table: t, now: now, multiple: q.Multiple, out: out}
+func (p *Pool) Choose(now time.Time, t *load.Table, q Query, out *[MaxCandidates]int) int {
+	c := chooser{pool: p, table: t, now: now, multiple: q.LoadMultiple, out: out}
 	c.mean, c.known = t.Mean(now)
 	if q.Session == 0 {
 		c.spread(q.Random)
@@ -56,7 +56,7 @@
 	multiple float64
 	mean     float64
 	known    int
-	out      *[Candidates]int
+	out      *[MaxCandidates]int
 	n        int
 }
 
@@ -94,7 +94,7 @@
 func (c *chooser) spread(random uint64) {
 	for _, group := range [...][]int{c.pool.own, c.pool.rest} {
 		for range group {
-			if c.n == Candidates {
+			if c.n == MaxCandidates {
 				return
 			}
 			i, j := pick(group, &random), pick(group, &random)
@@ -117,7 +117,7 @@
 // offer adds those of order that are not believed to refuse.
 func (c *chooser) offer(order ...int) {
 	for _, i := range order {
-		if c.n < Candidates && !c.has(i) && c.room(i) {
+		if c.n < MaxCandidates && !c.has(i) && c.room(i) {
 			c.add(i)
 		}
 	}
@@ -140,7 +140,7 @@
 // left: beliefs can be wrong, and the sidecar knows.
 func (c *chooser) fill(order []int) {
 	for _, i := range order {
-		if c.n < Candidates && !c.has(i) && c.serves(i) {
+		if c.n < MaxCandidates && !c.has(i) && c.serves(i) {
 			c.add(i)
 		}
 	}
@@ -152,7 +152,7 @@
 	if c.n > 0 {
 		return
 	}
-	var ranked [Candidates]int
+	var ranked [MaxCandidates]int
 	c.fill(ranked[:c.pool.remote.top(session, ranked[:])])
 	if c.n > 0 {
 		return
--- a/internal/placement/hot.go
+++ b/internal/placement/hot.go
@@ -30,10 +30,10 @@
 
 // replicas returns over how many upstreams a session is spread.
 func (p *Pool) replicas(q Query, basis Basis, most int) int {
-	if q.Share == 0 || q.Multiple == 0 {
+	if q.SessionShare == 0 || q.LoadMultiple == 0 {
 		return 1
 	}
-	requests := q.Share * basis.Mean * float64(p.Len())
+	requests := q.SessionShare * basis.Mean * float64(p.Len())
 	room := max(replicaShare*(basis.Bound-basis.Mean), 1)
 	return min(int(math.Ceil(requests/room)), most)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -4,8 +4,8 @@
 
 import "github.com/zeebo/xxh3"
 
-// Candidates is how many upstreams a request is offered to at most.
-const Candidates = 4
+// MaxCandidates is how many upstreams a request is offered to at most.
+const MaxCandidates = 4
 
 // Seed returns the hash of an upstream's name.
 func Seed(name string) uint64 {
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -65,8 +65,8 @@
 			p.learn(e)
 		}
 		router := p.random.IntN(plainRouters)
-		var out [Candidates]Choice
-		p.pools[router].Bounded(plainAt{p.tallies[router], p.paces[router], now}, Query{Random: p.random.Uint64(), Now: now}, &out)
+		var out [MaxCandidates]Choice
+		p.pools[router].ChooseBounded(plainAt{p.tallies[router], p.paces[router], now}, Query{Random: p.random.Uint64(), Now: now}, &out)
 		arrivals++
 		if !p.serve(now, router, out[0].Index) {
 			missed++
@@ -128,13 +128,13 @@
 	now   time.Time
 }
 
-func (l plainAt) Load(vm load.VM) float64  { return l.tally.Load(l.now, vm) }
-func (l plainAt) Upper(vm load.VM) float64 { return l.tally.UpperBound(l.now, vm) }
-func (l plainAt) Wait(vm load.VM) float64  { return l.pace.Factor(l.now, vm) * (l.Load(vm) + 1) }
-func (l plainAt) Suspects(load.VM) bool    { return false }
-func (l plainAt) Closed(int) bool          { return false }
-func (l plainAt) Expect(load.VM) Expected  { return Expected{} }
-func (l plainAt) Mean() float64            { return l.tally.Mean(plainUpstreams, 0) }
+func (l plainAt) Load(vm load.VM) float64   { return l.tally.Load(l.now, vm) }
+func (l plainAt) Upper(vm load.VM) float64  { return l.tally.UpperBound(l.now, vm) }
+func (l plainAt) Cost(vm load.VM) float64   { return l.pace.Factor(l.now, vm) * (l.Load(vm) + 1) }
+func (l plainAt) IsSuspected(load.VM) bool  { return false }
+func (l plainAt) Unavailable(int) bool      { return false }
+func (l plainAt) Estimate(load.VM) Estimate { return Estimate{} }
+func (l plainAt) Mean() float64             { return l.tally.Mean(plainUpstreams, 0) }
 
 // Guests book in a surge of three times the traffic while one of the three booking
 // services works five times slower. The routers of its failure domain see only that
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -19,8 +19,8 @@
 	// Leaving upstreams take no new requests. They still hold prompts that others
 	// may get from them.
 	Leaving bool
-	// Idle ones are Leaving, but stay: operators have ordered that they get nothing.
-	Idle bool
+	// Drained ones are Leaving, but stay: operators have ordered that they get nothing.
+	Drained bool
 	// Joined is when the upstream was first seen in the list.
 	Joined time.Time
 }
@@ -46,7 +46,7 @@
 	p := &Pool{members: members, inRegion: make([]bool, len(members)), whole: len(members)}
 	var regional, remote []int
 	for i, m := range members {
-		if m.Idle {
+		if m.Drained {
 			p.idle++
 		}
 		if topo.Region(m.Domain) == topo.Region(self.Domain) {
@@ -71,9 +71,9 @@
 	return p
 }
 
-// Part returns the Pool of some members of p, among which a request chooses that may not go
+// Subset returns the Pool of some members of p, among which a request chooses that may not go
 // to the others. Bounds are those of the whole pool.
-func (p *Pool) Part(members []Member, self Locality) *Pool {
+func (p *Pool) Subset(members []Member, self Locality) *Pool {
 	part := NewPool(members, self)
 	part.whole, part.idle = p.whole, p.idle
 	return part
@@ -84,8 +84,8 @@
 	return p.whole
 }
 
-// Idle returns how many of them are idle.
-func (p *Pool) Idle() int {
+// Drained returns how many of them are idle.
+func (p *Pool) Drained() int {
 	return p.idle
 }
 
--- a/internal/placement/pool_test.go
+++ b/internal/placement/pool_test.go
@@ -31,7 +31,7 @@
 
 // home returns the VM to which a session is offered first.
 func home(ms []Member, session uint64) load.VM {
-	var out [Candidates]int
+	var out [MaxCandidates]int
 	p := NewPool(ms, Locality{})
 	p.Choose(start, load.NewTable(), Query{Session: session, Ticket: None}, &out)
 	return ms[out[0]].VM
@@ -82,19 +82,19 @@
 			table.Observe(start, m.VM, r)
 		}
 		q := Query{
-			Session:   rapid.Uint64Max(3).Draw(t, "session"),
-			Ticket:    rapid.IntRange(-1, 30).Draw(t, "ticket"),
-			TicketAge: rapid.SampledFrom([]time.Duration{0, time.Minute}).Draw(t, "age"),
-			Multiple:  rapid.SampledFrom([]float64{0, 1.25}).Draw(t, "multiple"),
-			Random:    rapid.Uint64().Draw(t, "random"),
+			Session:      rapid.Uint64Max(3).Draw(t, "session"),
+			Ticket:       rapid.IntRange(-1, 30).Draw(t, "ticket"),
+			TicketAge:    rapid.SampledFrom([]time.Duration{0, time.Minute}).Draw(t, "age"),
+			LoadMultiple: rapid.SampledFrom([]float64{0, 1.25}).Draw(t, "multiple"),
+			Random:       rapid.Uint64().Draw(t, "random"),
 		}
-		var out [Candidates]int
+		var out [MaxCandidates]int
 		n := NewPool(ms, Locality{Domain: "a"}).Choose(start, table, q, &out)
 		offered := serving
 		if serving == 0 {
 			offered = len(ms)
 		}
-		if n != min(offered, Candidates) {
+		if n != min(offered, MaxCandidates) {
 			t.Fatalf("%d candidates of %d upstreams, %d of which serve", n, len(ms), serving)
 		}
 		seen := make(map[int]bool)
@@ -127,7 +127,7 @@
 			want = "rabat"
 		}
 		q := Query{Session: rapid.Uint64().Draw(t, "session"), Ticket: rapid.IntRange(0, 7).Draw(t, "ticket"), Random: 1}
-		var out [Candidates]int
+		var out [MaxCandidates]int
 		n := NewPool(ms, Locality{Domain: "casablanca/1"}).Choose(start, table, q, &out)
 		for _, i := range out[:n] {
 			if topo.Region(ms[i].Domain) != want {
@@ -153,8 +153,8 @@
 		}
 		table.Observe(start, m.VM, r)
 	}
-	var out [Candidates]int
-	q := Query{Session: session, Ticket: home, Multiple: 1.25}
+	var out [MaxCandidates]int
+	q := Query{Session: session, Ticket: home, LoadMultiple: 1.25}
 	p.Choose(start, table, q, &out)
 	if out[0] == home {
 		t.Fatal("a concurrent turn goes to its busy home")
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -94,7 +94,7 @@
 func (s *sliver) drain(n int) {
 	s.idle = n
 	for i := range s.members {
-		s.members[i].Idle, s.members[i].Leaving = i < n, i < n
+		s.members[i].Drained, s.members[i].Leaving = i < n, i < n
 	}
 	s.pool = NewPool(s.members, Locality{})
 }
@@ -110,15 +110,15 @@
 		s.end(now)
 		s.share(t, now)
 		router := s.random.IntN(sliverRouters)
-		q := Query{Session: s.session(!now.Before(surge)), Multiple: 0.8 * capMultiple, Random: s.random.Uint64(), Now: now}
+		q := Query{Session: s.session(!now.Before(surge)), LoadMultiple: 0.8 * capMultiple, Random: s.random.Uint64(), Now: now}
 		if s.by.soft {
-			q.Soft = sliverSoft
+			q.BoundJitter = sliverSoft
 		}
 		if share := s.demands[router].RecordRequest(now, q.Session, "chat"); s.by.spread {
-			q.Share = share
+			q.SessionShare = share
 		}
-		var out [Candidates]Choice
-		s.pool.Bounded(tallyAt{s.tallies[router], now, s.idle}, q, &out)
+		var out [MaxCandidates]Choice
+		s.pool.ChooseBounded(tallyAt{s.tallies[router], now, s.idle}, q, &out)
 		i := out[0].Index
 		if !now.Before(surge) {
 			arrivals++
@@ -191,13 +191,13 @@
 	idle  int
 }
 
-func (l tallyAt) Load(vm load.VM) float64  { return l.tally.Load(l.now, vm) }
-func (l tallyAt) Wait(vm load.VM) float64  { return l.Load(vm) }
-func (l tallyAt) Upper(vm load.VM) float64 { return l.tally.UpperBound(l.now, vm) }
-func (l tallyAt) Suspects(load.VM) bool    { return false }
-func (l tallyAt) Closed(int) bool          { return false }
-func (l tallyAt) Expect(load.VM) Expected  { return Expected{} }
-func (l tallyAt) Mean() float64            { return l.tally.Mean(sliverUpstreams, l.idle) }
+func (l tallyAt) Load(vm load.VM) float64   { return l.tally.Load(l.now, vm) }
+func (l tallyAt) Cost(vm load.VM) float64   { return l.Load(vm) }
+func (l tallyAt) Upper(vm load.VM) float64  { return l.tally.UpperBound(l.now, vm) }
+func (l tallyAt) IsSuspected(load.VM) bool  { return false }
+func (l tallyAt) Unavailable(int) bool      { return false }
+func (l tallyAt) Estimate(load.VM) Estimate { return Estimate{} }
+func (l tallyAt) Mean() float64             { return l.tally.Mean(sliverUpstreams, l.idle) }
 
 // Each of 28 routers sees its own requests and hears of an upstream's load when it
 // gets an answer from it, seconds apart. On a calm day chance fills some upstreams
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -16,8 +16,8 @@
 	names []string // sorted
 }
 
-// Only returns the regions of a list; all if it is empty.
-func Only(names []string) Regions {
+// NewRegions returns the regions of a list; all if it is empty.
+func NewRegions(names []string) Regions {
 	if len(names) == 0 {
 		return Regions{}
 	}
@@ -26,8 +26,8 @@
 	return Regions{bound: true, names: slices.Compact(sorted)}
 }
 
-// And returns the regions that are in both sets, which may be none.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that are in both sets, which may be none.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case !r.bound:
 		return other
@@ -43,9 +43,9 @@
 	return both
 }
 
-// All reports whether every region is in the set, those included that are not known by
+// Unrestricted reports whether every region is in the set, those included that are not known by
 // name.
-func (r Regions) All() bool { return !r.bound }
+func (r Regions) Unrestricted() bool { return !r.bound }
 
 // Has reports whether a region is in the set.
 func (r Regions) Has(name string) bool {
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -24,18 +24,18 @@
 func TestBothListsBind(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := lists(t, "profile"), lists(t, "organisation")
-		both, reversed := Only(a).And(Only(b)), Only(b).And(Only(a))
+		both, reversed := NewRegions(a).Intersect(NewRegions(b)), NewRegions(b).Intersect(NewRegions(a))
 		for _, name := range names {
-			want := Only(a).Has(name) && Only(b).Has(name)
+			want := NewRegions(a).Has(name) && NewRegions(b).Has(name)
 			if both.Has(name) != want {
 				t.Errorf("%v and %v: %q is %v", a, b, name, both.Has(name))
 			}
 		}
-		if same := Only(a).Key() == Only(b).Key(); same != equal(Only(a), Only(b)) {
+		if same := NewRegions(a).Key() == NewRegions(b).Key(); same != equal(NewRegions(a), NewRegions(b)) {
 			t.Errorf("%v and %v: the same key is %v", a, b, same)
 		}
-		if both.Key() != reversed.Key() || both.All() != (len(a)+len(b) == 0) {
-			t.Errorf("%v and %v: %q and %q, all %v", a, b, both.Key(), reversed.Key(), both.All())
+		if both.Key() != reversed.Key() || both.Unrestricted() != (len(a)+len(b) == 0) {
+			t.Errorf("%v and %v: %q and %q, all %v", a, b, both.Key(), reversed.Key(), both.Unrestricted())
 		}
 	})
 }
@@ -53,8 +53,8 @@
 // Two lists without a region in common leave none. Taken for no bound at all, they would
 // let a request run anywhere.
 func TestNoRegionInCommonIsNotAllRegions(t *testing.T) {
-	none := Only([]string{"ktm"}).And(Only([]string{"caribe"}))
-	if none.All() || none.Has("ktm") || none.Has("") || none.Key() == (Regions{}).Key() {
+	none := NewRegions([]string{"ktm"}).Intersect(NewRegions([]string{"caribe"}))
+	if none.Unrestricted() || none.Has("ktm") || none.Has("") || none.Key() == (Regions{}).Key() {
 		t.Errorf("%+v", none)
 	}
 }
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -178,7 +178,7 @@
 func (a *Answer) Close() {
 	a.logEnd()
 	if a.counted && a.state != nil { // one that was turned away tells nothing of how long its kind takes
-		a.pool.tracker.Took(a.req.Profile.Name, time.Since(a.started))
+		a.pool.tracker.RecordDuration(a.req.Profile.Name, time.Since(a.started))
 	}
 	if a.state != nil && !a.state.Finished() { // nil: refused before it was offered
 		a.leave()
--- a/internal/router/belief.go
+++ b/internal/router/belief.go
@@ -25,7 +25,7 @@
 }
 
 // choose writes the indices of the upstreams to which to offer a request.
-func (b *beliefs) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.Candidates]int) int {
+func (b *beliefs) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return p.Choose(now, b.table, q, out)
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -140,12 +140,12 @@
 // passedOver says why the upstream that ranks first for a session is not the one that was
 // chosen; empty: it is, or there is no session.
 func (a *Answer) passedOver(now time.Time) (home, why string) {
-	if a.basis.Home == placement.None || a.basis.Passed == placement.NotPassed {
+	if a.basis.Home == placement.None || a.basis.PassedOver == placement.NotPassedOver {
 		return "", ""
 	}
 	vm := a.pool.VMs[a.basis.Home]
-	why = string(a.basis.Passed)
-	if a.basis.Passed == placement.PassedClosed {
+	why = string(a.basis.PassedOver)
+	if a.basis.PassedOver == placement.PassedOverUnavailable {
 		why = a.router.against(now, a.pool, vm.ID).String()
 	}
 	return vm.ID, why
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -45,9 +45,9 @@
 	case s.first.IsZero():
 		s.first, s.last = now, now
 	case p.End != nil:
-		s.tracker.Served(now, s.vm, s.profile, now.Sub(s.first))
+		s.tracker.RecordAnswerTime(now, s.vm, s.profile, now.Sub(s.first))
 	case n > 0:
-		s.tracker.Events(now, s.vm, s.profile, n, now.Sub(s.last))
+		s.tracker.RecordEvents(now, s.vm, s.profile, n, now.Sub(s.last))
 		s.last = now
 	}
 }
@@ -60,10 +60,10 @@
 	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
 	id := load.Hash(at.vm.ID)
-	at.tracker.Begin(id)
+	at.tracker.BeginAttempt(id)
 	context.AfterFunc(at.ctx, func() {
-		at.tracker.End(id)
-		at.watch.GiveUp()
+		at.tracker.EndAttempt(id)
+		at.watch.Abandon()
 	})
 	s, err := a.router.config.Direct.Do(at.ctx, at.vm, a.call(at), func() bool { return a.pass(at) })
 	if err != nil {
@@ -85,7 +85,7 @@
 			// one that fails them: a request that may be sent once cannot go on to the next.
 			// With half of the upstreams turning half of their requests away, .7% of all
 			// were told to come back, .2% with this; in a surge beside slow ones .16, .11%.
-			at.watch.Judge(false)
+			at.watch.RecordOutcome(false)
 		}
 		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: declined(s.Status())}
 	}
@@ -112,7 +112,7 @@
 	if !at.gate.pass() {
 		return false
 	}
-	at.watch.Begin()
+	at.watch.Start()
 	return true
 }
 
@@ -147,7 +147,7 @@
 		return dispatch.Lost{Now: now, Attempt: at.number}
 	case err.Reason == verdict.ReasonNoUpstream:
 		a.router.avoid(at.vm.ID)
-		at.watch.Broke()
+		at.watch.RecordFailure()
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: err}
 	case at.withheld != nil:
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: at.withheld}
@@ -178,9 +178,9 @@
 		if p.Head != nil {
 			continue
 		}
-		at.watch.Begun()
+		at.watch.EndWait()
 		if telling(status) {
-			at.watch.Judge(status < http.StatusInternalServerError)
+			at.watch.RecordOutcome(status < http.StatusInternalServerError)
 		}
 		if status >= http.StatusInternalServerError {
 			err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream answered with status %d", status)
@@ -190,7 +190,7 @@
 			s.Within(time.Duration(pauseShare * float64(a.req.Profile.MaxPause.Std())))
 		}
 		if a.session != 0 {
-			a.router.holders.Served(a.session, at.vm)
+			a.router.holders.Record(a.session, at.vm)
 		}
 		a.router.retries.Answered(time.Now(), a.poolName)
 		return dispatch.Opened{Now: time.Now(), Attempt: at.number, Resumable: s.Events()}
@@ -211,7 +211,7 @@
 // this router has broken it.
 func (a direct) lostAnswer(at *attempt) {
 	if at.ctx.Err() == nil {
-		at.watch.Judge(false)
+		at.watch.RecordOutcome(false)
 	}
 }
 
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -67,11 +67,11 @@
 	a.carrier = direct{a}
 	a.ctx, a.stop = context.WithCancel(ctx)
 	if a.pool != nil {
-		a.pool.tracker.Arrived(req.Urgency, req.Profile.Objective.Std())
+		a.pool.tracker.RecordObjective(req.Urgency, req.Profile.Objective.Std())
 	}
 	if a.pool != nil && a.session != 0 {
 		a.counted = true
-		a.share = a.pool.tracker.Ask(now, a.session, req.Profile.Name)
+		a.share = a.pool.tracker.RecordRequest(now, a.session, req.Profile.Name)
 	}
 	a.late = req.mayHaveComeBack() && r.retries.AwaitsCallers(now, pool)
 	a.targets = a.choices(now)
@@ -82,7 +82,7 @@
 	}
 	a.plan = req.directPlan(r.policy(), len(a.targets))
 	budget := advisor{Budget: r.retries.Request(now, a.poolName), router: r, pool: a.pool}
-	if a.basis.Late {
+	if a.basis.ShouldReject {
 		a.Close()
 		return nil, a.expectedLate(budget.RetryAfter(time.Until(a.plan.Deadline)))
 	}
@@ -121,7 +121,7 @@
 
 // expected returns in which time the first byte of the answer is expected, an hour at most.
 func (a *Answer) expected() time.Duration {
-	seconds := min(a.basis.Until, time.Hour.Seconds())
+	seconds := min(a.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 }
 
@@ -157,14 +157,14 @@
 	if a.pool == nil {
 		return nil
 	}
-	var chosen [placement.Candidates]placement.Choice
+	var chosen [placement.MaxCandidates]placement.Choice
 	tuning := a.router.tuning.Load()
-	q := placement.Query{Session: a.session, Multiple: tuning.LoadMultiple, Random: rand.Uint64(), Share: a.share, Now: now}
+	q := placement.Query{Session: a.session, LoadMultiple: tuning.LoadMultiple, Random: rand.Uint64(), SessionShare: a.share, Now: now}
 	r := balance.Request{
 		Query: q, Profile: a.req.Profile.Name, Urgency: a.req.Urgency,
-		Objective: a.req.objective(a.first > 0), Left: a.req.left(now), Late: a.late,
+		Objective: a.req.objective(a.first > 0), TimeLeft: a.req.left(now), ObjectiveMissed: a.late,
 	}
-	r.Closed = a.router.closedIn(now, a.pool)
+	r.Unavailable = a.router.closedIn(now, a.pool)
 	n, basis := a.pool.tracker.Choose(now, a.pool.placed, tuning.Policy, r, &chosen)
 	a.basis = basis
 	a.pool.logSuspicions(a.poolName)
@@ -190,7 +190,7 @@
 	if !on.Donors {
 		return topo.VM{}
 	}
-	if last, ok := a.router.holders.Last(a.session); ok && on.LastServed && last.ID != a.pool.VMs[c.Index].ID {
+	if last, ok := a.router.holders.Get(a.session); ok && on.LastServed && last.ID != a.pool.VMs[c.Index].ID {
 		if a.router.givesPrompts(now, a.view, last, a.req.regions()) {
 			return last
 		}
@@ -206,8 +206,8 @@
 // answers tell 4.7.
 func (a direct) loadHeard(at *attempt, w exchange.Word) {
 	if w.Load != nil {
-		at.tracker.Places(w.Load.Slots)
-		at.tracker.Report(time.Now(), load.Hash(at.vm.ID), w.Load.Running+w.Load.Waiting+1)
+		at.tracker.SetSlots(w.Load.Slots)
+		at.tracker.RecordLoad(time.Now(), load.Hash(at.vm.ID), w.Load.Running+w.Load.Waiting+1)
 	}
 }
 
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -27,7 +27,7 @@
 	at := a.add(to.vm)
 	at.donor, at.tracker = to.donor, to.tracker
 	at.watch = balance.NewWatch(to.tracker, balance.Attempt{
-		VM: load.Hash(to.vm.ID), Profile: a.req.Profile.Name, Urgency: a.basis.Urgency, Load: to.load, Behind: a.basis.Behind,
+		VM: load.Hash(to.vm.ID), Profile: a.req.Profile.Name, Urgency: a.basis.Urgency, Load: to.load, Deferred: a.basis.Deferred,
 	}, a.req.Profile.Objective.Std())
 	if e.Continue {
 		a.winner = nil
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -48,7 +48,7 @@
 			slog.Float64("mean_load", tenths(a.basis.Mean)),
 			slog.Float64("bound", tenths(a.basis.Bound)),
 			slog.Int64("expected_ms", a.expected().Milliseconds()),
-			slog.Bool("behind", a.basis.Behind),
+			slog.Bool("behind", a.basis.Deferred),
 			slog.String("donor", at.donor.ID))
 		if home, why := a.passedOver(time.Now()); home != "" {
 			attrs = append(attrs, slog.String("home", home), slog.String("passed_over", why))
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -64,7 +64,7 @@
 		if vm.Role != topo.RoleUpstream {
 			continue
 		}
-		if o, ok := s.orders.Of(vm.ID, vm.FailureDomain); ok {
+		if o, ok := s.orders.Lookup(vm.ID, vm.FailureDomain); ok {
 			out[vm.ID] = wire.Notice{Leaving: o.Leave, Version: o.Version}
 		}
 		if vm.Leaving && !out[vm.ID].Leaving {
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -89,10 +89,10 @@
 		return nil
 	}
 	q := placement.Query{
-		Session:  a.session,
-		Ticket:   placement.None,
-		Multiple: a.req.Profile.LoadMultiple,
-		Random:   a.random(),
+		Session:      a.session,
+		Ticket:       placement.None,
+		LoadMultiple: a.req.Profile.LoadMultiple,
+		Random:       a.random(),
 	}
 	if vm, age := r.ticketVM(now, a.req.Ticket, a.session); vm != "" {
 		q.Ticket, q.TicketAge = a.pool.placed.Index(load.Hash(vm)), age
@@ -116,7 +116,7 @@
 }
 
 func (r *Router) order(now time.Time, p *Pool, q placement.Query) []topo.VM {
-	var out [placement.Candidates]int
+	var out [placement.MaxCandidates]int
 	n := p.beliefs.choose(now, p.placed, q, &out)
 	vms := make([]topo.VM, 0, n+1)
 	avoided := make([]topo.VM, 0, n)
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -59,7 +59,7 @@
 		at.stream = nil
 		resumedStreams.Inc()
 		if a.plan.Direct {
-			at.watch.Broke()
+			at.watch.RecordFailure()
 		}
 		if a.cutter != nil && !a.cutter.Break() {
 			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errTorn})
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -58,9 +58,9 @@
 // regions returns where the request may run: where its profile and its organisation both
 // allow it.
 func (r *Request) regions() residency.Regions {
-	of := residency.Only(r.Profile.Regions)
+	of := residency.NewRegions(r.Profile.Regions)
 	if r.Org != nil {
-		of = of.And(residency.Only(r.Org.Regions))
+		of = of.Intersect(residency.NewRegions(r.Org.Regions))
 	}
 	return of
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,7 +111,7 @@
 	claimer  *claim.Keeper
 	suspects *suspects
 	ledger   *ledger.Ledger
-	holders  *balance.Holders[topo.VM]
+	holders  *balance.LastServed[topo.VM]
 	warming  warming
 	tuning   atomic.Pointer[Tuning]
 
@@ -150,8 +150,8 @@
 		claimer:    claim.NewKeeper(c.Store),
 		suspects:   newSuspects(),
 		ledger:     ledger.New(),
-		holders:    balance.NewHolders[topo.VM](),
-		warming:    warming{gate: warmup.NewGate(c.VM)},
+		holders:    balance.NewLastServed[topo.VM](),
+		warming:    warming{gate: warmup.NewLimiter(c.VM)},
 		peers:      make(map[endpoint]*wire.Peer),
 		conditions: condition.NewObservations(),
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	m.toldAt = now
-	pools := m.pools(func(p *Pool) balance.Shared { return p.tracker.Known(now, p.serving) })
+	pools := m.pools(func(p *Pool) balance.SharedState { return p.tracker.PackKnown(now, p.serving) })
 	leaving := m.leaving(true)
 	if len(pools) == 0 && len(leaving) == 0 {
 		m.told = nil
@@ -78,7 +78,7 @@
 func (m *mesh) heard(now time.Time) [][]byte {
 	after := m.sharedAt
 	m.sharedAt = now
-	pools := m.pools(func(p *Pool) balance.Shared { return p.tracker.Seen(now, after, p.serving) })
+	pools := m.pools(func(p *Pool) balance.SharedState { return p.tracker.PackObserved(now, after, p.serving) })
 	leaving := m.leaving(false)
 	var out [][]byte
 	for len(pools) > 0 || len(leaving) > 0 {
@@ -115,7 +115,7 @@
 }
 
 // pools returns what is to be told of each pool, in the order of their names.
-func (m *mesh) pools(of func(*Pool) balance.Shared) []sharedPool {
+func (m *mesh) pools(of func(*Pool) balance.SharedState) []sharedPool {
 	on := m.router.policy()
 	pools := m.router.View().Pools
 	var out []sharedPool
@@ -187,9 +187,9 @@
 		}
 		merge := p.tracker.MergeKnown
 		if from == fromFollower {
-			merge = p.tracker.MergeSeen
+			merge = p.tracker.MergeObserved
 		}
-		if err := merge(now, p.serving, balance.Shared{Loads: told.Loads, Outcomes: told.Outcomes, Speeds: told.Speeds}); err != nil {
+		if err := merge(now, p.serving, balance.SharedState{Loads: told.Loads, Outcomes: told.Outcomes, Speeds: told.Speeds}); err != nil {
 			meshMalformed.Inc()
 		}
 	}
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -47,7 +47,7 @@
 func TestLoadsGoThroughTheReader(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, reader, third := meshOf("a", "b"), meshOf("a", "b"), meshOf("a", "b")
-	first.pool().tracker.Report(now, load.Hash("b"), 17)
+	first.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
 	up, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "first", Sharing: first.heard(now)[0]}})
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 func TestLoadsSurviveAChangeOfTheList(t *testing.T) {
 	now := time.Unix(1000, 0)
 	behind, ahead := meshOf("a", "b"), meshOf("b", "c")
-	behind.pool().tracker.Report(now, load.Hash("b"), 17)
+	behind.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
 	ahead.merge(now, behind.known(now), fromReader)
 	if got := loadOf(ahead.pool(), now, "b"); got < 16 || got > 18 {
 		t.Errorf("load %.1f of b, which both know, want 17", got)
@@ -93,7 +93,7 @@
 		now = now.Add(time.Second)
 		for name, p := range reader.router.View().Pools {
 			for _, vm := range p.VMs {
-				p.tracker.Report(now, load.Hash(vm.ID), len(name))
+				p.tracker.RecordLoad(now, load.Hash(vm.ID), len(name))
 			}
 		}
 		told := reader.known(now)
@@ -125,7 +125,7 @@
 			now = now.Add(100 * time.Millisecond)
 			for _, p := range view.Pools {
 				for _, vm := range p.VMs {
-					p.tracker.Report(now, load.Hash(vm.ID), 7)
+					p.tracker.RecordLoad(now, load.Hash(vm.ID), 7)
 				}
 			}
 			bytes += len(m.known(now))
@@ -141,7 +141,7 @@
 func TestLoadsOfAnotherListAreLeftOut(t *testing.T) {
 	now := time.Unix(1000, 0)
 	behind, ahead := meshOf("a", "b"), meshOf("b", "c")
-	behind.pool().tracker.Report(now, load.Hash("a"), 17)
+	behind.pool().tracker.RecordLoad(now, load.Hash("a"), 17)
 	ahead.merge(now, behind.known(now), fromReader)
 	for _, id := range []string{"b", "c"} {
 		if got := loadOf(ahead.pool(), now, id); got != 0 {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -281,7 +281,7 @@
 		return
 	}
 	if o.Kind == topo.KindDomainDrain {
-		f.Drained = append(f.Drained, DomainOrder{Domain: o.Name, Drained: !o.Deleted, Version: o.Version, InForce: len(s.orders.Domains())})
+		f.Drained = append(f.Drained, DomainOrder{Domain: o.Name, Drained: !o.Deleted, Version: o.Version, InForce: len(s.orders.DrainedDomains())})
 	}
 	f.Objects = append(f.Objects, admin.ObjectVersion{Ref: o.Ref, Version: o.Version})
 }
@@ -328,7 +328,7 @@
 
 // order takes an operator's order to a VM or a failure domain.
 func (s *State) order(o topo.Object) {
-	s.orders.Take(o)
+	s.orders.Apply(o)
 	s.wanted = s.noticesFor()
 	s.stale.pools = true
 }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -212,7 +212,7 @@
 	q := placement.Query{Session: a.session, Ticket: placement.None, Random: a.random()}
 	for domain := range domains {
 		p := placement.NewPool(members, placement.Locality{Domain: domain})
-		var out [placement.Candidates]int
+		var out [placement.MaxCandidates]int
 		n := p.Choose(time.Now(), load.NewTable(), q, &out)
 		for _, i := range out[:min(homesPerRouter, n)] {
 			seen[a.pool.VMs[i].ID] = a.pool.VMs[i]
--- a/internal/router/suspicions.go
+++ b/internal/router/suspicions.go
@@ -11,7 +11,7 @@
 
 // logSuspicions tells which upstreams are suspected now, and which are not any more.
 func (p *Pool) logSuspicions(name string) {
-	for _, c := range p.tracker.Suspicions() {
+	for _, c := range p.tracker.SuspicionChanges() {
 		vm := p.vm(c.VM)
 		level, msg := slog.LevelInfo, "upstream is trusted again"
 		if c.Suspected {
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -92,7 +92,7 @@
 	v.Routers = 0
 	for _, vm := range s.vms.Entries {
 		v.VMs[vm.ID] = vm
-		order, _ := s.orders.Of(vm.ID, vm.FailureDomain)
+		order, _ := s.orders.Lookup(vm.ID, vm.FailureDomain)
 		switch {
 		case vm.Role == topo.RoleRouter:
 			if !vm.Leaving {
@@ -146,7 +146,7 @@
 		Weight:  max(u.vm.Weight, 1),
 		Domain:  u.vm.FailureDomain,
 		Leaving: leaves(u.listed()),
-		Idle:    u.drained && !u.vm.Leaving,
+		Drained: u.drained && !u.vm.Leaving,
 		Joined:  u.joined,
 	}
 }
@@ -176,7 +176,7 @@
 // in returns the pool of the upstreams that are in some regions; nil: there is none. What is
 // known of upstreams is known of the whole pool.
 func (p *Pool) in(regions residency.Regions) *Pool {
-	if p == nil || regions.All() {
+	if p == nil || regions.Unrestricted() {
 		return p
 	}
 	if part, ok := p.parts.Load(regions.Key()); ok {
@@ -191,7 +191,7 @@
 	if len(part.VMs) == 0 {
 		part = nil
 	} else {
-		part.placed = p.placed.Part(part.members, p.self)
+		part.placed = p.placed.Subset(part.members, p.self)
 	}
 	p.parts.Store(regions.Key(), part)
 	return part
--- a/internal/router/warming.go
+++ b/internal/router/warming.go
@@ -13,7 +13,7 @@
 
 // warming is what a router goes by where upstreams are cold.
 type warming struct {
-	gate   *warmup.Gate
+	gate   *warmup.Limiter
 	listed atomic.Int64 // routers of the region, by the register; zero: it was not read yet
 	told   atomic.Int64 // the same, as the router tells that this one relies on; zero: it has not
 }
@@ -37,7 +37,7 @@
 		return false
 	}
 	tuning := r.tuning.Load()
-	return !r.warming.gate.Open(now, id, tuning.limit(p), r.warming.routers(tuning.Regions))
+	return !r.warming.gate.HasCapacity(now, id, tuning.limit(p), r.warming.routers(tuning.Regions))
 }
 
 // takeCold counts a request that is about to be sent to an upstream of a pool, and reports
@@ -47,7 +47,7 @@
 		return true
 	}
 	tuning := r.tuning.Load()
-	if !r.warming.gate.Take(now, id, tuning.limit(p), r.warming.routers(tuning.Regions)) {
+	if !r.warming.gate.TryAcquire(now, id, tuning.limit(p), r.warming.routers(tuning.Regions)) {
 		return false
 	}
 	coldSent.Inc()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -64,9 +64,9 @@
 // removal.
 func (s *State) drainOrders(objects []topo.Object) {
 	for _, o := range objects {
-		s.orders.Take(o)
+		s.orders.Apply(o)
 	}
-	if o, ok := s.orders.Of(s.settings.VM, s.settings.FailureDomain); ok {
+	if o, ok := s.orders.Lookup(s.settings.VM, s.settings.FailureDomain); ok {
 		s.order(wire.Notice{Leaving: o.Leave, Version: o.Version})
 	}
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -32,8 +32,8 @@
 	Slack     float64 // requests on top
 }
 
-// Most returns how many requests may reach a cold upstream within a second.
-func (l Limit) Most() int {
+// MaxPerSecond returns how many requests may reach a cold upstream within a second.
+func (l Limit) MaxPerSecond() int {
 	overage := l.Overage
 	if overage == 0 {
 		overage = 1
@@ -56,7 +56,7 @@
 // Share returns how many requests a router of a fleet of so many may send to a cold
 // upstream in any window. A router that does not know how many there are sends none.
 func Share(router, upstream string, l Limit, routers int) int {
-	most := l.Most()
+	most := l.MaxPerSecond()
 	if routers <= 0 || most <= 0 {
 		return 0
 	}
@@ -101,8 +101,8 @@
 	return 1 - sum
 }
 
-// Gate counts what one router sends to cold upstreams. It is safe for concurrent use.
-type Gate struct {
+// Limiter counts what one router sends to cold upstreams. It is safe for concurrent use.
+type Limiter struct {
 	router string
 
 	mu     sync.Mutex
@@ -117,19 +117,19 @@
 	routers  int
 }
 
-// NewGate returns the Gate of a router that has sent nothing.
-func NewGate(router string) *Gate {
-	return &Gate{router: router, sent: make(map[string][]time.Time), shares: make(map[key]int)}
+// NewLimiter returns the Gate of a router that has sent nothing.
+func NewLimiter(router string) *Limiter {
+	return &Limiter{router: router, sent: make(map[string][]time.Time), shares: make(map[key]int)}
 }
 
-// Open reports whether a request more may be sent to a cold upstream now.
-func (g *Gate) Open(now time.Time, upstream string, l Limit, routers int) bool {
+// HasCapacity reports whether a request more may be sent to a cold upstream now.
+func (g *Limiter) HasCapacity(now time.Time, upstream string, l Limit, routers int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open(now, upstream, l, routers)
 }
 
-func (g *Gate) open(now time.Time, upstream string, l Limit, routers int) bool {
+func (g *Limiter) open(now time.Time, upstream string, l Limit, routers int) bool {
 	share := g.share(key{upstream: upstream, limit: l, routers: routers})
 	sent := 0
 	for _, at := range g.sent[upstream] {
@@ -143,7 +143,7 @@
 // sharesKept bounds the shares that are remembered. Upstreams come and go.
 const sharesKept = 4096
 
-func (g *Gate) share(k key) int {
+func (g *Limiter) share(k key) int {
 	share, ok := g.shares[k]
 	if !ok {
 		if len(g.shares) >= sharesKept {
@@ -155,10 +155,10 @@
 	return share
 }
 
-// Take counts a request that is sent now, or reports that none may be. It is asked just
+// TryAcquire counts a request that is sent now, or reports that none may be. It is asked just
 // before the first byte: between the choice of an upstream and that, others may have taken
 // what there was.
-func (g *Gate) Take(now time.Time, upstream string, l Limit, routers int) bool {
+func (g *Limiter) TryAcquire(now time.Time, upstream string, l Limit, routers int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.open(now, upstream, l, routers) {
@@ -169,7 +169,7 @@
 }
 
 // recent returns what was sent to an upstream in the last window.
-func (g *Gate) recent(now time.Time, upstream string) []time.Time {
+func (g *Limiter) recent(now time.Time, upstream string) []time.Time {
 	var out []time.Time
 	for _, at := range g.sent[upstream] {
 		if now.Sub(at) < window {
@@ -180,7 +180,7 @@
 }
 
 // Expire forgets what was sent longer ago than a window.
-func (g *Gate) Expire(now time.Time) {
+func (g *Limiter) Expire(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for upstream := range g.sent {
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -19,7 +19,7 @@
 
 // router is a router of a fleet, as the test plays it.
 type router struct {
-	gate    *Gate
+	gate    *Limiter
 	routers int           // that it believes in
 	behind  time.Duration // by which its clock has fallen back in suspensions
 	until   time.Time     // when it runs again
@@ -42,7 +42,7 @@
 			if now.Before(r.until) {
 				continue
 			}
-			for r.gate.Take(now.Add(-r.behind), "cold", l, r.routers) {
+			for r.gate.TryAcquire(now.Add(-r.behind), "cold", l, r.routers) {
 				out = append(out, now)
 			}
 		}
@@ -75,10 +75,10 @@
 		var fleet []*router
 		for i := range n {
 			believed := n - rapid.IntRange(0, n/10).Draw(t, "unknown")
-			fleet = append(fleet, &router{gate: NewGate(fmt.Sprint("front-", i)), routers: believed})
+			fleet = append(fleet, &router{gate: NewLimiter(fmt.Sprint("front-", i)), routers: believed})
 		}
-		if got := most(arrivals(t, fleet, l, 3*time.Second)); got > l.Most() {
-			t.Fatalf("%d routers sent %d within a second to one that bears %d", n, got, l.Most())
+		if got := most(arrivals(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
+			t.Fatalf("%d routers sent %d within a second to one that bears %d", n, got, l.MaxPerSecond())
 		}
 	})
 }
@@ -94,7 +94,7 @@
 				sum += Share(fmt.Sprint("front-", i), fmt.Sprint("cold-", u), l, n)
 			}
 		}
-		if share := float64(sum) / float64(upstreams*l.Most()); share < 0.2 || share > 0.8 {
+		if share := float64(sum) / float64(upstreams*l.MaxPerSecond()); share < 0.2 || share > 0.8 {
 			t.Errorf("%d routers may use %.2f of what a cold upstream bears", n, share)
 		}
 	}
@@ -103,8 +103,8 @@
 // A router that has just started knows of no other. It holds back: all those that start
 // together would each take the whole of the limit for itself.
 func TestRouterThatKnowsNobodySendsNothing(t *testing.T) {
-	g := NewGate("front-1")
-	if g.Take(start, "cold", Limit{PerSecond: 100}, 0) {
+	g := NewLimiter("front-1")
+	if g.TryAcquire(start, "cold", Limit{PerSecond: 100}, 0) {
 		t.Error("a request was sent")
 	}
 }
@@ -120,7 +120,7 @@
 		{Limit{PerSecond: 7}, 7},
 		{Limit{}, 0},
 	} {
-		if got := c.limit.Most(); got != c.want {
+		if got := c.limit.MaxPerSecond(); got != c.want {
 			t.Errorf("%+v: %d, want %d", c.limit, got, c.want)
 		}
 	}
@@ -128,9 +128,9 @@
 
 // Upstreams come and go by the thousand. What was sent to them is forgotten.
 func TestGateForgets(t *testing.T) {
-	g := NewGate("front-1")
+	g := NewLimiter("front-1")
 	for i := range 100 {
-		g.Take(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
+		g.TryAcquire(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
 	}
 	g.Expire(start.Add(window))
 	if len(g.sent) != 0 {
