--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -22,9 +22,9 @@
 const (
 	// tries is how often an unanswered claim is made again.
 	tries = 3
-	// Life is for how long a caller may send its own idempotency key again. After that the
+	// TTL is for how long a caller may send its own idempotency key again. After that the
 	// claim may be swept.
-	Life = 24 * time.Hour
+	TTL = 24 * time.Hour
 )
 
 // Outcome is what came of claiming an idempotency key.
@@ -32,11 +32,11 @@
 
 // Outcomes of Keeper.Claim.
 const (
-	Made    Outcome = "made"
-	Found   Outcome = "found"
-	NoStore Outcome = "store-down"
-	// Doubted is a claim that cannot be told from one that the store has lost.
-	Doubted Outcome = "store-restored"
+	Created   Outcome = "made"
+	Found     Outcome = "found"
+	StoreDown Outcome = "store-down"
+	// StoreRestored is a claim that cannot be told from one that the store has lost.
+	StoreRestored Outcome = "store-restored"
 )
 
 // Claim is the value of a claim object: the request key under which everything
@@ -54,10 +54,10 @@
 }
 
 // Claim claims an idempotency key for a request key, and returns the one that it stands for.
-func (k *Keeper) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
+func (k *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	key, outcome, err := k.create(ctx, ref, proposed)
 	if err == nil && k.doubted(time.Now(), topo.EraOf(k.store)) {
-		return wire.Key{}, Doubted, errors.Errorf("claim: %s may have been lost", ref)
+		return wire.Key{}, StoreRestored, errors.Errorf("claim: %s may have been lost", ref)
 	}
 	return key, outcome, err
 }
@@ -66,19 +66,19 @@
 // create may have taken effect, now or a little later. Whichever create is the
 // first holds, and the object says which key that was, so reading it back and
 // creating it once more settle it without a guess.
-func (k *Keeper) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
-	value, err := json.Marshal(Claim{Key: proposed, KeepUntil: time.Now().Add(Life).Unix()})
+func (k *Claimer) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
+	value, err := json.Marshal(Claim{Key: proposed, KeepUntil: time.Now().Add(TTL).Unix()})
 	if err != nil {
-		return wire.Key{}, NoStore, errors.WithStack(err)
+		return wire.Key{}, StoreDown, errors.WithStack(err)
 	}
 	for range tries {
 		_, err = k.store.Put(ctx, ref, value, 0)
 		if err == nil {
 			k.remember(time.Now(), made{ref: ref, key: proposed, value: value})
-			return proposed, Made, nil
+			return proposed, Created, nil
 		}
 		if errors.Is(err, topo.ErrRefused) {
-			return wire.Key{}, NoStore, err
+			return wire.Key{}, StoreDown, err
 		}
 		o, getErr := k.store.Get(ctx, ref)
 		if getErr == nil {
@@ -87,8 +87,8 @@
 			return have.Key, Found, errors.WithStack(err)
 		}
 		if !errors.Is(getErr, topo.ErrNotFound) {
-			return wire.Key{}, NoStore, getErr
+			return wire.Key{}, StoreDown, getErr
 		}
 	}
-	return wire.Key{}, NoStore, err
+	return wire.Key{}, StoreDown, err
 }
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -18,17 +18,17 @@
 	// memory is for how long a router remembers the claims that it has made. The copy
 	// from which a store comes back is some seconds old.
 	memory = time.Minute
-	// Doubt is for how long after a return of the store no idempotency key of callers
+	// RestoreGrace is for how long after a return of the store no idempotency key of callers
 	// is claimed: until all routers have heard of it and made their claims again.
-	Doubt = 5 * time.Second
+	RestoreGrace = 5 * time.Second
 	// againPause is the pause before a claim is tried again that has to be made anew.
 	againPause = 250 * time.Millisecond
 )
 
-// Keeper claims idempotency keys in the store. A store that comes back from an older copy
+// Claimer claims idempotency keys in the store. A store that comes back from an older copy
 // has lost claims: a request that comes again under its key would run a second time. So the
 // routers that made them make them again, and until they have, no key is claimed.
-type Keeper struct {
+type Claimer struct {
 	store topo.Store
 
 	mu      sync.Mutex
@@ -45,27 +45,27 @@
 	at    time.Time
 }
 
-// NewKeeper returns a Keeper of claims in a store that has made none.
-func NewKeeper(store topo.Store) *Keeper {
-	return &Keeper{store: store}
+// NewClaimer returns a Keeper of claims in a store that has made none.
+func NewClaimer(store topo.Store) *Claimer {
+	return &Claimer{store: store}
 }
 
-// Saw takes in the era of the store, so that the first claim of a router does not find it new.
-func (k *Keeper) Saw(now time.Time, era topo.Era) {
+// ObserveEra takes in the era of the store, so that the first claim of a router does not find it new.
+func (k *Claimer) ObserveEra(now time.Time, era topo.Era) {
 	k.doubted(now, era)
 }
 
 // doubted takes in the era of the store, and reports whether claims may still be missing.
-func (k *Keeper) doubted(now time.Time, era topo.Era) bool {
+func (k *Claimer) doubted(now time.Time, era topo.Era) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if era > k.era {
 		k.era, k.entered = era, now
 	}
-	return !k.entered.IsZero() && now.Sub(k.entered) < Doubt
+	return !k.entered.IsZero() && now.Sub(k.entered) < RestoreGrace
 }
 
-func (k *Keeper) remember(now time.Time, m made) {
+func (k *Claimer) remember(now time.Time, m made) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m.at = now
@@ -73,7 +73,7 @@
 }
 
 // kept returns the claims that are remembered. It needs k.mu held.
-func (k *Keeper) kept(now time.Time) []made {
+func (k *Claimer) kept(now time.Time) []made {
 	for i, m := range k.made {
 		if now.Sub(m.at) < memory {
 			return k.made[i:]
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// Restored makes the remembered claims again that the store has lost.
-func (k *Keeper) Restored(ctx context.Context) {
+// RecreateLost makes the remembered claims again that the store has lost.
+func (k *Claimer) RecreateLost(ctx context.Context) {
 	now := time.Now()
 	k.doubted(now, topo.EraOf(k.store))
 	k.mu.Lock()
@@ -103,7 +103,7 @@
 
 // again makes a claim again. One that another request has made since for its own key gives
 // way: under that key nothing has run.
-func (k *Keeper) again(ctx context.Context, m made) error {
+func (k *Claimer) again(ctx context.Context, m made) error {
 	_, err := k.store.Put(ctx, m.ref, m.value, 0)
 	if !errors.Is(err, topo.ErrConflict) {
 		return err
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -14,19 +14,19 @@
 func TestLostClaimIsMadeAgainBeforeItsKeyIsClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
-		first, second := NewKeeper(store), NewKeeper(store)
+		first, second := NewClaimer(store), NewClaimer(store)
 		ref := Ref("club", "pay-once")
 		c := store.Copy()
 		ran, outcome, err := first.Claim(t.Context(), ref, wire.Key{VM: "a"})
-		if err != nil || outcome != Made {
+		if err != nil || outcome != Created {
 			t.Fatal(outcome, err)
 		}
 		store.Restore(c)
-		if key, outcome, _ := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Doubted {
+		if key, outcome, _ := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != StoreRestored {
 			t.Errorf("right after: %s %+v", outcome, key)
 		}
-		first.Restored(t.Context())
-		time.Sleep(Doubt)
+		first.RecreateLost(t.Context())
+		time.Sleep(RestoreGrace)
 		if key, outcome, err := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Found || key != ran {
 			t.Errorf("later: %s %+v, %v", outcome, key, err)
 		}
@@ -36,7 +36,7 @@
 // Claims are remembered for long enough, and no longer.
 func TestClaimsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := NewKeeper(standin.NewObjectAPI())
+		k := NewClaimer(standin.NewObjectAPI())
 		for _, name := range []string{"a", "b", "c"} {
 			if _, _, err := k.Claim(t.Context(), Ref("club", name), wire.Key{VM: name}); err != nil {
 				t.Fatal(err)
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -76,28 +76,28 @@
 // the store, after an unrelated change, or by a router that has started since.
 func TestOlderCopyDoesNotReplaceWhatIsInForce(t *testing.T) {
 	r := newRestored()
-	r.listed(olderCopy, topo.At(1, 30), topo.At(1, 30))
-	r.listed(confirmed, topo.At(1, 50), topo.At(1, 52))
-	r.listed(olderCopy, topo.At(2, 30), topo.At(2, 31))
+	r.listed(olderCopy, topo.VersionAt(1, 30), topo.VersionAt(1, 30))
+	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	r.check(t, confirmed.routes)
-	r.listed(olderCopy, topo.At(2, 30), topo.At(2, 38))
+	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
 	r.check(t, confirmed.routes)
 
 	fresh := newRestored()
-	fresh.listed(olderCopy, topo.At(2, 30), topo.At(2, 38))
+	fresh.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
 	mark := fresh.set.Mark()
 	r.Step(Heard{Now: r.now, Peer: "fresh", Mark: mark})
 	if r.pull != nil {
 		t.Error("it pulls from a router with the older copy")
 	}
 	late := newRestored()
-	late.listed(confirmed, topo.At(1, 50), topo.At(1, 52))
+	late.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	if late.Step(Heard{Now: late.now, Peer: "fresh", Mark: mark}); late.pull != nil {
 		t.Error("one that has not heard of the new era pulls from it")
 	}
 
 	next := whole{edition: 61, routes: map[string]string{"added": `3`}}
-	r.listed(next, topo.At(2, 40), topo.At(2, 41))
+	r.listed(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	r.check(t, next.routes)
 }
 
@@ -105,10 +105,10 @@
 // what they write next is in force.
 func TestOperatorsMayNumberAnewAfterAReturn(t *testing.T) {
 	r := newRestored()
-	r.listed(confirmed, topo.At(1, 50), topo.At(1, 52))
-	r.listed(olderCopy, topo.At(2, 30), topo.At(2, 31))
+	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	next := whole{edition: 55, routes: map[string]string{"added": `3`}}
-	r.listed(next, topo.At(2, 40), topo.At(2, 41))
+	r.listed(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	r.check(t, next.routes)
 }
 
@@ -118,9 +118,9 @@
 	r := newRestored()
 	ordered := confirmed
 	ordered.drained = []string{"hall"}
-	r.listed(ordered, topo.At(1, 50), topo.At(1, 52))
+	r.listed(ordered, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	hall := topo.Ref{Kind: topo.KindDomainDrain, Name: "hall"}
-	effects := r.listed(confirmed, topo.At(2, 45), topo.At(2, 46))
+	effects := r.listed(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
 	if _, ok := effects[0].(StoreRestored); !ok {
 		t.Errorf("first %T", effects[0])
 	}
@@ -128,7 +128,7 @@
 		t.Error("the order does not hold")
 	}
 	r.now = r.now.Add(restoreHold)
-	r.listed(confirmed, topo.At(2, 45), topo.At(2, 47))
+	r.listed(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
 	if _, held := r.set.Get(hall); held {
 		t.Error("the order holds on")
 	}
@@ -151,8 +151,8 @@
 	entry := func(name, value string, version topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: "servers", Name: name}, Version: version, Value: json.RawMessage(value)}
 	}
-	list(topo.At(1, 20), entry("a", `1`, topo.At(1, 11)), entry("b", `1`, topo.At(1, 12)), entry("c", `1`, topo.At(1, 19)))
-	changed := list(topo.At(2, 15), entry("a", `1`, topo.At(2, 11)), entry("b", `2`, topo.At(2, 14)))
+	list(topo.VersionAt(1, 20), entry("a", `1`, topo.VersionAt(1, 11)), entry("b", `1`, topo.VersionAt(1, 12)), entry("c", `1`, topo.VersionAt(1, 19)))
+	changed := list(topo.VersionAt(2, 15), entry("a", `1`, topo.VersionAt(2, 11)), entry("b", `2`, topo.VersionAt(2, 14)))
 	if len(changed) != 2 || changed[0].Name != "b" || !changed[1].Deleted || changed[1].Name != "c" {
 		t.Errorf("%+v", changed)
 	}
@@ -163,12 +163,12 @@
 // be told all the same.
 func TestWhatIsWrittenAgainReachesRoutersThatStartedWithTheCopy(t *testing.T) {
 	r, fresh := newRestored(), newRestored()
-	r.listed(confirmed, topo.At(1, 50), topo.At(1, 52))
-	r.listed(olderCopy, topo.At(2, 30), topo.At(2, 31))
-	fresh.listed(olderCopy, topo.At(2, 30), topo.At(2, 38))
-	r.listed(confirmed, topo.At(2, 40), topo.At(2, 41))
+	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
+	fresh.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
+	r.listed(confirmed, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	relying := newRestored()
-	relying.listed(confirmed, topo.At(1, 50), topo.At(1, 52))
+	relying.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*restored{relying, fresh} {
 		for range 2 { // a reader waits a little for its own watch
 			to.now = to.now.Add(2 * watchPatience)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -61,7 +61,7 @@
 
 // New returns a Controller.
 func New(c Config) *Controller {
-	stands := func() bool { return lease.Stands(LeaseName, c.Self, c.Routers()) }
+	stands := func() bool { return lease.IsCandidate(LeaseName, c.Self, c.Routers()) }
 	ctl := &Controller{config: c, lease: lease.NewRunner(c.Store, LeaseName, c.Self+"/"+c.Process, c.LeaseTTL, stands)}
 	ctl.loop = loop.New(NewState(c.LoadEvery), ctl.act, func() {})
 	return ctl
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -129,7 +129,7 @@
 		if err != nil {
 			return fail(ExitUsage, "", "--platform-ca: %s", err)
 		}
-		a.http.TLS(client.Config)
+		a.http.WithTLS(client.Config)
 	}
 	a.editor = change.NewEditor(patientStore{a.http})
 	return nil
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -29,6 +29,6 @@
 // currentToken returns how a sidecar reads the controller's fencing token.
 func currentToken(store topo.Store) func(context.Context) (wire.FencingToken, error) {
 	return func(ctx context.Context) (wire.FencingToken, error) {
-		return lease.Current(ctx, store, controller.LeaseName)
+		return lease.CurrentToken(ctx, store, controller.LeaseName)
 	}
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -191,8 +191,8 @@
 // entryConfig returns what the router reaches others by, and what it does there.
 func entryConfig(p platform.Settings, n Network, on policy.Policy) router.Config {
 	bound := min(p.ConfigBound, p.DrainBound)
-	store := topo.NewHTTPOver(p.StoreURL, n.Store).Speaking(platform.Store{}, topo.Patience{
-		Call: share(bound, callShare), Watch: share(bound, graceShare), Rest: storeRetryMost,
+	store := topo.NewHTTPWithDialer(p.StoreURL, n.Store).WithDialect(platform.Store{}, topo.Timeouts{
+		Call: share(bound, callShare), WatchGrace: share(bound, graceShare), MaxRetryAfter: storeRetryMost,
 	})
 	pace := config.DefaultPace()
 	pace.WatchWait = share(bound, watchShare)
@@ -227,7 +227,7 @@
 
 // memberTiming returns how long entries of upstreams count.
 func memberTiming(p platform.Settings, on policy.Policy) membership.Timing {
-	t := membership.Timing{Hold: lapseHold, Renew: p.HeartbeatGap + renewMargin}
+	t := membership.Timing{OutageGrace: lapseHold, RenewTimeout: p.HeartbeatGap + renewMargin}
 	if on.Linger {
 		t.Linger = p.DrainBound
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	go c.Files().Run(ctx, reload)
-	return p.TLS(c.Config), nil
+	return p.WithTLS(c.Config), nil
 }
 
 // checkFileLimit says when the limit of open files is too low for the
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -37,8 +37,8 @@
 	Rejected
 )
 
-// Finding is a table's answer to an attempt.
-type Finding struct {
+// Result is a table's answer to an attempt.
+type Result struct {
 	Outcome   Outcome
 	Verdict   verdict.Verdict // of Done
 	Successor *Key            // of Moved
@@ -74,9 +74,9 @@
 	return &Table{incarnation: incarnation, limit: limit, entries: make(map[token.Nonce]*entry)}
 }
 
-// Look returns what is known of an attempt's key. After Unseen the caller
+// Lookup returns what is known of an attempt's key. After Unseen the caller
 // admits or refuses the attempt before it looks again.
-func (t *Table) Look(now time.Time, a Attempt) Finding {
+func (t *Table) Lookup(now time.Time, a Attempt) Result {
 	t.advance(now)
 	if a.Key.Incarnation != t.incarnation {
 		return rejected(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the sidecar has restarted since the key was made")
@@ -93,7 +93,7 @@
 	if a.Key.Expires < t.now {
 		return rejected(verdict.NotRun, verdict.ReasonBadKey, "the key has expired")
 	}
-	return Finding{Outcome: Unseen}
+	return Result{Outcome: Unseen}
 }
 
 // advance moves the clock forward only. If the wall clock steps back, a key
@@ -102,7 +102,7 @@
 	t.now = max(t.now, now.Unix())
 }
 
-func (e *entry) find(a Attempt) Finding {
+func (e *entry) find(a Attempt) Result {
 	if e.org != a.Org {
 		return rejected(verdict.NotRun, verdict.ReasonBadKey, "the key is not valid")
 	}
@@ -111,7 +111,7 @@
 	}
 	switch {
 	case e.outcome == Rejected && e.successor != nil:
-		return Finding{
+		return Result{
 			Outcome:   Moved,
 			Successor: e.successor,
 			Err:       verdict.New(verdict.NotRun, verdict.ReasonMoved, "refused here (%s)", e.reason),
@@ -119,7 +119,7 @@
 	case e.outcome == Rejected:
 		return rejected(verdict.NotRun, e.reason, "refused before")
 	default:
-		return Finding{Outcome: e.outcome, Verdict: e.verdict}
+		return Result{Outcome: e.outcome, Verdict: e.verdict}
 	}
 }
 
@@ -133,8 +133,8 @@
 	return verdict.MayHaveRun
 }
 
-func rejected(v verdict.Verdict, r verdict.Reason, detail string) Finding {
-	return Finding{Outcome: Rejected, Err: verdict.New(v, r, "%s", detail)}
+func rejected(v verdict.Verdict, r verdict.Reason, detail string) Result {
+	return Result{Outcome: Rejected, Err: verdict.New(v, r, "%s", detail)}
 }
 
 // Admit records that an unseen attempt runs or waits to.
@@ -144,9 +144,9 @@
 	t.trim()
 }
 
-// Refuse records that an unseen attempt does not run here. Later copies are
+// Reject records that an unseen attempt does not run here. Later copies are
 // sent to its successor, or answered not-run when it has none.
-func (t *Table) Refuse(a Attempt, r verdict.Reason) {
+func (t *Table) Reject(a Attempt, r verdict.Reason) {
 	t.refuse(t.insert(a), r)
 }
 
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -79,7 +79,7 @@
 		return
 	}
 	a.Org = "a"
-	f := table.Look(time.Unix(now, 0), a)
+	f := table.Lookup(time.Unix(now, 0), a)
 	switch {
 	case f.Outcome == Unseen && rapid.Bool().Draw(t, "admit"):
 		k.attempt.Fingerprint = a.Fingerprint
@@ -89,7 +89,7 @@
 	case f.Outcome == Unseen:
 		k.attempt.Fingerprint = a.Fingerprint
 		k.notRun = true
-		table.Refuse(a, verdict.ReasonOverBound)
+		table.Reject(a, verdict.ReasonOverBound)
 	case f.Outcome == Rejected && f.Err.Verdict == verdict.NotRun:
 		k.notRun = true
 	case a.Fingerprint != k.attempt.Fingerprint && f.Outcome != Rejected:
@@ -107,7 +107,7 @@
 }
 
 func otherOrganisation(t *rapid.T, table *Table, a Attempt, now int64) {
-	f := table.Look(time.Unix(now, 0), a)
+	f := table.Lookup(time.Unix(now, 0), a)
 	if f.Outcome != Rejected || f.Successor != nil {
 		t.Fatalf("another organisation's key shows %v", f)
 	}
@@ -157,7 +157,7 @@
 					next := newKey()
 					a.Successor = &next
 				}
-				f := at(c.at).Look(now, a)
+				f := at(c.at).Lookup(now, a)
 				if f.Outcome == Unseen && rapid.Bool().Draw(t, "admit") {
 					at(c.at).Admit(a)
 					runs++
@@ -165,14 +165,14 @@
 					return
 				}
 				if f.Outcome == Unseen {
-					at(c.at).Refuse(a, verdict.ReasonOverBound)
-					f = at(c.at).Look(now, a)
+					at(c.at).Reject(a, verdict.ReasonOverBound)
+					f = at(c.at).Lookup(now, a)
 				}
 				c.follow(f)
 			},
 			"traffic": func(t *rapid.T) {
 				k := newKey()
-				at(k).Refuse(Attempt{Key: k, Org: "b"}, verdict.ReasonQueueFull)
+				at(k).Reject(Attempt{Key: k, Org: "b"}, verdict.ReasonQueueFull)
 			},
 			"restart": func(t *rapid.T) {
 				i := rapid.IntRange(0, sidecars-1).Draw(t, "sidecar")
@@ -183,7 +183,7 @@
 	})
 }
 
-func (c *copyOnItsWay) follow(f Finding) {
+func (c *copyOnItsWay) follow(f Result) {
 	switch f.Outcome {
 	case Moved:
 		c.at = *f.Successor
@@ -218,7 +218,7 @@
 			for b.Loop() {
 				id++
 				a := Attempt{Key: testKey(testIncarnation, id, 2000+int64(id/100)), Org: "a", Successor: &next}
-				if table.Look(now, a).Outcome == Unseen {
+				if table.Lookup(now, a).Outcome == Unseen {
 					table.Admit(a)
 					table.Finish(a.Key.Nonce, verdict.Ran, now)
 				}
--- a/internal/lease/calls_test.go
+++ b/internal/lease/calls_test.go
@@ -22,14 +22,14 @@
 	}
 	stands := make(map[string]bool)
 	for _, n := range names {
-		stands[n] = Stands("controller", n, names)
+		stands[n] = IsCandidate("controller", n, names)
 		if stands[n] {
 			standing++
 		}
 	}
 	for range minutes * 60 {
 		for _, c := range w.candidates {
-			w.step(c, Tick{Now: w.clock(c), Stands: stands[c.id]})
+			w.step(c, Tick{Now: w.clock(c), IsCandidate: stands[c.id]})
 		}
 		w.serve()
 		w.now += time.Second
@@ -37,7 +37,7 @@
 	writes := len(slices.DeleteFunc(slices.Clone(w.calls), func(k *call) bool { _, put := k.effect.(Put); return !put }))
 	seconds := float64(minutes * 60)
 	t.Logf("%d routers: %.2f reads and %.2f writes a second", routers, float64(len(w.calls)-writes)/seconds, float64(writes)/seconds)
-	if standing != Candidates || len(w.held()) != 1 {
+	if standing != MaxCandidates || len(w.held()) != 1 {
 		t.Fatalf("%d stand and %d hold", standing, len(w.held()))
 	}
 	if perSecond := float64(len(w.calls)) / seconds; perSecond > 1 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,9 +21,9 @@
 const (
 	// DefaultTTL is how long a lease lasts after the write that took or renewed it.
 	DefaultTTL = 15 * time.Second
-	// Candidates is how many routers stand for the lease at a time. The others
+	// MaxCandidates is how many routers stand for the lease at a time. The others
 	// make no calls of the store for it.
-	Candidates = 3
+	MaxCandidates = 3
 
 	// marginShare of the TTL is what a candidate waits beyond it, for clocks
 	// that run at different rates.
@@ -53,8 +53,8 @@
 	return r.Token
 }
 
-// Current reads the fencing token of a lease from the store.
-func Current(ctx context.Context, store topo.Store, name string) (wire.FencingToken, error) {
+// CurrentToken reads the fencing token of a lease from the store.
+func CurrentToken(ctx context.Context, store topo.Store, name string) (wire.FencingToken, error) {
 	o, err := store.Get(ctx, topo.Ref{Kind: topo.KindLease, Name: name})
 	if err != nil {
 		return 0, err
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -86,10 +86,10 @@
 		return
 	}
 	switch e := event.(type) {
-	case Read:
+	case GetResult:
 		e.Now = w.clock(c)
 		event = e
-	case Wrote:
+	case PutResult:
 		e.Now = w.clock(c)
 		event = e
 	}
@@ -131,10 +131,10 @@
 		return
 	}
 	if _, writes := k.effect.(Put); writes {
-		w.step(k.from, Wrote{Object: o, Err: err})
+		w.step(k.from, PutResult{Object: o, Err: err})
 		return
 	}
-	w.step(k.from, Read{Object: o, Err: err})
+	w.step(k.from, GetResult{Object: o, Err: err})
 }
 
 // lose loses the answer to a call, before or after its effect.
@@ -220,7 +220,7 @@
 func (w *world) tick() {
 	for _, c := range w.candidates {
 		if !c.paused {
-			w.step(c, Tick{Now: w.clock(c), Stands: true})
+			w.step(c, Tick{Now: w.clock(c), IsCandidate: true})
 		}
 	}
 }
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -82,24 +82,24 @@
 func TestRenewalThatReplacedAnothersLeaseHoldsNothing(t *testing.T) {
 	s := NewState("a", DefaultTTL)
 	now := time.Unix(1000, 0)
-	written := func(v topo.Version) Wrote {
-		return Wrote{Now: now, Object: topo.Object{Version: v}}
+	written := func(v topo.Version) PutResult {
+		return PutResult{Now: now, Object: topo.Object{Version: v}}
 	}
-	s.Step(Tick{Now: now, Stands: true})
-	s.Step(Read{Now: now, Err: topo.ErrNotFound})
+	s.Step(Tick{Now: now, IsCandidate: true})
+	s.Step(GetResult{Now: now, Err: topo.ErrNotFound})
 	s.Step(written(7))
 	if _, held := s.Held(now); !held {
 		t.Fatal("not held")
 	}
 	now = now.Add(DefaultTTL + time.Second)
-	s.Step(Tick{Now: now, Stands: true}) // renews on top of version 7
-	s.Step(written(topo.At(1, 8)))
+	s.Step(Tick{Now: now, IsCandidate: true}) // renews on top of version 7
+	s.Step(written(topo.VersionAt(1, 8)))
 	for range 4 {
 		if token, held := s.Held(now); held {
 			t.Fatalf("held by token %d", token)
 		}
 		now = now.Add(DefaultTTL / callShare)
-		for _, e := range s.Step(Tick{Now: now, Stands: true}) {
+		for _, e := range s.Step(Tick{Now: now, IsCandidate: true}) {
 			if _, renews := e.(Put); renews {
 				t.Fatal("it renews what it does not hold")
 			}
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -58,7 +58,7 @@
 		case <-tick.C:
 			// The time is taken here and not from the tick, which may have
 			// waited while the process was paused.
-			r.loop.Post(Tick{Now: time.Now(), Stands: r.stands()})
+			r.loop.Post(Tick{Now: time.Now(), IsCandidate: r.stands()})
 		case <-ctx.Done():
 			r.quit()
 			return
@@ -94,7 +94,7 @@
 	case Get:
 		go func() {
 			o, err := r.store.Get(r.ctx, r.ref)
-			r.loop.Post(Read{Now: time.Now(), Era: topo.EraOf(r.store), Object: o, Err: err})
+			r.loop.Post(GetResult{Now: time.Now(), Era: topo.EraOf(r.store), Object: o, Err: err})
 		}()
 	case Put:
 		go r.write(e)
@@ -107,16 +107,16 @@
 		panic(err) // a Record has no value that could fail
 	}
 	o, err := r.store.Put(r.ctx, r.ref, value, p.IfVersion)
-	r.loop.Post(Wrote{Now: time.Now(), Object: o, Err: err})
+	r.loop.Post(PutResult{Now: time.Now(), Object: o, Err: err})
 	if p.Record.Holder == "" {
 		close(r.over)
 	}
 }
 
-// Stands reports whether self is among the routers that stand for a lease: the
+// IsCandidate reports whether self is among the routers that stand for a lease: the
 // first few by a hash, so that hundreds of routers do not all ask the store.
 // Where routers disagree on the list, more or fewer stand for a while.
-func Stands(name, self string, routers []string) bool {
+func IsCandidate(name, self string, routers []string) bool {
 	mine := xxh3.HashString(name + "\x00" + self)
 	before, listed := 0, false
 	for _, r := range routers {
@@ -126,5 +126,5 @@
 			before++
 		}
 	}
-	return listed && before < Candidates
+	return listed && before < MaxCandidates
 }
--- a/internal/lease/runner_test.go
+++ b/internal/lease/runner_test.go
@@ -34,7 +34,7 @@
 		if g := second.Grant(); !g.Valid(time.Now()) || g.Token <= former {
 			t.Fatalf("not handed over: %+v", g)
 		}
-		if current, err := Current(t.Context(), store, "controller"); err != nil || current != second.Grant().Token {
+		if current, err := CurrentToken(t.Context(), store, "controller"); err != nil || current != second.Grant().Token {
 			t.Fatalf("a sidecar would learn %d, %v", current, err)
 		}
 	})
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -17,20 +17,20 @@
 
 // Tick is the passing of time.
 type Tick struct {
-	Now    time.Time
-	Stands bool // this router is to stand for the lease
+	Now         time.Time
+	IsCandidate bool // this router is to stand for the lease
 }
 
-// Read is the end of a Get. Now is a time after the answer has come.
-type Read struct {
+// GetResult is the end of a Get. Now is a time after the answer has come.
+type GetResult struct {
 	Now    time.Time
 	Era    topo.Era // of the store
 	Object topo.Object
 	Err    error
 }
 
-// Wrote is the end of a Put.
-type Wrote struct {
+// PutResult is the end of a Put.
+type PutResult struct {
 	Now    time.Time
 	Object topo.Object
 	Err    error
@@ -41,10 +41,10 @@
 // the lease lapses.
 type Resign struct{}
 
-func (Tick) isEvent()   {}
-func (Read) isEvent()   {}
-func (Wrote) isEvent()  {}
-func (Resign) isEvent() {}
+func (Tick) isEvent()      {}
+func (GetResult) isEvent() {}
+func (PutResult) isEvent() {}
+func (Resign) isEvent()    {}
 
 // Effect is a call of the store. A State has one out at a time.
 type Effect interface{ isEffect() }
@@ -143,12 +143,12 @@
 func (s *State) apply(event Event) []Effect {
 	switch e := event.(type) {
 	case Tick:
-		s.stands = e.Stands
+		s.stands = e.IsCandidate
 		return s.tick(e.Now)
-	case Read:
+	case GetResult:
 		s.calling = false
 		return s.read(e)
-	case Wrote:
+	case PutResult:
 		s.calling = false
 		return s.wrote(e)
 	case Resign:
@@ -185,7 +185,7 @@
 	return []Effect{Put{Record: r, IfVersion: s.version}}
 }
 
-func (s *State) read(e Read) []Effect {
+func (s *State) read(e GetResult) []Effect {
 	if e.Era > s.era {
 		s.era, s.entered = e.Era, e.Now
 	}
@@ -262,7 +262,7 @@
 	return now.Sub(since) >= ttl+ttl/marginShare
 }
 
-func (s *State) wrote(e Wrote) []Effect {
+func (s *State) wrote(e PutResult) []Effect {
 	last := s.attempts[len(s.attempts)-1]
 	switch {
 	case e.Err == nil:
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,26 +19,26 @@
 	// Name of the entry, under which the upstream is known for as long as it is
 	// restarted in place.
 	Name string
-	// Born is when this incarnation started, in Unix milliseconds; zero: it does not
+	// StartedAt is when this incarnation started, in Unix milliseconds; zero: it does not
 	// say, and an upstream that starts again has another name.
-	Born int64
+	StartedAt int64
 	// Sequence counts the upstream's writes from its start.
 	Sequence int64
 	// Version of the entry in the store.
 	Version topo.Version
-	// Cold is for how much longer the upstream is cold, at the moment of its writing.
-	Cold time.Duration
+	// ColdFor is for how much longer the upstream is cold, at the moment of its writing.
+	ColdFor time.Duration
 	// VM is how it is reached. Its ID and WarmAt are the State's to give.
 	VM topo.VM
 }
 
-// Reader makes entries of the store's objects.
-type Reader interface {
+// Decoder makes entries of the store's objects.
+type Decoder interface {
 	// Kind of the objects.
 	Kind() topo.Kind
-	// Entry returns the entry that an object holds. An error means that it names no
+	// Decode returns the entry that an object holds. An error means that it names no
 	// upstream that could be used.
-	Entry(o topo.Object) (Entry, error)
+	Decode(o topo.Object) (Entry, error)
 }
 
 // State is the entries as one router believes them. It is pure; the follower of
@@ -57,16 +57,16 @@
 
 // Timing is the times of a State.
 type Timing struct {
-	// Hold is how long an entry that is missing after an outage of the store counts
+	// OutageGrace is how long an entry that is missing after an outage of the store counts
 	// after its end: upstreams that could not renew their entries meanwhile write
 	// them again.
-	Hold time.Duration
+	OutageGrace time.Duration
 	// Linger is how long an upstream counts as leaving whose entry is gone without
 	// its having said that it leaves. Most still finish what they have, and others
 	// can get the prompts that they hold.
 	Linger time.Duration
-	// Renew is the time within which an upstream that lives writes its entry again.
-	Renew time.Duration
+	// RenewTimeout is the time within which an upstream that lives writes its entry again.
+	RenewTimeout time.Duration
 }
 
 // formerFor is how long the start of an upstream without an entry is remembered. A
@@ -86,7 +86,7 @@
 }
 
 func writeOf(e Entry) write {
-	return write{born: e.Born, sequence: e.Sequence, version: e.Version}
+	return write{born: e.StartedAt, sequence: e.Sequence, version: e.Version}
 }
 
 // repeats reports whether w was made no later than last, although its version is higher:
@@ -135,24 +135,24 @@
 	}
 }
 
-// Kind is what has happened to an entry.
-type Kind uint8
+// ChangeKind is what has happened to an entry.
+type ChangeKind uint8
 
 // What has happened to an entry.
 const (
-	Written  Kind = iota // it is there, as an upstream writes it
-	Removed              // it is gone
-	Unusable             // it is there and names no upstream that could be used
+	Written  ChangeKind = iota // it is there, as an upstream writes it
+	Removed                    // it is gone
+	Unusable                   // it is there and names no upstream that could be used
 )
 
 // Change is what became of one entry.
 type Change struct {
-	Kind  Kind
+	Kind  ChangeKind
 	Entry Entry // only the Name is set unless it was Written
 }
 
-// Taken is what a State made of changes.
-type Taken struct {
+// ApplyResult is what a State made of changes.
+type ApplyResult struct {
 	// Replaced are the VMs whose upstreams have started again: what they worked on is
 	// lost, though connections to them may not show it.
 	Replaced []topo.VM
@@ -160,13 +160,13 @@
 	Outdated int
 }
 
-// StoreBack takes in that the store answered again at a time, after an outage.
-func (s *State) StoreBack(at time.Time) {
+// StoreRecovered takes in that the store answered again at a time, after an outage.
+func (s *State) StoreRecovered(at time.Time) {
 	if !at.After(s.back) {
 		return
 	}
 	s.back = at
-	until := at.Add(s.timing.Hold)
+	until := at.Add(s.timing.OutageGrace)
 	for _, e := range s.entries {
 		if !e.missing.IsZero() && e.missing.Before(until) {
 			e.missing = until
@@ -174,15 +174,15 @@
 	}
 }
 
-// Back returns when the store answered again after its last outage; zero: there was
+// StoreRecoveredAt returns when the store answered again after its last outage; zero: there was
 // none.
-func (s *State) Back() time.Time {
+func (s *State) StoreRecoveredAt() time.Time {
 	return s.back
 }
 
-// Take takes in changes.
-func (s *State) Take(now time.Time, changes []Change) Taken {
-	var t Taken
+// Apply takes in changes.
+func (s *State) Apply(now time.Time, changes []Change) ApplyResult {
+	var t ApplyResult
 	for _, c := range changes {
 		switch c.Kind {
 		case Written:
@@ -200,15 +200,15 @@
 // successor: a write that the platform delays, or whose answer was lost, is done later.
 // Taken for the present one, it would bring back loads, prompts and an address that are
 // gone. The start says which of two is the later one.
-func (s *State) written(now time.Time, e Entry, t *Taken) {
+func (s *State) written(now time.Time, e Entry, t *ApplyResult) {
 	have, last := s.entries[e.Name], s.lastWrite(e.Name)
 	delete(s.copies, e.Name)
 	switch {
-	case e.Born == 0 && last.born != 0:
+	case e.StartedAt == 0 && last.born != 0:
 		// An upstream that has told its start once tells it always.
 		s.unusable(now, e.Name)
 		return
-	case e.Born < last.born:
+	case e.StartedAt < last.born:
 		t.Outdated++
 		if have != nil {
 			have.overwritten = true
@@ -218,7 +218,7 @@
 		t.Outdated++
 		s.repeated(now, have, e)
 		return
-	case have != nil && have.write.born != e.Born:
+	case have != nil && have.write.born != e.StartedAt:
 		t.Replaced = append(t.Replaced, have.vm)
 	}
 	s.take(now, e)
@@ -232,7 +232,7 @@
 	case have != nil && have.until.IsZero():
 		have.write.version, have.missing = e.Version, time.Time{}
 	case !e.VM.Leaving && e.Sequence == s.lastWrite(e.Name).sequence:
-		s.copies[e.Name] = copied{entry: e, until: now.Add(lapseRenewals * s.timing.Renew)}
+		s.copies[e.Name] = copied{entry: e, until: now.Add(lapseRenewals * s.timing.RenewTimeout)}
 	}
 }
 
@@ -241,19 +241,19 @@
 	delete(s.former, e.Name)
 	vm := e.VM
 	vm.ID, vm.Instance = incarnation(e), e.Name
-	if e.Cold > 0 {
-		vm.WarmAt = now.Add(e.Cold) // it was written before now, so that it is warm by then
+	if e.ColdFor > 0 {
+		vm.WarmAt = now.Add(e.ColdFor) // it was written before now, so that it is warm by then
 	}
 	written := &entry{vm: vm, write: writeOf(e)}
 	written.doubted(s.doubts[vm.FailureDomain])
 	s.entries[e.Name] = written
 }
 
-// Doubt takes in that upstreams of a failure domain may have become cold up to a version of
+// AssumeCold takes in that upstreams of a failure domain may have become cold up to a version of
 // the store, as those of a domain do that is emptied and taken back: until they have
 // written their entries anew, they count as cold for as long as warm returns for their
 // pools.
-func (s *State) Doubt(now time.Time, domain string, version topo.Version, warm func(pool string) time.Duration) {
+func (s *State) AssumeCold(now time.Time, domain string, version topo.Version, warm func(pool string) time.Duration) {
 	longest := time.Duration(0)
 	for _, e := range s.entries {
 		if e.vm.FailureDomain == domain {
@@ -284,10 +284,10 @@
 // former life, its load, its outcomes, its sessions' prompts or its connections, is
 // taken for the present one's.
 func incarnation(e Entry) string {
-	if e.Born == 0 {
+	if e.StartedAt == 0 {
 		return e.Name
 	}
-	return e.Name + "@" + strconv.FormatInt(e.Born, 10)
+	return e.Name + "@" + strconv.FormatInt(e.StartedAt, 10)
 }
 
 // removed takes in that the store has no entry of an upstream any more.
@@ -299,9 +299,9 @@
 	case e.overwritten && !e.vm.Leaving:
 		// It was the former incarnation's entry that went. The present one writes its
 		// own again, if it lives.
-		e.overwritten, e.missing = false, now.Add(s.timing.Renew)
+		e.overwritten, e.missing = false, now.Add(s.timing.RenewTimeout)
 	case s.holds(now) && !e.vm.Leaving:
-		e.missing = s.back.Add(s.timing.Hold)
+		e.missing = s.back.Add(s.timing.OutageGrace)
 	default:
 		s.gone(now, name, e)
 	}
@@ -335,7 +335,7 @@
 // owner could not reach the store. Dropping it then would refuse requests for
 // upstreams that work; keeping it longer would send them to some that are gone.
 func (s *State) holds(now time.Time) bool {
-	return !s.back.IsZero() && now.Sub(s.back) < s.timing.Hold
+	return !s.back.IsZero() && now.Sub(s.back) < s.timing.OutageGrace
 }
 
 // Expire settles the entries whose time is over, and reports whether there were
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -18,7 +18,7 @@
 }
 
 var (
-	timing = Timing{Hold: 2 * time.Second, Linger: time.Second, Renew: time.Second}
+	timing = Timing{OutageGrace: 2 * time.Second, Linger: time.Second, RenewTimeout: time.Second}
 	start  = time.Unix(1000, 0)
 )
 
@@ -59,8 +59,8 @@
 // but for a while others can still get the prompts that it holds.
 func TestRemovedUpstreamLingersAsLeaving(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, listed("a", "b"))
-	s.Take(start, gone("a"))
+	s.Apply(start, listed("a", "b"))
+	s.Apply(start, gone("a"))
 	check(t, s, []string{"b"}, []string{"a"})
 	if s.Expire(start.Add(timing.Linger - time.Millisecond)) {
 		t.Error("it is dropped too early")
@@ -74,9 +74,9 @@
 // An upstream says that it leaves, and later its entry goes: then it has left.
 func TestLeavingUpstreamIsDroppedWithItsEntry(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, []Change{{Entry: Entry{Name: "a", VM: topo.VM{Leaving: true}}}})
+	s.Apply(start, []Change{{Entry: Entry{Name: "a", VM: topo.VM{Leaving: true}}}})
 	check(t, s, nil, []string{"a"})
-	s.Take(start, gone("a"))
+	s.Apply(start, gone("a"))
 	check(t, s, nil, nil)
 }
 
@@ -85,18 +85,18 @@
 // that had said that it leaves is not held.
 func TestLapsedEntriesAreHeld(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, append(listed("back", "dead"), Change{Entry: Entry{Name: "left", VM: topo.VM{Leaving: true}}}))
-	s.StoreBack(start)
+	s.Apply(start, append(listed("back", "dead"), Change{Entry: Entry{Name: "left", VM: topo.VM{Leaving: true}}}))
+	s.StoreRecovered(start)
 	for _, id := range []string{"back", "dead", "left"} {
-		s.Take(start, gone(id))
+		s.Apply(start, gone(id))
 	}
 	check(t, s, []string{"back", "dead"}, nil)
 	now := start.Add(time.Second)
-	s.Take(now, listed("back"))
+	s.Apply(now, listed("back"))
 	if s.Expire(now) {
 		t.Error("something changes while entries are held")
 	}
-	now = start.Add(timing.Hold)
+	now = start.Add(timing.OutageGrace)
 	if !s.Expire(now) {
 		t.Error("the entry that did not come back is still held")
 	}
@@ -109,16 +109,16 @@
 // hold entries any longer.
 func TestOlderWordOfTheStoreChangesNothing(t *testing.T) {
 	s := NewState(timing)
-	s.StoreBack(start)
-	s.StoreBack(start.Add(-time.Hour))
-	if !s.Back().Equal(start) {
-		t.Errorf("the store was back at %v, want %v", s.Back(), start)
+	s.StoreRecovered(start)
+	s.StoreRecovered(start.Add(-time.Hour))
+	if !s.StoreRecoveredAt().Equal(start) {
+		t.Errorf("the store was back at %v, want %v", s.StoreRecoveredAt(), start)
 	}
 }
 
 // born is the entry of an upstream "a" that started at a time.
 func born(at int64, addr string) []Change {
-	return []Change{{Entry: Entry{Name: "a", Born: at, VM: topo.VM{Addr: addr}}}}
+	return []Change{{Entry: Entry{Name: "a", StartedAt: at, VM: topo.VM{Addr: addr}}}}
 }
 
 // only returns the one upstream that counts.
@@ -136,9 +136,9 @@
 // for what it was. It counts as another upstream that calls itself the same.
 func TestAnUpstreamThatStartsAgainIsAnotherOne(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, born(1, "x:1"))
+	s.Apply(start, born(1, "x:1"))
 	former := only(t, s)
-	taken := s.Take(start, born(2, "x:1"))
+	taken := s.Apply(start, born(2, "x:1"))
 	present := only(t, s)
 	if present.ID == former.ID || present.Name() != "a" || former.Name() != "a" {
 		t.Errorf("the former is %+v, the present %+v", former, present)
@@ -154,33 +154,33 @@
 // removed, to none: the start tells which of two entries is the later one.
 func TestLateWritesOfAFormerLifeChangeNothing(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, born(2, "new:1"))
-	if taken := s.Take(start, born(1, "old:1")); taken.Outdated != 1 {
+	s.Apply(start, born(2, "new:1"))
+	if taken := s.Apply(start, born(1, "old:1")); taken.Outdated != 1 {
 		t.Errorf("%d outdated writes, want 1", taken.Outdated)
 	}
 	if vm := only(t, s); vm.Addr != "new:1" {
 		t.Errorf("reached at %s", vm.Addr)
 	}
-	s.Take(start, gone("a"))
+	s.Apply(start, gone("a"))
 	check(t, s, []string{"a@2"}, nil)
-	now := start.Add(timing.Renew / 2)
+	now := start.Add(timing.RenewTimeout / 2)
 	s.Expire(now)
-	s.Take(now, born(2, "new:1"))
-	s.Expire(start.Add(2 * timing.Renew))
+	s.Apply(now, born(2, "new:1"))
+	s.Expire(start.Add(2 * timing.RenewTimeout))
 	check(t, s, []string{"a@2"}, nil)
 }
 
 // As above, but the present runner is dead too and does not write its entry again.
 func TestAPresentLifeThatDoesNotRenewItsEntryIsGone(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, born(2, "new:1"))
-	s.Take(start, born(1, "old:1"))
-	s.Take(start, gone("a"))
-	s.Expire(start.Add(timing.Renew))
+	s.Apply(start, born(2, "new:1"))
+	s.Apply(start, born(1, "old:1"))
+	s.Apply(start, gone("a"))
+	s.Expire(start.Add(timing.RenewTimeout))
 	check(t, s, nil, []string{"a@2"})
-	s.Expire(start.Add(timing.Renew + timing.Linger))
+	s.Expire(start.Add(timing.RenewTimeout + timing.Linger))
 	check(t, s, nil, nil)
-	s.Take(start.Add(time.Minute), born(1, "old:1"))
+	s.Apply(start.Add(time.Minute), born(1, "old:1"))
 	check(t, s, nil, nil)
 }
 
@@ -188,12 +188,12 @@
 // again once it has written its own entry.
 func TestAnOverwrittenEntryNamesNobody(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, append(listed("b"), born(2, "x:1")...))
-	s.Take(start, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
+	s.Apply(start, append(listed("b"), born(2, "x:1")...))
+	s.Apply(start, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
 	check(t, s, []string{"b"}, []string{"a@2"})
-	s.Take(start, born(2, "x:1"))
+	s.Apply(start, born(2, "x:1"))
 	check(t, s, []string{"a@2", "b"}, nil)
-	s.Take(start, listed("a")) // without a start, which it always tells
+	s.Apply(start, listed("a")) // without a start, which it always tells
 	check(t, s, []string{"b"}, []string{"a@2"})
 }
 
@@ -201,13 +201,13 @@
 // held for as long after the second.
 func TestASecondOutageHoldsEntriesLonger(t *testing.T) {
 	s := NewState(timing)
-	s.Take(start, listed("a"))
-	s.StoreBack(start)
-	s.Take(start, gone("a"))
-	s.StoreBack(start.Add(time.Second))
-	s.Expire(start.Add(timing.Hold))
+	s.Apply(start, listed("a"))
+	s.StoreRecovered(start)
+	s.Apply(start, gone("a"))
+	s.StoreRecovered(start.Add(time.Second))
+	s.Expire(start.Add(timing.OutageGrace))
 	check(t, s, []string{"a"}, nil)
-	s.Expire(start.Add(time.Second + timing.Hold))
+	s.Expire(start.Add(time.Second + timing.OutageGrace))
 	check(t, s, nil, []string{"a"})
 }
 
@@ -222,15 +222,15 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				s.Take(now, gone("a"))
+				s.Apply(now, gone("a"))
 			case 1:
-				s.Take(now, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
+				s.Apply(now, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
 			case 2:
-				s.StoreBack(now)
+				s.StoreRecovered(now)
 			default:
 				life := int64(rapid.IntRange(1, 4).Draw(t, "life"))
 				latest = max(latest, life)
-				s.Take(now, born(life, strconv.FormatInt(life, 10)))
+				s.Apply(now, born(life, strconv.FormatInt(life, 10)))
 			}
 			s.Expire(now)
 			for _, vm := range s.VMs() {
--- a/internal/membership/restored_test.go
+++ b/internal/membership/restored_test.go
@@ -38,14 +38,14 @@
 
 func (r *restorable) version() topo.Version {
 	r.revision++
-	return topo.At(r.era, r.revision)
+	return topo.VersionAt(r.era, r.revision)
 }
 
 func (r *restorable) tell(c Change) {
 	if c.Kind == Written && c.Entry.Sequence >= r.told[c.Entry.Name].Sequence {
 		r.told[c.Entry.Name] = c.Entry
 	}
-	r.state.Take(r.now, []Change{c})
+	r.state.Apply(r.now, []Change{c})
 }
 
 // write lets an upstream write its entry.
@@ -67,7 +67,7 @@
 func (r *restorable) restore(c map[string]Entry) {
 	r.era++
 	r.revision = 0
-	r.state.StoreBack(r.now)
+	r.state.StoreRecovered(r.now)
 	before := r.entries
 	r.entries = make(map[string]Entry)
 	for name, e := range c {
@@ -168,16 +168,16 @@
 // the write that is known, and it writes nothing that differs.
 func TestLapsedUpstreamOfACopyIsUsedAgain(t *testing.T) {
 	s := NewState(timing)
-	e := Entry{Name: "a", Sequence: 7, Version: topo.At(1, 9)}
-	s.Take(start, []Change{{Entry: e}})
-	s.Take(start, gone("a"))
+	e := Entry{Name: "a", Sequence: 7, Version: topo.VersionAt(1, 9)}
+	s.Apply(start, []Change{{Entry: e}})
+	s.Apply(start, gone("a"))
 	now := start.Add(timing.Linger)
 	s.Expire(now)
 	check(t, s, nil, nil)
-	e.Version = topo.At(2, 5)
-	s.Take(now, []Change{{Entry: e}})
+	e.Version = topo.VersionAt(2, 5)
+	s.Apply(now, []Change{{Entry: e}})
 	check(t, s, nil, nil)
-	now = now.Add(lapseRenewals * timing.Renew)
+	now = now.Add(lapseRenewals * timing.RenewTimeout)
 	s.Expire(now)
 	check(t, s, []string{"a"}, nil)
 }
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -36,8 +36,8 @@
 	Written int64      `json:"written"` // Unix seconds
 }
 
-// Keeper keeps one router's entry.
-type Keeper struct {
+// Registrar keeps one router's entry.
+type Registrar struct {
 	store    topo.Store
 	self     relay.Node
 	reads    func() bool
@@ -48,13 +48,13 @@
 
 // New returns the Keeper of a router. reads reports whether it reads the store for others, and
 // found takes in who else is there.
-func New(store topo.Store, self relay.Node, reads func() bool, found func([]relay.Node)) *Keeper {
-	return &Keeper{store: store, self: self, reads: reads, found: found, restored: make(chan struct{}, 1)}
+func New(store topo.Store, self relay.Node, reads func() bool, found func([]relay.Node)) *Registrar {
+	return &Registrar{store: store, self: self, reads: reads, found: found, restored: make(chan struct{}, 1)}
 }
 
 // Run makes this router known in the store, learns of the others there, and
 // sweeps those that are long gone, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Registrar) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := k.read(ctx)
 		if err != nil {
@@ -69,7 +69,7 @@
 // await returns when the register is to be read again. Meanwhile it sees to it that
 // the store has this router's entry, which one that comes back from an older copy may lack:
 // routers that start would not find this one.
-func (k *Keeper) await(ctx context.Context) {
+func (k *Registrar) await(ctx context.Context) {
 	next := time.NewTimer(registerEvery/2 + rand.N(registerEvery))
 	defer next.Stop()
 	for {
@@ -91,8 +91,8 @@
 	}
 }
 
-// EnterAgain has the entry of this router looked for.
-func (k *Keeper) EnterAgain() {
+// RequestCheck has the entry of this router looked for.
+func (k *Registrar) RequestCheck() {
 	select {
 	case k.restored <- struct{}{}:
 	default: // it is about to be
@@ -107,7 +107,7 @@
 }
 
 // enterIfLost writes the entry of this router if the store has none.
-func (k *Keeper) enterIfLost(ctx context.Context) error {
+func (k *Registrar) enterIfLost(ctx context.Context) error {
 	_, err := k.store.Get(ctx, topo.Ref{Kind: topo.KindRouter, Name: k.self.Name})
 	if errors.Is(err, topo.ErrNotFound) {
 		return k.enter(ctx, 0)
@@ -117,7 +117,7 @@
 
 // read enters this router and then reads who else is there: of two that
 // start at the same moment, the one that enters later finds the other.
-func (k *Keeper) read(ctx context.Context) error {
+func (k *Registrar) read(ctx context.Context) error {
 	if !k.entered {
 		// A conflict is the entry of an earlier start, which the reading shows.
 		if err := k.enter(ctx, 0); err != nil && !errors.Is(err, topo.ErrConflict) {
@@ -134,7 +134,7 @@
 
 // readOnce reads the register and makes its routers known to the relay. It returns
 // the version of this router's own entry, and whether it says what it should.
-func (k *Keeper) readOnce(ctx context.Context) (own topo.Version, known bool, err error) {
+func (k *Registrar) readOnce(ctx context.Context) (own topo.Version, known bool, err error) {
 	var nodes []relay.Node
 	cont := ""
 	for {
@@ -167,7 +167,7 @@
 
 // enter writes this router's entry. If the answer is lost, the next reading shows
 // what became of it.
-func (k *Keeper) enter(ctx context.Context, version topo.Version) error {
+func (k *Registrar) enter(ctx context.Context, version topo.Version) error {
 	value, err := json.Marshal(registration{Node: k.self, Written: time.Now().Unix()})
 	if err != nil {
 		return errors.WithStack(err)
@@ -177,7 +177,7 @@
 }
 
 // sweep removes an entry that nobody renews.
-func (k *Keeper) sweep(ctx context.Context, o topo.Object) {
+func (k *Registrar) sweep(ctx context.Context, o topo.Object) {
 	if err := k.store.Delete(ctx, o.Ref, o.Version); err != nil && !errors.Is(err, topo.ErrNotFound) {
 		slog.Warn("an old entry of the register of routers could not be removed", "router", o.Name, "error", err)
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -44,9 +44,9 @@
 	key, outcome, err := r.claimer.Claim(ctx, claim.Ref(org.Name, own), proposed)
 	claims.Inc(outcome)
 	switch {
-	case outcome == claim.Doubted:
+	case outcome == claim.StoreRestored:
 		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonStoreDown,
-			"the platform's store has lost what it took in the last seconds").Later(claim.Doubt)
+			"the platform's store has lost what it took in the last seconds").Later(claim.RestoreGrace)
 	case err != nil:
 		return wire.Key{}, unclaimed("the platform's store does not answer")
 	}
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -34,7 +34,7 @@
 	// SuspendedTime returns for how long the machine has been suspended in all; nil: never.
 	SuspendedTime func() time.Duration
 	// Members reads the entries of upstreams.
-	Members      membership.Reader
+	Members      membership.Decoder
 	MemberTiming membership.Timing
 }
 
@@ -67,7 +67,7 @@
 	parent   relay.Node  // owned by the control loop
 	reads    atomic.Bool // this router reads the store
 	packed   *pack.Packer
-	register *register.Keeper
+	register *register.Registrar
 
 	// What follows is owned by the control loop.
 	told     []byte    // to those that rely on this router, last
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -34,7 +34,7 @@
 
 // UpstreamsRestarted tells of upstreams that have started again, and of writes of former
 // incarnations that came late.
-type UpstreamsRestarted struct{ membership.Taken }
+type UpstreamsRestarted struct{ membership.ApplyResult }
 
 func (RelayEffect) isEffect()        {}
 func (UnusableEntry) isEffect()      {}
@@ -48,7 +48,7 @@
 	relay   *relay.State
 	members *config.Follower
 	entries *membership.State
-	reader  membership.Reader
+	reader  membership.Decoder
 	// unusable are the reasons for which entries name no upstream, by name. Whoever
 	// writes such an entry may do so at each heartbeat, and one line tells it all.
 	unusable map[string]string
@@ -65,7 +65,7 @@
 
 // EnableRelay makes the State follow the entries of upstreams like the configuration,
 // with relay's choice of who reads them.
-func (s *State) EnableRelay(r *relay.State, reader membership.Reader, timing membership.Timing, pace config.Pace, seed uint64) {
+func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Pace, seed uint64) {
 	pace.RetryMost *= membersRetry
 	s.relayed = &relayed{
 		relay:    r,
@@ -113,7 +113,7 @@
 	out := s.configure(config.Heard{Now: now, Peer: peer, Mark: e.Knowledge[relay.SetConfig].Mark})
 	members := e.Knowledge[relay.SetMembers]
 	if members.Back >= 0 {
-		s.relayed.entries.StoreBack(now.Add(-time.Duration(members.Back) * time.Millisecond))
+		s.relayed.entries.StoreRecovered(now.Add(-time.Duration(members.Back) * time.Millisecond))
 	}
 	return append(out, s.follow(now, config.Heard{Now: now, Peer: peer, Mark: members.Mark})...)
 }
@@ -128,8 +128,8 @@
 		case config.Changed:
 			changes, unusable := r.changes(effect.Objects)
 			out = append(out, unusable...)
-			if t := r.entries.Take(now, changes); t.Outdated > 0 || len(t.Replaced) > 0 {
-				out = append(out, UpstreamsRestarted{Taken: t})
+			if t := r.entries.Apply(now, changes); t.Outdated > 0 || len(t.Replaced) > 0 {
+				out = append(out, UpstreamsRestarted{ApplyResult: t})
 			}
 			changed = true
 		case config.StoreRestored:
@@ -140,7 +140,7 @@
 			// entry has lapsed. Held all the same, one that is removed now would get
 			// new work for longer than its upstream serves.
 			if !r.relay.Relies() {
-				r.entries.StoreBack(now)
+				r.entries.StoreRecovered(now)
 			}
 			out = append(out, s.configure(config.StoreWorks{Now: now})...)
 			out = append(out, MembersEffect{Effect: effect})
@@ -166,7 +166,7 @@
 			out = append(out, c)
 			continue
 		}
-		entry, err := r.reader.Entry(o)
+		entry, err := r.reader.Decode(o)
 		if err != nil {
 			c.Kind = membership.Unusable
 			unusable = append(unusable, UnusableEntry{Err: err, Repeated: r.unusable[o.Name] == err.Error()})
@@ -205,7 +205,7 @@
 			k[set].Age = now.Sub(status.StoreHeard).Milliseconds()
 		}
 	}
-	if back := s.relayed.entries.Back(); !back.IsZero() {
+	if back := s.relayed.entries.StoreRecoveredAt(); !back.IsZero() {
 		k[relay.SetMembers].Back = now.Sub(back).Milliseconds()
 	}
 	return s.stepRelay(now, relay.Followed{Now: now, Knowledge: k, Failing: failing})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -108,7 +108,7 @@
 	limits   *limits
 	retries  *retry.PoolBudgets // of upstreams without a sidecar
 	claims   *claimBudget
-	claimer  *claim.Keeper
+	claimer  *claim.Claimer
 	suspects *suspects
 	ledger   *ledger.Ledger
 	holders  *balance.LastServed[topo.VM]
@@ -147,7 +147,7 @@
 		limits:     newLimits(),
 		retries:    retry.NewPoolBudgets(),
 		claims:     newClaimBudget(time.Now()),
-		claimer:    claim.NewKeeper(c.Store),
+		claimer:    claim.NewClaimer(c.Store),
 		suspects:   newSuspects(),
 		ledger:     ledger.New(),
 		holders:    balance.NewLastServed[topo.VM](),
@@ -221,9 +221,9 @@
 // restored writes again what this router wrote into a store that has lost its last seconds.
 func (r *Router) restored() {
 	if r.mesh != nil {
-		r.mesh.register.EnterAgain()
+		r.mesh.register.RequestCheck()
 	}
-	go r.claimer.Restored(r.ctx)
+	go r.claimer.RecreateLost(r.ctx)
 }
 
 // restarted takes in which upstreams have started again.
@@ -285,7 +285,7 @@
 		r.suspects.expire(time.Now())
 		r.warming.gate.Expire(time.Now())
 		r.keepConditions(time.Now())
-		r.claimer.Saw(time.Now(), topo.EraOf(r.config.Store))
+		r.claimer.ObserveEra(time.Now(), topo.EraOf(r.config.Store))
 		r.prunePeers()
 		if r.config.Direct != nil {
 			r.config.Direct.Keep(time.Now(), r.View().VMs)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -242,7 +242,7 @@
 // entry there may write it again.
 func (s *State) restored(now time.Time) {
 	if s.relayed != nil {
-		s.relayed.entries.StoreBack(now)
+		s.relayed.entries.StoreRecovered(now)
 	}
 }
 
@@ -255,7 +255,7 @@
 	doubted := false
 	for _, order := range orders {
 		if !order.Drained {
-			s.relayed.entries.Doubt(now, order.Domain, order.Version, s.warmup)
+			s.relayed.entries.AssumeCold(now, order.Domain, order.Version, s.warmup)
 			doubted = true
 		}
 	}
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -47,13 +47,13 @@
 		Fingerprint: e.Submit.Fingerprint,
 		Successor:   e.Submit.Successor,
 	}
-	f := s.table.Look(e.Now, a)
+	f := s.table.Lookup(e.Now, a)
 	if f.Outcome != idempotency.Unseen {
 		return s.reply(e.Now, e.Ticket, found(f))
 	}
 	alone, no := s.consider(e.Now, &e.Submit)
 	if no != nil {
-		s.table.Refuse(a, no.err.Reason)
+		s.table.Reject(a, no.err.Reason)
 		adm := wire.Admission{Error: no.err, Moved: a.Successor, Leave: no.leave}
 		adm.Control.Suspects = no.suspects
 		return s.reply(e.Now, e.Ticket, adm)
@@ -75,7 +75,7 @@
 }
 
 // found turns what the table knows of a key into a reply.
-func found(f idempotency.Finding) wire.Admission {
+func found(f idempotency.Result) wire.Admission {
 	switch f.Outcome {
 	case idempotency.Live, idempotency.Done:
 		return wire.Admission{Joined: true}
@@ -234,7 +234,7 @@
 }
 
 func (s *State) attached(e Attached) []Effect {
-	f := s.table.Look(e.Now, idempotency.Attempt{Key: e.Attach.Key, Org: e.Attach.Org})
+	f := s.table.Lookup(e.Now, idempotency.Attempt{Key: e.Attach.Key, Org: e.Attach.Org})
 	return s.reply(e.Now, e.Ticket, found(f))
 }
 
@@ -242,11 +242,11 @@
 // because the request itself may still be on its way.
 func (s *State) cancelled(e Cancelled) []Effect {
 	a := idempotency.Attempt{Key: e.Cancel.Key, Org: e.Cancel.Org}
-	f := s.table.Look(e.Now, a)
+	f := s.table.Lookup(e.Now, a)
 	var effects []Effect
 	switch f.Outcome {
 	case idempotency.Unseen:
-		s.table.Refuse(a, verdict.ReasonCancelled)
+		s.table.Reject(a, verdict.ReasonCancelled)
 		return s.reply(e.Now, e.Ticket, wire.Admission{})
 	case idempotency.Live:
 		s.requests[a.Key.Nonce].cancelled = true
@@ -266,7 +266,7 @@
 }
 
 func (s *State) statusAsked(e StatusAsked) []Effect {
-	f := s.table.Look(e.Now, idempotency.Attempt{Key: e.Status.Key, Org: e.Status.Org})
+	f := s.table.Lookup(e.Now, idempotency.Attempt{Key: e.Status.Key, Org: e.Status.Org})
 	out := ReplyStatus{Ticket: e.Ticket, Nonce: e.Status.Key.Nonce}
 	switch f.Outcome {
 	case idempotency.Live:
--- a/internal/standin/objectapi.go
+++ b/internal/standin/objectapi.go
@@ -101,13 +101,13 @@
 
 // inEra returns an object with the version that callers know it by. It needs a.mu held.
 func (a *ObjectAPI) inEra(o topo.Object) topo.Object {
-	o.Version = topo.At(a.era, o.Version)
+	o.Version = topo.VersionAt(a.era, o.Version)
 	return o
 }
 
 // pageInEra does so for a page. It needs a.mu held.
 func (a *ObjectAPI) pageInEra(p topo.Page) topo.Page {
-	p.Version = topo.At(a.era, p.Version)
+	p.Version = topo.VersionAt(a.era, p.Version)
 	for i, o := range p.Objects {
 		p.Objects[i] = a.inEra(o)
 	}
--- a/internal/standin/objecthttp.go
+++ b/internal/standin/objecthttp.go
@@ -76,7 +76,7 @@
 	if revision == 0 {
 		return 0
 	}
-	return topo.At(a.Era(), revision)
+	return topo.VersionAt(a.Era(), revision)
 }
 
 func (a *ObjectAPI) serveGet(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,7 @@
 		return
 	}
 	err := a.Delete(r.Context(), ref(r), a.heard(v))
-	a.tellEra(w, topo.At(a.Era(), 0), err)
+	a.tellEra(w, topo.VersionAt(a.Era(), 0), err)
 	reply(w, struct{}{}, err)
 }
 
--- a/internal/topo/bench_test.go
+++ b/internal/topo/bench_test.go
@@ -43,7 +43,7 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	var sum atomic.Int64
-	h := topo.NewHTTPOver(server.URL, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	h := topo.NewHTTPWithDialer(server.URL, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
 		return metered{c, &sum}, err
 	})
--- a/internal/topo/dialect.go
+++ b/internal/topo/dialect.go
@@ -35,8 +35,8 @@
 
 // Head is what the head of an answer says of the store that has given it.
 type Head struct {
-	Era  Era           // zero: its versions order all its changes
-	Rest time.Duration // for which it wants no more calls of this process; zero: it does not ask
+	Era        Era           // zero: its versions order all its changes
+	RetryAfter time.Duration // for which it wants no more calls of this process; zero: it does not ask
 }
 
 // EraHeader names the era of the stand-in in its answers.
@@ -99,11 +99,11 @@
 func (Plain) Head(status int, header http.Header) Head {
 	plainStatuses.Status(status, plainAnswer)
 	plainHeaders.Headers(header, plainAnswer)
-	return Head{Era: ParseEra(header.Get(EraHeader)), Rest: ParseRest(status, header.Get(RestHeader))}
+	return Head{Era: ParseEra(header.Get(EraHeader)), RetryAfter: ParseRest(status, header.Get(RetryAfterHeader))}
 }
 
-// RestHeader names the seconds for which the stand-in wants no more calls.
-const RestHeader = "Retry-After"
+// RetryAfterHeader names the seconds for which the stand-in wants no more calls.
+const RetryAfterHeader = "Retry-After"
 
 // ParseRest returns for how long a store that answers with a status and a time in seconds
 // wants no more calls; zero: it does not ask, or in a way that makes no sense.
@@ -125,7 +125,7 @@
 var (
 	plainHeaders = vocabulary.New("header of the object API's answer",
 		vocabulary.Word{Name: EraHeader, Reader: "topo.Plain.Head"},
-		vocabulary.Word{Name: RestHeader, Reader: "topo.Plain.Head"},
+		vocabulary.Word{Name: RetryAfterHeader, Reader: "topo.Plain.Head"},
 		vocabulary.Word{Name: "Content-Type", Why: "answers have one form"},
 		vocabulary.Word{Name: "Content-Length", Why: "net/http reads it"},
 		vocabulary.Word{Name: "Transfer-Encoding", Why: "net/http reads it"},
--- a/internal/topo/era.go
+++ b/internal/topo/era.go
@@ -54,13 +54,13 @@
 
 // of returns an object with the version that it has in an era.
 func (era Era) of(o Object) Object {
-	o.Version = At(era, o.Version)
+	o.Version = VersionAt(era, o.Version)
 	return o
 }
 
 // ofPage returns a page with the versions that its objects have in an era.
 func (era Era) ofPage(p Page) Page {
-	p.Version = At(era, p.Version)
+	p.Version = VersionAt(era, p.Version)
 	for i, o := range p.Objects {
 		p.Objects[i] = era.of(o)
 	}
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -93,11 +93,11 @@
 }
 
 func TestVersionsOrderChangesAcrossEras(t *testing.T) {
-	last, first := topo.At(3, 1<<30), topo.At(4, 1)
+	last, first := topo.VersionAt(3, 1<<30), topo.VersionAt(4, 1)
 	if first <= last || first.Era() != 4 || first.Revision() != 1 || last.Revision() != 1<<30 {
 		t.Errorf("%s and %s", last, first)
 	}
-	if topo.At(0, 7) != 7 || topo.Version(7).String() != "7" || first.String() != "4.1" {
+	if topo.VersionAt(0, 7) != 7 || topo.Version(7).String() != "7" || first.String() != "4.1" {
 		t.Errorf("%s, %s", topo.Version(7), first)
 	}
 }
@@ -115,7 +115,7 @@
 	defer server.Close()
 	client := topo.NewHTTP(server.URL)
 	for _, named = range []bool{true, false} {
-		if page, err := client.List(t.Context(), topo.KindClaim, ""); err != nil || page.Version != topo.At(3, 7) {
+		if page, err := client.List(t.Context(), topo.KindClaim, ""); err != nil || page.Version != topo.VersionAt(3, 7) {
 			t.Errorf("era named %v: %s, %v", named, page.Version, err)
 		}
 	}
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -46,37 +46,37 @@
 type HTTP struct {
 	base     string
 	dialect  Dialect
-	patience Patience
+	patience Timeouts
 	lanes    [laneCount]*http.Client
 	eras     eras
 	rests    rests
 }
 
-// Patience is how long a client waits for the platform.
-type Patience struct {
-	Call  time.Duration // for one call. A store that is merely slow must not hold its caller for ever
-	Watch time.Duration // beyond the wait of a watch: a connection that has gone silent shows by it
-	Rest  time.Duration // for which a store that wants no calls is left alone at most
+// Timeouts is how long a client waits for the platform.
+type Timeouts struct {
+	Call          time.Duration // for one call. A store that is merely slow must not hold its caller for ever
+	WatchGrace    time.Duration // beyond the wait of a watch: a connection that has gone silent shows by it
+	MaxRetryAfter time.Duration // for which a store that wants no calls is left alone at most
 }
 
 // NewHTTP returns a client for the platform at base, such as http://10.0.0.2:7000.
 func NewHTTP(base string) *HTTP {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	return NewHTTPOver(base, dialer.DialContext)
+	return NewHTTPWithDialer(base, dialer.DialContext)
 }
 
-// NewHTTPOver is NewHTTP with connections that dial opens.
-func NewHTTPOver(base string, dial DialFunc) *HTTP {
-	h := &HTTP{base: base, dialect: Plain{}, patience: Patience{Call: callTimeout, Watch: watchGrace, Rest: restMost}}
+// NewHTTPWithDialer is NewHTTP with connections that dial opens.
+func NewHTTPWithDialer(base string, dial DialFunc) *HTTP {
+	h := &HTTP{base: base, dialect: Plain{}, patience: Timeouts{Call: callTimeout, WatchGrace: watchGrace, MaxRetryAfter: restMost}}
 	for l := range laneCount {
 		h.lanes[l] = newClient(l, dial)
 	}
 	return h
 }
 
-// TLS makes new connections use the configuration that config returns, such as
+// WithTLS makes new connections use the configuration that config returns, such as
 // one that trusts the platform's own authorities, and returns h.
-func (h *HTTP) TLS(config func() *tls.Config) *HTTP {
+func (h *HTTP) WithTLS(config func() *tls.Config) *HTTP {
 	for _, client := range h.lanes {
 		t := client.Transport.(*http.Transport)
 		t.DialTLSContext = dialTLS(t.DialContext, config)
@@ -84,8 +84,8 @@
 	return h
 }
 
-// Speaking makes calls in a dialect, with a patience, and returns h.
-func (h *HTTP) Speaking(d Dialect, p Patience) *HTTP {
+// WithDialect makes calls in a dialect, with a patience, and returns h.
+func (h *HTTP) WithDialect(d Dialect, p Timeouts) *HTTP {
 	h.dialect, h.patience = d, p
 	return h
 }
@@ -184,9 +184,9 @@
 	return r.Method != http.MethodGet
 }
 
-func (p Patience) with(r request) time.Duration {
+func (p Timeouts) with(r request) time.Duration {
 	if r.name == callWatch {
-		return r.wait + p.Watch
+		return r.wait + p.WatchGrace
 	}
 	return p.Call
 }
@@ -250,7 +250,7 @@
 	defer resp.Body.Close()
 	head := h.dialect.Head(resp.StatusCode, resp.Header)
 	era, newest := h.eras.heard(head.Era)
-	h.rests.asked(r, time.Now(), min(head.Rest, h.patience.Rest))
+	h.rests.asked(r, time.Now(), min(head.RetryAfter, h.patience.MaxRetryAfter))
 	body, err := io.ReadAll(io.LimitReader(resp.Body, r.limit()+1))
 	if err != nil {
 		return h.lost(client, r, a, err)
--- a/internal/topo/http_test.go
+++ b/internal/topo/http_test.go
@@ -77,7 +77,7 @@
 		n := &pipes{accepted: make(chan net.Conn), silence: new(atomic.Bool)}
 		server := &http.Server{Handler: mux}
 		go func() { _ = server.Serve(n) }()
-		f(t, n, api, topo.NewHTTPOver("http://store", n.dial))
+		f(t, n, api, topo.NewHTTPWithDialer("http://store", n.dial))
 		close(n.accepted)
 		_ = server.Close()
 		synctest.Wait()
@@ -180,7 +180,7 @@
 		config *tls.Config
 		want   error
 	}{{&tls.Config{}, topo.ErrRefused}, {trusting, nil}} {
-		h := topo.NewHTTP(server.URL).TLS(func() *tls.Config { return c.config })
+		h := topo.NewHTTP(server.URL).WithTLS(func() *tls.Config { return c.config })
 		if _, err := h.Put(t.Context(), ref, json.RawMessage(`1`), 0); !errors.Is(err, c.want) {
 			t.Errorf("%v, want %v", err, c.want)
 		}
--- a/internal/topo/topo.go
+++ b/internal/topo/topo.go
@@ -93,14 +93,14 @@
 	Watch(ctx context.Context, kinds []Kind, since Version, wait time.Duration) (Page, error)
 }
 
-// EraTeller is a Store that tells in which era it last answered.
-type EraTeller interface {
+// EraReporter is a Store that tells in which era it last answered.
+type EraReporter interface {
 	Era() Era
 }
 
 // EraOf returns the era in which a store last answered; zero: it does not tell.
 func EraOf(s Store) Era {
-	if teller, ok := s.(EraTeller); ok {
+	if teller, ok := s.(EraReporter); ok {
 		return teller.Era()
 	}
 	return 0
--- a/internal/topo/version.go
+++ b/internal/topo/version.go
@@ -14,8 +14,8 @@
 // take three years to use them up.
 const revisionBits = 40
 
-// At returns the version of a revision in an era.
-func At(era Era, revision Version) Version {
+// VersionAt returns the version of a revision in an era.
+func VersionAt(era Era, revision Version) Version {
 	return Version(era)<<revisionBits | revision
 }
 
