--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -135,19 +135,19 @@
 
 func (q *Queue) refuse(now time.Time, r *Request) *verdict.Error {
 	if q.Load() >= r.LoadBound {
-		return notRun(verdict.ReasonOverBound, "the upstream is at its bound of %d", r.LoadBound).Later(q.Backoff())
+		return notRun(verdict.ReasonOverBound, "the upstream is at its bound of %d", r.LoadBound).WithRetryAfter(q.Backoff())
 	}
 	if q.startsNow(r) {
 		return nil
 	}
 	if late := q.lateness(now, r); late > 0 {
-		return notRun(verdict.ReasonDeadline, "the queue is too long for the deadline").Later(late)
+		return notRun(verdict.ReasonDeadline, "the queue is too long for the deadline").WithRetryAfter(late)
 	}
 	full := len(q.waiting) >= q.config.MaxWaiting || q.bytes+r.Size > q.config.MaxBytes ||
 		(r.QueueBound > 0 && q.queued[queueKey{profile: r.Profile}] >= r.QueueBound) ||
 		(r.OrgQueueBound > 0 && q.queued[queueKey{r.Profile, r.Org}] >= r.OrgQueueBound)
 	if full {
-		return notRun(verdict.ReasonQueueFull, "the queue is full").Later(q.Backoff())
+		return notRun(verdict.ReasonQueueFull, "the queue is full").WithRetryAfter(q.Backoff())
 	}
 	return nil
 }
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -12,9 +12,9 @@
 // goes out in parts: the stream can then not be gone on with within it.
 const maxHeld = 1 << 20
 
-// Cutter holds back the last part of a stream until the event that it belongs to
+// Framer holds back the last part of a stream until the event that it belongs to
 // is whole. The zero value is ready to use.
-type Cutter struct {
+type Framer struct {
 	held   []byte
 	lastID string
 	torn   bool // a part of an event has gone out
@@ -22,7 +22,7 @@
 
 // Feed takes the next bytes of the stream and returns those that may go out. They
 // are valid until the next call.
-func (c *Cutter) Feed(b []byte) []byte {
+func (c *Framer) Feed(b []byte) []byte {
 	if len(c.held) > 0 {
 		b = append(c.held, b...)
 		c.held = c.held[:0]
@@ -42,20 +42,20 @@
 	return b[:end]
 }
 
-// Rest returns what was held back, at the stream's regular end.
-func (c *Cutter) Rest() []byte {
+// Pending returns what was held back, at the stream's regular end.
+func (c *Framer) Pending() []byte {
 	return c.held
 }
 
-// Break forgets what was held back: the stream has broken off there. It reports
+// Discard forgets what was held back: the stream has broken off there. It reports
 // whether another upstream may go on behind LastID.
-func (c *Cutter) Break() bool {
+func (c *Framer) Discard() bool {
 	c.held = nil
 	return !c.torn
 }
 
 // LastID is the id of the last event that went out, or empty.
-func (c *Cutter) LastID() string {
+func (c *Framer) LastID() string {
 	return c.lastID
 }
 
@@ -73,7 +73,7 @@
 }
 
 // noteIDs remembers the last id among whole events.
-func (c *Cutter) noteIDs(b []byte) {
+func (c *Framer) noteIDs(b []byte) {
 	for line := range bytes.Lines(b) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			c.lastID = string(bytes.TrimSpace(id))
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -28,7 +28,7 @@
 			}
 			return b.Bytes()
 		}
-		var c Cutter
+		var c Framer
 		var out bytes.Buffer
 		feed := func(b []byte) {
 			for len(b) > 0 {
@@ -39,7 +39,7 @@
 		}
 		whole := stream(1)
 		feed(whole[:rapid.IntRange(0, len(whole)).Draw(t, "cut")])
-		if !c.Break() {
+		if !c.Discard() {
 			t.Fatal("short events were torn")
 		}
 		from := 1
@@ -50,7 +50,7 @@
 			from++
 		}
 		feed(stream(from))
-		out.Write(c.Rest())
+		out.Write(c.Pending())
 		if !bytes.Equal(out.Bytes(), whole) {
 			t.Fatalf("%q, want %q", out.Bytes(), whole)
 		}
@@ -60,12 +60,12 @@
 // An event of many megabytes is not held back in a router's memory; a stream that
 // breaks off within it cannot be gone on with.
 func TestHugeEventIsNotHeld(t *testing.T) {
-	var c Cutter
+	var c Framer
 	c.Feed([]byte("id: 1\n\n"))
 	if out := c.Feed(make([]byte, maxHeld+1)); len(out) != maxHeld+1 {
 		t.Fatalf("%d bytes went out", len(out))
 	}
-	if c.Break() {
+	if c.Discard() {
 		t.Error("gone on with within an event")
 	}
 }
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -105,7 +105,7 @@
 		_ = conn.Close()
 		return nil, lost(ctx, err)
 	}
-	return &Stream{client: c, at: at, conn: conn, resp: resp, events: ofEvents(resp), Word: word, release: release}, nil
+	return &Stream{client: c, at: at, conn: conn, resp: resp, events: ofEvents(resp), Signal: word, release: release}, nil
 }
 
 // use marks a connection as busy with a call that the end of ctx breaks off, until
@@ -123,11 +123,11 @@
 	}
 }
 
-// Abandon breaks off the calls of an upstream that has started again. It does not work
+// AbortCalls breaks off the calls of an upstream that has started again. It does not work
 // on them any more; if it lost its power or its network, nothing else tells until the
 // probes of keepAliveIdle and after have failed, and callers wait for 3 s more for an
 // answer that cannot come.
-func (c *Client) Abandon(vm topo.VM) {
+func (c *Client) AbortCalls(vm topo.VM) {
 	gone := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,9 +192,9 @@
 	c.hosts[at] = append(c.hosts[at], conn)
 }
 
-// Keep closes the unused connections that have expired, or whose upstream is
+// CloseIdle closes the unused connections that have expired, or whose upstream is
 // not among vms any more.
-func (c *Client) Keep(now time.Time, vms map[string]topo.VM) {
+func (c *Client) CloseIdle(now time.Time, vms map[string]topo.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for at, kept := range c.hosts {
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -112,11 +112,11 @@
 
 // answer reads the head of the answer to call id. Answers to earlier calls of
 // the same connection, which come late, are passed over.
-func (c *conn) answer(method, id string, d Dialect) (*http.Response, Word, error) {
+func (c *conn) answer(method, id string, d Dialect) (*http.Response, Signal, error) {
 	for range maxStrays + 1 {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
-			return nil, Word{}, errors.WithStack(err)
+			return nil, Signal{}, errors.WithStack(err)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue // an interim response; it has no body
@@ -130,10 +130,10 @@
 			break // nobody can say where it ends
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, Word{}, errors.WithStack(err)
+			return nil, Signal{}, errors.WithStack(err)
 		}
 	}
-	return nil, Word{}, errors.New("exchange: the answer belongs to another call")
+	return nil, Signal{}, errors.New("exchange: the answer belongs to another call")
 }
 
 // keepFor returns how long a connection may stay unused after an answer.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -22,23 +22,23 @@
 	Instance     string        // the one incarnation of the upstream that may run it
 	Organisation string        // by which the upstream knows the caller; empty: none
 	Urgency      int           // 0 is first; see DefaultUrgency
-	Left         time.Duration // until the whole answer is due
-	LastEvent    string        // id of the last event that the caller has; empty: none
+	TimeLeft     time.Duration // until the whole answer is due
+	LastEventID  string        // id of the last event that the caller has; empty: none
 	Donor        string        // address of an upstream that may hold the prompt's cached prefix; empty: none
 }
 
 // DefaultUrgency is the urgency of a call that says nothing of it.
 const DefaultUrgency = 5
 
-// Word is what the headers of an answer say beside the answer itself.
-type Word struct {
+// Signal is what the headers of an answer say beside the answer itself.
+type Signal struct {
 	ID     string // of the call that is answered
 	NotRun bool   // the upstream has not run the call and never will
 	Load   *Load  // nil: the upstream does not tell
 	// Leaving tells that the upstream takes nothing new for as long as it lives.
 	Leaving bool
-	// Rest is for how long the upstream wants nothing from this router; zero: it asks for none.
-	Rest time.Duration
+	// RetryAfter is for how long the upstream wants nothing from this router; zero: it asks for none.
+	RetryAfter time.Duration
 }
 
 // Load is an upstream's own count of its requests.
@@ -52,5 +52,5 @@
 	// set.
 	Tell(h http.Header, c Call)
 	// Read returns what the headers of an answer say.
-	Read(status int, h http.Header) Word
+	Read(status int, h http.Header) Signal
 }
--- a/internal/exchange/stream.go
+++ b/internal/exchange/stream.go
@@ -22,7 +22,7 @@
 
 // Stream is the answer to a call.
 type Stream struct {
-	Word Word // of the head
+	Signal Signal // of the head
 
 	client  *Client
 	at      endpoint
@@ -37,9 +37,9 @@
 	pause   time.Duration // that the next piece may take; zero: any
 }
 
-// ErrSilent is an answer that has paused for longer than Within allows. It goes on
+// ErrStalled is an answer that has paused for longer than Within allows. It goes on
 // with the next call of Next.
-var ErrSilent = errors.New("exchange: the answer has paused for too long")
+var ErrStalled = errors.New("exchange: the answer has paused for too long")
 
 // silent waits for the next bytes of the answer and reports whether they did not
 // come in time. It only looks at them: a read that ran out of time within the
@@ -85,8 +85,8 @@
 	return len(bytes.Trim(b, "0123456789abcdefABCDEF\r\n")) == 0
 }
 
-// Within bounds the time that each further piece may take.
-func (s *Stream) Within(pause time.Duration) {
+// SetStallTimeout bounds the time that each further piece may take.
+func (s *Stream) SetStallTimeout(pause time.Duration) {
 	s.pause = pause
 }
 
@@ -95,8 +95,8 @@
 	return s.resp.StatusCode
 }
 
-// Events reports whether the answer is a stream of events.
-func (s *Stream) Events() bool {
+// IsEventStream reports whether the answer is a stream of events.
+func (s *Stream) IsEventStream() bool {
 	return s.events
 }
 
@@ -117,7 +117,7 @@
 		s.buf = make([]byte, pieceBytes)
 	}
 	if !s.over && s.pause > 0 && s.silent() {
-		return wire.Piece{}, ErrSilent
+		return wire.Piece{}, ErrStalled
 	}
 	for {
 		n, err := s.resp.Body.Read(s.buf)
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -83,7 +83,7 @@
 	g.awaitStart(x)
 	x.view = g.router.View()
 	if !g.router.Ready() {
-		return verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no configuration or no upstream is known yet").Later(time.Second)
+		return verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no configuration or no upstream is known yet").WithRetryAfter(time.Second)
 	}
 	if err := x.checkHead(); err != nil {
 		return err
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -48,7 +48,7 @@
 	attempts []*attempt
 	outcomes chan outcome
 	winner   *attempt
-	cutter   *eventstream.Cutter // of an answer that another upstream may go on with
+	cutter   *eventstream.Framer // of an answer that another upstream may go on with
 	result   *verdict.Error      // once state is finished; nil: the answer is whole
 	end      *wire.End
 }
@@ -130,7 +130,7 @@
 	if a.overdue(now) {
 		for _, at := range a.attempts {
 			if at.gate.seal() {
-				a.step(dispatch.Sealed{Attempt: at.number})
+				a.step(dispatch.NotSent{Attempt: at.number})
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 		a.reattach(e)
 	case dispatch.Deliver:
 		a.deliver(a.attempts[e.Attempt], e.Resumable)
-	case dispatch.Drop:
+	case dispatch.Cancel:
 		a.drop(a.attempts[e.Attempt])
 	case dispatch.Finish:
 		a.result = e.Err
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -113,8 +113,8 @@
 		b.ReportAllocs()
 		now := time.Unix(1, 0)
 		for range b.N {
-			s := dispatch.New(dispatch.Plan{Offers: 4, Deadline: now.Add(time.Minute)}, &retry.Budget{})
-			for _, e := range []dispatch.Event{dispatch.Began{Now: now}, dispatch.Admitted{}, dispatch.Opened{}, dispatch.Ended{}} {
+			s := dispatch.New(dispatch.Plan{MaxOffers: 4, Deadline: now.Add(time.Minute)}, &retry.Budget{})
+			for _, e := range []dispatch.Event{dispatch.Began{Now: now}, dispatch.Admitted{}, dispatch.ResponseStarted{}, dispatch.Ended{}} {
 				s.Step(e)
 			}
 		}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -46,7 +46,7 @@
 	switch {
 	case outcome == claim.StoreRestored:
 		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonStoreDown,
-			"the platform's store has lost what it took in the last seconds").Later(claim.RestoreGrace)
+			"the platform's store has lost what it took in the last seconds").WithRetryAfter(claim.RestoreGrace)
 	case err != nil:
 		return wire.Key{}, unclaimed("the platform's store does not answer")
 	}
@@ -54,7 +54,7 @@
 }
 
 func unclaimed(detail string) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonStoreDown, "%s", detail).Later(time.Second)
+	return verdict.New(verdict.NotRun, verdict.ReasonStoreDown, "%s", detail).WithRetryAfter(time.Second)
 }
 
 // claimBudget spreads claimRate over the routers, as a token bucket.
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -23,7 +23,7 @@
 )
 
 // heard takes in what an answer says of its upstream.
-func (a direct) heard(at *attempt, w exchange.Word) {
+func (a direct) heard(at *attempt, w exchange.Signal) {
 	a.loadHeard(at, w)
 	now, vm := time.Now(), at.vm.ID
 	if w.Leaving {
@@ -32,10 +32,10 @@
 			a.log(telemetry.LineFailure, "upstream says that it leaves", at.vmAttrs()...)
 		}
 	}
-	if w.Rest > 0 {
+	if w.RetryAfter > 0 {
 		wordsHeard.Inc(condition.Resting.String())
-		a.router.conditions.RecordResting(now, vm, w.Rest)
-		a.log(telemetry.LineFailure, "upstream wants rest", append(at.vmAttrs(), slog.Int64("rest_ms", w.Rest.Milliseconds()))...)
+		a.router.conditions.RecordResting(now, vm, w.RetryAfter)
+		a.log(telemetry.LineFailure, "upstream wants rest", append(at.vmAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
 	}
 }
 
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -33,7 +33,7 @@
 // Next implements stream.
 func (s *directStream) Next(context.Context) (wire.Piece, error) {
 	p, err := s.Stream.Next()
-	if err == nil && p.Head == nil && s.Events() {
+	if err == nil && p.Head == nil && s.IsEventStream() {
 		s.pace(time.Now(), p)
 	}
 	return p, err
@@ -71,8 +71,8 @@
 		return a.failed(at, verdict.From(err))
 	}
 	at.stream = &directStream{Stream: s, tracker: at.tracker, vm: id, profile: a.req.Profile.Name}
-	a.heard(at, s.Word)
-	if s.Word.NotRun {
+	a.heard(at, s.Signal)
+	if s.Signal.NotRun {
 		s.Drain()
 		at.stream = nil
 		if s.Status() == http.StatusMisdirectedRequest {
@@ -120,17 +120,17 @@
 func (a direct) call(at *attempt) exchange.Call {
 	now := time.Now()
 	c := exchange.Call{
-		Call:      at.call,
-		Host:      a.req.Host,
-		ID:        a.req.ID,
-		Instance:  at.vm.Name(),
-		Urgency:   a.basis.Urgency,
-		Left:      left(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
-		LastEvent: a.req.LastEvent,
-		Donor:     at.donor.Addr,
+		Call:        at.call,
+		Host:        a.req.Host,
+		ID:          a.req.ID,
+		Instance:    at.vm.Name(),
+		Urgency:     a.basis.Urgency,
+		TimeLeft:    left(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
+		LastEventID: a.req.LastEvent,
+		Donor:       at.donor.Addr,
 	}
 	if at.lastEvent != "" {
-		c.LastEvent = at.lastEvent
+		c.LastEventID = at.lastEvent
 	}
 	if a.req.Org != nil {
 		c.Organisation = upstreamName(a.req.Org)
@@ -144,7 +144,7 @@
 	switch {
 	case err.Verdict != verdict.NotRun:
 		a.lostAnswer(at)
-		return dispatch.Lost{Now: now, Attempt: at.number}
+		return dispatch.ConnectionLost{Now: now, Attempt: at.number}
 	case err.Reason == verdict.ReasonNoUpstream:
 		a.router.avoid(at.vm.ID)
 		at.watch.RecordFailure()
@@ -152,7 +152,7 @@
 	case at.withheld != nil:
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: at.withheld}
 	default:
-		return dispatch.Sealed{Attempt: at.number}
+		return dispatch.NotSent{Attempt: at.number}
 	}
 }
 
@@ -184,16 +184,16 @@
 		}
 		if status >= http.StatusInternalServerError {
 			err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream answered with status %d", status)
-			return dispatch.Declined{Now: time.Now(), Attempt: at.number, Err: err}
+			return dispatch.ErrorResponse{Now: time.Now(), Attempt: at.number, Err: err}
 		}
-		if s.Events() && a.plan.Resumable {
-			s.Within(time.Duration(pauseShare * float64(a.req.Profile.MaxPause.Std())))
+		if s.IsEventStream() && a.plan.Resumable {
+			s.SetStallTimeout(time.Duration(pauseShare * float64(a.req.Profile.MaxPause.Std())))
 		}
 		if a.session != 0 {
 			a.router.holders.Record(a.session, at.vm)
 		}
 		a.router.retries.Answered(time.Now(), a.poolName)
-		return dispatch.Opened{Now: time.Now(), Attempt: at.number, Resumable: s.Events()}
+		return dispatch.ResponseStarted{Now: time.Now(), Attempt: at.number, Resumable: s.IsEventStream()}
 	}
 }
 
@@ -204,7 +204,7 @@
 	a.lostAnswer(at)
 	at.stream.Close()
 	at.stream = nil
-	return dispatch.Lost{Now: time.Now(), Attempt: at.number}
+	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
 // lostAnswer speaks against the upstream of an attempt whose connection broke, unless
@@ -218,7 +218,7 @@
 // attach implements carrier. dispatch asks nobody to attach to what has no
 // sidecar.
 func (a direct) attach(at *attempt) dispatch.Event {
-	return dispatch.Lost{Now: time.Now(), Attempt: at.number}
+	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
 // cancel implements carrier: an upstream drops a request whose connection is
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -78,7 +78,7 @@
 	if len(a.targets) == 0 {
 		a.Close()
 		e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "pool %q has no upstream that takes requests in %v", pool, req.regions())
-		return nil, e.Later(a.noneOpen(now))
+		return nil, e.WithRetryAfter(a.noneOpen(now))
 	}
 	a.plan = req.directPlan(r.policy(), len(a.targets))
 	budget := advisor{Budget: r.retries.Request(now, a.poolName), router: r, pool: a.pool}
@@ -116,7 +116,7 @@
 // callers come back when there is room.
 func (a *Answer) expectedLate(later time.Duration) error {
 	expectedLate.Inc()
-	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.expected()).Later(later)
+	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.expected()).WithRetryAfter(later)
 }
 
 // expected returns in which time the first byte of the answer is expected, an hour at most.
@@ -204,7 +204,7 @@
 // loadHeard takes in what an upstream says of its load. The request that it answers
 // has only begun and is not in it: of 5.9 requests at an upstream, the heads of
 // answers tell 4.7.
-func (a direct) loadHeard(at *attempt, w exchange.Word) {
+func (a direct) loadHeard(at *attempt, w exchange.Signal) {
 	if w.Load != nil {
 		at.tracker.SetSlots(w.Load.Slots)
 		at.tracker.RecordLoad(time.Now(), load.Hash(at.vm.ID), w.Load.Running+w.Load.Waiting+1)
--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -96,12 +96,12 @@
 		w.post(Unreachable{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
 	case 1:
 		side.ran = rapid.Bool().Draw(w.t, "arrived")
-		w.post(Lost{Now: w.now, Attempt: i})
+		w.post(ConnectionLost{Now: w.now, Attempt: i})
 	case 2:
 		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")})
 	case 3:
 		side.ran = true
-		w.post(Declined{Now: w.now, Attempt: i, Err: failed})
+		w.post(ErrorResponse{Now: w.now, Attempt: i, Err: failed})
 	default:
 		side.ran = true
 		w.piece(i)
@@ -113,7 +113,7 @@
 // submit lets one submission meet its fate.
 func (w *world) submit(i int) {
 	side := w.sides[i]
-	held := w.plan.Held && w.state.attempts[i].held
+	held := w.plan.CallerHasKey && w.state.attempts[i].held
 	switch fate := rapid.IntRange(0, 5).Draw(w.t, "fate"); {
 	case fate == 0:
 		w.post(Unreachable{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
@@ -121,7 +121,7 @@
 		if rapid.Bool().Draw(w.t, "arrived") && !side.closed {
 			side.ran = true
 		}
-		w.post(Lost{Now: w.now, Attempt: i})
+		w.post(ConnectionLost{Now: w.now, Attempt: i})
 	case fate == 2 && rapid.Bool().Draw(w.t, "restart"):
 		side.restarted = true
 		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
@@ -160,10 +160,10 @@
 func (w *world) piece(i int) {
 	switch rapid.IntRange(0, 6).Draw(w.t, "piece") {
 	case 0:
-		w.post(Lost{Now: w.now, Attempt: i})
+		w.post(ConnectionLost{Now: w.now, Attempt: i})
 	case 1:
 		w.sides[i].restarted = true
-		w.post(Lost{Now: w.now, Attempt: i})
+		w.post(ConnectionLost{Now: w.now, Attempt: i})
 	case 2:
 		w.post(Ended{Now: w.now, Attempt: i, Err: verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")})
 	case 3: // silence, until a deadline
@@ -172,11 +172,11 @@
 		case w.delivered && w.state.winner == i:
 			w.post(Ended{Now: w.now, Attempt: i})
 		case w.delivered: // an answer that goes on with another's
-			w.post(Opened{Now: w.now, Attempt: i, Resumable: true})
+			w.post(ResponseStarted{Now: w.now, Attempt: i, Resumable: true})
 		default:
 			events := rapid.Bool().Draw(w.t, "events")
 			w.resumable = w.plan.Resumable && events
-			w.post(Opened{Now: w.now, Attempt: i, Resumable: events})
+			w.post(ResponseStarted{Now: w.now, Attempt: i, Resumable: events})
 		}
 	}
 }
@@ -222,21 +222,21 @@
 		now := time.Unix(1000, 0)
 		w := &world{t: t, now: now, budget: &retry.Budget{}}
 		w.plan = Plan{
-			Idempotent: rapid.Bool().Draw(t, "idempotent"),
-			Read:       rapid.Bool().Draw(t, "read"),
-			Held:       rapid.Bool().Draw(t, "held"),
-			Direct:     rapid.Bool().Draw(t, "direct"),
-			Resumable:  rapid.Bool().Draw(t, "resumable"),
-			Offers:     rapid.IntRange(1, 4).Draw(t, "offers"),
-			Sends:      rapid.IntRange(0, 3).Draw(t, "sends"),
-			HedgeAfter: time.Second,
-			FirstByte:  now.Add(2 * time.Second),
-			Deadline:   now.Add(3 * time.Second),
+			Idempotent:   rapid.Bool().Draw(t, "idempotent"),
+			ReadOnly:     rapid.Bool().Draw(t, "read"),
+			CallerHasKey: rapid.Bool().Draw(t, "held"),
+			Direct:       rapid.Bool().Draw(t, "direct"),
+			Resumable:    rapid.Bool().Draw(t, "resumable"),
+			MaxOffers:    rapid.IntRange(1, 4).Draw(t, "offers"),
+			MaxSends:     rapid.IntRange(0, 3).Draw(t, "sends"),
+			HedgeAfter:   time.Second,
+			FirstByte:    now.Add(2 * time.Second),
+			Deadline:     now.Add(3 * time.Second),
 		}
 		if rapid.Bool().Draw(t, "switches") && w.plan.Direct {
 			w.plan.SwitchAfter = 500 * time.Millisecond
 		}
-		w.plan.Held = w.plan.Held && !w.plan.Direct
+		w.plan.CallerHasKey = w.plan.CallerHasKey && !w.plan.Direct
 		w.plan.Resumable = w.plan.Resumable && w.plan.Direct
 		for range rapid.IntRange(0, 30).Draw(t, "earlier requests") {
 			w.budget.Deposit(retry.MaxRatio)
@@ -259,8 +259,8 @@
 		if !w.plan.Idempotent && !w.plan.Resumable && w.ran() > 1 {
 			t.Fatalf("ran %d times", w.ran())
 		}
-		if w.plan.Sends > 0 && w.plan.Direct && w.ran() > w.plan.Sends {
-			t.Fatalf("ran at %d upstreams of at most %d", w.ran(), w.plan.Sends)
+		if w.plan.MaxSends > 0 && w.plan.Direct && w.ran() > w.plan.MaxSends {
+			t.Fatalf("ran at %d upstreams of at most %d", w.ran(), w.plan.MaxSends)
 		}
 		if w.refused && w.ran() > 0 {
 			t.Fatal("ran although other copies of the request are told not-run")
@@ -284,16 +284,16 @@
 	for range 11 {
 		budget.Deposit(retry.MaxRatio)
 	}
-	s := New(Plan{Idempotent: true, Read: true, Offers: 2, HedgeAfter: time.Second}, budget)
+	s := New(Plan{Idempotent: true, ReadOnly: true, MaxOffers: 2, HedgeAfter: time.Second}, budget)
 	s.Step(Began{Now: now})
 	s.Step(Admitted{Attempt: 0})
 	if got := s.Step(Ticked{Now: s.Wake()}); len(got) != 1 || got[0] != (Offer{Attempt: 1, Candidate: 1}) {
 		t.Fatalf("hedge: %v", got)
 	}
-	if got := s.Step(Opened{Attempt: 1}); len(got) != 2 || got[0] != (Drop{Attempt: 0}) || got[1] != (Deliver{Attempt: 1}) {
+	if got := s.Step(ResponseStarted{Attempt: 1}); len(got) != 2 || got[0] != (Cancel{Attempt: 0}) || got[1] != (Deliver{Attempt: 1}) {
 		t.Fatalf("winner: %v", got)
 	}
-	if got := s.Step(Opened{Attempt: 0}); got != nil {
+	if got := s.Step(ResponseStarted{Attempt: 0}); got != nil {
 		t.Fatalf("loser: %v", got)
 	}
 }
@@ -306,13 +306,13 @@
 	for range 11 {
 		budget.Deposit(retry.MaxRatio)
 	}
-	s := New(Plan{Idempotent: true, Read: true, Offers: 2, HedgeAfter: time.Second}, budget)
+	s := New(Plan{Idempotent: true, ReadOnly: true, MaxOffers: 2, HedgeAfter: time.Second}, budget)
 	s.Step(Began{Now: now})
 	s.Step(Ticked{Now: s.Wake()})
 	s.Step(Admitted{Attempt: 1})
 	crash := verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")
 	got := s.Step(Ended{Now: now, Attempt: 0, Err: crash})
-	if len(got) != 2 || got[0] != (Drop{Attempt: 1}) || got[1] != (Finish{Err: crash}) {
+	if len(got) != 2 || got[0] != (Cancel{Attempt: 1}) || got[1] != (Finish{Err: crash}) {
 		t.Fatalf("after the crash: %v", got)
 	}
 }
@@ -323,7 +323,7 @@
 // come back although the first upstream had room all the time.
 func TestTheFirstToRefuseForItsBoundIsAskedAgain(t *testing.T) {
 	overBound := verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")
-	s := New(Plan{Offers: 3}, &retry.Budget{})
+	s := New(Plan{MaxOffers: 3}, &retry.Budget{})
 	got := s.Step(Began{Now: time.Unix(1000, 0)})
 	for attempt, candidate := range []int{0, 1, 2, 0} {
 		if len(got) != 1 || got[0] != (Offer{Attempt: attempt, Candidate: candidate}) {
@@ -339,7 +339,7 @@
 // The same while the last of the pool drains: what it refuses for says nothing of the
 // room at the first.
 func TestTheFirstToRefuseForItsBoundIsAskedAgainAfterADrainingOne(t *testing.T) {
-	s := New(Plan{Offers: 2}, &retry.Budget{})
+	s := New(Plan{MaxOffers: 2}, &retry.Budget{})
 	s.Step(Began{Now: time.Unix(1000, 0)})
 	s.Step(Refused{Attempt: 0, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")})
 	got := s.Step(Refused{Attempt: 1, Err: verdict.New(verdict.NotRun, verdict.ReasonDraining, "")})
@@ -366,11 +366,11 @@
 	full := verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")
 	for named, want := range map[time.Duration]time.Duration{0: 3 * time.Second, time.Second: time.Second} {
 		var a advisor
-		s := New(Plan{Direct: true, Offers: 1, Deadline: now.Add(9 * time.Second)}, &a)
+		s := New(Plan{Direct: true, MaxOffers: 1, Deadline: now.Add(9 * time.Second)}, &a)
 		s.Step(Began{Now: now})
 		err := full
 		if named > 0 {
-			err = full.Later(named)
+			err = full.WithRetryAfter(named)
 		}
 		got := s.Step(Refused{Now: now.Add(time.Second), Attempt: 0, Err: err})
 		if len(got) != 1 || got[0].(Finish).Err.RetryAfter != want {
--- a/internal/router/dispatch/event.go
+++ b/internal/router/dispatch/event.go
@@ -12,14 +12,14 @@
 
 // Plan is what is known of a request before it is offered to anyone.
 type Plan struct {
-	Idempotent bool // it may run more than once
-	Read       bool // it changes nothing
-	Held       bool // its caller holds the key: the first attempt runs under it
-	Resume     bool // only the answer to an earlier request under the held key is wanted
-	Direct     bool // upstreams have no sidecar: a lost connection is not opened again
-	Resumable  bool // another run may go on with an answer that has broken off
-	Offers     int  // how many upstreams it may be offered to
-	Sends      int  // how many of them it may be sent to; zero: all
+	Idempotent   bool // it may run more than once
+	ReadOnly     bool // it changes nothing
+	CallerHasKey bool // its caller holds the key: the first attempt runs under it
+	AttachOnly   bool // only the answer to an earlier request under the held key is wanted
+	Direct       bool // upstreams have no sidecar: a lost connection is not opened again
+	Resumable    bool // another run may go on with an answer that has broken off
+	MaxOffers    int  // how many upstreams it may be offered to
+	MaxSends     int  // how many of them it may be sent to; zero: all
 
 	HedgeAfter time.Duration // until a second attempt; zero: none
 	// SwitchAfter is how long an attempt that has said nothing is waited for before
@@ -55,8 +55,8 @@
 	Final   bool      // no other upstream would take it
 }
 
-// Lost is a connection that broke after the request had been sent over it.
-type Lost struct {
+// ConnectionLost is a connection that broke after the request had been sent over it.
+type ConnectionLost struct {
 	Now     time.Time
 	Attempt int
 }
@@ -66,25 +66,25 @@
 	Attempt int
 }
 
-// Declined is an answer that is there and tells of a failure of the upstream.
-type Declined struct {
+// ErrorResponse is an answer that is there and tells of a failure of the upstream.
+type ErrorResponse struct {
 	Now     time.Time
 	Attempt int
 	Err     *verdict.Error
 }
 
-// Opened is the first piece of an answer.
-type Opened struct {
+// ResponseStarted is the first piece of an answer.
+type ResponseStarted struct {
 	Now       time.Time
 	Attempt   int
 	Resumable bool // another run can go on with it, if the plan allows
 }
 
-// Advanced is a piece of the answer that the caller has taken.
-type Advanced struct{}
+// PieceDelivered is a piece of the answer that the caller has taken.
+type PieceDelivered struct{}
 
-// Silent is an answer that goes to the caller and has paused for too long.
-type Silent struct {
+// Stalled is an answer that goes to the caller and has paused for too long.
+type Stalled struct {
 	Now     time.Time
 	Attempt int
 }
@@ -96,8 +96,8 @@
 	Err     *verdict.Error
 }
 
-// Sealed is an attempt that had not been sent and never will be.
-type Sealed struct {
+// NotSent is an attempt that had not been sent and never will be.
+type NotSent struct {
 	Attempt int
 }
 
@@ -106,18 +106,18 @@
 	Now time.Time
 }
 
-func (Began) isEvent()       {}
-func (Unreachable) isEvent() {}
-func (Refused) isEvent()     {}
-func (Lost) isEvent()        {}
-func (Admitted) isEvent()    {}
-func (Declined) isEvent()    {}
-func (Opened) isEvent()      {}
-func (Advanced) isEvent()    {}
-func (Silent) isEvent()      {}
-func (Ended) isEvent()       {}
-func (Sealed) isEvent()      {}
-func (Ticked) isEvent()      {}
+func (Began) isEvent()           {}
+func (Unreachable) isEvent()     {}
+func (Refused) isEvent()         {}
+func (ConnectionLost) isEvent()  {}
+func (Admitted) isEvent()        {}
+func (ErrorResponse) isEvent()   {}
+func (ResponseStarted) isEvent() {}
+func (PieceDelivered) isEvent()  {}
+func (Stalled) isEvent()         {}
+func (Ended) isEvent()           {}
+func (NotSent) isEvent()         {}
+func (Ticked) isEvent()          {}
 
 // Effect is something to be done for the request.
 type Effect interface{ isEffect() }
@@ -161,8 +161,8 @@
 	Resumable bool // another run may go on with it
 }
 
-// Drop cancels an attempt whose answer is not needed any more.
-type Drop struct {
+// Cancel cancels an attempt whose answer is not needed any more.
+type Cancel struct {
 	Attempt int
 }
 
@@ -177,5 +177,5 @@
 func (Resubmit) isEffect()     {}
 func (Attach) isEffect()       {}
 func (Deliver) isEffect()      {}
-func (Drop) isEffect()         {}
+func (Cancel) isEffect()       {}
 func (Finish) isEffect()       {}
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MaxLinks is the longest chain of keys under which one request may go on.
-	MaxLinks = 4
+	// MaxKeyChain is the longest chain of keys under which one request may go on.
+	MaxKeyChain = 4
 
 	// maxReconnects is how often a connection to one sidecar is opened anew for
 	// a request without any progress in between.
@@ -118,30 +118,30 @@
 	switch e := event.(type) {
 	case Began:
 		s.began = e.Now
-		if s.plan.Resume {
+		if s.plan.AttachOnly {
 			s.offered++
 			return []Effect{Attach{Attempt: s.start(attempt{phase: admitted, candidate: none, held: true})}}
 		}
-		return s.offer(s.plan.Held)
+		return s.offer(s.plan.CallerHasKey)
 	case Unreachable:
 		return s.unreachable(e)
 	case Refused:
 		return s.refused(e)
-	case Lost:
+	case ConnectionLost:
 		return s.lost(e.Attempt)
 	case Admitted:
 		s.admitted(e.Attempt)
-	case Declined:
+	case ErrorResponse:
 		return s.declined(e)
-	case Opened:
+	case ResponseStarted:
 		return s.opened(e)
-	case Advanced:
+	case PieceDelivered:
 		s.attempts[s.winner].reconnects = 0
-	case Silent:
+	case Stalled:
 		return s.silent(e)
 	case Ended:
 		return s.ended(e)
-	case Sealed:
+	case NotSent:
 		s.attempts[e.Attempt].phase = over
 	case Ticked:
 		return s.ticked(e.Now)
@@ -158,13 +158,13 @@
 		return e.Now
 	case Refused:
 		return e.Now
-	case Lost:
+	case ConnectionLost:
 		return e.Now
-	case Declined:
+	case ErrorResponse:
 		return e.Now
-	case Opened:
+	case ResponseStarted:
 		return e.Now
-	case Silent:
+	case Stalled:
 		return e.Now
 	case Ended:
 		return e.Now
@@ -177,13 +177,13 @@
 func (s *State) conditions() retry.Conditions {
 	return retry.Conditions{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
-		ReadOnly:      s.plan.Read,
+		ReadOnly:      s.plan.ReadOnly,
 		AnswerStarted: s.begun && !s.resume,
 	}
 }
 
 func (s *State) mayHedge() bool {
-	return !s.hedged && s.plan.HedgeAfter > 0 && !s.plan.Held &&
+	return !s.hedged && s.plan.HedgeAfter > 0 && !s.plan.CallerHasKey &&
 		!s.spent() && retry.MayHedge(s.conditions())
 }
 
@@ -197,7 +197,7 @@
 // spent reports whether the request may go to no further upstream.
 func (s *State) spent() bool {
 	sends := len(s.attempts) - s.unsent
-	return s.offered >= s.plan.Offers || s.plan.Sends > 0 && sends >= s.plan.Sends
+	return s.offered >= s.plan.MaxOffers || s.plan.MaxSends > 0 && sends >= s.plan.MaxSends
 }
 
 // alive counts the attempts that are not over.
@@ -254,7 +254,7 @@
 }
 
 func (s *State) follow(link int, key wire.Key) []Effect {
-	if s.plan.Resume {
+	if s.plan.AttachOnly {
 		return []Effect{FollowAttach{Attempt: s.start(attempt{phase: admitted, candidate: none, held: true, link: link}), Key: key}}
 	}
 	return []Effect{Follow{Attempt: s.start(attempt{candidate: none, held: true, link: link}), Key: key}}
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -61,7 +61,7 @@
 	if a.phase == over {
 		return nil
 	}
-	if e.Moved != nil && a.link+1 < MaxLinks {
+	if e.Moved != nil && a.link+1 < MaxKeyChain {
 		s.attempts[e.Attempt].phase = over
 		return s.follow(a.link+1, *e.Moved)
 	}
@@ -76,7 +76,7 @@
 
 // opened handles the first piece of an answer. The first attempt to get there
 // answers the caller; a hedge that comes second is cancelled.
-func (s *State) opened(e Opened) []Effect {
+func (s *State) opened(e ResponseStarted) []Effect {
 	i := e.Attempt
 	if s.winner != none || s.attempts[i].phase == over {
 		return nil
@@ -88,20 +88,20 @@
 
 // declined handles an upstream's own word that it has failed. Where the request
 // may run again that is tried; else the upstream's answer is the best there is.
-func (s *State) declined(e Declined) []Effect {
+func (s *State) declined(e ErrorResponse) []Effect {
 	if s.winner != none || s.attempts[e.Attempt].phase == over {
 		return nil
 	}
 	f := retry.Failure{Err: e.Err, Reached: true}
 	if s.begun { // of another answer, which this one cannot go on with
-		return append([]Effect{Drop{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
+		return append([]Effect{Cancel{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
 	}
 	if retry.Decide(f, s.conditions()) != retry.Retry || s.spent() || s.alive() > 1 || !s.budget.Withdraw() {
-		return s.opened(Opened{Now: e.Now, Attempt: e.Attempt})
+		return s.opened(ResponseStarted{Now: e.Now, Attempt: e.Attempt})
 	}
 	s.attempts[e.Attempt].phase = over
 	s.note(e.Err)
-	return append([]Effect{Drop{Attempt: e.Attempt}}, s.offer(false)...)
+	return append([]Effect{Cancel{Attempt: e.Attempt}}, s.offer(false)...)
 }
 
 func (s *State) dropOthers(keep int) []Effect {
@@ -109,7 +109,7 @@
 	for i := range s.attempts {
 		if i != keep && s.attempts[i].phase != over {
 			s.attempts[i].phase = over
-			effects = append(effects, Drop{Attempt: i})
+			effects = append(effects, Cancel{Attempt: i})
 		}
 	}
 	return effects
@@ -154,7 +154,7 @@
 	switch {
 	case next == retry.Reroute && s.spent() && s.askAgain && s.full != none:
 		return s.offerAgain()
-	case s.plan.Resume || s.spent() || next == retry.Stop:
+	case s.plan.AttachOnly || s.spent() || next == retry.Stop:
 		return s.finish(f.Err)
 	case next == retry.Retry && !s.budget.Withdraw():
 		return s.finish(f.Err)
@@ -200,7 +200,7 @@
 		err = &sent
 	}
 	if worthwhile(err) {
-		err = err.Later(s.advice())
+		err = err.WithRetryAfter(s.advice())
 	}
 	return append(effects, Finish{Err: err})
 }
@@ -243,7 +243,7 @@
 
 // silent gives up an answer that has paused for too long, if another upstream can
 // go on with it. Otherwise it is waited for: silence alone ends no answer.
-func (s *State) silent(e Silent) []Effect {
+func (s *State) silent(e Stalled) []Effect {
 	if e.Attempt != s.winner || !s.resume || s.spent() || !s.budget.Withdraw() {
 		return nil
 	}
@@ -276,6 +276,6 @@
 		v = verdict.MayHaveRun
 	}
 	err := verdict.New(v, verdict.ReasonDeadline, "%s", detail)
-	err.EarlierUnknown = s.plan.Held && v == verdict.NotRun
+	err.EarlierUnknown = s.plan.CallerHasKey && v == verdict.NotRun
 	return s.finish(err)
 }
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -80,7 +80,7 @@
 	a.winner = at
 	if resumable {
 		if a.cutter == nil {
-			a.cutter = &eventstream.Cutter{}
+			a.cutter = &eventstream.Framer{}
 		}
 		return
 	}
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -33,7 +33,7 @@
 	defer l.mu.Unlock()
 	if org.Concurrency > 0 && l.open[org.Name] >= share(org.Concurrency, routers) {
 		e := verdict.New(verdict.NotRun, verdict.ReasonConcurrency, "the organisation has %d requests in flight here", l.open[org.Name])
-		return nil, e.Later(time.Second)
+		return nil, e.WithRetryAfter(time.Second)
 	}
 	l.open[org.Name]++
 	return func() { l.leave(org.Name) }, nil
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -75,9 +75,9 @@
 		a.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
 	case dispatch.Refused:
 		a.logFailure("attempt was refused", e.Attempt, e.Err, decided)
-	case dispatch.Lost:
+	case dispatch.ConnectionLost:
 		a.logFailure("attempt was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
-	case dispatch.Declined:
+	case dispatch.ErrorResponse:
 		a.logFailure("upstream answered with a failure", e.Attempt, e.Err, decided)
 	case dispatch.Ended:
 		if e.Err != nil {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -33,7 +33,7 @@
 		release:    func() {},
 		caller:     ctx,
 		outcomes:   make(chan outcome),
-		plan:       dispatch.Plan{Held: true, Resume: true, Offers: 1},
+		plan:       dispatch.Plan{CallerHasKey: true, AttachOnly: true, MaxOffers: 1},
 	}
 	a.carrier = sidecars{a}
 	a.ctx, a.stop = context.WithCancel(context.WithoutCancel(ctx))
@@ -75,7 +75,7 @@
 	e := verdict.From(err)
 	switch e.Reason {
 	case verdict.ReasonNoUpstream, verdict.ReasonConnection, verdict.ReasonInternal:
-		return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the upstream's sidecar cannot be reached").Later(time.Second)
+		return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the upstream's sidecar cannot be reached").WithRetryAfter(time.Second)
 	}
 	return e
 }
@@ -115,5 +115,5 @@
 		r.avoid(vm.ID)
 	}
 	e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream of pool %q could be reached", p.Pool)
-	return wire.Key{}, e.Later(time.Second)
+	return wire.Key{}, e.WithRetryAfter(time.Second)
 }
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -40,7 +40,7 @@
 	if len(a.candidates) == 0 {
 		a.Close()
 		e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "pool %q has no upstream", req.Profile.Pool)
-		return nil, e.Later(time.Second)
+		return nil, e.WithRetryAfter(time.Second)
 	}
 	if err := a.run(); err != nil {
 		a.Close()
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -50,7 +50,7 @@
 		return a.forward(p)
 	case a.caller.Err() != nil:
 		return wire.Piece{}, false, a.caller.Err()
-	case errors.Is(err, exchange.ErrSilent):
+	case errors.Is(err, exchange.ErrStalled):
 		a.silent(at)
 	case passed(a.plan.Deadline, time.Now()):
 		a.tick()
@@ -61,11 +61,11 @@
 		if a.plan.Direct {
 			at.watch.RecordFailure()
 		}
-		if a.cutter != nil && !a.cutter.Break() {
+		if a.cutter != nil && !a.cutter.Discard() {
 			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errTorn})
 			break
 		}
-		a.step(dispatch.Lost{Now: time.Now(), Attempt: at.number})
+		a.step(dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number})
 	}
 	return wire.Piece{}, false, nil
 }
@@ -73,11 +73,11 @@
 // silent handles a stream that has paused for too long. It is given up only if
 // another upstream goes on with it: silence alone is no reason to end an answer.
 func (a *Answer) silent(at *attempt) {
-	if a.cutter.Break() {
-		a.step(dispatch.Silent{Now: time.Now(), Attempt: at.number})
+	if a.cutter.Discard() {
+		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
 	}
 	if s, ok := at.stream.(*directStream); ok && a.winner == at {
-		s.Within(0)
+		s.SetStallTimeout(0)
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 	switch {
 	case p.End != nil:
-		if a.cutter != nil && p.End.Error == nil && len(a.cutter.Rest()) > 0 {
-			rest := a.cutter.Rest()
+		if a.cutter != nil && p.End.Error == nil && len(a.cutter.Pending()) > 0 {
+			rest := a.cutter.Pending()
 			a.cutter = nil
 			at.pieces = append(at.pieces, p)
 			return wire.Piece{Bytes: rest}, true, nil
@@ -125,7 +125,7 @@
 			p.Bytes = a.cutter.Feed(p.Bytes)
 		}
 		a.written += int64(len(p.Bytes))
-		a.step(dispatch.Advanced{})
+		a.step(dispatch.PieceDelivered{})
 		return p, len(p.Bytes) > 0, nil
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -77,13 +77,13 @@
 // plan returns what dispatch needs to know of the request.
 func (r *Request) plan(now time.Time, offers int) dispatch.Plan {
 	return dispatch.Plan{
-		Idempotent: r.Profile.Idempotent,
-		Read:       r.read(),
-		Held:       r.Key != nil,
-		Offers:     offers,
-		HedgeAfter: r.Profile.HedgeAfter.Std(),
-		FirstByte:  after(now, r.Profile.FirstToken.Std()),
-		Deadline:   after(now, r.Profile.Deadline.Std()),
+		Idempotent:   r.Profile.Idempotent,
+		ReadOnly:     r.read(),
+		CallerHasKey: r.Key != nil,
+		MaxOffers:    offers,
+		HedgeAfter:   r.Profile.HedgeAfter.Std(),
+		FirstByte:    after(now, r.Profile.FirstToken.Std()),
+		Deadline:     after(now, r.Profile.Deadline.Std()),
 	}
 }
 
@@ -92,7 +92,7 @@
 	p := r.plan(r.Arrived, offers)
 	p.Direct = true
 	p.Resumable = r.Profile.Resumable && on.Resumption
-	p.Sends = r.Profile.Attempts
+	p.MaxSends = r.Profile.Attempts
 	objective := r.Profile.Objective.Std()
 	if p.HedgeAfter == 0 && r.Profile.Idempotent && on.Hedges {
 		p.HedgeAfter = time.Duration(hedgeShare * float64(objective))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -241,7 +241,7 @@
 func (r *Router) abandon() {
 	for _, vm := range r.replaced {
 		if r.config.Direct != nil {
-			r.config.Direct.Abandon(vm)
+			r.config.Direct.AbortCalls(vm)
 		}
 	}
 	r.replaced = nil
@@ -288,7 +288,7 @@
 		r.claimer.ObserveEra(time.Now(), topo.EraOf(r.config.Store))
 		r.prunePeers()
 		if r.config.Direct != nil {
-			r.config.Direct.Keep(time.Now(), r.View().VMs)
+			r.config.Direct.CloseIdle(time.Now(), r.View().VMs)
 		}
 		if r.config.VMs != nil {
 			tag = r.readVMs(ctx, tag)
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -108,7 +108,7 @@
 // which the site of its crash may send on. The next sidecar is connected to
 // first, because a key names its incarnation.
 func (a sidecars) successor(at *attempt) *wire.Key {
-	if a.req.Key == nil && !a.suspect || at.link+1 >= dispatch.MaxLinks || at.link+1 >= len(a.candidates) {
+	if a.req.Key == nil && !a.suspect || at.link+1 >= dispatch.MaxKeyChain || at.link+1 >= len(a.candidates) {
 		return nil
 	}
 	for _, vm := range a.candidates[at.link+1:] {
@@ -143,7 +143,7 @@
 	now := time.Now()
 	e := verdict.From(err)
 	if adm.Error == nil && e.Reason == verdict.ReasonConnection {
-		return dispatch.Lost{Now: now, Attempt: at.number}
+		return dispatch.ConnectionLost{Now: now, Attempt: at.number}
 	}
 	if unsent(adm, err) {
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: e}
@@ -193,7 +193,7 @@
 		}
 		at.pieces = append(at.pieces, p)
 		if p.Head == nil {
-			return dispatch.Opened{Now: time.Now(), Attempt: at.number}
+			return dispatch.ResponseStarted{Now: time.Now(), Attempt: at.number}
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	}
 	at.stream.Close()
 	at.stream = nil
-	return dispatch.Lost{Now: time.Now(), Attempt: at.number}
+	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
 // cancelTimeout bounds the attempt to cancel what nobody waits for. If it
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -88,13 +88,13 @@
 			s.loop.Post(Headed{Now: time.Now(), Nonce: a.nonce})
 		}
 		if werr := a.write(ctx, buf[:n]); werr != nil {
-			return upstream.Broken(werr)
+			return upstream.ResponseInterrupted(werr)
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return upstream.Broken(err)
+			return upstream.ResponseInterrupted(err)
 		}
 	}
 }
--- a/internal/sidecar/schedule.go
+++ b/internal/sidecar/schedule.go
@@ -84,7 +84,7 @@
 // tooLate answers a request that has missed its deadline while it waited.
 func (s *State) tooLate(now time.Time, r *request) []Effect {
 	err := verdict.New(verdict.NotRun, verdict.ReasonDeadline, "its turn did not come within its deadline")
-	return s.withdraw(now, r, err.Later(s.queue.Backoff()))
+	return s.withdraw(now, r, err.WithRetryAfter(s.queue.Backoff()))
 }
 
 // withdraw ends a request that has not run and now will not, and sends those
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -31,7 +31,7 @@
 }
 
 func (r *refusal) later(d time.Duration) *refusal {
-	r.err = r.err.Later(d)
+	r.err = r.err.WithRetryAfter(d)
 	return r
 }
 
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -113,8 +113,8 @@
 	return verdict.New(verdict.MayHaveRun, reason(err, verdict.ReasonUpstreamFailed), "%s", err)
 }
 
-// Broken is the error of an answer that broke off while its body was read.
-func Broken(err error) error {
+// ResponseInterrupted is the error of an answer that broke off while its body was read.
+func ResponseInterrupted(err error) error {
 	return verdict.New(verdict.Ran, reason(err, verdict.ReasonUpstreamFailed), "the answer broke off: %s", err)
 }
 
--- a/internal/upstream/kv.go
+++ b/internal/upstream/kv.go
@@ -13,9 +13,9 @@
 	exportPath = "/kv/export?session="
 	importPath = "/kv/import?session="
 
-	// MaxCached bounds the exported prefix of one session, in bytes, so that it
+	// MaxExportBytes bounds the exported prefix of one session, in bytes, so that it
 	// fits into one message between sidecars.
-	MaxCached = 4 << 20
+	MaxExportBytes = 4 << 20
 )
 
 // ErrNotCached is a session of which the upstream holds nothing.
@@ -31,9 +31,9 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, ErrNotCached
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxCached+1))
-	if err != nil || len(b) > MaxCached {
-		return nil, errors.Errorf("upstream: export of over %d bytes, or cut short", MaxCached)
+	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxExportBytes+1))
+	if err != nil || len(b) > MaxExportBytes {
+		return nil, errors.Errorf("upstream: export of over %d bytes, or cut short", MaxExportBytes)
 	}
 	return b, nil
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -149,8 +149,8 @@
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Later returns a copy of e that tells the caller to come back after d.
-func (e *Error) Later(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller to come back after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
