--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -17,7 +17,7 @@
 	for _, p := range r.View().Pools {
 		for _, vm := range p.VMs {
 			if vm.Role == topo.RoleDirect {
-				out = append(out, r.account(now, p, vm))
+				out = append(out, r.directUpstream(now, p, vm))
 			}
 		}
 	}
@@ -27,10 +27,10 @@
 	return out
 }
 
-func (r *Router) account(now time.Time, p *Pool, vm topo.VM) admin.UpstreamAccount {
+func (r *Router) directUpstream(now time.Time, p *Pool, vm topo.VM) admin.UpstreamAccount {
 	id := load.Hash(vm.ID)
-	set := r.against(now, p, vm.ID)
-	statements := append(p.statements(now, vm.ID), r.conditions.Statements(now, vm.ID)...)
+	set := r.conditionsOf(now, p, vm.ID)
+	statements := append(p.listedStatements(now, vm.ID), r.conditions.Statements(now, vm.ID)...)
 	if p.tracker.Suspected(now, id) {
 		set = set.Union(condition.Of(condition.Suspected))
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
@@ -38,7 +38,7 @@
 	leave, why := set.Allows(condition.Work)
 	out := admin.UpstreamAccount{
 		VM: vm.ID, Addr: vm.Addr, Pool: vm.Pool, FailureDomain: vm.FailureDomain,
-		Load: tenths(p.tracker.Load(now, id)), Work: leave.String(),
+		Load: roundTenths(p.tracker.Load(now, id)), Work: leave.String(),
 	}
 	if leave != condition.Freely {
 		out.Why = why.String()
@@ -49,18 +49,18 @@
 	return out
 }
 
-// statements returns the conditions of an upstream that the pool's view tells. A cold one is
+// listedStatements returns the conditions of an upstream that the pool's view tells. A cold one is
 // named also while it gets requests.
-func (p *Pool) statements(now time.Time, id string) []condition.Statement {
+func (p *Pool) listedStatements(now time.Time, id string) []condition.Statement {
 	var out []condition.Statement
-	listed := p.of(id)
+	listed := p.listedConditions(id)
 	if listed.Has(condition.Drained) {
 		out = append(out, condition.Statement{Kind: condition.Drained, By: condition.ByOperators})
 	}
 	if listed.Has(condition.Leaving) {
 		out = append(out, condition.Statement{Kind: condition.Leaving, By: condition.ByEntry})
 	}
-	if warmAt, cold := p.coldAt(now, id); cold {
+	if warmAt, cold := p.coldUntil(now, id); cold {
 		out = append(out, condition.Statement{Kind: condition.Cold, By: condition.ByEntry, Until: warmAt})
 	}
 	return out
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -19,10 +19,10 @@
 
 // States of an upstream as operators see it.
 const (
-	serving  = "serving"
-	draining = "draining" // told to leave, or says so itself
-	down     = "down"
-	unheard  = "unheard" // nothing has been heard of it lately
+	serving    = "serving"
+	draining   = "draining" // told to leave, or says so itself
+	down       = "down"
+	unreported = "unheard" // nothing has been heard of it lately
 )
 
 // States of a quarantined request as operators see it.
@@ -158,11 +158,11 @@
 // status returns the pool as the router believes it to be.
 func (p *Pool) status(now time.Time, brief bool) admin.PoolStatus {
 	s := admin.PoolStatus{Known: len(p.VMs)}
-	p.beliefs.mu.Lock()
-	defer p.beliefs.mu.Unlock()
-	s.Mean, _ = p.beliefs.table.Mean(now)
+	p.loadReports.mu.Lock()
+	defer p.loadReports.mu.Unlock()
+	s.Mean, _ = p.loadReports.table.Mean(now)
 	for _, vm := range p.VMs {
-		report, heard := p.beliefs.table.Get(now, load.Hash(vm.ID))
+		report, heard := p.loadReports.table.Get(now, load.Hash(vm.ID))
 		state := stateName(report, heard)
 		switch state {
 		case draining:
@@ -186,7 +186,7 @@
 func stateName(r load.Report, heard bool) string {
 	switch {
 	case !heard:
-		return unheard
+		return unreported
 	case r.State == load.Draining:
 		return draining
 	case r.State == load.Down:
@@ -218,13 +218,13 @@
 	e := admin.Explanation{VM: o.vm, Profile: p.Name, Pool: p.Pool, Multiple: p.LoadMultiple}
 	followed, _ := o.router.ticketVM(now, q.Ticket, a.session)
 	e.TicketNote = ticketNote(q, pool, followed)
-	chosen := o.router.choose(now, a)
-	pool.beliefs.mu.Lock()
-	defer pool.beliefs.mu.Unlock()
+	chosen := o.router.chooseCandidates(now, a)
+	pool.loadReports.mu.Lock()
+	defer pool.loadReports.mu.Unlock()
 	var known int
-	e.Mean, known = pool.beliefs.table.Mean(now)
+	e.Mean, known = pool.loadReports.table.Mean(now)
 	for _, vm := range chosen {
-		report, heard := pool.beliefs.table.Get(now, load.Hash(vm.ID))
+		report, heard := pool.loadReports.table.Get(now, load.Hash(vm.ID))
 		bound := load.Bound(e.Mean, known, p.LoadMultiple, max(vm.Weight, 1))
 		if p.LoadMultiple <= 0 {
 			bound = 0
@@ -232,14 +232,14 @@
 		e.Candidates = append(e.Candidates, admin.Candidate{
 			VM: vm.ID, FailureDomain: vm.FailureDomain, State: stateName(report, heard),
 			Load: report.Load, Bound: bound,
-			Why: o.why(now, vm, a.session != 0, vm.ID == followed, report, bound),
+			Why: o.explainPlace(now, vm, a.session != 0, vm.ID == followed, report, bound),
 		})
 	}
 	return e, nil
 }
 
-// why says what put an upstream among the candidates and where.
-func (o *AdminNode) why(now time.Time, vm topo.VM, session, ticket bool, r load.Report, bound int) string {
+// explainPlace says what put an upstream among the candidates and where.
+func (o *AdminNode) explainPlace(now time.Time, vm topo.VM, session, ticket bool, r load.Report, bound int) string {
 	var parts []string
 	switch {
 	case ticket:
@@ -254,7 +254,7 @@
 	} else if bound > 0 && r.Load >= bound {
 		parts = append(parts, "believed full, after those with room")
 	}
-	if o.router.avoids(vm.ID, now) {
+	if o.router.isUnreachable(vm.ID, now) {
 		parts = append(parts, "could not be reached lately, so last")
 	}
 	return strings.Join(parts, "; ")
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -16,41 +16,41 @@
 // dispatch decides: the goroutine that calls Next owns it, and each effect that
 // waits for a sidecar runs on a goroutine of its own until it has an outcome.
 type Answer struct {
-	router     *Router
-	carrier    carrier
-	req        Request
-	plan       dispatch.Plan
-	pool       *Pool
-	poolName   string   // of direct upstreams
-	targets    []target // the direct upstreams that were chosen last
-	view       *View
-	candidates []topo.VM
-	home       string // VM that ranks first
-	session    uint64
-	share      float64 // of the pool's requests that the session has at least
-	counted    bool    // towards that share
-	late       bool    // its caller was turned away before, as far as can be told
-	print      uint64
-	suspect    bool   // it may have crashed an upstream: it runs alone
-	lent       bool   // it may run alone where it is offered
-	resumeAt   int64  // offset from which an earlier answer is wanted
-	release    func() // of the organisation's concurrency
-
-	started  time.Time
-	first    time.Duration // until the first piece went to the caller
-	written  int64         // bytes that went to the caller
-	logged   bool          // its end
-	basis    placement.Basis
-	caller   context.Context
-	ctx      context.Context // ends at Close
-	stop     context.CancelFunc
-	state    *dispatch.State
-	attempts []*attempt
-	outcomes chan outcome
-	winner   *attempt
-	cutter   *eventstream.Framer // of an answer that another upstream may go on with
-	result   *verdict.Error      // once state is finished; nil: the answer is whole
-	end      *wire.End
+	router           *Router
+	transport        transport
+	req              Request
+	plan             dispatch.Plan
+	pool             *Pool
+	poolName         string   // of direct upstreams
+	targets          []target // the direct upstreams that were chosen last
+	view             *View
+	candidates       []topo.VM
+	home             string // VM that ranks first
+	session          uint64
+	sessionShare     float64 // of the pool's requests that the session has at least
+	shareCounted     bool    // towards that share
+	returning        bool    // its caller was turned away before, as far as can be told
+	fingerprint      uint64
+	suspect          bool   // it may have crashed an upstream: it runs alone
+	isolationGranted bool   // it may run alone where it is offered
+	resumeOffset     int64  // offset from which an earlier answer is wanted
+	release          func() // of the organisation's concurrency
+
+	started         time.Time
+	timeToFirstByte time.Duration // until the first piece went to the caller
+	bytesSent       int64         // bytes that went to the caller
+	endLogged       bool          // its end
+	basis           placement.Basis
+	caller          context.Context
+	ctx             context.Context // ends at Close
+	stop            context.CancelFunc
+	state           *dispatch.State
+	attempts        []*attempt
+	outcomes        chan outcome
+	winner          *attempt
+	cutter          *eventstream.Framer // of an answer that another upstream may go on with
+	result          *verdict.Error      // once state is finished; nil: the answer is whole
+	end             *wire.End
 }
 
 // outcome is an event with the attempt that it is about.
@@ -75,7 +75,7 @@
 func (a *Answer) run() error {
 	a.step(dispatch.Began{Now: time.Now()})
 	for a.winner == nil && !a.state.Finished() {
-		if err := a.wait(); err != nil {
+		if err := a.waitForEvent(); err != nil {
 			return err
 		}
 	}
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// wait takes in the next thing that happens to the request.
-func (a *Answer) wait() error {
-	timer := time.NewTimer(untilWake(a.state.Wake()))
+// waitForEvent takes in the next thing that happens to the request.
+func (a *Answer) waitForEvent() error {
+	timer := time.NewTimer(wakeDelay(a.state.Wake()))
 	defer timer.Stop()
 	select {
 	case o := <-a.outcomes:
-		a.take(o)
+		a.handleOutcome(o)
 	case <-timer.C:
 		a.tick()
 	case <-a.caller.Done():
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// farAway stands for never.
-const farAway = 24 * time.Hour
+// noWakeDelay stands for never.
+const noWakeDelay = 24 * time.Hour
 
-func untilWake(at time.Time) time.Duration {
+func wakeDelay(at time.Time) time.Duration {
 	if at.IsZero() {
-		return farAway
+		return noWakeDelay
 	}
 	return time.Until(at)
 }
 
-func (a *Answer) take(o outcome) {
+func (a *Answer) handleOutcome(o outcome) {
 	at := o.attempt
 	if o.last {
 		at.busy = false
@@ -127,7 +127,7 @@
 // have not been sent are sealed first, so that the verdict on them is known.
 func (a *Answer) tick() {
 	now := time.Now()
-	if a.overdue(now) {
+	if a.isOverdue(now) {
 		for _, at := range a.attempts {
 			if at.gate.seal() {
 				a.step(dispatch.NotSent{Attempt: at.number})
@@ -137,11 +137,11 @@
 	a.step(dispatch.Ticked{Now: now})
 }
 
-func (a *Answer) overdue(now time.Time) bool {
-	return passed(a.plan.Deadline, now) || a.winner == nil && passed(a.plan.FirstByte, now)
+func (a *Answer) isOverdue(now time.Time) bool {
+	return isPast(a.plan.Deadline, now) || a.winner == nil && isPast(a.plan.FirstByte, now)
 }
 
-func passed(at, now time.Time) bool {
+func isPast(at, now time.Time) bool {
 	return !at.IsZero() && !now.Before(at)
 }
 
@@ -149,20 +149,20 @@
 	effects := a.state.Step(e)
 	a.logEvent(e, len(effects) > 0)
 	for _, effect := range effects {
-		a.act(effect)
+		a.execute(effect)
 	}
 }
 
-func (a *Answer) act(effect dispatch.Effect) {
+func (a *Answer) execute(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.Offer:
 		a.offer(e)
 	case dispatch.Follow:
-		a.follow(e.Key, a.carrier.submit)
+		a.followKey(e.Key, a.transport.submit)
 	case dispatch.FollowAttach:
-		a.follow(e.Key, a.carrier.attach)
+		a.followKey(e.Key, a.transport.attach)
 	case dispatch.Resubmit:
-		a.launch(a.attempts[e.Attempt], e.Retry, a.carrier.submit)
+		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.submit)
 	case dispatch.Attach:
 		a.reattach(e)
 	case dispatch.Deliver:
@@ -177,11 +177,11 @@
 // Close ends the caller's interest in the answer.
 func (a *Answer) Close() {
 	a.logEnd()
-	if a.counted && a.state != nil { // one that was turned away tells nothing of how long its kind takes
+	if a.shareCounted && a.state != nil { // one that was turned away tells nothing of how long its kind takes
 		a.pool.tracker.RecordDuration(a.req.Profile.Name, time.Since(a.started))
 	}
 	if a.state != nil && !a.state.Finished() { // nil: refused before it was offered
-		a.leave()
+		a.handleCallerGone()
 	}
 	a.stop()
 	for _, at := range a.attempts {
@@ -192,19 +192,19 @@
 	a.release()
 }
 
-// leave handles a caller that is gone before its answer is complete. If it may
+// handleCallerGone handles a caller that is gone before its answer is complete. If it may
 // come back for the answer, the request goes on: the caller holds the key, or
 // has been told the request's id. A write goes on as well, because to break it
 // off in the middle helps nobody.
-func (a *Answer) leave() {
-	mayReturn := a.req.Key != nil || a.winner != nil && !a.req.read()
+func (a *Answer) handleCallerGone() {
+	mayReturn := a.req.Key != nil || a.winner != nil && !a.req.isRead()
 	if mayReturn || !a.req.Profile.Idempotent {
 		return
 	}
 	for _, at := range a.attempts {
 		open := at.busy || at.stream != nil
 		if open && !at.gate.seal() {
-			a.carrier.cancel(at)
+			a.transport.cancel(at)
 		}
 	}
 }
--- a/internal/router/belief.go
+++ b/internal/router/belief.go
@@ -12,27 +12,27 @@
 // samplesPerMessage is how many loads of other upstreams go with each message.
 const samplesPerMessage = 5
 
-// beliefs are the loads of one pool's upstreams as this router has heard them.
+// loadReports are the loads of one pool's upstreams as this router has heard them.
 // They outlive the views that refer to them, so a new sample costs one entry
 // of a table and no new view.
-type beliefs struct {
+type loadReports struct {
 	mu    sync.Mutex
 	table *load.Table
 }
 
-func newBeliefs() *beliefs {
-	return &beliefs{table: load.NewTable()}
+func newLoadReports() *loadReports {
+	return &loadReports{table: load.NewTable()}
 }
 
 // choose writes the indices of the upstreams to which to offer a request.
-func (b *beliefs) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
+func (b *loadReports) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return p.Choose(now, b.table, q, out)
 }
 
-// heard takes in what a sidecar says of itself and of others.
-func (b *beliefs) heard(now time.Time, vm load.VM, weight int, c wire.Control) {
+// observe takes in what a sidecar says of itself and of others.
+func (b *loadReports) observe(now time.Time, vm load.VM, weight int, c wire.Control) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table.Observe(now, vm, load.Report{Load: c.Load, Weight: weight, State: loadState(c)})
@@ -42,13 +42,13 @@
 }
 
 // samples returns what to tell a VM's sidecar.
-func (b *beliefs) samples(now time.Time, vm load.VM) []byte {
+func (b *loadReports) samples(now time.Time, vm load.VM) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.table.Pack(now, samplesPerMessage, vm)
 }
 
-func (b *beliefs) keep(members []load.VM) {
+func (b *loadReports) retain(members []load.VM) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table.Keep(members)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -21,8 +21,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// heap returns the bytes in use by live objects and stacks.
-func heap() int64 {
+// heapBytes returns the bytes in use by live objects and stacks.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -68,9 +68,9 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("orgs=%d/upstreams=%d", n.orgs, n.upstreams), func(b *testing.B) {
 			for range b.N {
-				before := heap()
+				before := heapBytes()
 				s := benchState(n.orgs, n.upstreams)
-				b.ReportMetric(float64(heap()-before), "bytes")
+				b.ReportMetric(float64(heapBytes()-before), "bytes")
 				runtime.KeepAlive(s)
 			}
 		})
@@ -104,7 +104,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				a := r.newAnswer(b.Context(), v, req)
-				_ = a.confine(time.Now())
+				_ = a.applyQuarantine(time.Now())
 				a.stop()
 			}
 		})
@@ -165,7 +165,7 @@
 	v := benchState(1, 1).View()
 	r.view.Store(v)
 	body := bytes.Repeat([]byte("b"), 1024)
-	before := heap()
+	before := heapBytes()
 	ready, done := make(chan error), make(chan struct{})
 	for range n {
 		go func() {
@@ -189,7 +189,7 @@
 		}
 	}
 	time.Sleep(100 * time.Millisecond) // the readers come to rest
-	used := heap() - before
+	used := heapBytes() - before
 	stop()
 	for range n {
 		<-done
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// claimRate is how many idempotency keys of callers the whole fleet claims
+	// claimsPerSecond is how many idempotency keys of callers the whole fleet claims
 	// in the store, a second. Each costs a write, and another to sweep it.
-	claimRate = 50
+	claimsPerSecond = 50
 	// claimBurst is how many one router claims at once.
 	claimBurst = 10
 	// claimWait is how long a caller waits for the store.
@@ -30,50 +30,50 @@
 // Claim returns the request key that stands for a caller's own idempotency key:
 // the one under which it was used before, or a fresh one. When it can't be told
 // which, this request is not run.
-func (r *Router) Claim(ctx context.Context, org *profile.Organisation, p *profile.Profile, session, own string) (wire.Key, error) {
-	if !r.claims.take(time.Now(), r.View().Routers) {
+func (r *Router) Claim(ctx context.Context, org *profile.Organisation, p *profile.Profile, session, callerKey string) (wire.Key, error) {
+	if !r.claimBudget.take(time.Now(), r.View().Routers) {
 		claims.Inc(claimNoBudget)
-		return wire.Key{}, unclaimed("too many idempotency keys of callers' own choice at once")
+		return wire.Key{}, claimUnavailable("too many idempotency keys of callers' own choice at once")
 	}
-	proposed, err := r.mint(ctx, org, p, session)
+	proposed, err := r.mintKey(ctx, org, p, session)
 	if err != nil {
 		return wire.Key{}, err
 	}
 	ctx, done := context.WithTimeout(ctx, claimWait)
 	defer done()
-	key, outcome, err := r.claimer.Claim(ctx, claim.Ref(org.Name, own), proposed)
+	key, outcome, err := r.claimer.Claim(ctx, claim.Ref(org.Name, callerKey), proposed)
 	claims.Inc(outcome)
 	switch {
 	case outcome == claim.StoreRestored:
 		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonStoreDown,
 			"the platform's store has lost what it took in the last seconds").WithRetryAfter(claim.RestoreGrace)
 	case err != nil:
-		return wire.Key{}, unclaimed("the platform's store does not answer")
+		return wire.Key{}, claimUnavailable("the platform's store does not answer")
 	}
 	return key, nil
 }
 
-func unclaimed(detail string) *verdict.Error {
+func claimUnavailable(detail string) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonStoreDown, "%s", detail).WithRetryAfter(time.Second)
 }
 
 // claimBudget spreads claimRate over the routers, as a token bucket.
 type claimBudget struct {
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
 func newClaimBudget(now time.Time) *claimBudget {
-	return &claimBudget{tokens: claimBurst, filled: now}
+	return &claimBudget{tokens: claimBurst, refilledAt: now}
 }
 
 func (b *claimBudget) take(now time.Time, routers int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rate := float64(claimRate) / float64(routers)
-	b.tokens = min(claimBurst, b.tokens+rate*now.Sub(b.filled).Seconds())
-	b.filled = now
+	rate := float64(claimsPerSecond) / float64(routers)
+	b.tokens = min(claimBurst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -16,31 +16,31 @@
 )
 
 var (
-	wordsHeard = telemetry.NewFamily[string]("router_upstream_words_total", "condition",
+	signalsReceived = telemetry.NewFamily[string]("router_upstream_words_total", "condition",
 		"Answers in which an upstream said that it leaves, or that it wants rest.")
 	withheld = telemetry.NewFamily[string]("router_withheld_attempts_total", "condition",
 		"Attempts that were not sent to the upstream that was chosen, by what speaks against it by now.")
 )
 
-// heard takes in what an answer says of its upstream.
-func (a direct) heard(at *attempt, w exchange.Signal) {
-	a.loadHeard(at, w)
+// handleSignal takes in what an answer says of its upstream.
+func (a directTransport) handleSignal(at *attempt, w exchange.Signal) {
+	a.recordReportedLoad(at, w)
 	now, vm := time.Now(), at.vm.ID
 	if w.Leaving {
-		wordsHeard.Inc(condition.Leaving.String())
+		signalsReceived.Inc(condition.Leaving.String())
 		if a.router.conditions.RecordLeaving(now, vm) {
-			a.log(telemetry.LineFailure, "upstream says that it leaves", at.vmAttrs()...)
+			a.log(telemetry.LineFailure, "upstream says that it leaves", at.upstreamAttrs()...)
 		}
 	}
 	if w.RetryAfter > 0 {
-		wordsHeard.Inc(condition.Resting.String())
+		signalsReceived.Inc(condition.Resting.String())
 		a.router.conditions.RecordResting(now, vm, w.RetryAfter)
-		a.log(telemetry.LineFailure, "upstream wants rest", append(at.vmAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
+		a.log(telemetry.LineFailure, "upstream wants rest", append(at.upstreamAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
 	}
 }
 
-// vmAttrs names the upstream of an attempt in a line.
-func (at *attempt) vmAttrs() []slog.Attr {
+// upstreamAttrs names the upstream of an attempt in a line.
+func (at *attempt) upstreamAttrs() []slog.Attr {
 	return []slog.Attr{
 		slog.Int("attempt", at.number),
 		slog.String("upstream", at.vm.ID),
@@ -50,8 +50,8 @@
 	}
 }
 
-// listed returns the conditions of an upstream that the list and operators' orders tell.
-func (u upstream) listed() condition.Set {
+// listedConditions returns the conditions of an upstream that the list and operators' orders tell.
+func (u upstream) listedConditions() condition.Set {
 	var s condition.Set
 	if u.vm.Leaving {
 		s = s.Union(condition.Of(condition.Leaving))
@@ -62,8 +62,8 @@
 	return s
 }
 
-// of returns the conditions of an upstream that the pool's view tells.
-func (p *Pool) of(id string) condition.Set {
+// listedConditions returns the conditions listedConditions an upstream that the pool's view tells.
+func (p *Pool) listedConditions(id string) condition.Set {
 	if p == nil {
 		return condition.Of(condition.Gone)
 	}
@@ -74,37 +74,37 @@
 	return listed
 }
 
-// against returns what speaks against an upstream of a pool now, but for its outcomes, which
-// count against others' in the choice.
-func (r *Router) against(now time.Time, p *Pool, id string) condition.Set {
-	s := p.of(id).Union(r.conditions.Conditions(now, id))
-	if r.coldClosed(now, p, id) {
+// conditionsOf returns what speaks conditionsOf an upstream of a pool now, but for its outcomes, which
+// count conditionsOf others' in the choice.
+func (r *Router) conditionsOf(now time.Time, p *Pool, id string) condition.Set {
+	s := p.listedConditions(id).Union(r.conditions.Conditions(now, id))
+	if r.isAtWarmupLimit(now, p, id) {
 		s = s.Union(condition.Of(condition.Cold))
 	}
 	return s
 }
 
-// closedIn returns which upstreams of a pool may get no request of this router now; nil: any
+// unavailableIn returns which upstreams of a pool may get no request of this router now; nil: any
 // that the list allows.
-func (r *Router) closedIn(now time.Time, p *Pool) (closed func(i int) bool) {
-	if len(p.cold) == 0 && r.conditions.Empty() {
+func (r *Router) unavailableIn(now time.Time, p *Pool) (unavailable func(i int) bool) {
+	if len(p.warmAt) == 0 && r.conditions.Empty() {
 		return nil
 	}
 	return func(i int) bool {
-		leave, _ := r.against(now, p, p.VMs[i].ID).Allows(condition.Work)
+		leave, _ := r.conditionsOf(now, p, p.VMs[i].ID).Allows(condition.Work)
 		return leave == condition.Never
 	}
 }
 
-// admits counts a request that is about to be sent to an upstream of a pool, and returns why it
+// admitSend counts a request that is about to be sent to an upstream of a pool, and returns why it
 // may not be; nil: it may. It goes by what is known now: much may have been heard of the
 // upstream since it was chosen.
-func (r *Router) admits(now time.Time, pool string, vm topo.VM) *verdict.Error {
+func (r *Router) admitSend(now time.Time, pool string, vm topo.VM) *verdict.Error {
 	p := r.View().Pools[pool]
-	if leave, why := r.against(now, p, vm.ID).Allows(condition.Work); leave == condition.Never {
+	if leave, why := r.conditionsOf(now, p, vm.ID).Allows(condition.Work); leave == condition.Never {
 		return withhold(why)
 	}
-	if !r.takeCold(now, p, vm.ID) {
+	if !r.admitCold(now, p, vm.ID) {
 		return withhold(condition.Cold)
 	}
 	return nil
@@ -124,8 +124,8 @@
 	condition.Cold:    verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream is cold, and has got what it bears"),
 }
 
-// givesPrompts reports whether others may get cached prompts from an upstream.
-func (r *Router) givesPrompts(now time.Time, view *View, vm topo.VM, allowed residency.Regions) bool {
+// canDonate reports whether others may get cached prompts from an upstream.
+func (r *Router) canDonate(now time.Time, view *View, vm topo.VM, allowed residency.Regions) bool {
 	s := r.conditions.Conditions(now, vm.ID)
 	if _, listed := view.VMs[vm.ID]; !listed {
 		s = s.Union(condition.Of(condition.Gone))
@@ -146,54 +146,54 @@
 	vm := a.pool.VMs[a.basis.Home]
 	why = string(a.basis.PassedOver)
 	if a.basis.PassedOver == placement.PassedOverUnavailable {
-		why = a.router.against(now, a.pool, vm.ID).String()
+		why = a.router.conditionsOf(now, a.pool, vm.ID).String()
 	}
 	return vm.ID, why
 }
 
 const (
-	// coldEnds is within which time a cold upstream takes requests of this router again.
-	coldEnds = time.Second
-	// returnSpread is the time over which callers come back that were turned away for one rest:
+	// coldRetryAfter is within which time a cold upstream takes requests of this router again.
+	coldRetryAfter = time.Second
+	// retryAfterJitter is the time over which callers come back that were turned away for one rest:
 	// the upstream gets them one after the other.
-	returnSpread = time.Second
+	retryAfterJitter = time.Second
 )
 
-// opens returns when the first upstream of a pool takes requests again; zero: one does now, or
+// availableAfter returns when the first upstream of a pool takes requests again; zero: one does now, or
 // none of them will.
-func (r *Router) opens(now time.Time, p *Pool) time.Duration {
+func (r *Router) availableAfter(now time.Time, p *Pool) time.Duration {
 	soonest := condition.Forever
 	for i, vm := range p.VMs {
 		if p.members[i].Leaving {
 			continue
 		}
-		ends := r.conditions.AvailableIn(now, vm.ID)
-		if r.coldClosed(now, p, vm.ID) {
-			ends = max(ends, coldEnds)
+		wait := r.conditions.AvailableIn(now, vm.ID)
+		if r.isAtWarmupLimit(now, p, vm.ID) {
+			wait = max(wait, coldRetryAfter)
 		}
-		soonest = min(soonest, ends)
+		soonest = min(soonest, wait)
 	}
 	if soonest == 0 || soonest == condition.Forever {
 		return 0
 	}
-	return soonest + time.Duration(rand.Int64N(int64(returnSpread)))
+	return soonest + time.Duration(rand.Int64N(int64(retryAfterJitter)))
 }
 
-// advisor is a Budget that sends nobody back to a pool before one of its upstreams takes
+// availabilityBudget is a Budget that sends nobody back to a pool before one of its upstreams takes
 // requests.
-type advisor struct {
+type availabilityBudget struct {
 	dispatch.Budget
 	router *Router
 	pool   *Pool
 }
 
 // RetryAfter implements dispatch.Budget.
-func (a advisor) RetryAfter(left time.Duration) time.Duration {
-	return max(a.Budget.RetryAfter(left), a.router.opens(time.Now(), a.pool))
+func (a availabilityBudget) RetryAfter(left time.Duration) time.Duration {
+	return max(a.Budget.RetryAfter(left), a.router.availableAfter(time.Now(), a.pool))
 }
 
-// keepConditions forgets the conditions of upstreams that are gone for long.
-func (r *Router) keepConditions(now time.Time) {
+// pruneConditions forgets the conditions of upstreams that are gone for long.
+func (r *Router) pruneConditions(now time.Time) {
 	vms := r.View().VMs
 	r.conditions.Prune(now, func(id string) bool {
 		_, listed := vms[id]
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -14,8 +14,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// askConfig asks a sidecar for configuration.
-func (r *Router) askConfig(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
+// queryConfig asks a sidecar for configuration.
+func (r *Router) queryConfig(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 	if r.mesh != nil {
 		return r.pull(ctx, peer, wire.MethodConfigSince, q)
 	}
@@ -28,8 +28,8 @@
 	return d, err
 }
 
-// serve answers the calls that sidecars make of the router.
-func (r *Router) serve(ctx context.Context, vm topo.VM, m wire.Method, params wire.Params) (any, error) {
+// handleSidecarCall answers the calls that sidecars make of the router.
+func (r *Router) handleSidecarCall(ctx context.Context, vm topo.VM, m wire.Method, params wire.Params) (any, error) {
 	if m != wire.MethodConfigSince {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "unknown method %q", m)
 	}
@@ -37,16 +37,16 @@
 	if err := params.Decode(&q); err != nil {
 		return nil, err
 	}
-	return r.answerSet(ctx, relay.SetConfig, config.Peer(vm.ID), q)
+	return r.deltaSince(ctx, relay.SetConfig, config.Peer(vm.ID), q)
 }
 
-// answerSet returns what a peer lacks of a set.
-func (r *Router) answerSet(ctx context.Context, set relay.Set, peer config.Peer, q config.Query) (config.Delta, error) {
+// deltaSince returns what a peer lacks of a set.
+func (r *Router) deltaSince(ctx context.Context, set relay.Set, peer config.Peer, q config.Query) (config.Delta, error) {
 	reply := make(chan config.Delta, 1)
 	r.mu.Lock()
-	r.tickets++
-	ticket := r.tickets
-	r.asked[ticket] = reply
+	r.lastQueryTicket++
+	ticket := r.lastQueryTicket
+	r.pendingQueries[ticket] = reply
 	r.mu.Unlock()
 	r.loop.Post(ConfigQueried{Now: time.Now(), Set: set, Peer: peer, Query: q, Ticket: ticket})
 	select {
@@ -57,15 +57,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.asked, ticket)
+	delete(r.pendingQueries, ticket)
 	return config.Delta{}, errors.New("router: stopping")
 }
 
-func (r *Router) reply(e ConfigReply) {
+func (r *Router) deliverReply(e ConfigReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if waiting := r.asked[e.Ticket]; waiting != nil {
-		delete(r.asked, e.Ticket)
+	if waiting := r.pendingQueries[e.Ticket]; waiting != nil {
+		delete(r.pendingQueries, e.Ticket)
 		waiting <- e.Delta
 	}
 }
@@ -75,18 +75,18 @@
 	r.loop.Post(ConfigEvent{Event: config.Hinted{Now: time.Now()}})
 }
 
-// nearPeers tells the follower which of the sidecars with a copy of the
+// postConnectedPeers tells the follower which of the sidecars with a copy of the
 // configuration there is a connection to.
-func (r *Router) nearPeers() {
+func (r *Router) postConnectedPeers() {
 	copies := r.View().ConfigCopies
 	r.mu.Lock()
-	var near []config.Peer
+	var connected []config.Peer
 	for at, p := range r.peers {
 		if copies[at.vm] && p.Connected() {
-			near = append(near, config.Peer(at.vm))
+			connected = append(connected, config.Peer(at.vm))
 		}
 	}
 	r.mu.Unlock()
-	slices.Sort(near)
-	r.loop.Post(ConfigEvent{Event: config.PeersNear{Peers: near}})
+	slices.Sort(connected)
+	r.loop.Post(ConfigEvent{Event: config.PeersNear{Peers: connected}})
 }
--- a/internal/router/conviction.go
+++ b/internal/router/conviction.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// convictionTries is how often a conviction is offered to the store. The
+	// convictionAttempts is how often a conviction is offered to the store. The
 	// store only helps routers that start later, so it is then left.
-	convictionTries = 5
-	// convictionRetry is the pause between two tries, and between the tries of a
+	convictionAttempts = 5
+	// convictionRetryInterval is the pause between two tries, and between the tries of a
 	// router that starts to read the convictions.
-	convictionRetry = 5 * time.Second
+	convictionRetryInterval = 5 * time.Second
 )
 
 var convictions = telemetry.NewFamily[convictionOutcome]("router_convictions_stored_total", "outcome",
@@ -28,8 +28,8 @@
 type convictionOutcome string
 
 const (
-	convictionKept convictionOutcome = "kept"
-	convictionLost convictionOutcome = "lost"
+	convictionStored    convictionOutcome = "kept"
+	convictionNotStored convictionOutcome = "lost"
 )
 
 // Conviction is the value of a conviction object.
@@ -38,28 +38,28 @@
 	KeepUntil int64           `json:"keep_until"` // Unix seconds; then it may be swept
 }
 
-// keepConviction writes a conviction that this router has seen come about into
+// storeConviction writes a conviction that this router has seen come about into
 // the store. Another router that saw it too may have been first.
-func (r *Router) keepConviction(print uint64) {
+func (r *Router) storeConviction(print uint64) {
 	p := quarantine.Print(print)
 	now := time.Now()
 	value, err := json.Marshal(Conviction{
-		Suspects:  r.suspects.about(now, print),
+		Suspects:  r.suspects.evidence(now, print),
 		KeepUntil: now.Add(quarantine.ConvictedFor).Unix(),
 	})
 	if err != nil {
 		return
 	}
 	ref := topo.Ref{Kind: topo.KindConviction, Name: p.String()}
-	for range convictionTries {
+	for range convictionAttempts {
 		_, err := r.config.Store.Put(r.ctx, ref, value, 0)
 		if err == nil || errors.Is(err, topo.ErrConflict) {
-			convictions.Inc(convictionKept)
+			convictions.Inc(convictionStored)
 			return
 		}
-		sleep(r.ctx, convictionRetry)
+		sleep(r.ctx, convictionRetryInterval)
 	}
-	convictions.Inc(convictionLost)
+	convictions.Inc(convictionNotStored)
 }
 
 // readConvictions takes in the convictions of the store once. A router that
@@ -70,7 +70,7 @@
 	for ctx.Err() == nil {
 		page, err := r.config.Store.List(ctx, topo.KindConviction, cont)
 		if err != nil {
-			sleep(ctx, convictionRetry)
+			sleep(ctx, convictionRetryInterval)
 			continue
 		}
 		for _, o := range page.Objects {
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -15,40 +15,40 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// direct carries attempts to upstreams that have no sidecar. Nothing remembers a
+// directTransport carries attempts to upstreams that have no sidecar. Nothing remembers a
 // request there, so what was sent and lost may have run.
-type direct struct{ *Answer }
+type directTransport struct{ *Answer }
 
 // directStream is an answer of a direct upstream. Its attempt's context ends the
 // reading.
 type directStream struct {
 	*exchange.Stream
-	tracker *balance.Tracker
-	vm      load.VM
-	profile string
-	first   time.Time // when its first bytes came
-	last    time.Time // when the newest event did
+	tracker      *balance.Tracker
+	vm           load.VM
+	profile      string
+	firstBytesAt time.Time // when its first bytes came
+	lastEventAt  time.Time // when the newest event did
 }
 
 // Next implements stream.
 func (s *directStream) Next(context.Context) (wire.Piece, error) {
 	p, err := s.Stream.Next()
 	if err == nil && p.Head == nil && s.IsEventStream() {
-		s.pace(time.Now(), p)
+		s.observeTiming(time.Now(), p)
 	}
 	return p, err
 }
 
-// pace takes in when a piece of a stream of events came.
-func (s *directStream) pace(now time.Time, p wire.Piece) {
+// observeTiming takes in when a piece of a stream of events came.
+func (s *directStream) observeTiming(now time.Time, p wire.Piece) {
 	switch n := bytes.Count(p.Bytes, eventEnd); {
-	case s.first.IsZero():
-		s.first, s.last = now, now
+	case s.firstBytesAt.IsZero():
+		s.firstBytesAt, s.lastEventAt = now, now
 	case p.End != nil:
-		s.tracker.RecordAnswerTime(now, s.vm, s.profile, now.Sub(s.first))
+		s.tracker.RecordAnswerTime(now, s.vm, s.profile, now.Sub(s.firstBytesAt))
 	case n > 0:
-		s.tracker.RecordEvents(now, s.vm, s.profile, n, now.Sub(s.last))
-		s.last = now
+		s.tracker.RecordEvents(now, s.vm, s.profile, n, now.Sub(s.lastEventAt))
+		s.lastEventAt = now
 	}
 }
 
@@ -56,7 +56,7 @@
 var eventEnd = []byte("\n\n")
 
 // submit implements carrier.
-func (a direct) submit(at *attempt) dispatch.Event {
+func (a directTransport) submit(at *attempt) dispatch.Event {
 	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
 	id := load.Hash(at.vm.ID)
@@ -65,13 +65,13 @@
 		at.tracker.EndAttempt(id)
 		at.watch.Abandon()
 	})
-	s, err := a.router.config.Direct.Do(at.ctx, at.vm, a.call(at), func() bool { return a.pass(at) })
+	s, err := a.router.config.Direct.Do(at.ctx, at.vm, a.exchangeCall(at), func() bool { return a.admitAttempt(at) })
 	if err != nil {
 		at.span.Fail(string(verdict.From(err).Reason))
-		return a.failed(at, verdict.From(err))
+		return a.failureEvent(at, verdict.From(err))
 	}
 	at.stream = &directStream{Stream: s, tracker: at.tracker, vm: id, profile: a.req.Profile.Name}
-	a.heard(at, s.Signal)
+	a.handleSignal(at, s.Signal)
 	if s.Signal.NotRun {
 		s.Drain()
 		at.stream = nil
@@ -79,7 +79,7 @@
 			// Another one has its address: it is gone, though its entry is still there, or
 			// was written again by a heartbeat that came late. Each further request would
 			// be refused in the same way for as long.
-			a.router.avoid(at.vm.ID)
+			a.router.markUnreachable(at.vm.ID)
 		} else {
 			// An upstream that turns requests away while others take theirs comes last, like
 			// one that fails them: a request that may be sent once cannot go on to the next.
@@ -87,37 +87,37 @@
 			// were told to come back, .2% with this; in a surge beside slow ones .16, .11%.
 			at.watch.RecordOutcome(false)
 		}
-		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: declined(s.Status())}
+		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: refusedError(s.Status())}
 	}
-	if at.headed && s.Status() != http.StatusOK {
+	if at.headSent && s.Status() != http.StatusOK {
 		err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream did not go on with the stream: status %d", s.Status())
 		s.Close()
 		at.stream = nil
 		return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: err}
 	}
-	return a.begin(at, s)
+	return a.awaitFirstByte(at, s)
 }
 
-// pass reports whether the attempt may be sent now. A caller that has closed its
+// admitAttempt reports whether the attempt may be sent now. A caller that has closed its
 // connection while its request waited for this router's processor is gone, though
 // nobody has read that from the connection yet: its runner would work for nobody.
-func (a direct) pass(at *attempt) bool {
+func (a directTransport) admitAttempt(at *attempt) bool {
 	if a.req.CallerGone != nil && a.req.CallerGone() {
 		at.gate.seal()
 		return false
 	}
-	if at.withheld = a.router.admits(time.Now(), a.poolName, at.vm); at.withheld != nil {
+	if at.withheldErr = a.router.admitSend(time.Now(), a.poolName, at.vm); at.withheldErr != nil {
 		return false
 	}
-	if !at.gate.pass() {
+	if !at.gate.markSent() {
 		return false
 	}
 	at.watch.Start()
 	return true
 }
 
-// call returns what is sent to the upstream of an attempt.
-func (a direct) call(at *attempt) exchange.Call {
+// exchangeCall returns what is sent to the upstream of an attempt.
+func (a directTransport) exchangeCall(at *attempt) exchange.Call {
 	now := time.Now()
 	c := exchange.Call{
 		Call:        at.call,
@@ -125,39 +125,39 @@
 		ID:          a.req.ID,
 		Instance:    at.vm.Name(),
 		Urgency:     a.basis.Urgency,
-		TimeLeft:    left(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
+		TimeLeft:    sidecarTimeLeft(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
 		LastEventID: a.req.LastEvent,
 		Donor:       at.donor.Addr,
 	}
-	if at.lastEvent != "" {
-		c.LastEventID = at.lastEvent
+	if at.lastEventID != "" {
+		c.LastEventID = at.lastEventID
 	}
 	if a.req.Org != nil {
-		c.Organisation = upstreamName(a.req.Org)
+		c.Organisation = upstreamOrgName(a.req.Org)
 	}
 	return c
 }
 
-// failed turns a call without an answer into an event.
-func (a direct) failed(at *attempt, err *verdict.Error) dispatch.Event {
+// failureEvent turns a call without an answer into an event.
+func (a directTransport) failureEvent(at *attempt, err *verdict.Error) dispatch.Event {
 	now := time.Now()
 	switch {
 	case err.Verdict != verdict.NotRun:
-		a.lostAnswer(at)
+		a.recordLostAnswer(at)
 		return dispatch.ConnectionLost{Now: now, Attempt: at.number}
 	case err.Reason == verdict.ReasonNoUpstream:
-		a.router.avoid(at.vm.ID)
+		a.router.markUnreachable(at.vm.ID)
 		at.watch.RecordFailure()
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: err}
-	case at.withheld != nil:
-		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: at.withheld}
+	case at.withheldErr != nil:
+		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: at.withheldErr}
 	default:
 		return dispatch.NotSent{Attempt: at.number}
 	}
 }
 
-// declined is an upstream's word that it has not run a request.
-func declined(status int) *verdict.Error {
+// refusedError is an upstream's word that it has not run a request.
+func refusedError(status int) *verdict.Error {
 	reason := verdict.ReasonQueueFull
 	if status == http.StatusMisdirectedRequest {
 		reason = verdict.ReasonUpstreamDown // another one has its address
@@ -165,21 +165,21 @@
 	return verdict.New(verdict.NotRun, reason, "the upstream refused with status %d", status)
 }
 
-// begin waits for the first byte of an answer.
-func (a direct) begin(at *attempt, s *exchange.Stream) dispatch.Event {
-	at.pieces = nil
+// awaitFirstByte waits for the first byte of an answer.
+func (a directTransport) awaitFirstByte(at *attempt, s *exchange.Stream) dispatch.Event {
+	at.readAhead = nil
 	status := s.Status()
 	for {
 		p, err := at.stream.Next(at.ctx)
 		if err != nil {
-			return a.lost(at)
+			return a.lostEvent(at)
 		}
-		at.pieces = append(at.pieces, p)
+		at.readAhead = append(at.readAhead, p)
 		if p.Head != nil {
 			continue
 		}
 		at.watch.EndWait()
-		if telling(status) {
+		if countsAsOutcome(status) {
 			at.watch.RecordOutcome(status < http.StatusInternalServerError)
 		}
 		if status >= http.StatusInternalServerError {
@@ -187,7 +187,7 @@
 			return dispatch.ErrorResponse{Now: time.Now(), Attempt: at.number, Err: err}
 		}
 		if s.IsEventStream() && a.plan.Resumable {
-			s.SetStallTimeout(time.Duration(pauseShare * float64(a.req.Profile.MaxPause.Std())))
+			s.SetStallTimeout(time.Duration(pauseFraction * float64(a.req.Profile.MaxPause.Std())))
 		}
 		if a.session != 0 {
 			a.router.holders.Record(a.session, at.vm)
@@ -197,19 +197,19 @@
 	}
 }
 
-func (a direct) lost(at *attempt) dispatch.Event {
+func (a directTransport) lostEvent(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
 	}
-	a.lostAnswer(at)
+	a.recordLostAnswer(at)
 	at.stream.Close()
 	at.stream = nil
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
-// lostAnswer speaks against the upstream of an attempt whose connection broke, unless
+// recordLostAnswer speaks against the upstream of an attempt whose connection broke, unless
 // this router has broken it.
-func (a direct) lostAnswer(at *attempt) {
+func (a directTransport) recordLostAnswer(at *attempt) {
 	if at.ctx.Err() == nil {
 		at.watch.RecordOutcome(false)
 	}
@@ -217,13 +217,13 @@
 
 // attach implements carrier. dispatch asks nobody to attach to what has no
 // sidecar.
-func (a direct) attach(at *attempt) dispatch.Event {
+func (a directTransport) attach(at *attempt) dispatch.Event {
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
 // cancel implements carrier: an upstream drops a request whose connection is
 // closed, and the attempt's end closes it.
-func (a direct) cancel(*attempt) {}
+func (a directTransport) cancel(*attempt) {}
 
-// ended implements carrier.
-func (a direct) ended(*attempt, *wire.End) {}
+// handleEnd implements carrier.
+func (a directTransport) handleEnd(*attempt, *wire.End) {}
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -16,8 +16,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// direct reports whether the upstreams of a request have no sidecar.
-func (r *Router) direct(view *View, req *Request) bool {
+// isDirect reports whether the upstreams of a request have no sidecar.
+func (r *Router) isDirect(view *View, req *Request) bool {
 	if r.config.Direct == nil {
 		return false
 	}
@@ -56,7 +56,7 @@
 		router:   r,
 		req:      req,
 		view:     view,
-		pool:     view.Pools[pool].in(req.regions()),
+		pool:     view.Pools[pool].inRegions(req.regions()),
 		poolName: pool,
 		session:  sessionHash("", req.Session),
 		started:  req.Arrived,
@@ -64,27 +64,27 @@
 		outcomes: make(chan outcome),
 		release:  func() {},
 	}
-	a.carrier = direct{a}
+	a.transport = directTransport{a}
 	a.ctx, a.stop = context.WithCancel(ctx)
 	if a.pool != nil {
 		a.pool.tracker.RecordObjective(req.Urgency, req.Profile.Objective.Std())
 	}
 	if a.pool != nil && a.session != 0 {
-		a.counted = true
-		a.share = a.pool.tracker.RecordRequest(now, a.session, req.Profile.Name)
+		a.shareCounted = true
+		a.sessionShare = a.pool.tracker.RecordRequest(now, a.session, req.Profile.Name)
 	}
-	a.late = req.mayHaveComeBack() && r.retries.AwaitsCallers(now, pool)
-	a.targets = a.choices(now)
+	a.returning = req.mayBeReturning() && r.retries.AwaitsCallers(now, pool)
+	a.targets = a.chooseTargets(now)
 	if len(a.targets) == 0 {
 		a.Close()
 		e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "pool %q has no upstream that takes requests in %v", pool, req.regions())
-		return nil, e.WithRetryAfter(a.noneOpen(now))
+		return nil, e.WithRetryAfter(a.retryAfterNoUpstream(now))
 	}
 	a.plan = req.directPlan(r.policy(), len(a.targets))
-	budget := advisor{Budget: r.retries.Request(now, a.poolName), router: r, pool: a.pool}
+	budget := availabilityBudget{Budget: r.retries.Request(now, a.poolName), router: r, pool: a.pool}
 	if a.basis.ShouldReject {
 		a.Close()
-		return nil, a.expectedLate(budget.RetryAfter(time.Until(a.plan.Deadline)))
+		return nil, a.rejectLate(budget.RetryAfter(time.Until(a.plan.Deadline)))
 	}
 	a.state = dispatch.New(a.plan, budget)
 	if err := a.run(); err != nil {
@@ -94,33 +94,33 @@
 	return a, nil
 }
 
-// noneOpenFor is when callers are to come back where nothing tells when an upstream will take
+// noUpstreamRetryAfter is when callers are to come back where nothing tells when an upstream will take
 // requests again.
-const noneOpenFor = time.Second
+const noUpstreamRetryAfter = time.Second
 
-// noneOpen returns when the caller of a request is to come back for which there is no upstream.
-func (a *Answer) noneOpen(now time.Time) time.Duration {
+// retryAfterNoUpstream returns when the caller of a request is to come back for which there is no upstream.
+func (a *Answer) retryAfterNoUpstream(now time.Time) time.Duration {
 	if a.pool == nil {
-		return noneOpenFor
+		return noUpstreamRetryAfter
 	}
-	return max(a.router.opens(now, a.pool), noneOpenFor)
+	return max(a.router.availableAfter(now, a.pool), noUpstreamRetryAfter)
 }
 
-var expectedLate = telemetry.NewCounter("router_expected_late_total",
+var rejectedLate = telemetry.NewCounter("router_expected_late_total",
 	"Requests turned away at once because no upstream was expected to begin their answer in time, or had a free place.")
 
-// expectedLate turns a request away that no upstream is expected to begin in time.
+// rejectLate turns a request away that no upstream is expected to begin in time.
 //
 // In a surge of more than a pool can do, requests wait at the engines until their callers
 // give up: 12195 of 45731 were dropped there unrun, after 2.1 s each. Turned away at once,
 // callers come back when there is room.
-func (a *Answer) expectedLate(later time.Duration) error {
-	expectedLate.Inc()
-	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.expected()).WithRetryAfter(later)
+func (a *Answer) rejectLate(retryAfter time.Duration) error {
+	rejectedLate.Inc()
+	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
-// expected returns in which time the first byte of the answer is expected, an hour at most.
-func (a *Answer) expected() time.Duration {
+// estimatedStart returns in which time the first byte of the answer is estimatedStart, an hour at most.
+func (a *Answer) estimatedStart() time.Duration {
 	seconds := min(a.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 }
@@ -128,22 +128,22 @@
 // target implements carrier. It chooses anew for each attempt: a stream may break
 // off seconds after its request came, and an upstream that was a candidate then
 // may be leaving now.
-func (a direct) target(e dispatch.Offer) (target, bool) {
+func (a directTransport) target(e dispatch.Offer) (target, bool) {
 	if e.Attempt > 0 {
 		a.view = a.router.View()
-		a.pool = a.view.Pools[a.poolName].in(a.req.regions())
-		a.targets = a.choices(time.Now())
+		a.pool = a.view.Pools[a.poolName].inRegions(a.req.regions())
+		a.targets = a.chooseTargets(time.Now())
 	}
 	for _, t := range a.targets {
-		if !a.tried(t.vm) {
+		if !a.wasTried(t.vm) {
 			return t, true
 		}
 	}
 	return target{}, false
 }
 
-// tried reports whether an attempt has gone to an upstream.
-func (a *Answer) tried(vm topo.VM) bool {
+// wasTried reports whether an attempt has gone to an upstream.
+func (a *Answer) wasTried(vm topo.VM) bool {
 	for _, at := range a.attempts {
 		if at.vm.ID == vm.ID {
 			return true
@@ -152,27 +152,27 @@
 	return false
 }
 
-// choices returns the upstreams to which a request may be offered now, in order.
-func (a *Answer) choices(now time.Time) []target {
+// chooseTargets returns the upstreams to which a request may be offered now, in order.
+func (a *Answer) chooseTargets(now time.Time) []target {
 	if a.pool == nil {
 		return nil
 	}
 	var chosen [placement.MaxCandidates]placement.Choice
 	tuning := a.router.tuning.Load()
-	q := placement.Query{Session: a.session, LoadMultiple: tuning.LoadMultiple, Random: rand.Uint64(), SessionShare: a.share, Now: now}
+	q := placement.Query{Session: a.session, LoadMultiple: tuning.LoadMultiple, Random: rand.Uint64(), SessionShare: a.sessionShare, Now: now}
 	r := balance.Request{
 		Query: q, Profile: a.req.Profile.Name, Urgency: a.req.Urgency,
-		Objective: a.req.objective(a.first > 0), TimeLeft: a.req.left(now), ObjectiveMissed: a.late,
+		Objective: a.req.objective(a.timeToFirstByte > 0), TimeLeft: a.req.callerTimeLeft(now), ObjectiveMissed: a.returning,
 	}
-	r.Unavailable = a.router.closedIn(now, a.pool)
+	r.Unavailable = a.router.unavailableIn(now, a.pool)
 	n, basis := a.pool.tracker.Choose(now, a.pool.placed, tuning.Policy, r, &chosen)
 	a.basis = basis
 	a.pool.logSuspicions(a.poolName)
 	out := make([]target, 0, n)
-	for _, avoided := range [...]bool{false, true} {
+	for _, unreachable := range [...]bool{false, true} {
 		for _, c := range chosen[:n] {
 			t := target{vm: a.pool.VMs[c.Index], load: c.Load, tracker: a.pool.tracker}
-			if a.router.avoids(t.vm.ID, now) != avoided {
+			if a.router.isUnreachable(t.vm.ID, now) != unreachable {
 				continue
 			}
 			t.donor = a.donor(now, c)
@@ -186,33 +186,33 @@
 // the one that has served the session last, if it is still there, else the likeliest
 // by the ranking.
 func (a *Answer) donor(now time.Time, c placement.Choice) topo.VM {
-	on := a.router.policy()
-	if !on.Donors {
+	enabled := a.router.policy()
+	if !enabled.Donors {
 		return topo.VM{}
 	}
-	if last, ok := a.router.holders.Get(a.session); ok && on.LastServed && last.ID != a.pool.VMs[c.Index].ID {
-		if a.router.givesPrompts(now, a.view, last, a.req.regions()) {
+	if last, ok := a.router.holders.Get(a.session); ok && enabled.LastServed && last.ID != a.pool.VMs[c.Index].ID {
+		if a.router.canDonate(now, a.view, last, a.req.regions()) {
 			return last
 		}
 	}
-	if c.Donor == placement.None || !a.router.givesPrompts(now, a.view, a.pool.VMs[c.Donor], a.req.regions()) {
+	if c.Donor == placement.None || !a.router.canDonate(now, a.view, a.pool.VMs[c.Donor], a.req.regions()) {
 		return topo.VM{}
 	}
 	return a.pool.VMs[c.Donor]
 }
 
-// loadHeard takes in what an upstream says of its load. The request that it answers
+// recordReportedLoad takes in what an upstream says of its load. The request that it answers
 // has only begun and is not in it: of 5.9 requests at an upstream, the heads of
 // answers tell 4.7.
-func (a direct) loadHeard(at *attempt, w exchange.Signal) {
+func (a directTransport) recordReportedLoad(at *attempt, w exchange.Signal) {
 	if w.Load != nil {
 		at.tracker.SetSlots(w.Load.Slots)
 		at.tracker.RecordLoad(time.Now(), load.Hash(at.vm.ID), w.Load.Running+w.Load.Waiting+1)
 	}
 }
 
-// upstreamName is what upstreams call an organisation.
-func upstreamName(o *profile.Organisation) string {
+// upstreamOrgName is what upstreams call an organisation.
+func upstreamOrgName(o *profile.Organisation) string {
 	if o.UpstreamName != "" {
 		return o.UpstreamName
 	}
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -15,7 +15,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-func (a *Answer) add(vm topo.VM) *attempt {
+func (a *Answer) addAttempt(vm topo.VM) *attempt {
 	ctx, stop := context.WithCancel(a.ctx)
 	at := &attempt{ctx: ctx, stop: stop, number: len(a.attempts), vm: vm, call: a.req.Call}
 	a.attempts = append(a.attempts, at)
@@ -23,54 +23,54 @@
 }
 
 func (a *Answer) offer(e dispatch.Offer) {
-	to, ok := a.carrier.target(e)
-	at := a.add(to.vm)
+	to, ok := a.transport.target(e)
+	at := a.addAttempt(to.vm)
 	at.donor, at.tracker = to.donor, to.tracker
 	at.watch = balance.NewWatch(to.tracker, balance.Attempt{
 		VM: load.Hash(to.vm.ID), Profile: a.req.Profile.Name, Urgency: a.basis.Urgency, Load: to.load, Deferred: a.basis.Deferred,
 	}, a.req.Profile.Objective.Std())
 	if e.Continue {
 		a.winner = nil
-		at.headed = true
-		at.lastEvent = a.cutter.LastID()
+		at.headSent = true
+		at.lastEventID = a.cutter.LastID()
 	}
 	if !ok {
-		a.launch(at, 0, noneLeft)
+		a.launch(at, 0, noUpstreamLeft)
 		return
 	}
 	a.logOffer(at, e, to)
-	at.leave = a.lent
+	at.hasPermit = a.isolationGranted
 	if a.req.Key != nil && e.Attempt == 0 {
-		a.hold(at, *a.req.Key, a.carrier.submit)
+		a.launchWithKey(at, *a.req.Key, a.transport.submit)
 		return
 	}
-	a.launch(at, 0, a.carrier.submit)
+	a.launch(at, 0, a.transport.submit)
 }
 
-// noneLeft is the outcome of an attempt for which there is no upstream.
-func noneLeft(at *attempt) dispatch.Event {
+// noUpstreamLeft is the outcome of an attempt for which there is no upstream.
+func noUpstreamLeft(at *attempt) dispatch.Event {
 	err := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream is left that has not been tried")
 	return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: err}
 }
 
-func (a *Answer) follow(key wire.Key, how effectFunc) {
-	former := a.attempts[len(a.attempts)-1]
-	at := a.add(a.view.VMs[key.VM])
-	at.link = former.link + 1
-	at.leave, at.site, at.given = former.leave, former.site, former.given
-	a.hold(at, key, how)
+func (a *Answer) followKey(key wire.Key, effect effectFunc) {
+	previous := a.attempts[len(a.attempts)-1]
+	at := a.addAttempt(a.view.VMs[key.VM])
+	at.chainIndex = previous.chainIndex + 1
+	at.hasPermit, at.crashSite, at.permitNonce = previous.hasPermit, previous.crashSite, previous.permitNonce
+	a.launchWithKey(at, key, effect)
 }
 
 // reattach asks for the rest of an attempt's answer, or for the answer to an
 // earlier request if that is all that is wanted.
 func (a *Answer) reattach(e dispatch.Attach) {
 	if e.Attempt < len(a.attempts) {
-		a.launch(a.attempts[e.Attempt], e.Retry, a.carrier.attach)
+		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.attach)
 		return
 	}
-	at := a.add(a.candidates[0])
-	at.offset = a.resumeAt
-	a.hold(at, *a.req.Key, a.carrier.attach)
+	at := a.addAttempt(a.candidates[0])
+	at.offset = a.resumeOffset
+	a.launchWithKey(at, *a.req.Key, a.transport.attach)
 }
 
 // deliver makes an attempt's answer the caller's. From here on the request
@@ -88,10 +88,10 @@
 	a.req.Call = wire.Call{Method: a.req.Call.Method}
 }
 
-// hold submits an attempt under a key that others may have used before. Of a
+// launchWithKey submits an attempt under a key that others may have used before. Of a
 // VM that the list does not know nothing can be learnt: what ran there may have
 // run.
-func (a *Answer) hold(at *attempt, key wire.Key, how effectFunc) {
+func (a *Answer) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
 	at.key = &key
 	if at.vm.ID == "" {
 		err := verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the VM of the key has left")
@@ -100,7 +100,7 @@
 		})
 		return
 	}
-	a.launch(at, 0, how)
+	a.launch(at, 0, effect)
 }
 
 // effectFunc carries out an effect on an attempt and returns what came of it.
@@ -108,9 +108,9 @@
 
 // launch runs f for an attempt on a goroutine, after the pause that the retryth
 // reconnect asks for.
-func (a *Answer) launch(at *attempt, retryth int, f effectFunc) {
+func (a *Answer) launch(at *attempt, retryNumber int, f effectFunc) {
 	at.busy = true
-	pause := retry.Backoff(retryth, rand.Float64())
+	pause := retry.Backoff(retryNumber, rand.Float64())
 	go func() {
 		if pause > 0 {
 			sleep(at.ctx, pause)
@@ -125,7 +125,7 @@
 // drop cancels the loser of two hedged attempts.
 func (a *Answer) drop(at *attempt) {
 	if !at.gate.seal() {
-		a.carrier.cancel(at)
+		a.transport.cancel(at)
 	}
 	at.stop()
 	if !at.busy {
--- a/internal/router/keys.go
+++ b/internal/router/keys.go
@@ -14,16 +14,16 @@
 	// tells them from idempotency keys that callers choose themselves.
 	KeyPrefix = "rk-"
 
-	// keyLife is how long a request key can be used first. Sidecars remember
+	// keyLifetime is how long a request key can be used first. Sidecars remember
 	// keys for as long, so it bounds their tables.
-	keyLife = 15 * time.Minute
-	// ticketLife is how long a placement ticket is worth following.
-	ticketLife = 24 * time.Hour
+	keyLifetime = 15 * time.Minute
+	// ticketLifetime is how long a placement ticket is worth following.
+	ticketLifetime = 24 * time.Hour
 )
 
 // newKey draws a key for the incarnation of a sidecar.
 func newKey(vm string, incarnation uint64, now time.Time) wire.Key {
-	return wire.Key{VM: vm, Incarnation: incarnation, Nonce: token.NewNonce(), Expires: now.Add(keyLife).Unix()}
+	return wire.Key{VM: vm, Incarnation: incarnation, Nonce: token.NewNonce(), Expires: now.Add(keyLifetime).Unix()}
 }
 
 // sealKey returns a key in the form that callers hold.
@@ -47,7 +47,7 @@
 		Session:     session,
 		Incarnation: k.Incarnation,
 		Nonce:       k.Nonce,
-		Expires:     now.Add(ticketLife),
+		Expires:     now.Add(ticketLifetime),
 		VM:          k.VM,
 	})
 }
@@ -75,5 +75,5 @@
 	if err != nil || t.Session != session {
 		return "", 0
 	}
-	return t.VM, now.Sub(t.Expires.Add(-ticketLife))
+	return t.VM, now.Sub(t.Expires.Add(-ticketLifetime))
 }
--- a/internal/router/ledger_test.go
+++ b/internal/router/ledger_test.go
@@ -17,7 +17,7 @@
 // bound that cannot work; were it dropped, callers would be told that their
 // profile does not exist; were it passed over without a word, apply --wait
 // would say that it is in force.
-func TestInvalidObjectLeavesTheVersionBeforeInForce(t *testing.T) {
+func TestInvalidObjectKeepsPreviousVersionInForce(t *testing.T) {
 	s, l := NewState("r", placement.Locality{}, config.DefaultPace(), 1), ledger.New()
 	step := func(v topo.Version, p profile.Profile) {
 		spec, err := json.Marshal(p)
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -18,38 +18,38 @@
 
 // limits holds what a router counts of its own traffic.
 type limits struct {
-	mu      sync.Mutex
-	open    map[string]int // requests in flight, by organisation
-	budgets map[string]*retry.Budget
+	mu       sync.Mutex
+	inFlight map[string]int // requests in flight, by organisation
+	budgets  map[string]*retry.Budget
 }
 
 func newLimits() *limits {
-	return &limits{open: make(map[string]int), budgets: make(map[string]*retry.Budget)}
+	return &limits{inFlight: make(map[string]int), budgets: make(map[string]*retry.Budget)}
 }
 
 // enter counts a request of org in until the result is called.
 func (l *limits) enter(org *profile.Organisation, routers int) (leave func(), refusal *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if org.Concurrency > 0 && l.open[org.Name] >= share(org.Concurrency, routers) {
-		e := verdict.New(verdict.NotRun, verdict.ReasonConcurrency, "the organisation has %d requests in flight here", l.open[org.Name])
+	if org.Concurrency > 0 && l.inFlight[org.Name] >= routerShare(org.Concurrency, routers) {
+		e := verdict.New(verdict.NotRun, verdict.ReasonConcurrency, "the organisation has %d requests in flight here", l.inFlight[org.Name])
 		return nil, e.WithRetryAfter(time.Second)
 	}
-	l.open[org.Name]++
+	l.inFlight[org.Name]++
 	return func() { l.leave(org.Name) }, nil
 }
 
 func (l *limits) leave(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open[org]--
-	if l.open[org] == 0 {
-		delete(l.open, org)
+	l.inFlight[org]--
+	if l.inFlight[org] == 0 {
+		delete(l.inFlight, org)
 	}
 }
 
-// share returns one router's share of a limit.
-func share(limit, routers int) int {
+// routerShare returns one router's routerShare of a limit.
+func routerShare(limit, routers int) int {
 	if routers <= 1 {
 		return limit
 	}
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -44,10 +44,10 @@
 	}
 	if a.plan.Direct {
 		attrs = append(attrs,
-			slog.Float64("load", tenths(to.load)),
-			slog.Float64("mean_load", tenths(a.basis.Mean)),
-			slog.Float64("bound", tenths(a.basis.Bound)),
-			slog.Int64("expected_ms", a.expected().Milliseconds()),
+			slog.Float64("load", roundTenths(to.load)),
+			slog.Float64("mean_load", roundTenths(a.basis.Mean)),
+			slog.Float64("bound", roundTenths(a.basis.Bound)),
+			slog.Int64("expected_ms", a.estimatedStart().Milliseconds()),
 			slog.Bool("behind", a.basis.Deferred),
 			slog.String("donor", at.donor.ID))
 		if home, why := a.passedOver(time.Now()); home != "" {
@@ -55,13 +55,13 @@
 		}
 	}
 	if e.Continue {
-		attrs = append(attrs, slog.Int64("from_offset", a.written))
+		attrs = append(attrs, slog.Int64("from_offset", a.bytesSent))
 	}
 	a.log(telemetry.LineRoutine, "request placed", attrs...)
 }
 
-// tenths rounds for the log. JSON has no infinity, so no bound is told as -1.
-func tenths(x float64) float64 {
+// roundTenths rounds for the log. JSON has no infinity, so no bound is told as -1.
+func roundTenths(x float64) float64 {
 	if math.IsInf(x, 0) {
 		return -1
 	}
@@ -99,22 +99,22 @@
 
 // logEnd counts and tells how the request ended.
 func (a *Answer) logEnd() {
-	if a.logged || a.state == nil {
+	if a.endLogged || a.state == nil {
 		return
 	}
-	a.logged = true
+	a.endLogged = true
 	took := time.Since(a.started)
 	outcome, class := a.outcome()
 	answers.Inc(outcome)
 	answerTime.Observe(took)
-	if a.first > 0 {
-		firstByteTime.Observe(a.first)
+	if a.timeToFirstByte > 0 {
+		firstByteTime.Observe(a.timeToFirstByte)
 	}
 	attrs := []slog.Attr{
 		slog.String("outcome", string(outcome)),
 		slog.Int("attempts", len(a.attempts)),
-		slog.Int64("bytes", a.written),
-		slog.Int64("first_byte_ms", a.first.Milliseconds()),
+		slog.Int64("bytes", a.bytesSent),
+		slog.Int64("first_byte_ms", a.timeToFirstByte.Milliseconds()),
 		slog.Int64("took_ms", took.Milliseconds()),
 	}
 	if a.result != nil {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -25,17 +25,17 @@
 func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Answer, error) {
 	view := r.View()
 	a := &Answer{
-		router:     r,
-		req:        Request{Org: org, Profile: &profile.Profile{}, Key: &key},
-		view:       view,
-		candidates: []topo.VM{view.VMs[key.VM]},
-		resumeAt:   offset,
-		release:    func() {},
-		caller:     ctx,
-		outcomes:   make(chan outcome),
-		plan:       dispatch.Plan{CallerHasKey: true, AttachOnly: true, MaxOffers: 1},
+		router:       r,
+		req:          Request{Org: org, Profile: &profile.Profile{}, Key: &key},
+		view:         view,
+		candidates:   []topo.VM{view.VMs[key.VM]},
+		resumeOffset: offset,
+		release:      func() {},
+		caller:       ctx,
+		outcomes:     make(chan outcome),
+		plan:         dispatch.Plan{CallerHasKey: true, AttachOnly: true, MaxOffers: 1},
 	}
-	a.carrier = sidecars{a}
+	a.transport = sidecarTransport{a}
 	a.ctx, a.stop = context.WithCancel(context.WithoutCancel(ctx))
 	a.state = dispatch.New(a.plan, &retry.Budget{})
 	if err := a.run(); err != nil {
@@ -48,20 +48,20 @@
 // Status returns what is known of an earlier request of org.
 func (r *Router) Status(ctx context.Context, org string, key wire.Key) (wire.Status, error) {
 	var status wire.Status
-	err := r.ask(ctx, key, wire.MethodStatus, wire.StatusRequest{Key: key, Org: org}, &status)
+	err := r.querySidecar(ctx, key, wire.MethodStatus, wire.StatusRequest{Key: key, Org: org}, &status)
 	return status, err
 }
 
 // Cancel ends an earlier request of org.
 func (r *Router) Cancel(ctx context.Context, org string, key wire.Key) (wire.Status, error) {
 	var status wire.Status
-	err := r.ask(ctx, key, wire.MethodCancel, wire.Cancel{Key: key, Org: org}, &status)
+	err := r.querySidecar(ctx, key, wire.MethodCancel, wire.Cancel{Key: key, Org: org}, &status)
 	return status, err
 }
 
-// ask puts a question about a request to the sidecar that decides on its key.
+// querySidecar puts a question about a request to the sidecar that decides on its key.
 // Where the sidecar can't be asked, the request may have run.
-func (r *Router) ask(ctx context.Context, key wire.Key, m wire.Method, params, result any) error {
+func (r *Router) querySidecar(ctx context.Context, key wire.Key, m wire.Method, params, result any) error {
 	vm, ok := r.View().VMs[key.VM]
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the VM of the request has left")
@@ -82,7 +82,7 @@
 
 // Mint returns n request keys for requests of a profile, and when they expire.
 func (r *Router) Mint(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string, n int) ([]string, time.Time, error) {
-	first, err := r.mint(ctx, org, p, session)
+	first, err := r.mintKey(ctx, org, p, session)
 	if err != nil {
 		return nil, time.Time{}, err
 	}
@@ -96,12 +96,12 @@
 	return keys, time.Unix(first.Expires, 0), nil
 }
 
-// mint draws a key for the upstream to which the session's next request would
+// mintKey draws a key for the upstream to which the session's next request would
 // be offered first.
-func (r *Router) mint(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string) (wire.Key, error) {
+func (r *Router) mintKey(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string) (wire.Key, error) {
 	now := time.Now()
 	view := r.View()
-	vms := r.choose(now, &Answer{
+	vms := r.chooseCandidates(now, &Answer{
 		view:    view,
 		pool:    view.Pools[p.Pool],
 		req:     Request{Org: org, Profile: p},
@@ -112,7 +112,7 @@
 		if err == nil {
 			return newKey(vm.ID, hello.Incarnation, now), nil
 		}
-		r.avoid(vm.ID)
+		r.markUnreachable(vm.ID)
 	}
 	e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream of pool %q could be reached", p.Pool)
 	return wire.Key{}, e.WithRetryAfter(time.Second)
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -51,35 +51,35 @@
 type meshKind string
 
 const (
-	meshBeatSent      meshKind = "beat-sent"
-	meshBeatHeard     meshKind = "beat-heard"
-	meshSubscribeSent meshKind = "subscribe-sent"
-	meshSubscribe     meshKind = "subscribe-heard"
-	meshShareSent     meshKind = "share-sent"
-	meshShareHeard    meshKind = "share-heard"
+	meshBeatSent          meshKind = "beat-sent"
+	meshBeatReceived      meshKind = "beat-heard"
+	meshSubscribeSent     meshKind = "subscribe-sent"
+	meshSubscribeReceived meshKind = "subscribe-heard"
+	meshShareSent         meshKind = "share-sent"
+	meshShareReceived     meshKind = "share-heard"
 )
 
 // mesh carries out what the relay decides.
 type mesh struct {
 	Mesh
-	router   *Router
-	members  *follow.Runner
-	parent   relay.Node  // owned by the control loop
-	reads    atomic.Bool // this router reads the store
-	packed   *pack.Packer
-	register *register.Registrar
+	router     *Router
+	members    *follow.Runner
+	parent     relay.Node  // owned by the control loop
+	readsStore atomic.Bool // this router reads the store
+	packed     *pack.Packer
+	register   *register.Registrar
 
 	// What follows is owned by the control loop.
-	told     []byte    // to those that rely on this router, last
-	toldAt   time.Time // when that was put together
-	tellNext time.Time // before which they are told nothing more
-	turn     int       // the pool, in the order of names, with which that will begin
-	sharedAt time.Time // when what was heard was shared last
+	lastReport   []byte    // to those that rely on this router, last
+	lastReportAt time.Time // when that was put together
+	nextReportAt time.Time // before which they are told nothing more
+	nextPool     int       // the pool, in the order of names, with which that will begin
+	sharedAt     time.Time // when what was heard was shared last
 }
 
 func newMesh(r *Router, m Mesh) *mesh {
 	out := &mesh{Mesh: m, router: r, packed: pack.New()}
-	out.register = register.New(r.config.Store, m.Self, out.reads.Load, func(nodes []relay.Node) {
+	out.register = register.New(r.config.Store, m.Self, out.readsStore.Load, func(nodes []relay.Node) {
 		r.loop.Post(RelayEvent{Event: relay.Registered{Now: time.Now(), Nodes: nodes}})
 	})
 	out.members = &follow.Runner{
@@ -95,7 +95,7 @@
 
 // run serves the other routers until ctx ends.
 func (m *mesh) run(ctx context.Context) {
-	m.reading(true)
+	m.setReading(true)
 	if m.Packets == nil {
 		return
 	}
@@ -103,16 +103,16 @@
 		_ = m.Packets.Close()
 		_ = m.Calls.Close()
 	})
-	go m.hear()
+	go m.receiveMessages()
 	go m.accept(ctx)
 	go m.register.Run(ctx)
 	if m.SuspendedTime != nil {
-		go m.watchSleep(ctx)
+		go m.watchSuspend(ctx)
 	}
 }
 
-// hear takes in the messages of other routers.
-func (m *mesh) hear() {
+// receiveMessages takes in the messages of other routers.
+func (m *mesh) receiveMessages() {
 	buf := make([]byte, 2*relay.MaxMessage)
 	for {
 		n, _, err := m.Packets.ReadFrom(buf)
@@ -120,17 +120,17 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause) // a socket may report what became of an earlier message
+			time.Sleep(socketRetryDelay) // a socket may report what became of an earlier message
 			continue
 		}
-		m.take(buf[:n])
+		m.handleMessage(buf[:n])
 	}
 }
 
-// acceptPause is the pause after a failure of a listening socket that may pass.
-const acceptPause = 100 * time.Millisecond
+// socketRetryDelay is the pause after a failure of a listening socket that may pass.
+const socketRetryDelay = 100 * time.Millisecond
 
-func (m *mesh) take(b []byte) {
+func (m *mesh) handleMessage(b []byte) {
 	message, err := relay.Decode(b)
 	if err != nil {
 		meshMalformed.Inc()
@@ -139,44 +139,44 @@
 	now := time.Now()
 	switch e := message.(type) {
 	case *relay.Beat:
-		meshBytes.Add(meshBeatHeard, int64(len(b)))
+		meshBytes.Add(meshBeatReceived, int64(len(b)))
 		m.router.loop.Post(RelayEvent{Event: relay.BeatHeard{Now: now, Beat: *e}})
 	case *relay.Subscribe:
-		meshBytes.Add(meshSubscribe, int64(len(b)))
+		meshBytes.Add(meshSubscribeReceived, int64(len(b)))
 		m.router.loop.Post(RelayEvent{Event: relay.SubscribeHeard{Now: now, Subscribe: *e}})
 	case *relay.Share:
-		meshBytes.Add(meshShareHeard, int64(len(b)))
+		meshBytes.Add(meshShareReceived, int64(len(b)))
 		from := fromFollower
 		if e.Known {
 			from = fromReader
 		}
-		m.merge(now, e.Sharing, from)
+		m.mergeSharing(now, e.Sharing, from)
 	}
 }
 
-// do carries out an effect, on the control loop's goroutine.
-func (m *mesh) do(e relay.Effect) {
+// execute carries out an effect, on the control loop's goroutine.
+func (m *mesh) execute(e relay.Effect) {
 	switch e := e.(type) {
 	case relay.SendBeat:
 		m.send(e.To, e, meshBeatSent)
 	case relay.SendShare:
-		m.share(e)
+		m.sendShare(e)
 	case relay.SendSubscribe:
 		m.send(e.To, e, meshSubscribeSent)
 	case relay.Rely:
-		m.rely(e.On)
+		m.setParent(e.On)
 	case relay.Read:
-		m.reading(e.On)
+		m.setReading(e.On)
 		slog.Info("reading of the platform's store changes", "reads", e.On)
 	}
 }
 
-// share sends a router what it is to know of loads and outcomes.
-func (m *mesh) share(e relay.SendShare) {
+// sendShare sends a router what it is to know of loads and outcomes.
+func (m *mesh) sendShare(e relay.SendShare) {
 	now := time.Now()
-	messages := [][]byte{m.known(now)}
+	messages := [][]byte{m.reportForFollowers(now)}
 	if !e.Share.Known {
-		messages = m.heard(now)
+		messages = m.reportsForReader(now)
 	}
 	for _, b := range messages {
 		if b != nil {
@@ -186,8 +186,8 @@
 	}
 }
 
-func (m *mesh) reading(on bool) {
-	m.reads.Store(on)
+func (m *mesh) setReading(on bool) {
+	m.readsStore.Store(on)
 	if on {
 		storeReaders.Set(1)
 	} else {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (m *mesh) rely(on relay.Node) {
+func (m *mesh) setParent(on relay.Node) {
 	if m.parent.Name != "" && on.Name == "" {
 		slog.Warn("the router that read the store for this one is not relied on any more", "router", m.parent.Name)
 	}
@@ -231,7 +231,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(socketRetryDelay)
 			continue
 		}
 		wire.NewConn(ctx, c, meshCalls{m})
@@ -257,7 +257,7 @@
 	if err := p.Decode(&q); err != nil {
 		return nil, err
 	}
-	d, err := c.mesh.router.answerSet(ctx, set, "", q)
+	d, err := c.mesh.router.deltaSince(ctx, set, "", q)
 	if err != nil {
 		return nil, err
 	}
@@ -267,24 +267,24 @@
 // HandleFrame implements wire.Handler. Routers send each other none.
 func (meshCalls) HandleFrame(*wire.Conn, wire.Frame) {}
 
-// sleepSlack is how much the two clocks may drift apart without the machine having
+// suspendSlack is how much the two clocks may drift apart without the machine having
 // been suspended.
-const sleepSlack = 200 * time.Millisecond
+const suspendSlack = 200 * time.Millisecond
 
-// watchSleep notices that the machine was suspended. The monotonic clock does not
+// watchSuspend notices that the machine was suspended. The monotonic clock does not
 // count that time, so that what was heard before it would seem to be recent.
-func (m *mesh) watchSleep(ctx context.Context) {
+func (m *mesh) watchSuspend(ctx context.Context) {
 	tick := time.NewTicker(config.TickEvery)
 	defer tick.Stop()
-	slept := m.SuspendedTime()
+	suspended := m.SuspendedTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			if total := m.SuspendedTime(); total > slept+sleepSlack {
-				slog.Warn("the machine was suspended", "for", total-slept)
-				slept = total
+			if total := m.SuspendedTime(); total > suspended+suspendSlack {
+				slog.Warn("the machine was suspended", "for", total-suspended)
+				suspended = total
 				m.router.loop.Post(RelayEvent{Event: relay.Woke{Now: now}})
 			}
 		}
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// noticeSeekers is how many routers connect to a sidecar for the sake of a
+	// noticeConnectors is how many routers connect to a sidecar for the sake of a
 	// notice: enough that one of them gets through.
-	noticeSeekers = 3
-	// noticeRetry is the pause before a notice that was not taken is sent again.
-	noticeRetry = time.Second
-	// noticeRepeat is the pause before word from the list of VMs is repeated. It
+	noticeConnectors = 3
+	// noticeRetryInterval is the pause before a notice that was not taken is sent again.
+	noticeRetryInterval = time.Second
+	// noticeRepeatInterval is the pause before word from the list of VMs is repeated. It
 	// has no version, so sidecars let it lapse.
-	noticeRepeat = 30 * time.Second
+	noticeRepeatInterval = 30 * time.Second
 	// noticeTimeout bounds the sending of a notice.
 	noticeTimeout = 2 * time.Second
 )
@@ -50,15 +50,15 @@
 func (NoticeAccepted) isEvent() {}
 func (NoticeLost) isEvent()     {}
 
-// sent is a notice that is on its way or has arrived.
-type sent struct {
-	notice wire.Notice
-	at     time.Time
-	taken  bool
+// sentNotice is a notice that is on its way or has arrived.
+type sentNotice struct {
+	notice   wire.Notice
+	at       time.Time
+	accepted bool
 }
 
-// noticesFor returns what each VM of the list is to be told.
-func (s *State) noticesFor() map[string]wire.Notice {
+// computeNotices returns what each VM of the list is to be told.
+func (s *State) computeNotices() map[string]wire.Notice {
 	out := make(map[string]wire.Notice)
 	for _, vm := range s.vms.Entries {
 		if vm.Role != topo.RoleUpstream {
@@ -74,71 +74,71 @@
 	return out
 }
 
-// notify returns the notices that are due.
-func (s *State) notify(now time.Time) []Effect {
+// takeDueNotices returns the notices that are due.
+func (s *State) takeDueNotices(now time.Time) []Effect {
 	var effects []Effect
 	for _, vm := range s.vms.Entries {
-		n, ok := s.wanted[vm.ID]
-		if !ok || !s.due(now, vm.ID, n) {
+		n, ok := s.desiredNotices[vm.ID]
+		if !ok || !s.isNoticeDue(now, vm.ID, n) {
 			continue
 		}
-		s.sent[vm.ID] = sent{notice: n, at: now}
-		effects = append(effects, Notify{VM: vm, Notice: n, Connect: s.seeks(vm.ID)})
+		s.sentNotices[vm.ID] = sentNotice{notice: n, at: now}
+		effects = append(effects, Notify{VM: vm, Notice: n, Connect: s.mustConnect(vm.ID)})
 	}
 	return effects
 }
 
-func (s *State) due(now time.Time, vm string, n wire.Notice) bool {
-	former, ok := s.sent[vm]
+func (s *State) isNoticeDue(now time.Time, vm string, n wire.Notice) bool {
+	previous, ok := s.sentNotices[vm]
 	switch {
-	case !ok || former.notice != n:
+	case !ok || previous.notice != n:
 		return true
-	case !former.taken:
-		return now.Sub(former.at) >= noticeRetry
+	case !previous.accepted:
+		return now.Sub(previous.at) >= noticeRetryInterval
 	default:
-		return n.Version == 0 && now.Sub(former.at) >= noticeRepeat
+		return n.Version == 0 && now.Sub(previous.at) >= noticeRepeatInterval
 	}
 }
 
-// seeks reports whether this router is one of those that rank highest for a VM.
+// mustConnect reports whether this router is one of those that rank highest for a VM.
 // Routers that agree on the list agree on who they are.
-func (s *State) seeks(vm string) bool {
-	own, listed, higher, routers := rank(s.vm, vm), false, 0, 0
+func (s *State) mustConnect(vm string) bool {
+	ownRank, listed, higher, routers := noticeRank(s.vm, vm), false, 0, 0
 	for _, r := range s.vms.Entries {
 		if r.Role != topo.RoleRouter || r.Leaving {
 			continue
 		}
 		routers++
 		listed = listed || r.ID == s.vm
-		if rank(r.ID, vm) > own {
+		if noticeRank(r.ID, vm) > ownRank {
 			higher++
 		}
 	}
-	return routers == 0 || listed && higher < noticeSeekers
+	return routers == 0 || listed && higher < noticeConnectors
 }
 
-func rank(router, vm string) uint64 {
+func noticeRank(router, vm string) uint64 {
 	return placement.Seed(router + "\x00" + vm)
 }
 
-func (s *State) taken(e NoticeAccepted) {
-	if former, ok := s.sent[e.VM]; ok && former.notice == e.Notice {
-		former.taken = true
-		s.sent[e.VM] = former
+func (s *State) onNoticeAccepted(e NoticeAccepted) {
+	if former, ok := s.sentNotices[e.VM]; ok && former.notice == e.Notice {
+		former.accepted = true
+		s.sentNotices[e.VM] = former
 	}
 }
 
-// lost makes a notice due again, a while after it was sent: replies that left
+// onNoticeLost makes a notice due again, a while after it was sent: replies that left
 // the sidecar before the notice came still say that it takes work.
-func (s *State) lost(e NoticeLost) {
-	if former, ok := s.sent[e.VM]; ok {
-		former.taken = false
-		s.sent[e.VM] = former
+func (s *State) onNoticeLost(e NoticeLost) {
+	if former, ok := s.sentNotices[e.VM]; ok {
+		former.accepted = false
+		s.sentNotices[e.VM] = former
 	}
 }
 
-// notify sends a notice, in the background.
-func (r *Router) notify(e Notify) {
+// sendNotice sends a notice, in the background.
+func (r *Router) sendNotice(e Notify) {
 	go func() {
 		peer := r.peer(e.VM)
 		if e.Connect || peer.Connected() {
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -10,8 +10,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// notify steps a state through a tick and returns its notices.
-func notify(s *State, now time.Time) []Notify {
+// tickNotices steps a state through a tick and returns its notices.
+func tickNotices(s *State, now time.Time) []Notify {
 	var out []Notify
 	for _, e := range s.Step(ConfigEvent{Event: config.Ticked{Now: now}}) {
 		if n, ok := e.(Notify); ok {
@@ -25,7 +25,7 @@
 // router with old news connects, and its work is accepted: nobody has told the
 // sidecar. Were all routers to tell it, each leaving would cost it hundreds of
 // connections.
-func TestThreeRoutersSeekOutALeavingVM(t *testing.T) {
+func TestThreeRoutersConnectToALeavingVM(t *testing.T) {
 	const routers = 40
 	list := topo.VMs{Entries: []topo.VM{{ID: "engine", Role: topo.RoleUpstream, Leaving: true}}}
 	for i := range routers {
@@ -36,7 +36,7 @@
 	for i := range routers {
 		s := NewState(fmt.Sprint("router-", i), placement.Locality{}, config.DefaultPace(), 1)
 		s.Step(VMsChanged{Now: now, VMs: list})
-		sent := notify(s, now)
+		sent := tickNotices(s, now)
 		if len(sent) != 1 {
 			t.Fatalf("router %d sends %v", i, sent)
 		}
@@ -44,36 +44,36 @@
 			seekers++
 		}
 	}
-	if seekers != noticeSeekers {
+	if seekers != noticeConnectors {
 		t.Fatalf("%d routers connect on purpose", seekers)
 	}
 }
 
 // The notice is lost on its way, or the sidecar restarts after it has taken it
 // and takes new work again.
-func TestNoticeIsRepeatedUntilItHolds(t *testing.T) {
+func TestNoticeIsRepeatedUntilAccepted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewState("r", placement.Locality{}, config.DefaultPace(), 1)
 	s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: []topo.VM{{ID: "engine", Role: topo.RoleUpstream, Leaving: true}}}})
-	first := notify(s, now)
-	if len(first) != 1 || len(notify(s, now)) != 0 {
+	first := tickNotices(s, now)
+	if len(first) != 1 || len(tickNotices(s, now)) != 0 {
 		t.Fatal("not sent once at first")
 	}
-	now = now.Add(noticeRetry)
-	if len(notify(s, now)) != 1 {
+	now = now.Add(noticeRetryInterval)
+	if len(tickNotices(s, now)) != 1 {
 		t.Fatal("not sent again although it was not taken")
 	}
 	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
-	now = now.Add(noticeRetry)
-	if len(notify(s, now)) != 0 {
+	now = now.Add(noticeRetryInterval)
+	if len(tickNotices(s, now)) != 0 {
 		t.Fatal("sent again although it was taken")
 	}
 	s.Step(NoticeLost{VM: "engine"})
-	if len(notify(s, now)) != 1 {
+	if len(tickNotices(s, now)) != 1 {
 		t.Fatal("not sent again to a sidecar that has restarted")
 	}
 	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
-	if len(notify(s, now.Add(noticeRepeat))) != 1 {
+	if len(tickNotices(s, now.Add(noticeRepeatInterval))) != 1 {
 		t.Fatal("word from the list lapses at the sidecar")
 	}
 }
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -22,7 +22,7 @@
 // when the one who waits for the answer is gone.
 func (r *Router) Dispatch(ctx context.Context, req Request) (*Answer, error) {
 	view := r.View()
-	if r.direct(view, &req) {
+	if r.isDirect(view, &req) {
 		return r.dispatchDirect(ctx, view, req)
 	}
 	release, err := r.limits.enter(req.Org, view.Routers)
@@ -33,7 +33,7 @@
 	}
 	a := r.newAnswer(ctx, view, req)
 	a.release = release
-	if err := a.confine(time.Now()); err != nil {
+	if err := a.applyQuarantine(time.Now()); err != nil {
 		a.Close()
 		return nil, err
 	}
@@ -52,17 +52,17 @@
 func (r *Router) newAnswer(caller context.Context, view *View, req Request) *Answer {
 	now := time.Now()
 	a := &Answer{
-		router:   r,
-		req:      req,
-		view:     view,
-		pool:     view.Pools[req.Profile.Pool].in(req.regions()),
-		session:  sessionHash(req.Org.Name, req.Session),
-		print:    req.fingerprint(),
-		started:  now,
-		caller:   caller,
-		outcomes: make(chan outcome),
+		router:      r,
+		req:         req,
+		view:        view,
+		pool:        view.Pools[req.Profile.Pool].inRegions(req.regions()),
+		session:     sessionHash(req.Org.Name, req.Session),
+		fingerprint: req.fingerprint(),
+		started:     now,
+		caller:      caller,
+		outcomes:    make(chan outcome),
 	}
-	a.carrier = sidecars{a}
+	a.transport = sidecarTransport{a}
 	a.ctx, a.stop = context.WithCancel(context.WithoutCancel(caller))
 	a.candidates = r.candidates(now, a)
 	if len(a.candidates) > 0 {
@@ -76,7 +76,7 @@
 // candidates returns the upstreams to which the request is offered, in order.
 // A key that the caller holds comes first at its own VM.
 func (r *Router) candidates(now time.Time, a *Answer) []topo.VM {
-	vms := r.choose(now, a)
+	vms := r.chooseCandidates(now, a)
 	if a.req.Key == nil {
 		return vms
 	}
@@ -84,7 +84,7 @@
 	return append([]topo.VM{a.view.VMs[a.req.Key.VM]}, vms...)
 }
 
-func (r *Router) choose(now time.Time, a *Answer) []topo.VM {
+func (r *Router) chooseCandidates(now time.Time, a *Answer) []topo.VM {
 	if a.pool == nil {
 		return nil
 	}
@@ -92,43 +92,43 @@
 		Session:      a.session,
 		Ticket:       placement.None,
 		LoadMultiple: a.req.Profile.LoadMultiple,
-		Random:       a.random(),
+		Random:       a.candidateSeed(),
 	}
 	if vm, age := r.ticketVM(now, a.req.Ticket, a.session); vm != "" {
 		q.Ticket, q.TicketAge = a.pool.placed.Index(load.Hash(vm)), age
 	}
-	return r.order(now, a.pool, q)
+	return r.chooseFromPool(now, a.pool, q)
 }
 
-// random returns what the choice for a request without a session begins with. It
+// candidateSeed returns what the choice for a request without a session begins with. It
 // follows from the request, so that a copy of it meets the same few upstreams,
 // and those can be told if it has crashed one.
-func (a *Answer) random() uint64 {
-	if a.print != 0 {
-		return a.print
+func (a *Answer) candidateSeed() uint64 {
+	if a.fingerprint != 0 {
+		return a.fingerprint
 	}
 	return rand.Uint64()
 }
 
-// rank returns the upstreams of a pool by their rank for a hash.
-func (r *Router) rank(now time.Time, p *Pool, hash uint64) []topo.VM {
-	return r.order(now, p, placement.Query{Session: hash, Ticket: placement.None})
+// rankUpstreams returns the upstreams of a pool by their rankUpstreams for a hash.
+func (r *Router) rankUpstreams(now time.Time, p *Pool, hash uint64) []topo.VM {
+	return r.chooseFromPool(now, p, placement.Query{Session: hash, Ticket: placement.None})
 }
 
-func (r *Router) order(now time.Time, p *Pool, q placement.Query) []topo.VM {
+func (r *Router) chooseFromPool(now time.Time, p *Pool, q placement.Query) []topo.VM {
 	var out [placement.MaxCandidates]int
-	n := p.beliefs.choose(now, p.placed, q, &out)
+	n := p.loadReports.choose(now, p.placed, q, &out)
 	vms := make([]topo.VM, 0, n+1)
-	avoided := make([]topo.VM, 0, n)
+	unreachable := make([]topo.VM, 0, n)
 	for _, i := range out[:n] {
 		vm := p.VMs[i]
-		if r.avoids(vm.ID, now) {
-			avoided = append(avoided, vm)
+		if r.isUnreachable(vm.ID, now) {
+			unreachable = append(unreachable, vm)
 		} else {
 			vms = append(vms, vm)
 		}
 	}
-	return append(vms, avoided...)
+	return append(vms, unreachable...)
 }
 
 // ID is the request's id, by which its caller can ask for it again.
@@ -147,6 +147,6 @@
 
 // NextKey is a request key that the caller may use for its next request.
 func (a *Answer) NextKey() string {
-	won := a.winner.key
-	return a.router.sealKey(a.req.Org.Name, a.session, newKey(won.VM, won.Incarnation, time.Now()))
+	key := a.winner.key
+	return a.router.sealKey(a.req.Org.Name, a.session, newKey(key.VM, key.Incarnation, time.Now()))
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -27,7 +27,7 @@
 	if p == nil {
 		dial := func(ctx context.Context) (net.Conn, error) { return r.dial(ctx, vm) }
 		calls := func(ctx context.Context, m wire.Method, params wire.Params) (any, error) {
-			return r.serve(ctx, vm, m, params)
+			return r.handleSidecarCall(ctx, vm, m, params)
 		}
 		p = wire.NewPeer(wire.PeerConfig{Dial: dial, Calls: calls})
 		r.peers[at] = p
@@ -43,8 +43,8 @@
 	return r.config.Dial(ctx, vm)
 }
 
-// heard takes in what a sidecar says on the back of a reply.
-func (r *Router) heard(now time.Time, vm topo.VM, c wire.Control) {
+// handleControl takes in what a sidecar says on the back of a reply.
+func (r *Router) handleControl(now time.Time, vm topo.VM, c wire.Control) {
 	view := r.View()
 	if c.Config > 0 && (c.Config != view.Version || c.ConfigDigest != view.Digest) {
 		mark := config.HeardMark(c.Config, c.ConfigDigest)
@@ -55,7 +55,7 @@
 	}
 	r.suspects.merge(now, c.Suspects)
 	if pool := r.View().Pools[vm.Pool]; pool != nil {
-		pool.beliefs.heard(now, load.Hash(vm.ID), max(vm.Weight, 1), c)
+		pool.loadReports.observe(now, load.Hash(vm.ID), max(vm.Weight, 1), c)
 	}
 }
 
@@ -67,20 +67,20 @@
 	if view := r.View(); view.ConfigCopies[vm] {
 		c.Config, c.ConfigDigest = view.Version, view.Digest
 	}
-	_, c.Suspects = r.suspects.rule(now, print)
+	_, c.Suspects = r.suspects.decide(now, print)
 	if pool != nil {
-		c.Samples = pool.beliefs.samples(now, load.Hash(vm))
+		c.Samples = pool.loadReports.samples(now, load.Hash(vm))
 	}
 	return c
 }
 
-// avoid puts an upstream behind the others for a while: it could not be reached.
-func (r *Router) avoid(vm string) {
+// markUnreachable puts an upstream behind the others for a while: it could not be reached.
+func (r *Router) markUnreachable(vm string) {
 	r.conditions.RecordUnreachable(time.Now(), vm)
 }
 
-// avoids reports whether an upstream is avoided at now.
-func (r *Router) avoids(vm string, now time.Time) bool {
+// isUnreachable reports whether an upstream is avoided at now.
+func (r *Router) isUnreachable(vm string, now time.Time) bool {
 	return r.conditions.Conditions(now, vm).Has(condition.Unreachable)
 }
 
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -16,7 +16,7 @@
 // more; an error means that the answer stays incomplete.
 func (a *Answer) Next() (wire.Piece, error) {
 	for !a.state.Finished() {
-		p, ok, err := a.read()
+		p, ok, err := a.readNext()
 		if err != nil {
 			return wire.Piece{}, err
 		}
@@ -30,19 +30,19 @@
 	return wire.Piece{End: a.end}, nil
 }
 
-// read returns what the winner has to say next, if that is for the caller.
-func (a *Answer) read() (wire.Piece, bool, error) {
+// readNext returns what the winner has to say next, if that is for the caller.
+func (a *Answer) readNext() (wire.Piece, bool, error) {
 	at := a.winner
 	if at == nil { // another upstream is asked to go on
-		return wire.Piece{}, false, a.wait()
+		return wire.Piece{}, false, a.waitForEvent()
 	}
-	if len(at.pieces) > 0 {
-		p := at.pieces[0]
-		at.pieces = at.pieces[1:]
+	if len(at.readAhead) > 0 {
+		p := at.readAhead[0]
+		at.readAhead = at.readAhead[1:]
 		return a.forward(p)
 	}
 	if at.busy {
-		return wire.Piece{}, false, a.wait()
+		return wire.Piece{}, false, a.waitForEvent()
 	}
 	p, err := a.nextPiece()
 	switch {
@@ -51,8 +51,8 @@
 	case a.caller.Err() != nil:
 		return wire.Piece{}, false, a.caller.Err()
 	case errors.Is(err, exchange.ErrStalled):
-		a.silent(at)
-	case passed(a.plan.Deadline, time.Now()):
+		a.handleSilence(at)
+	case isPast(a.plan.Deadline, time.Now()):
 		a.tick()
 	default:
 		at.stream.Close()
@@ -62,7 +62,7 @@
 			at.watch.RecordFailure()
 		}
 		if a.cutter != nil && !a.cutter.Discard() {
-			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errTorn})
+			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errPartialEvent})
 			break
 		}
 		a.step(dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number})
@@ -70,9 +70,9 @@
 	return wire.Piece{}, false, nil
 }
 
-// silent handles a stream that has paused for too long. It is given up only if
+// handleSilence handles a stream that has paused for too long. It is given up only if
 // another upstream goes on with it: silence alone is no reason to end an answer.
-func (a *Answer) silent(at *attempt) {
+func (a *Answer) handleSilence(at *attempt) {
 	if a.cutter.Discard() {
 		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// errTorn ends a stream of which the caller has a part of an event.
-var errTorn = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
+// errPartialEvent ends a stream of which the caller has a part of an event.
+var errPartialEvent = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
 
 func (a *Answer) nextPiece() (wire.Piece, error) {
 	if a.winner.stream == nil {
@@ -100,31 +100,31 @@
 // head comes again with each attach, and goes out once.
 func (a *Answer) forward(p wire.Piece) (wire.Piece, bool, error) {
 	at := a.winner
-	if a.first == 0 {
-		a.first = time.Since(a.started)
+	if a.timeToFirstByte == 0 {
+		a.timeToFirstByte = time.Since(a.started)
 	}
 	switch {
 	case p.End != nil:
 		if a.cutter != nil && p.End.Error == nil && len(a.cutter.Pending()) > 0 {
 			rest := a.cutter.Pending()
 			a.cutter = nil
-			at.pieces = append(at.pieces, p)
+			at.readAhead = append(at.readAhead, p)
 			return wire.Piece{Bytes: rest}, true, nil
 		}
 		a.end = p.End
-		a.carrier.ended(at, p.End)
+		a.transport.handleEnd(at, p.End)
 		a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error})
 		return p, false, nil
 	case p.Head != nil:
-		again := at.headed
-		at.headed = true
+		again := at.headSent
+		at.headSent = true
 		return p, !again, nil
 	default:
 		at.offset += int64(len(p.Bytes))
 		if a.cutter != nil {
 			p.Bytes = a.cutter.Feed(p.Bytes)
 		}
-		a.written += int64(len(p.Bytes))
+		a.bytesSent += int64(len(p.Bytes))
 		a.step(dispatch.PieceDelivered{})
 		return p, len(p.Bytes) > 0, nil
 	}
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -41,10 +41,10 @@
 func (UpstreamsRestarted) isEffect() {}
 func (MembersEffect) isEffect()      {}
 
-// relayed is what a router keeps that relies on others to read the store: a
+// relayState is what a router keeps that relies on others to read the store: a
 // follower of the upstreams' entries beside that of the configuration, and whom it
 // relies on.
-type relayed struct {
+type relayState struct {
 	relay   *relay.State
 	members *config.Follower
 	entries *membership.State
@@ -54,20 +54,20 @@
 	unusable map[string]string
 }
 
-// membersRetry is how much longer than the configuration's the follower of entries
+// membersRetryFactor is how much longer than the configuration's the follower of entries
 // waits before it calls a store again that does not answer. An answer to one of the
 // two lets the other call at once, so that in an outage one is enough to try.
-const membersRetry = 4
+const membersRetryFactor = 4
 
-// failingAfter is after how many calls without an answer, one after the other, the
+// failingStoreCalls is after how many calls without an answer, one after the other, the
 // store counts as not answering this router. A single answer may be lost.
-const failingAfter = 2
+const failingStoreCalls = 2
 
 // EnableRelay makes the State follow the entries of upstreams like the configuration,
 // with relay's choice of who reads them.
 func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Pace, seed uint64) {
-	pace.RetryMost *= membersRetry
-	s.relayed = &relayed{
+	pace.RetryMost *= membersRetryFactor
+	s.relayState = &relayState{
 		relay:    r,
 		members:  config.NewFollower(seed, pace),
 		entries:  membership.NewState(timing),
@@ -79,20 +79,20 @@
 // stepRelay passes an event to the relay and carries out what concerns the State.
 func (s *State) stepRelay(now time.Time, e relay.Event) []Effect {
 	var out []Effect
-	for _, effect := range s.relayed.relay.Step(e) {
+	for _, effect := range s.relayState.relay.Step(e) {
 		switch effect := effect.(type) {
 		case relay.Read:
-			out = append(out, s.configure(config.Duty{Now: now, On: effect.On})...)
-			out = append(out, s.follow(now, config.Duty{Now: now, On: effect.On})...)
+			out = append(out, s.stepConfig(config.Duty{Now: now, On: effect.On})...)
+			out = append(out, s.stepMembers(now, config.Duty{Now: now, On: effect.On})...)
 		case relay.Rely:
 			var peers []config.Peer
 			if effect.On.Name != "" {
 				peers = []config.Peer{config.Peer(effect.On.Name)}
 			}
-			out = append(out, s.configure(config.PeersChanged{Now: now, Peers: peers})...)
-			out = append(out, s.follow(now, config.PeersChanged{Now: now, Peers: peers})...)
+			out = append(out, s.stepConfig(config.PeersChanged{Now: now, Peers: peers})...)
+			out = append(out, s.stepMembers(now, config.PeersChanged{Now: now, Peers: peers})...)
 		case relay.Told:
-			out = append(out, s.told(now, effect)...)
+			out = append(out, s.onParentReport(now, effect)...)
 		}
 		out = append(out, RelayEffect{Effect: effect})
 	}
@@ -101,39 +101,39 @@
 
 // ListedRouters returns how many routers of the region are listed; zero: that is not known.
 func (s *State) ListedRouters() int {
-	if s.relayed == nil {
+	if s.relayState == nil {
 		return 0
 	}
-	return s.relayed.relay.Listed()
+	return s.relayState.relay.Listed()
 }
 
-// told takes in how far the router is that this one relies on.
-func (s *State) told(now time.Time, e relay.Told) []Effect {
+// onParentReport takes in how far the router is that this one relies on.
+func (s *State) onParentReport(now time.Time, e relay.Told) []Effect {
 	peer := config.Peer(e.Parent.Name)
-	out := s.configure(config.Heard{Now: now, Peer: peer, Mark: e.Knowledge[relay.SetConfig].Mark})
+	out := s.stepConfig(config.Heard{Now: now, Peer: peer, Mark: e.Knowledge[relay.SetConfig].Mark})
 	members := e.Knowledge[relay.SetMembers]
 	if members.Back >= 0 {
-		s.relayed.entries.StoreRecovered(now.Add(-time.Duration(members.Back) * time.Millisecond))
+		s.relayState.entries.StoreRecovered(now.Add(-time.Duration(members.Back) * time.Millisecond))
 	}
-	return append(out, s.follow(now, config.Heard{Now: now, Peer: peer, Mark: members.Mark})...)
+	return append(out, s.stepMembers(now, config.Heard{Now: now, Peer: peer, Mark: members.Mark})...)
 }
 
-// follow passes an event to the follower of entries and takes what has changed.
-func (s *State) follow(now time.Time, e config.Event) []Effect {
-	r := s.relayed
+// stepMembers passes an event to the follower of entries and takes what has changed.
+func (s *State) stepMembers(now time.Time, e config.Event) []Effect {
+	r := s.relayState
 	var out []Effect
 	changed := false
 	for _, effect := range r.members.Step(e) {
 		switch effect := effect.(type) {
 		case config.Changed:
-			changes, unusable := r.changes(effect.Objects)
+			changes, unusable := r.decodeEntries(effect.Objects)
 			out = append(out, unusable...)
 			if t := r.entries.Apply(now, changes); t.Outdated > 0 || len(t.Replaced) > 0 {
 				out = append(out, UpstreamsRestarted{ApplyResult: t})
 			}
 			changed = true
 		case config.StoreRestored:
-			s.restored(now)
+			s.onStoreRestored(now)
 			out = append(out, MembersEffect{Effect: effect})
 		case config.StoreRegained:
 			// While another router went on reading it, the store was not away, and no
@@ -142,20 +142,20 @@
 			if !r.relay.Relies() {
 				r.entries.StoreRecovered(now)
 			}
-			out = append(out, s.configure(config.StoreWorks{Now: now})...)
+			out = append(out, s.stepConfig(config.StoreWorks{Now: now})...)
 			out = append(out, MembersEffect{Effect: effect})
 		default:
 			out = append(out, MembersEffect{Effect: effect})
 		}
 	}
 	if r.entries.Expire(now) || changed {
-		out = append(out, s.listed(now)...)
+		out = append(out, s.updateVMList(now)...)
 	}
 	return out
 }
 
-// changes reads entries. One that names no upstream is told.
-func (r *relayed) changes(objects []topo.Object) ([]membership.Change, []Effect) {
+// decodeEntries reads entries. One that names no upstream is told.
+func (r *relayState) decodeEntries(objects []topo.Object) ([]membership.Change, []Effect) {
 	out := make([]membership.Change, 0, len(objects))
 	var unusable []Effect
 	for _, o := range objects {
@@ -180,9 +180,9 @@
 	return out, unusable
 }
 
-// listed takes the upstreams that count now as the list of VMs.
-func (s *State) listed(now time.Time) []Effect {
-	vms := s.relayed.entries.VMs()
+// updateVMList takes the upstreams that count now as the list of VMs.
+func (s *State) updateVMList(now time.Time) []Effect {
+	vms := s.relayState.entries.VMs()
 	slices.SortFunc(vms, func(a, b topo.VM) int { return strings.Compare(a.ID, b.ID) })
 	if slices.Equal(vms, s.vms.Entries) {
 		return nil
@@ -190,22 +190,22 @@
 	return s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: vms}})
 }
 
-// followed tells the relay how far this router follows both sets.
-func (s *State) followed(now time.Time) []Effect {
-	if s.relayed == nil || now.IsZero() {
+// reportProgress tells the relay how far this router follows both sets.
+func (s *State) reportProgress(now time.Time) []Effect {
+	if s.relayState == nil || now.IsZero() {
 		return nil
 	}
 	var k relay.Sets[relay.Knowledge]
 	failing := false
-	for set, f := range [...]*config.Follower{relay.SetConfig: s.follower, relay.SetMembers: s.relayed.members} {
+	for set, f := range [...]*config.Follower{relay.SetConfig: s.follower, relay.SetMembers: s.relayState.members} {
 		status := f.Status()
-		failing = failing || status.Failures >= failingAfter
+		failing = failing || status.Failures >= failingStoreCalls
 		k[set] = relay.Knowledge{Mark: f.Set().Mark(), Age: -1, Back: -1}
 		if !status.StoreHeard.IsZero() {
 			k[set].Age = now.Sub(status.StoreHeard).Milliseconds()
 		}
 	}
-	if back := s.relayed.entries.StoreRecoveredAt(); !back.IsZero() {
+	if back := s.relayState.entries.StoreRecoveredAt(); !back.IsZero() {
 		k[relay.SetMembers].Back = now.Sub(back).Milliseconds()
 	}
 	return s.stepRelay(now, relay.Followed{Now: now, Knowledge: k, Failing: failing})
@@ -213,17 +213,17 @@
 
 // tickRelay lets time pass for the relay and the follower of entries.
 func (s *State) tickRelay(now time.Time) []Effect {
-	if s.relayed == nil {
+	if s.relayState == nil {
 		return nil
 	}
-	out := s.follow(now, config.Ticked{Now: now})
-	out = append(out, s.followed(now)...)
+	out := s.stepMembers(now, config.Ticked{Now: now})
+	out = append(out, s.reportProgress(now)...)
 	return append(out, s.stepRelay(now, relay.Ticked{Now: now})...)
 }
 
-// membersEvent passes on what the reading of entries has brought, and tells the
+// stepMembersEvent passes on what the reading of entries has brought, and tells the
 // relay at once: others may wait for it.
-func (s *State) membersEvent(e config.Event) []Effect {
+func (s *State) stepMembersEvent(e config.Event) []Effect {
 	now := e.When()
-	return append(s.follow(now, e), s.followed(now)...)
+	return append(s.stepMembers(now, e), s.reportProgress(now)...)
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -18,20 +18,20 @@
 	// request at its deadline. The sidecar knows whether the request has run,
 	// so its word should arrive before the router has to say that it does not.
 	deadlineMargin = 50 * time.Millisecond
-	// hedgeShare of its objective is how long an idempotent read waits for its first
+	// hedgeFraction of its objective is how long an idempotent read waits for its first
 	// byte before a second upstream is asked too: an answer of usual length still
 	// comes in time. Of calls that take 15 ms with an objective of 100 ms, 1 in 30
 	// is hedged.
-	hedgeShare = 0.5
-	// switchShare of its objective is how long a stream that may be resumed waits
+	hedgeFraction = 0.5
+	// switchFraction of its objective is how long a stream that may be resumed waits
 	// for its first byte before it is given up for another upstream. Of notes with
 	// an objective of 400 ms, whose first byte takes 75 ms, 1 in 100 is.
-	switchShare = 0.75
-	// pauseShare of the longest pause that its profile wants is how long a stream
+	switchFraction = 0.75
+	// pauseFraction of the longest pause that its profile wants is how long a stream
 	// that may be resumed waits for its next event. Events lie 20 ms apart.
-	pauseShare = 0.75
-	// marginShare limits the margin to a part of a short deadline.
-	marginShare = 10
+	pauseFraction = 0.75
+	// marginDivisor limits the margin to a part of a short deadline.
+	marginDivisor = 10
 )
 
 // Request is a caller's request after authentication.
@@ -58,15 +58,15 @@
 // regions returns where the request may run: where its profile and its organisation both
 // allow it.
 func (r *Request) regions() residency.Regions {
-	of := residency.NewRegions(r.Profile.Regions)
+	allowed := residency.NewRegions(r.Profile.Regions)
 	if r.Org != nil {
-		of = of.Intersect(residency.NewRegions(r.Org.Regions))
+		allowed = allowed.Intersect(residency.NewRegions(r.Org.Regions))
 	}
-	return of
+	return allowed
 }
 
-// read reports whether the request's method is safe, in the sense of HTTP.
-func (r *Request) read() bool {
+// isRead reports whether the request's method is safe, in the sense of HTTP.
+func (r *Request) isRead() bool {
 	switch r.Call.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -78,7 +78,7 @@
 func (r *Request) plan(now time.Time, offers int) dispatch.Plan {
 	return dispatch.Plan{
 		Idempotent:   r.Profile.Idempotent,
-		ReadOnly:     r.read(),
+		ReadOnly:     r.isRead(),
 		CallerHasKey: r.Key != nil,
 		MaxOffers:    offers,
 		HedgeAfter:   r.Profile.HedgeAfter.Std(),
@@ -88,17 +88,17 @@
 }
 
 // directPlan is plan for upstreams that have no sidecar.
-func (r *Request) directPlan(on policy.Policy, offers int) dispatch.Plan {
+func (r *Request) directPlan(enabled policy.Policy, offers int) dispatch.Plan {
 	p := r.plan(r.Arrived, offers)
 	p.Direct = true
-	p.Resumable = r.Profile.Resumable && on.Resumption
+	p.Resumable = r.Profile.Resumable && enabled.Resumption
 	p.MaxSends = r.Profile.Attempts
 	objective := r.Profile.Objective.Std()
-	if p.HedgeAfter == 0 && r.Profile.Idempotent && on.Hedges {
-		p.HedgeAfter = time.Duration(hedgeShare * float64(objective))
+	if p.HedgeAfter == 0 && r.Profile.Idempotent && enabled.Hedges {
+		p.HedgeAfter = time.Duration(hedgeFraction * float64(objective))
 	}
-	if p.Resumable && on.Switches {
-		p.SwitchAfter = time.Duration(switchShare * float64(objective))
+	if p.Resumable && enabled.Switches {
+		p.SwitchAfter = time.Duration(switchFraction * float64(objective))
 	}
 	if until := after(r.Arrived, r.CallerTimeout); r.CallerTimeout > 0 && (p.Deadline.IsZero() || until.Before(p.Deadline)) {
 		p.Deadline = until
@@ -114,10 +114,10 @@
 	return now.Add(d)
 }
 
-// mayHaveComeBack reports whether the caller has less time than its first try would have,
+// mayBeReturning reports whether the caller has less time than its first try would have,
 // by more than the objective: its answer is late already. Callers that are less patient
 // than others look alike.
-func (r *Request) mayHaveComeBack() bool {
+func (r *Request) mayBeReturning() bool {
 	return r.CallerTimeout > 0 && r.Profile.Deadline.Std()-r.CallerTimeout > r.Profile.Objective.Std()
 }
 
@@ -131,8 +131,8 @@
 	return r.Profile.Objective.Std()
 }
 
-// left returns how much of its caller's time is left; zero: it is not known.
-func (r *Request) left(now time.Time) time.Duration {
+// callerTimeLeft returns how much of its caller's time is callerTimeLeft; zero: it is not known.
+func (r *Request) callerTimeLeft(now time.Time) time.Duration {
 	if r.CallerTimeout == 0 {
 		return 0
 	}
@@ -152,17 +152,17 @@
 		OrgWeight:     r.Org.Weight,
 		Idempotent:    p.Idempotent,
 		KeepAnswer:    p.KeepAnswer.Std(),
-		FirstByte:     left(plan.FirstByte, now, p.FirstToken.Std()),
-		Deadline:      left(plan.Deadline, now, p.Deadline.Std()),
+		FirstByte:     sidecarTimeLeft(plan.FirstByte, now, p.FirstToken.Std()),
+		Deadline:      sidecarTimeLeft(plan.Deadline, now, p.Deadline.Std()),
 	}
 }
 
-// left returns what a sidecar may use of the time until a deadline.
-func left(at, now time.Time, whole time.Duration) time.Duration {
+// sidecarTimeLeft returns what a sidecar may use of the time until a deadline.
+func sidecarTimeLeft(at, now time.Time, whole time.Duration) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
-	margin := min(deadlineMargin, whole/marginShare)
+	margin := min(deadlineMargin, whole/marginDivisor)
 	return max(at.Sub(now)-margin, time.Millisecond)
 }
 
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -9,7 +9,7 @@
 
 // A stream that goes on at another upstream, by itself or because its caller came back for
 // the rest, has no first byte to wait for.
-func TestOnlyWhatBeginsHasAnObjective(t *testing.T) {
+func TestOnlyNewStreamsHaveAnObjective(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	p := &profile.Profile{Objective: profile.Duration(objective)}
 	for _, c := range []struct {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -36,8 +36,8 @@
 		"Writes of entries by former incarnations of upstreams, which were passed over.")
 )
 
-// listEvery is how often the list of VMs is read.
-const listEvery = 2 * time.Second
+// defaultVMListInterval is how often the list of VMs is read.
+const defaultVMListInterval = 2 * time.Second
 
 // Config is what a router is told at its start.
 type Config struct {
@@ -97,34 +97,34 @@
 
 // Router serves requests.
 type Router struct {
-	config   Config
-	ctx      context.Context
-	runner   *follow.Runner
-	loop     *loop.Loop[Event, Effect]
-	state    *State
-	view     atomic.Pointer[View]
-	began    chan struct{} // closed when the router is ready for the first time
-	begin    sync.Once
-	limits   *limits
-	retries  *retry.PoolBudgets // of upstreams without a sidecar
-	claims   *claimBudget
-	claimer  *claim.Claimer
-	suspects *suspects
-	ledger   *ledger.Ledger
-	holders  *balance.LastServed[topo.VM]
-	warming  warming
-	tuning   atomic.Pointer[Tuning]
+	config         Config
+	ctx            context.Context
+	runner         *follow.Runner
+	loop           *loop.Loop[Event, Effect]
+	state          *State
+	view           atomic.Pointer[View]
+	firstReady     chan struct{} // closed when the router is ready for the first time
+	firstReadyOnce sync.Once
+	limits         *limits
+	retries        *retry.PoolBudgets // of upstreams without a sidecar
+	claimBudget    *claimBudget
+	claimer        *claim.Claimer
+	suspects       *suspects
+	ledger         *ledger.Ledger
+	holders        *balance.LastServed[topo.VM]
+	coldStart      coldStart
+	tuning         atomic.Pointer[Tuning]
 
 	mesh     *mesh
 	replaced []topo.VM // incarnations to be abandoned; owned by the control loop
 
 	conditions *condition.Observations // of upstreams
 
-	mu      sync.Mutex
-	parent  relay.Node                   // that reads the store for this router
-	asked   map[uint64]chan config.Delta // calls of sidecars that wait for a reply
-	tickets uint64
-	peers   map[endpoint]*wire.Peer
+	mu              sync.Mutex
+	parent          relay.Node                   // that reads the store for this router
+	pendingQueries  map[uint64]chan config.Delta // calls of sidecars that wait for a reply
+	lastQueryTicket uint64
+	peers           map[endpoint]*wire.Peer
 }
 
 // New returns a Router that works until ctx ends.
@@ -136,24 +136,24 @@
 		c.Pace = config.DefaultPace()
 	}
 	if c.VMListInterval == 0 {
-		c.VMListInterval = listEvery
+		c.VMListInterval = defaultVMListInterval
 	}
 	r := &Router{
-		config:     c,
-		ctx:        ctx,
-		state:      NewState(c.VM, placement.Locality{Domain: c.FailureDomain}, c.Pace, rand.Uint64()),
-		began:      make(chan struct{}),
-		asked:      make(map[uint64]chan config.Delta),
-		limits:     newLimits(),
-		retries:    retry.NewPoolBudgets(),
-		claims:     newClaimBudget(time.Now()),
-		claimer:    claim.NewClaimer(c.Store),
-		suspects:   newSuspects(),
-		ledger:     ledger.New(),
-		holders:    balance.NewLastServed[topo.VM](),
-		warming:    warming{gate: warmup.NewLimiter(c.VM)},
-		peers:      make(map[endpoint]*wire.Peer),
-		conditions: condition.NewObservations(),
+		config:         c,
+		ctx:            ctx,
+		state:          NewState(c.VM, placement.Locality{Domain: c.FailureDomain}, c.Pace, rand.Uint64()),
+		firstReady:     make(chan struct{}),
+		pendingQueries: make(map[uint64]chan config.Delta),
+		limits:         newLimits(),
+		retries:        retry.NewPoolBudgets(),
+		claimBudget:    newClaimBudget(time.Now()),
+		claimer:        claim.NewClaimer(c.Store),
+		suspects:       newSuspects(),
+		ledger:         ledger.New(),
+		holders:        balance.NewLastServed[topo.VM](),
+		coldStart:      coldStart{gate: warmup.NewLimiter(c.VM)},
+		peers:          make(map[endpoint]*wire.Peer),
+		conditions:     condition.NewObservations(),
 	}
 	if c.Decode != nil {
 		r.state.SetDecoder(c.Decode)
@@ -161,11 +161,11 @@
 	r.Tune(c.Tuning)
 	r.runner = &follow.Runner{
 		Source: c.Source,
-		Ask:    r.askConfig,
+		Ask:    r.queryConfig,
 		Post:   func(e config.Event) { r.loop.Post(ConfigEvent{Event: e}) },
 	}
 	r.view.Store(r.state.View())
-	r.loop = loop.New(r.state, r.act, r.publish)
+	r.loop = loop.New(r.state, r.execute, r.publish)
 	context.AfterFunc(ctx, r.closePeers)
 	if c.Mesh != nil {
 		r.mesh = newMesh(r, *c.Mesh)
@@ -174,7 +174,7 @@
 	}
 	go r.loop.Run(ctx)
 	go r.runner.Run(ctx)
-	go r.followVMs(ctx)
+	go r.runMaintenance(ctx)
 	if c.Mesh == nil {
 		go r.readConvictions(ctx)
 	}
@@ -187,25 +187,25 @@
 	r.retries.SetRule(t.Retries)
 }
 
-// act carries out an effect, on the loop's goroutine.
-func (r *Router) act(effect Effect) {
+// execute carries out an effect, on the loop's goroutine.
+func (r *Router) execute(effect Effect) {
 	switch e := effect.(type) {
 	case ConfigEffect:
 		r.runner.Do(r.ctx, e.Effect)
 		if _, ok := e.Effect.(config.StoreRestored); ok {
-			r.restored()
+			r.onStoreRestored()
 		}
 	case ConfigReply:
-		r.reply(e)
+		r.deliverReply(e)
 	case Notify:
-		r.notify(e)
+		r.sendNotice(e)
 	case ConfigApplied:
 		r.ledger.Take(e.Followed)
 		logFollowed(e)
 	case MembershipChanged:
 		logMembers(e)
 	case RelayEffect:
-		r.mesh.do(e.Effect)
+		r.mesh.execute(e.Effect)
 	case MembersEffect:
 		r.mesh.members.Do(r.ctx, e.Effect)
 	case UnusableEntry:
@@ -214,20 +214,20 @@
 			slog.Error("an entry names no upstream that could be used", "error", e.Err)
 		}
 	case UpstreamsRestarted:
-		r.restarted(e)
+		r.onUpstreamsRestarted(e)
 	}
 }
 
-// restored writes again what this router wrote into a store that has lost its last seconds.
-func (r *Router) restored() {
+// onStoreRestored writes again what this router wrote into a store that has lost its last seconds.
+func (r *Router) onStoreRestored() {
 	if r.mesh != nil {
 		r.mesh.register.RequestCheck()
 	}
 	go r.claimer.RecreateLost(r.ctx)
 }
 
-// restarted takes in which upstreams have started again.
-func (r *Router) restarted(e UpstreamsRestarted) {
+// onUpstreamsRestarted takes in which upstreams have started again.
+func (r *Router) onUpstreamsRestarted(e UpstreamsRestarted) {
 	outdatedEntries.Add(int64(e.Outdated))
 	for _, vm := range e.Replaced {
 		slog.Warn("upstream has started again: what it worked on is lost", "upstream", vm.ID, "addr", vm.Addr, "pool", vm.Pool)
@@ -235,10 +235,10 @@
 	r.replaced = append(r.replaced, e.Replaced...)
 }
 
-// abandon ends what is under way at the former incarnations of upstreams. It comes after the
+// abandonReplaced ends what is under way at the former incarnations of upstreams. It comes after the
 // view that does not have them: a request that is broken off looks for another upstream at
 // once, and would else be sent to the one that has just gone, and fail.
-func (r *Router) abandon() {
+func (r *Router) abandonReplaced() {
 	for _, vm := range r.replaced {
 		if r.config.Direct != nil {
 			r.config.Direct.AbortCalls(vm)
@@ -250,11 +250,11 @@
 // publish shows traffic the new state, and then tells operators of it.
 func (r *Router) publish() {
 	r.view.Store(r.state.View())
-	r.warming.listed.Store(int64(r.state.ListedRouters()))
+	r.coldStart.registeredRouters.Store(int64(r.state.ListedRouters()))
 	r.ledger.Publish()
-	r.abandon()
+	r.abandonReplaced()
 	if r.Ready() {
-		r.begin.Do(func() { close(r.began) })
+		r.firstReadyOnce.Do(func() { close(r.firstReady) })
 	}
 }
 
@@ -271,7 +271,7 @@
 
 // FirstReady is closed when the router is ready for the first time.
 func (r *Router) FirstReady() <-chan struct{} {
-	return r.began
+	return r.firstReady
 }
 
 // Alive returns nil when the control loop turns.
@@ -279,28 +279,28 @@
 	return r.loop.Probe(ctx)
 }
 
-func (r *Router) followVMs(ctx context.Context) {
+func (r *Router) runMaintenance(ctx context.Context) {
 	tag := ""
 	for ctx.Err() == nil {
 		r.suspects.expire(time.Now())
-		r.warming.gate.Expire(time.Now())
-		r.keepConditions(time.Now())
+		r.coldStart.gate.Expire(time.Now())
+		r.pruneConditions(time.Now())
 		r.claimer.ObserveEra(time.Now(), topo.EraOf(r.config.Store))
 		r.prunePeers()
 		if r.config.Direct != nil {
 			r.config.Direct.CloseIdle(time.Now(), r.View().VMs)
 		}
 		if r.config.VMs != nil {
-			tag = r.readVMs(ctx, tag)
-			r.nearPeers()
+			tag = r.refreshVMs(ctx, tag)
+			r.postConnectedPeers()
 		}
 		sleep(ctx, r.config.VMListInterval)
 	}
 }
 
-// readVMs reads the list of VMs if it is not the one with tag, and returns the tag
+// refreshVMs reads the list of VMs if it is not the one with tag, and returns the tag
 // of the present one.
-func (r *Router) readVMs(ctx context.Context, tag string) string {
+func (r *Router) refreshVMs(ctx context.Context, tag string) string {
 	vms, changed, err := r.config.VMs.VMs(ctx, tag)
 	if err != nil || !changed {
 		return tag
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -12,8 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/balance"
 )
 
-// sharing is what routers tell each other beside the sets that they follow.
-type sharing struct {
+// sharingMessage is what routers tell each other beside the sets that they follow.
+type sharingMessage struct {
 	Pools []sharedPool `cbor:"1,keyasint,omitempty"`
 	// Leaving are upstreams that have said in answers that they leave, by hashes of their ids.
 	Leaving []uint64 `cbor:"3,keyasint,omitempty"`
@@ -32,78 +32,78 @@
 }
 
 const (
-	// tellEvery is for how long what a router knows is not put together anew: messages to
+	// reportInterval is for how long what a router knows is not put together anew: messages to
 	// many routers leave at the same moment.
-	tellEvery = 20 * time.Millisecond
-	// sharingMost bounds what is shared in one message, in bytes: it travels as one
+	reportInterval = 20 * time.Millisecond
+	// maxSharingBytes bounds what is shared in one message, in bytes: it travels as one
 	// datagram. A pool's part takes at most 1,000.
-	sharingMost = 1000
-	// leavingMost bounds how many upstreams that leave one message names, 9 bytes each: those
+	maxSharingBytes = 1000
+	// maxLeavingShared bounds how many upstreams that leave one message names, 9 bytes each: those
 	// that said so last. The others were named before.
-	leavingMost = 24
-	// tellRate is how much of that a router is told, in bytes a second: of the 4 KB that
+	maxLeavingShared = 24
+	// reportBytesPerSecond is how much of that a router is told, in bytes a second: of the 4 KB that
 	// control may take, beats and what it tells itself need 1.2.
-	tellRate = 2800
+	reportBytesPerSecond = 2800
 )
 
-// known returns what this router tells those that rely on it: of all pools, or of those
+// reportForFollowers returns what this router tells those that rely on it: of all pools, or of those
 // whose turn it is if they do not fit into one message; nil: nothing for now.
-func (m *mesh) known(now time.Time) []byte {
-	if now.Sub(m.toldAt) < tellEvery {
-		return m.told
+func (m *mesh) reportForFollowers(now time.Time) []byte {
+	if now.Sub(m.lastReportAt) < reportInterval {
+		return m.lastReport
 	}
-	if now.Before(m.tellNext) {
+	if now.Before(m.nextReportAt) {
 		return nil
 	}
-	m.toldAt = now
-	pools := m.pools(func(p *Pool) balance.SharedState { return p.tracker.PackKnown(now, p.serving) })
-	leaving := m.leaving(true)
+	m.lastReportAt = now
+	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.PackKnown(now, p.serving) })
+	leaving := m.leavingUpstreams(true)
 	if len(pools) == 0 && len(leaving) == 0 {
-		m.told = nil
+		m.lastReport = nil
 		return nil
 	}
 	n := 0
 	if len(pools) > 0 {
-		m.turn %= len(pools)
-		pools = append(pools[m.turn:], pools[:m.turn]...)
-		n = fitting(pools)
-		m.turn += n
-	}
-	m.told = m.pack(pools[:n], leaving)
-	m.tellNext = now.Add(time.Duration(len(m.told)) * time.Second / tellRate)
-	return m.told
+		m.nextPool %= len(pools)
+		pools = append(pools[m.nextPool:], pools[:m.nextPool]...)
+		n = fittingPools(pools)
+		m.nextPool += n
+	}
+	m.lastReport = m.encodeSharing(pools[:n], leaving)
+	m.nextReportAt = now.Add(time.Duration(len(m.lastReport)) * time.Second / reportBytesPerSecond)
+	return m.lastReport
 }
 
-// heard returns what this router tells the one that it relies on, in messages.
-func (m *mesh) heard(now time.Time) [][]byte {
+// reportsForReader returns what this router tells the one that it relies on, in messages.
+func (m *mesh) reportsForReader(now time.Time) [][]byte {
 	after := m.sharedAt
 	m.sharedAt = now
-	pools := m.pools(func(p *Pool) balance.SharedState { return p.tracker.PackObserved(now, after, p.serving) })
-	leaving := m.leaving(false)
+	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.PackObserved(now, after, p.serving) })
+	leaving := m.leavingUpstreams(false)
 	var out [][]byte
 	for len(pools) > 0 || len(leaving) > 0 {
-		n := fitting(pools)
-		out = append(out, m.pack(pools[:n], leaving))
+		n := fittingPools(pools)
+		out = append(out, m.encodeSharing(pools[:n], leaving))
 		pools, leaving = pools[n:], nil
 	}
 	return out
 }
 
-// leaving returns the upstreams that have said that they leave, and of which the list does not
+// leavingUpstreams returns the upstreams that have said that they leave, and of which the list does not
 // say so: to this router, or also to those that have told it.
-func (m *mesh) leaving(told bool) []uint64 {
+func (m *mesh) leavingUpstreams(includeReported bool) []uint64 {
 	vms := m.router.View().VMs
 	var out []uint64
-	for _, id := range m.router.conditions.Leaving(told) {
-		if vm, listed := vms[id]; listed && !vm.Leaving && len(out) < leavingMost {
+	for _, id := range m.router.conditions.Leaving(includeReported) {
+		if vm, listed := vms[id]; listed && !vm.Leaving && len(out) < maxLeavingShared {
 			out = append(out, xxh3.HashString(id))
 		}
 	}
 	return out
 }
 
-// takeLeaving takes in which upstreams have told another router that they leave.
-func (m *mesh) takeLeaving(now time.Time, leaving []uint64) {
+// mergeLeaving takes in which upstreams have told another router that they leave.
+func (m *mesh) mergeLeaving(now time.Time, leaving []uint64) {
 	if len(leaving) == 0 {
 		return
 	}
@@ -114,13 +114,13 @@
 	}
 }
 
-// pools returns what is to be told of each pool, in the order of their names.
-func (m *mesh) pools(of func(*Pool) balance.SharedState) []sharedPool {
-	on := m.router.policy()
+// collectPools returns what is to be told of each pool, in the order of their names.
+func (m *mesh) collectPools(collect func(*Pool) balance.SharedState) []sharedPool {
+	enabled := m.router.policy()
 	pools := m.router.View().Pools
 	var out []sharedPool
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
-		shared := of(pools[name]).Allowed(on)
+		shared := collect(pools[name]).Allowed(enabled)
 		if !shared.Empty() {
 			out = append(out, sharedPool{Pool: shortHash(name), Loads: shared.Loads, Outcomes: shared.Outcomes, Speeds: shared.Speeds})
 		}
@@ -131,21 +131,21 @@
 // sharedOverhead is what a pool takes in a message beside its entries, in bytes.
 const sharedOverhead = 16
 
-// fitting returns how many of the first pools fit into one message, one at least.
-func fitting(pools []sharedPool) int {
+// fittingPools returns how many of the first pools fit into one message, one at least.
+func fittingPools(pools []sharedPool) int {
 	size := 0
 	for i, p := range pools {
 		size += sharedOverhead + len(p.Loads) + len(p.Outcomes) + len(p.Speeds)
-		if size > sharingMost && i > 0 {
+		if size > maxSharingBytes && i > 0 {
 			return i
 		}
 	}
 	return len(pools)
 }
 
-// pack returns pools and those that leave as they travel.
-func (m *mesh) pack(pools []sharedPool, leaving []uint64) []byte {
-	b, err := cbor.Marshal(sharing{Pools: pools, Leaving: leaving, Routers: m.router.warming.routers(1)})
+// encodeSharing returns pools and those that leave as they travel.
+func (m *mesh) encodeSharing(pools []sharedPool, leaving []uint64) []byte {
+	b, err := cbor.Marshal(sharingMessage{Pools: pools, Leaving: leaving, Routers: m.router.coldStart.routerCount(1)})
 	if err != nil {
 		slog.Error("what is shared between routers cannot be encoded", "error", err)
 		return nil
@@ -153,35 +153,35 @@
 	return b
 }
 
-// sharer is who has told.
-type sharer uint8
+// shareSource is who has told.
+type shareSource uint8
 
 const (
-	fromReader   sharer = iota // the router that this one relies on
-	fromFollower               // one that relies on this one
+	fromReader   shareSource = iota // the router that this one relies on
+	fromFollower                    // one that relies on this one
 )
 
-// merge takes in what another router has told. What cannot be read is of a router of
+// mergeSharing takes in what another router has told. What cannot be read is of a router of
 // another release, and only makes loads less well known.
-func (m *mesh) merge(now time.Time, b []byte, from sharer) {
+func (m *mesh) mergeSharing(now time.Time, b []byte, from shareSource) {
 	if len(b) == 0 {
 		return
 	}
-	var s sharing
+	var s sharingMessage
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		meshMalformed.Inc()
 		return
 	}
 	if from == fromReader && s.Routers > 0 {
-		m.router.warming.told.Store(int64(s.Routers))
+		m.router.coldStart.reportedRouters.Store(int64(s.Routers))
 	}
-	m.takeLeaving(now, s.Leaving)
+	m.mergeLeaving(now, s.Leaving)
 	byHash := make(map[uint32]*Pool)
 	for name, p := range m.router.View().Pools {
 		byHash[shortHash(name)] = p
 	}
-	for _, told := range s.Pools {
-		p := byHash[told.Pool]
+	for _, shared := range s.Pools {
+		p := byHash[shared.Pool]
 		if p == nil {
 			continue
 		}
@@ -189,7 +189,7 @@
 		if from == fromFollower {
 			merge = p.tracker.MergeObserved
 		}
-		if err := merge(now, p.serving, balance.SharedState{Loads: told.Loads, Outcomes: told.Outcomes, Speeds: told.Speeds}); err != nil {
+		if err := merge(now, p.serving, balance.SharedState{Loads: shared.Loads, Outcomes: shared.Outcomes, Speeds: shared.Speeds}); err != nil {
 			meshMalformed.Inc()
 		}
 	}
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -14,25 +14,25 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// meshOf returns a mesh of a router that knows a list of upstreams.
-func meshOf(upstreams ...string) *mesh {
+// newTestMesh returns a mesh of a router that knows a list of upstreams.
+func newTestMesh(upstreams ...string) *mesh {
 	vms := make([]topo.VM, len(upstreams))
 	for i, id := range upstreams {
 		vms[i] = topo.VM{ID: id, Role: topo.RoleDirect, Pool: "llm"}
 	}
 	r := &Router{conditions: condition.NewObservations()}
 	r.tuning.Store(&Tuning{Policy: policy.All()})
-	r.view.Store(&View{Pools: map[string]*Pool{"llm": newPool(listed(vms), newBeliefs(), balance.NewTracker(), placement.Locality{})}})
+	r.view.Store(&View{Pools: map[string]*Pool{"llm": newPool(asUpstreams(vms), newLoadReports(), balance.NewTracker(), placement.Locality{})}})
 	return &mesh{router: r}
 }
 
-// poolOf returns a pool of upstreams that are named after it.
-func poolOf(upstreams int, name string) *Pool {
+// newTestPool returns a pool of upstreams that are named after it.
+func newTestPool(upstreams int, name string) *Pool {
 	vms := make([]topo.VM, upstreams)
 	for i := range vms {
 		vms[i] = topo.VM{ID: fmt.Sprint(name, "-", i), Role: topo.RoleDirect, Pool: name}
 	}
-	return newPool(listed(vms), newBeliefs(), balance.NewTracker(), placement.Locality{})
+	return newPool(asUpstreams(vms), newLoadReports(), balance.NewTracker(), placement.Locality{})
 }
 
 func (m *mesh) pool() *Pool { return m.router.View().Pools["llm"] }
@@ -44,20 +44,20 @@
 
 // A router hears of a load, tells the one that it relies on, and a third learns of it
 // from there, through the messages that go between them.
-func TestLoadsGoThroughTheReader(t *testing.T) {
+func TestLoadsAreRelayedThroughTheReader(t *testing.T) {
 	now := time.Unix(1000, 0)
-	first, reader, third := meshOf("a", "b"), meshOf("a", "b"), meshOf("a", "b")
+	first, reader, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
 	first.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	up, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "first", Sharing: first.heard(now)[0]}})
+	up, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "first", Sharing: first.reportsForReader(now)[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader.take(up)
-	down, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "reader", Known: true, Sharing: reader.known(time.Now())}})
+	reader.handleMessage(up)
+	down, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "reader", Known: true, Sharing: reader.reportForFollowers(time.Now())}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	third.take(down)
+	third.handleMessage(down)
 	if got := loadOf(third.pool(), time.Now(), "b"); got < 16 || got > 18 {
 		t.Errorf("the third router believes in a load of %.1f, want 17", got)
 	}
@@ -66,11 +66,11 @@
 // Upstreams are replaced one after the other. Each change of the list reaches routers at
 // different moments, and what they told each other of all other upstreams was left out for
 // as long: at each such moment a router knew only what it had heard itself.
-func TestLoadsSurviveAChangeOfTheList(t *testing.T) {
+func TestLoadsAreSharedBetweenDifferentLists(t *testing.T) {
 	now := time.Unix(1000, 0)
-	behind, ahead := meshOf("a", "b"), meshOf("b", "c")
+	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
 	behind.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	ahead.merge(now, behind.known(now), fromReader)
+	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
 	if got := loadOf(ahead.pool(), now, "b"); got < 16 || got > 18 {
 		t.Errorf("load %.1f of b, which both know, want 17", got)
 	}
@@ -78,14 +78,14 @@
 
 // A router of 30 pools of 100 upstreams tells of all of them, none in a message that is
 // too long for a datagram: one that is not sent tells nothing at all.
-func TestManyPoolsAreToldByTurns(t *testing.T) {
+func TestManyPoolsAreReportedInTurn(t *testing.T) {
 	const pools, upstreams = 30, 100
-	reader, other := meshOf(), meshOf()
+	reader, other := newTestMesh(), newTestMesh()
 	now := time.Unix(1000, 0)
 	for _, m := range []*mesh{reader, other} {
 		view := &View{Pools: make(map[string]*Pool)}
 		for i := range pools {
-			view.Pools[fmt.Sprint("llm-", i)] = poolOf(upstreams, fmt.Sprint("vm-", i))
+			view.Pools[fmt.Sprint("llm-", i)] = newTestPool(upstreams, fmt.Sprint("vm-", i))
 		}
 		m.router.view.Store(view)
 	}
@@ -96,11 +96,11 @@
 				p.tracker.RecordLoad(now, load.Hash(vm.ID), len(name))
 			}
 		}
-		told := reader.known(now)
-		if _, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "router-1", Known: true, Sharing: told}}); err != nil {
+		report := reader.reportForFollowers(now)
+		if _, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "router-1", Known: true, Sharing: report}}); err != nil {
 			t.Fatal(err)
 		}
-		other.merge(now, told, fromReader)
+		other.mergeSharing(now, report, fromReader)
 	}
 	for name, p := range other.router.View().Pools {
 		if got := loadOf(p, now, p.VMs[upstreams-1].ID); got == 0 {
@@ -111,12 +111,12 @@
 
 // A router may hear 4 KB of control a second. However large and many its pools are, what it
 // is told of loads takes no more than its part of that.
-func TestWhatIsToldKeepsToItsRate(t *testing.T) {
+func TestReportsKeepToTheirRate(t *testing.T) {
 	for _, c := range []struct{ pools, upstreams int }{{1, 5}, {1, 117}, {22, 132}} {
-		m := meshOf()
+		m := newTestMesh()
 		view := &View{Pools: make(map[string]*Pool)}
 		for i := range c.pools {
-			view.Pools[fmt.Sprint("llm-", i)] = poolOf(c.upstreams, fmt.Sprint("vm-", i))
+			view.Pools[fmt.Sprint("llm-", i)] = newTestPool(c.upstreams, fmt.Sprint("vm-", i))
 		}
 		m.router.view.Store(view)
 		now, bytes := time.Unix(1000, 0), 0
@@ -128,21 +128,21 @@
 					p.tracker.RecordLoad(now, load.Hash(vm.ID), 7)
 				}
 			}
-			bytes += len(m.known(now))
+			bytes += len(m.reportForFollowers(now))
 		}
-		if rate := bytes / seconds; rate > tellRate*11/10 {
-			t.Errorf("%d pools of %d: %d bytes a second, want %d", c.pools, c.upstreams, rate, tellRate)
+		if rate := bytes / seconds; rate > reportBytesPerSecond*11/10 {
+			t.Errorf("%d pools of %d: %d bytes a second, want %d", c.pools, c.upstreams, rate, reportBytesPerSecond)
 		}
 	}
 }
 
 // While upstreams come and go, routers hold different lists for a moment. A load of one
 // that a router does not have is left out.
-func TestLoadsOfAnotherListAreLeftOut(t *testing.T) {
+func TestLoadsOfUnlistedUpstreamsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
-	behind, ahead := meshOf("a", "b"), meshOf("b", "c")
+	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
 	behind.pool().tracker.RecordLoad(now, load.Hash("a"), 17)
-	ahead.merge(now, behind.known(now), fromReader)
+	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
 	for _, id := range []string{"b", "c"} {
 		if got := loadOf(ahead.pool(), now, id); got != 0 {
 			t.Errorf("load %.1f of %s, want nothing", got, id)
@@ -150,8 +150,8 @@
 	}
 }
 
-// listed returns upstreams of which no more is known than the list says.
-func listed(vms []topo.VM) []upstream {
+// asUpstreams returns upstreams of which no more is known than the list says.
+func asUpstreams(vms []topo.VM) []upstream {
 	out := make([]upstream, len(vms))
 	for i, vm := range vms {
 		out[i].vm = vm
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -13,12 +13,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// sidecars carries attempts to the sidecars of upstreams. A sidecar remembers a
+// sidecarTransport carries attempts to the sidecarTransport of upstreams. A sidecar remembers a
 // request by its key, so what was lost on the way can be sent or asked for again.
-type sidecars struct{ *Answer }
+type sidecarTransport struct{ *Answer }
 
 // target implements carrier.
-func (a sidecars) target(e dispatch.Offer) (target, bool) {
+func (a sidecarTransport) target(e dispatch.Offer) (target, bool) {
 	vm := a.candidates[e.Candidate]
 	if e.Attempt > 0 {
 		vm = a.reassign(vm)
@@ -28,7 +28,7 @@
 
 // submit sends the attempt to its sidecar, for the first time or again, and
 // returns what came of it.
-func (a sidecars) submit(at *attempt) dispatch.Event {
+func (a sidecarTransport) submit(at *attempt) dispatch.Event {
 	at.span.End() // of the time before
 	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
@@ -37,7 +37,7 @@
 		return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: verdict.From(err)}
 	}
 	successor := a.successor(at)
-	if !at.gate.pass() {
+	if !at.gate.markSent() {
 		return nil
 	}
 	now := time.Now()
@@ -47,28 +47,28 @@
 		Home:        a.home,
 		Org:         a.req.Org.Name,
 		Session:     a.session,
-		Fingerprint: a.print,
+		Fingerprint: a.fingerprint,
 		Treatment:   a.req.treatment(now, a.plan),
 		Call:        at.call,
 		Window:      streamWindow,
 		Trace:       string(at.span.Traceparent()),
-		Control:     a.router.control(now, at.vm.ID, a.pool, a.print),
-		Leave:       at.leave,
+		Control:     a.router.control(now, at.vm.ID, a.pool, a.fingerprint),
+		Leave:       at.hasPermit,
 	})
-	if unsent(adm, err) && at.resends < maxResends {
+	if isUnsent(adm, err) && at.resends < maxResends {
 		at.resends++
 		sleep(at.ctx, retry.Backoff(at.resends+1, rand.Float64()))
 		return a.submit(at)
 	}
 	if err != nil {
 		at.span.Fail(string(verdict.From(err).Reason))
-		return a.refusal(at, adm, err)
+		return a.refusalEvent(at, adm, err)
 	}
-	return a.begun(at, stream, adm)
+	return a.awaitFirstPiece(at, stream, adm)
 }
 
 // attach asks for the rest of the attempt's answer.
-func (a sidecars) attach(at *attempt) dispatch.Event {
+func (a sidecarTransport) attach(at *attempt) dispatch.Event {
 	peer, err := a.connect(at)
 	if err != nil {
 		return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: verdict.From(err)}
@@ -78,21 +78,21 @@
 		Org:      a.req.Org.Name,
 		Offset:   at.offset,
 		Window:   streamWindow,
-		HeadSeen: at.headed,
+		HeadSeen: at.headSent,
 	})
 	if err != nil {
-		return a.refusal(at, adm, err)
+		return a.refusalEvent(at, adm, err)
 	}
-	return a.begun(at, stream, adm)
+	return a.awaitFirstPiece(at, stream, adm)
 }
 
 // connect returns the peer of the attempt's sidecar, connected, and draws the
 // attempt's key if it has none.
-func (a sidecars) connect(at *attempt) (*wire.Peer, error) {
+func (a sidecarTransport) connect(at *attempt) (*wire.Peer, error) {
 	peer := a.router.peer(at.vm)
 	hello, err := peer.Connect(at.ctx)
 	if err != nil {
-		a.router.avoid(at.vm.ID)
+		a.router.markUnreachable(at.vm.ID)
 		return nil, err
 	}
 	if at.key == nil {
@@ -107,11 +107,11 @@
 // arrive through other routers, and all must go the same way. So does a suspect,
 // which the site of its crash may send on. The next sidecar is connected to
 // first, because a key names its incarnation.
-func (a sidecars) successor(at *attempt) *wire.Key {
-	if a.req.Key == nil && !a.suspect || at.link+1 >= dispatch.MaxKeyChain || at.link+1 >= len(a.candidates) {
+func (a sidecarTransport) successor(at *attempt) *wire.Key {
+	if a.req.Key == nil && !a.suspect || at.chainIndex+1 >= dispatch.MaxKeyChain || at.chainIndex+1 >= len(a.candidates) {
 		return nil
 	}
-	for _, vm := range a.candidates[at.link+1:] {
+	for _, vm := range a.candidates[at.chainIndex+1:] {
 		if vm.ID == at.vm.ID {
 			continue
 		}
@@ -120,7 +120,7 @@
 			key := newKey(vm.ID, hello.Incarnation, time.Now())
 			return &key
 		}
-		a.router.avoid(vm.ID)
+		a.router.markUnreachable(vm.ID)
 	}
 	return nil
 }
@@ -129,78 +129,78 @@
 // first time may meet the same connection, before its end has been noticed.
 const maxResends = 2
 
-// unsent reports whether a call failed before any of it was sent. A connection
+// isUnsent reports whether a call failed before any of it was sent. A connection
 // that was fine a moment ago has then been closed, as after a change of
 // certificates; a fresh one mostly works, and where a pool has no other
 // upstream the caller would be refused for nothing.
-func unsent(adm wire.Admission, err error) bool {
+func isUnsent(adm wire.Admission, err error) bool {
 	return err != nil && adm.Error == nil && verdict.From(err).Reason == verdict.ReasonNoUpstream
 }
 
-// refusal turns a failed call into an event. A sidecar's own word has an
+// refusalEvent turns a failed call into an event. A sidecar's own word has an
 // admission or a reason of its own; everything else is a lost connection.
-func (a sidecars) refusal(at *attempt, adm wire.Admission, err error) dispatch.Event {
+func (a sidecarTransport) refusalEvent(at *attempt, adm wire.Admission, err error) dispatch.Event {
 	now := time.Now()
 	e := verdict.From(err)
 	if adm.Error == nil && e.Reason == verdict.ReasonConnection {
 		return dispatch.ConnectionLost{Now: now, Attempt: at.number}
 	}
-	if unsent(adm, err) {
+	if isUnsent(adm, err) {
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: e}
 	}
-	a.router.heard(now, at.vm, adm.Control)
-	if adm.Leave && !at.leave {
-		at.leave, at.site, at.given = true, at.vm, at.key.Nonce
+	a.router.handleControl(now, at.vm, adm.Control)
+	if adm.Leave && !at.hasPermit {
+		at.hasPermit, at.crashSite, at.permitNonce = true, at.vm, at.key.Nonce
 	}
 	if adm.Moved == nil && e.Verdict == verdict.NotRun {
-		a.giveBack(at)
+		a.returnPermit(at)
 	}
-	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Moved: adm.Moved, Final: a.stranded(at, e)}
+	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Moved: adm.Moved, Final: a.isStranded(at, e)}
 }
 
-// stranded reports whether a refused suspect has nowhere else to go: it was the
+// isStranded reports whether a refused suspect has nowhere else to go: it was the
 // only VM where it may run that refused it.
-func (a sidecars) stranded(at *attempt, err *verdict.Error) bool {
+func (a sidecarTransport) isStranded(at *attempt, err *verdict.Error) bool {
 	return err.Reason == verdict.ReasonSuspect && a.reassign(at.vm).ID == at.vm.ID
 }
 
-// begun waits for the first piece of an admitted attempt's answer. A head
+// awaitFirstPiece waits for the first piece of an admitted attempt's answer. A head
 // alone is not one: until there is a byte, nothing is sent to the caller, and
 // what is idempotent can still be tried elsewhere.
-func (a sidecars) begun(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
+func (a sidecarTransport) awaitFirstPiece(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
 	at.stream = stream
-	a.router.heard(time.Now(), at.vm, adm.Control)
+	a.router.handleControl(time.Now(), at.vm, adm.Control)
 	a.post(outcome{attempt: at, event: dispatch.Admitted{Attempt: at.number}})
-	if at.headed {
+	if at.headSent {
 		return nil // the Answer reads on by itself
 	}
-	at.pieces = nil
+	at.readAhead = nil
 	for {
 		p, err := stream.Next(at.ctx)
 		if err != nil {
-			return a.broken(at)
+			return a.closeBroken(at)
 		}
 		if p.End != nil && p.End.Error != nil {
-			a.router.heard(time.Now(), at.vm, p.End.Control)
-			a.report(at, p.End.Error)
+			a.router.handleControl(time.Now(), at.vm, p.End.Control)
+			a.reportCrash(at, p.End.Error)
 			if p.End.Moved != nil { // it waited there and was sent on
 				return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: p.End.Error, Moved: p.End.Moved}
 			}
 			if p.End.Error.Verdict == verdict.NotRun {
-				a.giveBack(at)
+				a.returnPermit(at)
 			}
 			return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error}
 		}
-		at.pieces = append(at.pieces, p)
+		at.readAhead = append(at.readAhead, p)
 		if p.Head == nil {
 			return dispatch.ResponseStarted{Now: time.Now(), Attempt: at.number}
 		}
 	}
 }
 
-// broken closes a stream that has failed. The end of the request's own context
+// closeBroken closes a stream that has failed. The end of the request's own context
 // is no failure of the stream.
-func (a sidecars) broken(at *attempt) dispatch.Event {
+func (a sidecarTransport) closeBroken(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
 	}
@@ -214,15 +214,15 @@
 const cancelTimeout = 3 * time.Second
 
 // cancel implements carrier.
-func (a sidecars) cancel(at *attempt) {
+func (a sidecarTransport) cancel(at *attempt) {
 	a.router.cancel(at.vm, a.req.Org.Name, *at.key)
 }
 
-// ended implements carrier.
-func (a sidecars) ended(at *attempt, end *wire.End) {
-	a.router.heard(time.Now(), at.vm, end.Control)
+// handleEnd implements carrier.
+func (a sidecarTransport) handleEnd(at *attempt, end *wire.End) {
+	a.router.handleControl(time.Now(), at.vm, end.Control)
 	if end.Error != nil {
-		a.report(at, end.Error)
+		a.reportCrash(at, end.Error)
 	}
 }
 
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -88,29 +88,29 @@
 
 // State is a router's control state.
 type State struct {
-	self     placement.Locality
-	decode   func(topo.Object) (profile.Object, error)
-	follower *config.Follower
-	profiles map[string]*profile.Profile
-	orgs     map[string]*profile.Organisation
-	limits   *profile.Limits
-	loads    map[string]*profile.Pool // what pools load
-	vm       string                   // of this router
-	orders   drain.Orders             // of operators
-	wanted   map[string]wire.Notice   // what each VM is to be told
-	sent     map[string]sent          // what it has been told
-	vms      topo.VMs
-	beliefs  map[string]*beliefs         // by pool
-	trackers map[string]*balance.Tracker // by pool
-	joined   map[string]time.Time        // when VMs were first seen in the list
-	relayed  *relayed                    // nil: this router always reads the store
-
-	view  *View   // as it was published last
-	stale changes // since then
+	self           placement.Locality
+	decode         func(topo.Object) (profile.Object, error)
+	follower       *config.Follower
+	profiles       map[string]*profile.Profile
+	orgs           map[string]*profile.Organisation
+	limits         *profile.Limits
+	poolSpecs      map[string]*profile.Pool // what pools load
+	vm             string                   // of this router
+	orders         drain.Orders             // of operators
+	desiredNotices map[string]wire.Notice   // what each VM is to be told
+	sentNotices    map[string]sentNotice    // what it has been told
+	vms            topo.VMs
+	loadReports    map[string]*loadReports     // by pool
+	trackers       map[string]*balance.Tracker // by pool
+	firstSeen      map[string]time.Time        // when VMs were first seen in the list
+	relayState     *relayState                 // nil: this router always reads the store
+
+	view  *View      // as it was published last
+	stale staleParts // since then
 }
 
-// changes says which parts of a View have to be built anew.
-type changes struct {
+// staleParts says which parts of a View have to be built anew.
+type staleParts struct {
 	profiles, orgs, pools bool
 }
 
@@ -118,18 +118,18 @@
 // yet. It calls the store at a pace, with jitter that seed sets.
 func NewState(vm string, self placement.Locality, pace config.Pace, seed uint64) *State {
 	return &State{
-		vm:       vm,
-		self:     self,
-		decode:   decodeRevision,
-		follower: config.NewFollower(seed, pace),
-		profiles: make(map[string]*profile.Profile),
-		orgs:     make(map[string]*profile.Organisation),
-		loads:    make(map[string]*profile.Pool),
-		sent:     make(map[string]sent),
-		beliefs:  make(map[string]*beliefs),
-		trackers: make(map[string]*balance.Tracker),
-		view:     &View{},
-		stale:    changes{profiles: true, orgs: true, pools: true},
+		vm:          vm,
+		self:        self,
+		decode:      decodeRevision,
+		follower:    config.NewFollower(seed, pace),
+		profiles:    make(map[string]*profile.Profile),
+		orgs:        make(map[string]*profile.Organisation),
+		poolSpecs:   make(map[string]*profile.Pool),
+		sentNotices: make(map[string]sentNotice),
+		loadReports: make(map[string]*loadReports),
+		trackers:    make(map[string]*balance.Tracker),
+		view:        &View{},
+		stale:       staleParts{profiles: true, orgs: true, pools: true},
 	}
 }
 
@@ -142,66 +142,66 @@
 func (s *State) Step(event Event) []Effect {
 	switch e := event.(type) {
 	case ConfigEvent:
-		effects := s.configure(e.Event)
+		effects := s.stepConfig(e.Event)
 		if tick, ok := e.Event.(config.Ticked); ok {
-			effects = append(effects, s.notify(tick.Now)...)
+			effects = append(effects, s.takeDueNotices(tick.Now)...)
 			return append(effects, s.tickRelay(tick.Now)...)
 		}
-		return append(effects, s.followed(e.Event.When())...)
+		return append(effects, s.reportProgress(e.Event.When())...)
 	case NoticeAccepted:
-		s.taken(e)
+		s.onNoticeAccepted(e)
 	case NoticeLost:
-		s.lost(e)
+		s.onNoticeLost(e)
 	case RelayEvent:
 		return s.stepRelay(e.Event.When(), e.Event)
 	case MembersEvent:
-		return s.membersEvent(e.Event)
+		return s.stepMembersEvent(e.Event)
 	case ConfigQueried:
-		return s.asked(e)
+		return s.answerQuery(e)
 	case VMsChanged:
 		members := MembershipChanged{Changes: topo.Changes(s.vms.Entries, e.VMs.Entries)}
 		s.vms = e.VMs
-		s.join(e.Now)
+		s.recordFirstSeen(e.Now)
 		s.stale.pools = true
-		s.wanted = s.noticesFor()
-		if s.relayed != nil { // the peers are routers
+		s.desiredNotices = s.computeNotices()
+		if s.relayState != nil { // the peers are routers
 			return []Effect{members}
 		}
-		return append(s.configure(config.PeersChanged{Now: e.Now, Peers: s.peers()}), members)
+		return append(s.stepConfig(config.PeersChanged{Now: e.Now, Peers: s.configPeers()}), members)
 	}
 	return nil
 }
 
-// join notes which VMs are new in the list.
-func (s *State) join(now time.Time) {
+// recordFirstSeen notes which VMs are new in the list.
+func (s *State) recordFirstSeen(now time.Time) {
 	joined := make(map[string]time.Time, len(s.vms.Entries))
 	for _, vm := range s.vms.Entries {
-		at, known := s.joined[vm.ID]
+		at, known := s.firstSeen[vm.ID]
 		if !known {
 			at = now
 		}
 		joined[vm.ID] = at
 	}
-	s.joined = joined
+	s.firstSeen = joined
 }
 
-// asked answers a node that lacks objects.
-func (s *State) asked(e ConfigQueried) []Effect {
+// answerQuery answers a node that lacks objects.
+func (s *State) answerQuery(e ConfigQueried) []Effect {
 	if e.Set == relay.SetMembers {
-		if s.relayed == nil {
+		if s.relayState == nil {
 			return []Effect{ConfigReply{Ticket: e.Ticket}}
 		}
-		return []Effect{ConfigReply{Ticket: e.Ticket, Delta: s.relayed.members.Set().Answer(e.Query)}}
+		return []Effect{ConfigReply{Ticket: e.Ticket, Delta: s.relayState.members.Set().Answer(e.Query)}}
 	}
-	var heard []Effect
+	var effects []Effect
 	if e.Peer != "" { // routers hear of each other's marks by beats
-		heard = s.configure(config.Heard{Now: e.Now, Peer: e.Peer, Mark: e.Query.Mark})
+		effects = s.stepConfig(config.Heard{Now: e.Now, Peer: e.Peer, Mark: e.Query.Mark})
 	}
-	return append(heard, ConfigReply{Ticket: e.Ticket, Delta: s.follower.Set().Answer(e.Query)})
+	return append(effects, ConfigReply{Ticket: e.Ticket, Delta: s.follower.Set().Answer(e.Query)})
 }
 
-// peers returns whom to ask for configuration: the sidecars that keep a copy.
-func (s *State) peers() []config.Peer {
+// configPeers returns whom to ask for configuration: the sidecars that keep a copy.
+func (s *State) configPeers() []config.Peer {
 	var out []config.Peer
 	for _, vm := range s.vms.Entries {
 		if vm.Role == topo.RoleUpstream && !vm.Leaving {
@@ -211,24 +211,24 @@
 	return config.Copies(out)
 }
 
-// configure passes an event to the follower and takes what it says is in force.
-func (s *State) configure(e config.Event) []Effect {
+// stepConfig passes an event to the follower and takes what it says is in force.
+func (s *State) stepConfig(e config.Event) []Effect {
 	var effects []Effect
 	followed := ConfigApplied{}
 	for _, effect := range s.follower.Step(e) {
 		switch effect := effect.(type) {
 		case config.Changed:
 			for _, o := range effect.Objects {
-				s.apply(o, &followed)
+				s.applyOrReject(o, &followed)
 			}
-			effects = append(effects, s.returned(e.When(), followed.Drained)...)
+			effects = append(effects, s.recheckUndrained(e.When(), followed.Drained)...)
 			continue
 		case config.StoreRegained:
-			if s.relayed != nil {
-				effects = append(effects, s.follow(e.When(), config.StoreWorks{Now: e.When()})...)
+			if s.relayState != nil {
+				effects = append(effects, s.stepMembers(e.When(), config.StoreWorks{Now: e.When()})...)
 			}
 		case config.StoreRestored:
-			s.restored(e.When())
+			s.onStoreRestored(e.When())
 		}
 		effects = append(effects, ConfigEffect{Effect: effect})
 	}
@@ -238,45 +238,45 @@
 	return append(effects, followed)
 }
 
-// restored takes in that the store has come back from an older copy: upstreams that have no
+// onStoreRestored takes in that the store has come back from an older copy: upstreams that have no
 // entry there may write it again.
-func (s *State) restored(now time.Time) {
-	if s.relayed != nil {
-		s.relayed.entries.StoreRecovered(now)
+func (s *State) onStoreRestored(now time.Time) {
+	if s.relayState != nil {
+		s.relayState.entries.StoreRecovered(now)
 	}
 }
 
-// returned takes in which failure domains are taken back. Their upstreams may have become
+// recheckUndrained takes in which failure domains are taken back. Their upstreams may have become
 // cold just before, and are not known to be warm until they have said so.
-func (s *State) returned(now time.Time, orders []DomainOrder) []Effect {
-	if s.relayed == nil {
+func (s *State) recheckUndrained(now time.Time, orders []DomainOrder) []Effect {
+	if s.relayState == nil {
 		return nil
 	}
-	doubted := false
+	undrained := false
 	for _, order := range orders {
 		if !order.Drained {
-			s.relayed.entries.AssumeCold(now, order.Domain, order.Version, s.warmup)
-			doubted = true
+			s.relayState.entries.AssumeCold(now, order.Domain, order.Version, s.warmupDuration)
+			undrained = true
 		}
 	}
-	if !doubted {
+	if !undrained {
 		return nil
 	}
-	return s.listed(now)
+	return s.updateVMList(now)
 }
 
-// warmup returns for how long upstreams of a pool are cold after their start.
-func (s *State) warmup(pool string) time.Duration {
-	if p := s.loads[pool]; p != nil && p.WarmupRate > 0 {
+// warmupDuration returns for how long upstreams of a pool are cold after their start.
+func (s *State) warmupDuration(pool string) time.Duration {
+	if p := s.poolSpecs[pool]; p != nil && p.WarmupRate > 0 {
 		return p.Warmup.Std()
 	}
 	return 0
 }
 
-// apply takes an object. One that is invalid for this release is not taken: the
+// applyOrReject takes an object. One that is invalid for this release is not taken: the
 // version before stays in force.
-func (s *State) apply(o topo.Object, f *ConfigApplied) {
-	if err := s.take(o); err != nil {
+func (s *State) applyOrReject(o topo.Object, f *ConfigApplied) {
+	if err := s.applyObject(o); err != nil {
 		f.Rejected = append(f.Rejected, rejection(o.Ref, err))
 		return
 	}
@@ -286,12 +286,12 @@
 	f.Objects = append(f.Objects, admin.ObjectVersion{Ref: o.Ref, Version: o.Version})
 }
 
-func (s *State) take(o topo.Object) error {
+func (s *State) applyObject(o topo.Object) error {
 	if o.Kind == topo.KindEdition {
 		return nil // by which the follower tells older copies, and no decision goes
 	}
 	if o.Deleted {
-		s.drop(o)
+		s.removeObject(o)
 		return nil
 	}
 	v, err := s.decode(o)
@@ -299,7 +299,7 @@
 		return err
 	}
 	if v == nil {
-		s.drop(o)
+		s.removeObject(o)
 		return nil
 	}
 	switch v := v.(type) {
@@ -308,9 +308,9 @@
 	case *profile.Organisation:
 		s.orgs[o.Name], s.stale.orgs = v, true
 	case *profile.Pool:
-		s.loads[o.Name], s.stale.pools = v, true
+		s.poolSpecs[o.Name], s.stale.pools = v, true
 	case *profile.Drain, *profile.DomainDrain:
-		s.order(o)
+		s.applyDrainOrder(o)
 	case *profile.Limits:
 		s.limits, s.stale.profiles = v, true
 	}
@@ -326,14 +326,14 @@
 	return profile.Decode(o.Ref, spec)
 }
 
-// order takes an operator's order to a VM or a failure domain.
-func (s *State) order(o topo.Object) {
+// applyDrainOrder takes an operator's applyDrainOrder to a VM or a failure domain.
+func (s *State) applyDrainOrder(o topo.Object) {
 	s.orders.Apply(o)
-	s.wanted = s.noticesFor()
+	s.desiredNotices = s.computeNotices()
 	s.stale.pools = true
 }
 
-func (s *State) drop(o topo.Object) {
+func (s *State) removeObject(o topo.Object) {
 	switch o.Kind {
 	case topo.KindProfile:
 		delete(s.profiles, o.Name)
@@ -342,10 +342,10 @@
 		delete(s.orgs, o.Name)
 		s.stale.orgs = true
 	case topo.KindPool:
-		delete(s.loads, o.Name)
+		delete(s.poolSpecs, o.Name)
 		s.stale.pools = true
 	case topo.KindDrain, topo.KindDomainDrain:
-		s.order(o)
+		s.applyDrainOrder(o)
 	case topo.KindLimits:
 		s.limits, s.stale.profiles = nil, true
 	}
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// suspectsTold is how many bytes of suspects go with one message at most.
-	suspectsTold = 256
+	// maxSuspectsBytes is how many bytes of suspects go with one message at most.
+	maxSuspectsBytes = 256
 	// reportTimeout bounds a report of a crash, which a caller waits for.
 	reportTimeout = 500 * time.Millisecond
-	// homesPerRouter is how many upstreams a resend through one router may meet
+	// resendTargetsPerRouter is how many upstreams a resend through one router may meet
 	// first: those two that it chooses the less loaded of, or the home and the
 	// VM of the ticket.
-	homesPerRouter = 2
+	resendTargetsPerRouter = 2
 )
 
 var (
@@ -39,8 +39,8 @@
 type reportOutcome string
 
 const (
-	reportTaken reportOutcome = "taken"
-	reportLost  reportOutcome = "lost"
+	reportDelivered reportOutcome = "taken"
+	reportLost      reportOutcome = "lost"
 )
 
 // suspects is the router's Book.
@@ -55,32 +55,32 @@
 
 // merge takes in what a sidecar told. What cannot be read is a hint of a peer
 // of another version, without which all still holds.
-func (s *suspects) merge(now time.Time, told json.RawMessage) {
-	if len(told) == 0 {
+func (s *suspects) merge(now time.Time, data json.RawMessage) {
+	if len(data) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.book.Merge(now, told)
+	_ = s.book.Merge(now, data)
 }
 
-// rule decides on a request, and returns what the sidecar is to be told.
-func (s *suspects) rule(now time.Time, print uint64) (quarantine.Ruling, json.RawMessage) {
+// decide decides on a request, and returns what the sidecar is to be told.
+func (s *suspects) decide(now time.Time, fingerprint uint64) (quarantine.Ruling, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := quarantine.Print(print)
+	p := quarantine.Print(fingerprint)
 	r := s.book.Decide(now, p, false)
 	if r.Action == quarantine.Free {
-		return r, s.book.Gossip(now, suspectsTold)
+		return r, s.book.Gossip(now, maxSuspectsBytes)
 	}
 	return r, s.book.About(now, p)
 }
 
-// about returns all that is known of a request.
-func (s *suspects) about(now time.Time, print uint64) json.RawMessage {
+// evidence returns all that is known of a request.
+func (s *suspects) evidence(now time.Time, fingerprint uint64) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.About(now, quarantine.Print(print))
+	return s.book.About(now, quarantine.Print(fingerprint))
 }
 
 func (s *suspects) expire(now time.Time) {
@@ -89,9 +89,9 @@
 	s.book.Expire(now)
 }
 
-// confine makes a suspect's site the only candidate, and refuses a convict.
-func (a *Answer) confine(now time.Time) *verdict.Error {
-	ruling, _ := a.router.suspects.rule(now, a.print)
+// applyQuarantine makes a suspect's site the only candidate, and refuses a convict.
+func (a *Answer) applyQuarantine(now time.Time) *verdict.Error {
+	ruling, _ := a.router.suspects.decide(now, a.fingerprint)
 	switch ruling.Action {
 	case quarantine.Refuse:
 		quarantinedRequests.Inc()
@@ -102,17 +102,17 @@
 		a.suspect = true
 		site, known := a.view.VMs[ruling.Site]
 		if known {
-			a.restrict(site)
+			a.restrictToSite(site)
 		} else {
-			a.lend()
+			a.grantIsolation()
 		}
 	}
 	return nil
 }
 
-// restrict puts the site of the crash in the place of all candidates but the VM
+// restrictToSite puts the site of the crash in the place of all candidates but the VM
 // of the caller's key, which decides first.
-func (a *Answer) restrict(site topo.VM) {
+func (a *Answer) restrictToSite(site topo.VM) {
 	if a.req.Key == nil {
 		a.candidates = append([]topo.VM{site}, a.candidates...)
 		return
@@ -120,21 +120,21 @@
 	a.candidates = append(a.candidates[:1:1], site)
 }
 
-// lend gives leave to run alone in the place of a site that has left the list:
+// grantIsolation gives leave to run alone in the place of a site that has left the list:
 // at the VM that ranks first for the request itself, the same at all routers
 // with the same list.
-func (a *Answer) lend() {
+func (a *Answer) grantIsolation() {
 	if a.pool == nil || a.req.Key != nil {
 		return
 	}
-	a.lent = true
-	vms := a.router.rank(time.Now(), a.pool, a.print)
+	a.isolationGranted = true
+	vms := a.router.rankUpstreams(time.Now(), a.pool, a.fingerprint)
 	a.candidates = append(vms[:1:1], a.candidates...)
 }
 
 // reassign sends a suspect that was refused to the site of its crash.
 func (a *Answer) reassign(vm topo.VM) topo.VM {
-	ruling, _ := a.router.suspects.rule(time.Now(), a.print)
+	ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint)
 	if ruling.Action != quarantine.Elsewhere {
 		return vm
 	}
@@ -144,31 +144,31 @@
 	return vm
 }
 
-// report tells the sidecars that a resend of the request would be offered to
+// reportCrash tells the sidecars that a resend of the request would be offered to
 // of a crash, before the caller is answered and can send it again. Otherwise a
 // resend that comes at once, through another router, takes the next upstream
 // with it.
-func (a *Answer) report(at *attempt, err *verdict.Error) {
+func (a *Answer) reportCrash(at *attempt, err *verdict.Error) {
 	if err.Reason != verdict.ReasonUpstreamFailed || err.Verdict == verdict.NotRun {
 		return
 	}
-	told := a.router.suspects.about(time.Now(), a.print)
-	if len(told) == 0 {
+	evidence := a.router.suspects.evidence(time.Now(), a.fingerprint)
+	if len(evidence) == 0 {
 		return
 	}
-	if ruling, _ := a.router.suspects.rule(time.Now(), a.print); ruling.Action == quarantine.Refuse {
-		go a.router.keepConviction(a.print)
+	if ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint); ruling.Action == quarantine.Refuse {
+		go a.router.storeConviction(a.fingerprint)
 	}
 	ctx, done := context.WithTimeout(context.Background(), reportTimeout)
 	defer done()
 	var wg sync.WaitGroup
-	for _, vm := range a.homes() {
+	for _, vm := range a.resendTargets() {
 		if vm.ID == at.vm.ID {
 			continue
 		}
 		wg.Go(func() {
-			if a.router.peer(vm).Call(ctx, wire.MethodReport, wire.Report{Suspects: told}, nil) == nil {
-				crashReports.Inc(reportTaken)
+			if a.router.peer(vm).Call(ctx, wire.MethodReport, wire.Report{Suspects: evidence}, nil) == nil {
+				crashReports.Inc(reportDelivered)
 			} else {
 				crashReports.Inc(reportLost)
 			}
@@ -177,44 +177,44 @@
 	wg.Wait()
 }
 
-// giveBack tells the site of a crash that the leave it gave an attempt will not
+// returnPermit tells the site of a crash that the leave it gave an attempt will not
 // be used: no sidecar on its way has taken it.
-func (a *Answer) giveBack(at *attempt) {
-	if !at.leave || at.site.ID == "" {
+func (a *Answer) returnPermit(at *attempt) {
+	if !at.hasPermit || at.crashSite.ID == "" {
 		return
 	}
 	ctx, done := context.WithTimeout(context.Background(), reportTimeout)
 	defer done()
-	unused := wire.Leave{Fingerprint: a.print, Nonce: at.given}
-	_ = a.router.peer(at.site).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
+	unused := wire.Leave{Fingerprint: a.fingerprint, Nonce: at.permitNonce}
+	_ = a.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
 }
 
-// homes returns the VMs that a resend would be offered to first: through this
+// resendTargets returns the VMs that a resend would be offered to first: through this
 // router, and through one of each failure domain that knows no loads.
-func (a *Answer) homes() []topo.VM {
+func (a *Answer) resendTargets() []topo.VM {
 	seen := make(map[string]topo.VM)
-	for _, vm := range a.candidates[:min(homesPerRouter, len(a.candidates))] {
+	for _, vm := range a.candidates[:min(resendTargetsPerRouter, len(a.candidates))] {
 		seen[vm.ID] = vm
 	}
 	if a.pool != nil {
-		a.homesByDomain(seen)
+		a.addDomainTargets(seen)
 	}
 	delete(seen, "") // the VM of a key that the list does not know
 	return slices.Collect(maps.Values(seen))
 }
 
-func (a *Answer) homesByDomain(seen map[string]topo.VM) {
+func (a *Answer) addDomainTargets(seen map[string]topo.VM) {
 	members := a.pool.members
 	domains := make(map[string]bool)
 	for _, vm := range a.pool.VMs {
 		domains[vm.FailureDomain] = true
 	}
-	q := placement.Query{Session: a.session, Ticket: placement.None, Random: a.random()}
+	q := placement.Query{Session: a.session, Ticket: placement.None, Random: a.candidateSeed()}
 	for domain := range domains {
 		p := placement.NewPool(members, placement.Locality{Domain: domain})
 		var out [placement.MaxCandidates]int
 		n := p.Choose(time.Now(), load.NewTable(), q, &out)
-		for _, i := range out[:min(homesPerRouter, n)] {
+		for _, i := range out[:min(resendTargetsPerRouter, n)] {
 			seen[a.pool.VMs[i].ID] = a.pool.VMs[i]
 		}
 	}
--- a/internal/router/suspicions.go
+++ b/internal/router/suspicions.go
@@ -12,18 +12,18 @@
 // logSuspicions tells which upstreams are suspected now, and which are not any more.
 func (p *Pool) logSuspicions(name string) {
 	for _, c := range p.tracker.SuspicionChanges() {
-		vm := p.vm(c.VM)
+		vm := p.upstreamByHash(c.VM)
 		level, msg := slog.LevelInfo, "upstream is trusted again"
 		if c.Suspected {
 			level, msg = slog.LevelWarn, "upstream fails more than others and comes last"
 		}
 		slog.LogAttrs(context.Background(), level, msg, slog.String("upstream", vm.ID), slog.String("addr", vm.Addr),
-			slog.String("pool", name), slog.Float64("failed", tenths(c.Failed)), slog.Float64("of", tenths(c.All)))
+			slog.String("pool", name), slog.Float64("failed", roundTenths(c.Failed)), slog.Float64("of", roundTenths(c.All)))
 	}
 }
 
-// vm returns an upstream of the pool.
-func (p *Pool) vm(id load.VM) topo.VM {
+// upstreamByHash returns an upstream of the pool.
+func (p *Pool) upstreamByHash(id load.VM) topo.VM {
 	for _, vm := range p.VMs {
 		if load.Hash(vm.ID) == id {
 			return vm
@@ -32,8 +32,8 @@
 	return topo.VM{}
 }
 
-// telling reports whether a status speaks for or against an upstream. 504 is its word
+// countsAsOutcome reports whether a status speaks for or against an upstream. 504 is its word
 // that the time which it was given is over, which may have been short.
-func telling(status int) bool {
+func countsAsOutcome(status int) bool {
 	return status != http.StatusGatewayTimeout
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -34,19 +34,19 @@
 
 // Pool is the upstreams of one pool.
 type Pool struct {
-	VMs     []topo.VM
-	members []placement.Member // in the order of VMs
-	placed  *placement.Pool    // of members
-	beliefs *beliefs
-	tracker *balance.Tracker
-	serving []load.VM // those of VMs that are not leaving
+	VMs         []topo.VM
+	members     []placement.Member // in the order of VMs
+	placed      *placement.Pool    // of members
+	loadReports *loadReports
+	tracker     *balance.Tracker
+	serving     []load.VM // those of VMs that are not leaving
 
-	self  placement.Locality
-	parts sync.Map // by the key of regions: the *Pool of its upstreams there
+	locality  placement.Locality
+	byRegions sync.Map // by the key of regions: the *Pool of its upstreams there
 
 	listed     map[string]condition.Set // what the list and operators' orders tell of each, by id
 	warmupRate float64                  // requests a second that a cold upstream bears; zero: any
-	cold       map[string]time.Time     // when those are warm that are cold, by id
+	warmAt     map[string]time.Time     // when those are warm that are cold, by id
 }
 
 // View returns the picture of the present state: the former one if nothing that
@@ -54,7 +54,7 @@
 func (s *State) View() *View {
 	mark, trusted := s.follower.Set().Mark(), s.follower.Ready()
 	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == trusted
-	if s.stale == (changes{}) && same {
+	if s.stale == (staleParts{}) && same {
 		return s.view
 	}
 	v := *s.view
@@ -68,9 +68,9 @@
 		v.Orgs = byKey(s.orgs)
 	}
 	if s.stale.pools {
-		s.viewVMs(&v)
+		s.buildPools(&v)
 	}
-	s.view, s.stale = &v, changes{}
+	s.view, s.stale = &v, staleParts{}
 	return s.view
 }
 
@@ -85,8 +85,8 @@
 	return out
 }
 
-// viewVMs sorts the upstreams that take new work by pool.
-func (s *State) viewVMs(v *View) {
+// buildPools sorts the upstreams that take new work by pool.
+func (s *State) buildPools(v *View) {
 	members := make(map[string][]upstream)
 	v.VMs = make(map[string]topo.VM, len(s.vms.Entries))
 	v.Routers = 0
@@ -101,31 +101,31 @@
 		case vm.Role == topo.RoleDirect:
 			// One without a sidecar can still hand its prompts on to others, whoever has
 			// said that it leaves.
-			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.joined[vm.ID], drained: order.Leave})
+			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.firstSeen[vm.ID], drained: order.Leave})
 		case !vm.Leaving && !order.Leave:
-			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.joined[vm.ID]})
+			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.firstSeen[vm.ID]})
 		}
 	}
 	v.Routers = max(v.Routers, 1)
 	v.ConfigCopies = make(map[string]bool)
-	for _, p := range s.peers() {
+	for _, p := range s.configPeers() {
 		v.ConfigCopies[string(p)] = true
 	}
-	v.PoolSpecs = maps.Clone(s.loads)
+	v.PoolSpecs = maps.Clone(s.poolSpecs)
 	v.Leaving = make(map[string]bool)
-	for vm, n := range s.wanted {
+	for vm, n := range s.desiredNotices {
 		if n.Leaving {
 			v.Leaving[vm] = true
 		}
 	}
 	v.Pools = make(map[string]*Pool, len(members))
 	for name, upstreams := range members {
-		if s.beliefs[name] == nil {
-			s.beliefs[name], s.trackers[name] = newBeliefs(), balance.NewTracker()
+		if s.loadReports[name] == nil {
+			s.loadReports[name], s.trackers[name] = newLoadReports(), balance.NewTracker()
 		}
-		v.Pools[name] = newPool(upstreams, s.beliefs[name], s.trackers[name], s.self)
-		if of := s.loads[name]; of != nil {
-			v.Pools[name].warm(of.WarmupRate)
+		v.Pools[name] = newPool(upstreams, s.loadReports[name], s.trackers[name], s.self)
+		if spec := s.poolSpecs[name]; spec != nil {
+			v.Pools[name].setWarmupRate(spec.WarmupRate)
 		}
 	}
 }
@@ -145,44 +145,44 @@
 		Seed:    placement.Seed(u.vm.Name()), // one that starts again moves no sessions of others
 		Weight:  max(u.vm.Weight, 1),
 		Domain:  u.vm.FailureDomain,
-		Leaving: leaves(u.listed()),
+		Leaving: takesNoWork(u.listedConditions()),
 		Drained: u.drained && !u.vm.Leaving,
 		Joined:  u.joined,
 	}
 }
 
-func leaves(s condition.Set) bool {
+func takesNoWork(s condition.Set) bool {
 	leave, _ := s.Allows(condition.Work)
 	return leave == condition.Never
 }
 
-func newPool(upstreams []upstream, b *beliefs, t *balance.Tracker, self placement.Locality) *Pool {
-	p := &Pool{beliefs: b, tracker: t, self: self, listed: make(map[string]condition.Set, len(upstreams))}
+func newPool(upstreams []upstream, b *loadReports, t *balance.Tracker, self placement.Locality) *Pool {
+	p := &Pool{loadReports: b, tracker: t, locality: self, listed: make(map[string]condition.Set, len(upstreams))}
 	var ids []load.VM
 	for _, u := range upstreams {
 		m := u.member()
 		p.VMs, p.members, ids = append(p.VMs, u.vm), append(p.members, m), append(ids, m.VM)
-		p.listed[u.vm.ID] = u.listed()
+		p.listed[u.vm.ID] = u.listedConditions()
 		if !m.Leaving {
 			p.serving = append(p.serving, m.VM)
 		}
 	}
-	b.keep(ids)
+	b.retain(ids)
 	t.Keep(ids)
 	p.placed = placement.NewPool(p.members, self)
 	return p
 }
 
-// in returns the pool of the upstreams that are in some regions; nil: there is none. What is
+// inRegions returns the pool of the upstreams that are inRegions some regions; nil: there is none. What is
 // known of upstreams is known of the whole pool.
-func (p *Pool) in(regions residency.Regions) *Pool {
+func (p *Pool) inRegions(regions residency.Regions) *Pool {
 	if p == nil || regions.Unrestricted() {
 		return p
 	}
-	if part, ok := p.parts.Load(regions.Key()); ok {
+	if part, ok := p.byRegions.Load(regions.Key()); ok {
 		return part.(*Pool)
 	}
-	part := &Pool{beliefs: p.beliefs, tracker: p.tracker, self: p.self, listed: p.listed, warmupRate: p.warmupRate, cold: p.cold}
+	part := &Pool{loadReports: p.loadReports, tracker: p.tracker, locality: p.locality, listed: p.listed, warmupRate: p.warmupRate, warmAt: p.warmAt}
 	for i, vm := range p.VMs {
 		if regions.Has(topo.Region(vm.FailureDomain)) {
 			part.VMs, part.members = append(part.VMs, vm), append(part.members, p.members[i])
@@ -191,23 +191,23 @@
 	if len(part.VMs) == 0 {
 		part = nil
 	} else {
-		part.placed = p.placed.Subset(part.members, p.self)
+		part.placed = p.placed.Subset(part.members, p.locality)
 	}
-	p.parts.Store(regions.Key(), part)
+	p.byRegions.Store(regions.Key(), part)
 	return part
 }
 
-// warm notes which upstreams are cold, if those of the pool bear only so many requests a
+// setWarmupRate notes which upstreams are cold, if those of the pool bear only so many requests a
 // second then.
-func (p *Pool) warm(rate float64) {
+func (p *Pool) setWarmupRate(rate float64) {
 	if rate <= 0 {
 		return
 	}
 	p.warmupRate = rate
-	p.cold = make(map[string]time.Time)
+	p.warmAt = make(map[string]time.Time)
 	for _, vm := range p.VMs {
 		if !vm.WarmAt.IsZero() && !vm.Leaving {
-			p.cold[vm.ID] = vm.WarmAt
+			p.warmAt[vm.ID] = vm.WarmAt
 		}
 	}
 }
