--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -35,13 +35,13 @@
 		set = set.Union(condition.Of(condition.Suspected))
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
 	}
-	leave, why := set.Allows(condition.Work)
+	permission, reason := set.Allows(condition.Work)
 	out := admin.UpstreamAccount{
 		VM: vm.ID, Addr: vm.Addr, Pool: vm.Pool, FailureDomain: vm.FailureDomain,
-		Load: roundTenths(p.tracker.Load(now, id)), Work: leave.String(),
+		Load: roundTenths(p.tracker.Load(now, id)), Work: permission.String(),
 	}
-	if leave != condition.Freely {
-		out.Why = why.String()
+	if permission != condition.Freely {
+		out.Why = reason.String()
 	}
 	for _, s := range statements {
 		out.Conditions = append(out.Conditions, admin.Condition{Kind: s.Kind.String(), By: string(s.By), Since: s.Since, Until: s.Until})
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -162,8 +162,8 @@
 	defer p.loadReports.mu.Unlock()
 	s.Mean, _ = p.loadReports.table.Mean(now)
 	for _, vm := range p.VMs {
-		report, heard := p.loadReports.table.Get(now, load.Hash(vm.ID))
-		state := stateName(report, heard)
+		report, known := p.loadReports.table.Get(now, load.Hash(vm.ID))
+		state := stateName(report, known)
 		switch state {
 		case draining:
 			s.Draining++
@@ -183,9 +183,9 @@
 	return s
 }
 
-func stateName(r load.Report, heard bool) string {
+func stateName(r load.Report, known bool) string {
 	switch {
-	case !heard:
+	case !known:
 		return unreported
 	case r.State == load.Draining:
 		return draining
@@ -216,35 +216,35 @@
 		session: sessionHash(org.Name, q.Session),
 	}
 	e := admin.Explanation{VM: o.vm, Profile: p.Name, Pool: p.Pool, Multiple: p.LoadMultiple}
-	followed, _ := o.router.ticketVM(now, q.Ticket, a.session)
-	e.TicketNote = ticketNote(q, pool, followed)
+	named, _ := o.router.ticketVM(now, q.Ticket, a.session)
+	e.TicketNote = ticketNote(q, pool, named)
 	chosen := o.router.chooseCandidates(now, a)
 	pool.loadReports.mu.Lock()
 	defer pool.loadReports.mu.Unlock()
 	var known int
 	e.Mean, known = pool.loadReports.table.Mean(now)
 	for _, vm := range chosen {
-		report, heard := pool.loadReports.table.Get(now, load.Hash(vm.ID))
+		report, reported := pool.loadReports.table.Get(now, load.Hash(vm.ID))
 		bound := load.Bound(e.Mean, known, p.LoadMultiple, max(vm.Weight, 1))
 		if p.LoadMultiple <= 0 {
 			bound = 0
 		}
 		e.Candidates = append(e.Candidates, admin.Candidate{
-			VM: vm.ID, FailureDomain: vm.FailureDomain, State: stateName(report, heard),
+			VM: vm.ID, FailureDomain: vm.FailureDomain, State: stateName(report, reported),
 			Load: report.Load, Bound: bound,
-			Why: o.explainPlace(now, vm, a.session != 0, vm.ID == followed, report, bound),
+			Why: o.explainPlace(now, vm, a.session != 0, vm.ID == named, report, bound),
 		})
 	}
 	return e, nil
 }
 
 // explainPlace says what put an upstream among the candidates and where.
-func (o *AdminNode) explainPlace(now time.Time, vm topo.VM, session, ticket bool, r load.Report, bound int) string {
+func (o *AdminNode) explainPlace(now time.Time, vm topo.VM, bySession, byTicket bool, r load.Report, bound int) string {
 	var parts []string
 	switch {
-	case ticket:
+	case byTicket:
 		parts = append(parts, "the ticket names it")
-	case session:
+	case bySession:
 		parts = append(parts, "ranks high for the session")
 	default:
 		parts = append(parts, "less loaded of two random upstreams; no session")
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -202,8 +202,8 @@
 		return
 	}
 	for _, at := range a.attempts {
-		open := at.busy || at.stream != nil
-		if open && !at.gate.seal() {
+		active := at.busy || at.stream != nil
+		if active && !at.gate.seal() {
 			a.transport.cancel(at)
 		}
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		return wire.Key{}, err
 	}
-	ctx, done := context.WithTimeout(ctx, claimWait)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimWait)
+	defer cancel()
 	key, outcome, err := r.claimer.Claim(ctx, claim.Ref(org.Name, callerKey), proposed)
 	claims.Inc(outcome)
 	switch {
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -91,8 +91,8 @@
 		return nil
 	}
 	return func(i int) bool {
-		leave, _ := r.conditionsOf(now, p, p.VMs[i].ID).Allows(condition.Work)
-		return leave == condition.Never
+		permission, _ := r.conditionsOf(now, p, p.VMs[i].ID).Allows(condition.Work)
+		return permission == condition.Never
 	}
 }
 
@@ -101,8 +101,8 @@
 // upstream since it was chosen.
 func (r *Router) admitSend(now time.Time, pool string, vm topo.VM) *verdict.Error {
 	p := r.View().Pools[pool]
-	if leave, why := r.conditionsOf(now, p, vm.ID).Allows(condition.Work); leave == condition.Never {
-		return withhold(why)
+	if permission, reason := r.conditionsOf(now, p, vm.ID).Allows(condition.Work); permission == condition.Never {
+		return withhold(reason)
 	}
 	if !r.admitCold(now, p, vm.ID) {
 		return withhold(condition.Cold)
@@ -110,9 +110,9 @@
 	return nil
 }
 
-func withhold(why condition.Kind) *verdict.Error {
-	withheld.Inc(why.String())
-	return errWithheld[why]
+func withhold(reason condition.Kind) *verdict.Error {
+	withheld.Inc(reason.String())
+	return errWithheld[reason]
 }
 
 // errWithheld is why an attempt was not sent, by what speaks against its upstream.
@@ -133,22 +133,22 @@
 	if !allowed.Has(topo.Region(vm.FailureDomain)) {
 		s = s.Union(condition.Of(condition.OutOfRegion))
 	}
-	leave, _ := s.Allows(condition.Prompt)
-	return leave != condition.Never
+	permission, _ := s.Allows(condition.Prompt)
+	return permission != condition.Never
 }
 
 // passedOver says why the upstream that ranks first for a session is not the one that was
 // chosen; empty: it is, or there is no session.
-func (a *Answer) passedOver(now time.Time) (home, why string) {
+func (a *Answer) passedOver(now time.Time) (home, reason string) {
 	if a.basis.Home == placement.None || a.basis.PassedOver == placement.NotPassedOver {
 		return "", ""
 	}
 	vm := a.pool.VMs[a.basis.Home]
-	why = string(a.basis.PassedOver)
+	reason = string(a.basis.PassedOver)
 	if a.basis.PassedOver == placement.PassedOverUnavailable {
-		why = a.router.conditionsOf(now, a.pool, vm.ID).String()
+		reason = a.router.conditionsOf(now, a.pool, vm.ID).String()
 	}
-	return vm.ID, why
+	return vm.ID, reason
 }
 
 const (
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -81,9 +81,9 @@
 	copies := r.View().ConfigCopies
 	r.mu.Lock()
 	var connected []config.Peer
-	for at, p := range r.peers {
-		if copies[at.vm] && p.Connected() {
-			connected = append(connected, config.Peer(at.vm))
+	for ep, p := range r.peers {
+		if copies[ep.vm] && p.Connected() {
+			connected = append(connected, config.Peer(ep.vm))
 		}
 	}
 	r.mu.Unlock()
--- a/internal/router/conviction.go
+++ b/internal/router/conviction.go
@@ -40,11 +40,11 @@
 
 // storeConviction writes a conviction that this router has seen come about into
 // the store. Another router that saw it too may have been first.
-func (r *Router) storeConviction(print uint64) {
-	p := quarantine.Print(print)
+func (r *Router) storeConviction(fingerprint uint64) {
+	p := quarantine.Print(fingerprint)
 	now := time.Now()
 	value, err := json.Marshal(Conviction{
-		Suspects:  r.suspects.evidence(now, print),
+		Suspects:  r.suspects.evidence(now, fingerprint),
 		KeepUntil: now.Add(quarantine.ConvictedFor).Unix(),
 	})
 	if err != nil {
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -27,8 +27,8 @@
 	return &limits{inFlight: make(map[string]int), budgets: make(map[string]*retry.Budget)}
 }
 
-// enter counts a request of org in until the result is called.
-func (l *limits) enter(org *profile.Organisation, routers int) (leave func(), refusal *verdict.Error) {
+// acquire counts a request of org in until the result is called.
+func (l *limits) acquire(org *profile.Organisation, routers int) (release func(), refusal *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if org.Concurrency > 0 && l.inFlight[org.Name] >= routerShare(org.Concurrency, routers) {
@@ -36,10 +36,10 @@
 		return nil, e.WithRetryAfter(time.Second)
 	}
 	l.inFlight[org.Name]++
-	return func() { l.leave(org.Name) }, nil
+	return func() { l.release(org.Name) }, nil
 }
 
-func (l *limits) leave(org string) {
+func (l *limits) release(org string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[org]--
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -50,8 +50,8 @@
 			slog.Int64("expected_ms", a.estimatedStart().Milliseconds()),
 			slog.Bool("behind", a.basis.Deferred),
 			slog.String("donor", at.donor.ID))
-		if home, why := a.passedOver(time.Now()); home != "" {
-			attrs = append(attrs, slog.String("home", home), slog.String("passed_over", why))
+		if home, reason := a.passedOver(time.Now()); home != "" {
+			attrs = append(attrs, slog.String("home", home), slog.String("passed_over", reason))
 		}
 	}
 	if e.Continue {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -66,8 +66,8 @@
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the VM of the request has left")
 	}
-	ctx, done := context.WithTimeout(ctx, lookupTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
+	defer cancel()
 	err := r.peer(vm).Call(ctx, m, params, result)
 	if err == nil {
 		return nil
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -186,24 +186,24 @@
 	}
 }
 
-func (m *mesh) setReading(on bool) {
-	m.readsStore.Store(on)
-	if on {
+func (m *mesh) setReading(reads bool) {
+	m.readsStore.Store(reads)
+	if reads {
 		storeReaders.Set(1)
 	} else {
 		storeReaders.Set(0)
 	}
 }
 
-func (m *mesh) setParent(on relay.Node) {
-	if m.parent.Name != "" && on.Name == "" {
+func (m *mesh) setParent(node relay.Node) {
+	if m.parent.Name != "" && node.Name == "" {
 		slog.Warn("the router that read the store for this one is not relied on any more", "router", m.parent.Name)
 	}
-	if on.Name != "" {
-		slog.Info("another router reads the store for this one", "router", on.Name, "addr", on.Addr)
+	if node.Name != "" {
+		slog.Info("another router reads the store for this one", "router", node.Name, "addr", node.Addr)
 	}
-	m.parent = on
-	m.router.setParent(on)
+	m.parent = node
+	m.router.setParent(node)
 }
 
 // send sends a message. One that is lost is made up for by the next.
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -122,18 +122,18 @@
 }
 
 func (s *State) onNoticeAccepted(e NoticeAccepted) {
-	if former, ok := s.sentNotices[e.VM]; ok && former.notice == e.Notice {
-		former.accepted = true
-		s.sentNotices[e.VM] = former
+	if previous, ok := s.sentNotices[e.VM]; ok && previous.notice == e.Notice {
+		previous.accepted = true
+		s.sentNotices[e.VM] = previous
 	}
 }
 
 // onNoticeLost makes a notice due again, a while after it was sent: replies that left
 // the sidecar before the notice came still say that it takes work.
 func (s *State) onNoticeLost(e NoticeLost) {
-	if former, ok := s.sentNotices[e.VM]; ok {
-		former.accepted = false
-		s.sentNotices[e.VM] = former
+	if previous, ok := s.sentNotices[e.VM]; ok {
+		previous.accepted = false
+		s.sentNotices[e.VM] = previous
 	}
 }
 
@@ -142,8 +142,8 @@
 	go func() {
 		peer := r.peer(e.VM)
 		if e.Connect || peer.Connected() {
-			ctx, done := context.WithTimeout(r.ctx, noticeTimeout)
-			defer done()
+			ctx, cancel := context.WithTimeout(r.ctx, noticeTimeout)
+			defer cancel()
 			notices.Inc()
 			if peer.Call(ctx, wire.MethodNotice, e.Notice, nil) != nil {
 				return // it is due again after noticeRetry
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -25,7 +25,7 @@
 	if r.isDirect(view, &req) {
 		return r.dispatchDirect(ctx, view, req)
 	}
-	release, err := r.limits.enter(req.Org, view.Routers)
+	release, err := r.limits.acquire(req.Org, view.Routers)
 	if err != nil {
 		// An earlier copy of a request under a key may be among those in flight.
 		err.EarlierUnknown = req.Key != nil
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -20,17 +20,17 @@
 
 // peer returns the Peer for a VM's sidecar.
 func (r *Router) peer(vm topo.VM) *wire.Peer {
-	at := endpoint{vm: vm.ID, addr: vm.Addr}
+	ep := endpoint{vm: vm.ID, addr: vm.Addr}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.peers[at]
+	p := r.peers[ep]
 	if p == nil {
 		dial := func(ctx context.Context) (net.Conn, error) { return r.dial(ctx, vm) }
 		calls := func(ctx context.Context, m wire.Method, params wire.Params) (any, error) {
 			return r.handleSidecarCall(ctx, vm, m, params)
 		}
 		p = wire.NewPeer(wire.PeerConfig{Dial: dial, Calls: calls})
-		r.peers[at] = p
+		r.peers[ep] = p
 	}
 	return p
 }
@@ -62,12 +62,12 @@
 // control returns what the sidecar of a VM of pool is told on the back of a
 // request with a fingerprint. Only those that are to keep a copy of the
 // configuration hear of its version.
-func (r *Router) control(now time.Time, vm string, pool *Pool, print uint64) wire.Control {
+func (r *Router) control(now time.Time, vm string, pool *Pool, fingerprint uint64) wire.Control {
 	var c wire.Control
 	if view := r.View(); view.ConfigCopies[vm] {
 		c.Config, c.ConfigDigest = view.Version, view.Digest
 	}
-	_, c.Suspects = r.suspects.decide(now, print)
+	_, c.Suspects = r.suspects.decide(now, fingerprint)
 	if pool != nil {
 		c.Samples = pool.loadReports.samples(now, load.Hash(vm))
 	}
@@ -90,10 +90,10 @@
 	vms := r.View().VMs
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for at, p := range r.peers {
-		if vm, ok := vms[at.vm]; (!ok || vm.Addr != at.addr) && !p.Connected() {
+	for ep, p := range r.peers {
+		if vm, ok := vms[ep.vm]; (!ok || vm.Addr != ep.addr) && !p.Connected() {
 			p.Close()
-			delete(r.peers, at)
+			delete(r.peers, ep)
 		}
 	}
 }
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -91,8 +91,8 @@
 	if a.plan.Deadline.IsZero() {
 		return a.winner.stream.Next(a.caller)
 	}
-	ctx, done := context.WithDeadline(a.caller, a.plan.Deadline)
-	defer done()
+	ctx, cancel := context.WithDeadline(a.caller, a.plan.Deadline)
+	defer cancel()
 	return a.winner.stream.Next(ctx)
 }
 
@@ -116,9 +116,9 @@
 		a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error})
 		return p, false, nil
 	case p.Head != nil:
-		again := at.headSent
+		duplicate := at.headSent
 		at.headSent = true
-		return p, !again, nil
+		return p, !duplicate, nil
 	default:
 		at.offset += int64(len(p.Bytes))
 		if a.cutter != nil {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -158,11 +158,11 @@
 }
 
 // sidecarTimeLeft returns what a sidecar may use of the time until a deadline.
-func sidecarTimeLeft(at, now time.Time, whole time.Duration) time.Duration {
+func sidecarTimeLeft(at, now time.Time, total time.Duration) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
-	margin := min(deadlineMargin, whole/marginDivisor)
+	margin := min(deadlineMargin, total/marginDivisor)
 	return max(at.Sub(now)-margin, time.Millisecond)
 }
 
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -229,8 +229,8 @@
 // cancel asks a sidecar to end a request, in the background.
 func (r *Router) cancel(vm topo.VM, org string, key wire.Key) {
 	go func() {
-		ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
-		defer done()
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+		defer cancel()
 		_ = r.peer(vm).Call(ctx, wire.MethodCancel, wire.Cancel{Key: key, Org: org}, nil)
 	}()
 }
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -174,15 +174,15 @@
 
 // recordFirstSeen notes which VMs are new in the list.
 func (s *State) recordFirstSeen(now time.Time) {
-	joined := make(map[string]time.Time, len(s.vms.Entries))
+	firstSeen := make(map[string]time.Time, len(s.vms.Entries))
 	for _, vm := range s.vms.Entries {
 		at, known := s.firstSeen[vm.ID]
 		if !known {
 			at = now
 		}
-		joined[vm.ID] = at
+		firstSeen[vm.ID] = at
 	}
-	s.firstSeen = joined
+	s.firstSeen = firstSeen
 }
 
 // answerQuery answers a node that lacks objects.
@@ -214,14 +214,14 @@
 // stepConfig passes an event to the follower and takes what it says is in force.
 func (s *State) stepConfig(e config.Event) []Effect {
 	var effects []Effect
-	followed := ConfigApplied{}
+	applied := ConfigApplied{}
 	for _, effect := range s.follower.Step(e) {
 		switch effect := effect.(type) {
 		case config.Changed:
 			for _, o := range effect.Objects {
-				s.applyOrReject(o, &followed)
+				s.applyOrReject(o, &applied)
 			}
-			effects = append(effects, s.recheckUndrained(e.When(), followed.Drained)...)
+			effects = append(effects, s.recheckUndrained(e.When(), applied.Drained)...)
 			continue
 		case config.StoreRegained:
 			if s.relayState != nil {
@@ -233,9 +233,9 @@
 		effects = append(effects, ConfigEffect{Effect: effect})
 	}
 	status := s.follower.Status()
-	followed.Complete, followed.StoreHeard = status.Complete, status.StoreHeard
-	followed.Edition = s.follower.Set().Mark().Edition
-	return append(effects, followed)
+	applied.Complete, applied.StoreHeard = status.Complete, status.StoreHeard
+	applied.Edition = s.follower.Set().Mark().Edition
+	return append(effects, applied)
 }
 
 // onStoreRestored takes in that the store has come back from an older copy: upstreams that have no
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -159,8 +159,8 @@
 	if ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint); ruling.Action == quarantine.Refuse {
 		go a.router.storeConviction(a.fingerprint)
 	}
-	ctx, done := context.WithTimeout(context.Background(), reportTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
 	var wg sync.WaitGroup
 	for _, vm := range a.resendTargets() {
 		if vm.ID == at.vm.ID {
@@ -183,8 +183,8 @@
 	if !at.hasPermit || at.crashSite.ID == "" {
 		return
 	}
-	ctx, done := context.WithTimeout(context.Background(), reportTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
 	unused := wire.Leave{Fingerprint: a.fingerprint, Nonce: at.permitNonce}
 	_ = a.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -52,13 +52,13 @@
 // View returns the picture of the present state: the former one if nothing that
 // shows in it has changed.
 func (s *State) View() *View {
-	mark, trusted := s.follower.Set().Mark(), s.follower.Ready()
-	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == trusted
+	mark, recent := s.follower.Set().Mark(), s.follower.Ready()
+	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == recent
 	if s.stale == (staleParts{}) && same {
 		return s.view
 	}
 	v := *s.view
-	v.Version, v.Digest, v.ConfigRecent = mark.Version, mark.Digest, trusted
+	v.Version, v.Digest, v.ConfigRecent = mark.Version, mark.Digest, recent
 	if s.stale.profiles {
 		v.Profiles = maps.Clone(s.profiles)
 		v.hosts = profile.ByHost(s.profiles)
@@ -101,9 +101,9 @@
 		case vm.Role == topo.RoleDirect:
 			// One without a sidecar can still hand its prompts on to others, whoever has
 			// said that it leaves.
-			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.firstSeen[vm.ID], drained: order.Leave})
+			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, firstSeen: s.firstSeen[vm.ID], drained: order.Leave})
 		case !vm.Leaving && !order.Leave:
-			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, joined: s.firstSeen[vm.ID]})
+			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, firstSeen: s.firstSeen[vm.ID]})
 		}
 	}
 	v.Routers = max(v.Routers, 1)
@@ -133,9 +133,9 @@
 // upstream is an upstream of a pool, with what the control state knows of it beside its
 // entry in the list.
 type upstream struct {
-	vm      topo.VM
-	joined  time.Time // when it was first seen in the list
-	drained bool      // it takes no new work by operators' order
+	vm        topo.VM
+	firstSeen time.Time // when it was first seen in the list
+	drained   bool      // it takes no new work by operators' order
 }
 
 // member returns the upstream as package placement sees it.
@@ -147,13 +147,13 @@
 		Domain:  u.vm.FailureDomain,
 		Leaving: takesNoWork(u.listedConditions()),
 		Drained: u.drained && !u.vm.Leaving,
-		Joined:  u.joined,
+		Joined:  u.firstSeen,
 	}
 }
 
 func takesNoWork(s condition.Set) bool {
-	leave, _ := s.Allows(condition.Work)
-	return leave == condition.Never
+	permission, _ := s.Allows(condition.Work)
+	return permission == condition.Never
 }
 
 func newPool(upstreams []upstream, b *loadReports, t *balance.Tracker, self placement.Locality) *Pool {
