--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -151,7 +151,7 @@
 		suspects:       newSuspects(),
 		ledger:         ledger.New(),
 		holders:        balance.NewLastServed[topo.VM](),
-		coldStart:      coldStart{gate: warmup.NewLimiter(c.VM)},
+		coldStart:      coldStart{limiter: warmup.NewLimiter(c.VM)},
 		peers:          make(map[endpoint]*wire.Peer),
 		conditions:     condition.NewObservations(),
 	}
@@ -283,7 +283,7 @@
 	tag := ""
 	for ctx.Err() == nil {
 		r.suspects.expire(time.Now())
-		r.coldStart.gate.Expire(time.Now())
+		r.coldStart.limiter.Expire(time.Now())
 		r.pruneConditions(time.Now())
 		r.claimer.ObserveEra(time.Now(), topo.EraOf(r.config.Store))
 		r.prunePeers()
--- a/internal/router/warming.go
+++ b/internal/router/warming.go
@@ -13,7 +13,7 @@
 
 // coldStart is what a router goes by where upstreams are cold.
 type coldStart struct {
-	gate              *warmup.Limiter
+	limiter           *warmup.Limiter
 	registeredRouters atomic.Int64 // routers of the region, by the register; zero: it was not read yet
 	reportedRouters   atomic.Int64 // the same, as the router tells that this one relies on; zero: it has not
 }
@@ -37,7 +37,7 @@
 		return false
 	}
 	tuning := r.tuning.Load()
-	return !r.coldStart.gate.HasCapacity(now, id, tuning.warmupLimit(p), r.coldStart.routerCount(tuning.Regions))
+	return !r.coldStart.limiter.HasCapacity(now, id, tuning.warmupLimit(p), r.coldStart.routerCount(tuning.Regions))
 }
 
 // admitCold counts a request that is about to be sent to an upstream of a pool, and reports
@@ -47,7 +47,7 @@
 		return true
 	}
 	tuning := r.tuning.Load()
-	if !r.coldStart.gate.TryAcquire(now, id, tuning.warmupLimit(p), r.coldStart.routerCount(tuning.Regions)) {
+	if !r.coldStart.limiter.TryAcquire(now, id, tuning.warmupLimit(p), r.coldStart.routerCount(tuning.Regions)) {
 		return false
 	}
 	coldSent.Inc()
