--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -12,34 +12,35 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Answer is an upstream's answer on its way to the caller. It carries out what
-// dispatch decides: the goroutine that calls Next owns it, and each effect that
-// waits for a sidecar runs on a goroutine of its own until it has an outcome.
+// Answer is an upstream's answer on its way to the caller. It carries out the
+// effects that package dispatch decides on. The goroutine that calls Next owns
+// it; each effect that waits for an upstream runs on a goroutine of its own until
+// it has an outcome.
 type Answer struct {
 	router           *Router
 	transport        transport
 	req              Request
 	plan             dispatch.Plan
 	pool             *Pool
-	poolName         string   // of direct upstreams
-	targets          []target // the direct upstreams that were chosen last
+	poolName         string   // direct upstreams only
+	targets          []target // direct upstreams only: the latest choice, best first
 	view             *View
 	candidates       []topo.VM
-	home             string // VM that ranks first
+	home             string // id of the upstream that ranks first
 	session          uint64
-	sessionShare     float64 // of the pool's requests that the session has at least
-	shareCounted     bool    // towards that share
-	returning        bool    // its caller was turned away before, as far as can be told
+	sessionShare     float64 // lower estimate of the session's fraction of the pool's requests
+	shareCounted     bool    // the request was counted in sessionShare
+	returning        bool    // the caller was probably rejected before
 	fingerprint      uint64
-	suspect          bool   // it may have crashed an upstream: it runs alone
-	isolationGranted bool   // it may run alone where it is offered
-	resumeOffset     int64  // offset from which an earlier answer is wanted
-	release          func() // of the organisation's concurrency
+	suspect          bool   // the request may have crashed an upstream and runs alone
+	isolationGranted bool   // the request may run alone at the upstream it is offered to
+	resumeOffset     int64  // offset in an earlier answer to resume from
+	release          func() // gives back the organisation's concurrency
 
 	started         time.Time
-	timeToFirstByte time.Duration // until the first piece went to the caller
-	bytesSent       int64         // bytes that went to the caller
-	endLogged       bool          // its end
+	timeToFirstByte time.Duration // from started to the first piece for the caller; zero: none yet
+	bytesSent       int64         // to the caller
+	endLogged       bool          // the end of the request is logged
 	basis           placement.Basis
 	caller          context.Context
 	ctx             context.Context // ends at Close
@@ -48,19 +49,19 @@
 	attempts        []*attempt
 	outcomes        chan outcome
 	winner          *attempt
-	cutter          *eventstream.Framer // of an answer that another upstream may go on with
-	result          *verdict.Error      // once state is finished; nil: the answer is whole
+	cutter          *eventstream.Framer // of an answer that another upstream may continue
+	result          *verdict.Error      // once state is finished; nil: the answer is complete
 	end             *wire.End
 }
 
-// outcome is an event with the attempt that it is about.
+// outcome is an event of an attempt.
 type outcome struct {
 	attempt *attempt
 	event   dispatch.Event // nil: nothing to decide
 	last    bool           // the attempt's goroutine has ended
 }
 
-// post hands an outcome to the Answer, or reports false if the Answer was closed
+// post passes an outcome to the Answer. It returns false if the Answer was closed
 // or the attempt dropped.
 func (a *Answer) post(o outcome) bool {
 	select {
@@ -71,7 +72,7 @@
 	}
 }
 
-// run carries the request up to its first piece or its final verdict.
+// run processes the request until its answer starts or it fails for good.
 func (a *Answer) run() error {
 	a.step(dispatch.Began{Now: time.Now()})
 	for a.winner == nil && !a.state.Finished() {
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// waitForEvent takes in the next thing that happens to the request.
+// waitForEvent waits for the next outcome or timer of the request and processes
+// it. It returns an error if the caller is gone.
 func (a *Answer) waitForEvent() error {
 	timer := time.NewTimer(wakeDelay(a.state.Wake()))
 	defer timer.Stop()
@@ -100,9 +102,10 @@
 	return nil
 }
 
-// noWakeDelay stands for never.
+// noWakeDelay is the timer's delay where no wake-up is due.
 const noWakeDelay = 24 * time.Hour
 
+// wakeDelay returns the time until at, or noWakeDelay if at is zero.
 func wakeDelay(at time.Time) time.Duration {
 	if at.IsZero() {
 		return noWakeDelay
@@ -123,8 +126,8 @@
 	}
 }
 
-// tick tells the state that time has passed. At a deadline the attempts that
-// have not been sent are sealed first, so that the verdict on them is known.
+// tick passes the present time to the state. At a deadline it first seals the
+// attempts that have not been sent, so that the state can report them as not run.
 func (a *Answer) tick() {
 	now := time.Now()
 	if a.isOverdue(now) {
@@ -137,14 +140,17 @@
 	a.step(dispatch.Ticked{Now: now})
 }
 
+// isOverdue reports whether the deadline, or that of the first byte, has passed.
 func (a *Answer) isOverdue(now time.Time) bool {
 	return isPast(a.plan.Deadline, now) || a.winner == nil && isPast(a.plan.FirstByte, now)
 }
 
+// isPast reports whether a deadline has passed. A zero deadline never passes.
 func isPast(at, now time.Time) bool {
 	return !at.IsZero() && !now.Before(at)
 }
 
+// step passes an event to the state and carries out the effects.
 func (a *Answer) step(e dispatch.Event) {
 	effects := a.state.Step(e)
 	a.logEvent(e, len(effects) > 0)
@@ -174,13 +180,14 @@
 	}
 }
 
-// Close ends the caller's interest in the answer.
+// Close releases the answer and its attempts. If the answer is incomplete, the
+// request is cancelled unless it may go on without its caller.
 func (a *Answer) Close() {
 	a.logEnd()
-	if a.shareCounted && a.state != nil { // one that was turned away tells nothing of how long its kind takes
+	if a.shareCounted && a.state != nil { // the duration of a rejected request says nothing about others of its profile
 		a.pool.tracker.RecordDuration(a.req.Profile.Name, time.Since(a.started))
 	}
-	if a.state != nil && !a.state.Finished() { // nil: refused before it was offered
+	if a.state != nil && !a.state.Finished() { // nil: rejected before it was offered to an upstream
 		a.handleCallerGone()
 	}
 	a.stop()
@@ -192,10 +199,10 @@
 	a.release()
 }
 
-// handleCallerGone handles a caller that is gone before its answer is complete. If it may
-// come back for the answer, the request goes on: the caller holds the key, or
-// has been told the request's id. A write goes on as well, because to break it
-// off in the middle helps nobody.
+// handleCallerGone cancels the request of a caller that left before its answer
+// was complete. The request goes on if the caller may come back for the answer,
+// because it holds the key or has received the request's id. A write goes on as
+// well: an interrupted write is of no use to anybody.
 func (a *Answer) handleCallerGone() {
 	mayReturn := a.req.Key != nil || a.winner != nil && !a.req.isRead()
 	if mayReturn || !a.req.Profile.Idempotent {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -13,12 +13,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// streamWindow is how far a sidecar may send ahead of the caller, in bytes. It
-// bounds what a caller that reads slowly holds in the router.
+// streamWindow is how many bytes a sidecar may send ahead of the caller. It
+// bounds the router's memory for a caller that reads slowly.
 const streamWindow = 16 << 10
 
-// sendGate says whether an attempt has been sent. At a deadline the router closes
-// the gates of attempts that are still connecting, and may then say not-run.
+// sendGate records whether an attempt has been sent. At a deadline the router
+// seals the gates of attempts that are still connecting, and can then report
+// them as not run.
 type sendGate struct{ v atomic.Int32 }
 
 const (
@@ -27,37 +28,39 @@
 	gateSealed
 )
 
-// markSent opens the gate for good, or reports false if it was sealed before.
+// markSent marks the attempt as sent. It returns false if the gate was sealed
+// before.
 func (g *sendGate) markSent() bool {
 	return g.v.CompareAndSwap(gateUnsent, gateSent) || g.v.Load() == gateSent
 }
 
-// seal closes the gate, or reports false if something was sent before.
+// seal prevents the attempt from being sent. It returns false if the attempt
+// was sent before or the gate is sealed already.
 func (g *sendGate) seal() bool {
 	return g.v.CompareAndSwap(gateUnsent, gateSealed)
 }
 
 // transport is how the attempts of a request reach their upstreams.
 type transport interface {
-	// target returns the upstream of an offer; false: there is none any more.
+	// target returns the upstream for an offer, or false if none is left.
 	target(e dispatch.Offer) (target, bool)
-	// submit sends an attempt, for the first time or again, and returns what came
-	// of it; nil if there is nothing to decide.
+	// submit sends an attempt, for the first time or again, and returns the
+	// outcome, or nil if there is nothing to decide.
 	submit(at *attempt) dispatch.Event
 	// attach asks for the rest of an attempt's answer.
 	attach(at *attempt) dispatch.Event
-	// cancel ends what an attempt may have started.
+	// cancel ends the work that an attempt may have started at its upstream.
 	cancel(at *attempt)
-	// handleEnd takes in what came with the end of an attempt's answer.
+	// handleEnd processes the end of an attempt's answer.
 	handleEnd(at *attempt, end *wire.End)
 }
 
 // target is an upstream that an attempt goes to.
 type target struct {
 	vm      topo.VM
-	donor   topo.VM          // of direct upstreams: where it may get the cached prompt from
-	load    float64          // of direct upstreams: as it is believed
-	tracker *balance.Tracker // of direct upstreams: of their pool
+	donor   topo.VM          // direct upstreams only: may hold the cached prompt
+	load    float64          // direct upstreams only: estimated load
+	tracker *balance.Tracker // direct upstreams only: tracker of their pool
 }
 
 // stream is the answer to an attempt, read piece by piece.
@@ -66,8 +69,9 @@
 	Close()
 }
 
-// attempt is one attempt of a request. While busy, its fields other than gate
-// belong to the goroutine that carries out an effect, else to the Answer.
+// attempt is one attempt to have an upstream run a request. While busy, its fields
+// other than gate are owned by the goroutine that carries out an effect, else by
+// the Answer.
 type attempt struct {
 	ctx         context.Context
 	stop        context.CancelFunc
@@ -75,26 +79,26 @@
 	number      int
 	vm          topo.VM
 	donor       topo.VM
-	tracker     *balance.Tracker // of direct upstreams: counts the attempt
-	watch       *balance.Watch   // of direct upstreams
+	tracker     *balance.Tracker // direct upstreams only: counts the attempt
+	watch       *balance.Watch   // direct upstreams only: records how the attempt goes
 	call        wire.Call
-	chainIndex  int       // place in the chain of the caller's key
-	key         *wire.Key // nil until drawn
-	hasPermit   bool      // word of the site of a crash, for Submit
+	chainIndex  int       // position in the chain of successor keys
+	key         *wire.Key // nil until generated
+	hasPermit   bool      // the site of a crash permits the request to run alone at another VM
 	crashSite   topo.VM
-	permitNonce token.Nonce // of the key to which the site gave leave
+	permitNonce token.Nonce // nonce of the key that the permission was given to
 	gate        sendGate
-	withheldErr *verdict.Error // of direct upstreams: why it may not be sent
-	resends     int            // how often it was written again, since it had not been sent
+	withheldErr *verdict.Error // direct upstreams only: why it was not sent
+	resends     int            // how often it was submitted again because it had not been sent
 	stream      stream
-	readAhead   []wire.Piece // read ahead of delivery
-	offset      int64        // of the next byte for the caller
-	headSent    bool         // the head has gone to the caller
-	lastEventID string       // of direct upstreams: id of the last event that the caller has
+	readAhead   []wire.Piece // pieces that were read before the answer is delivered
+	offset      int64        // offset in the answer of the next byte for the caller
+	headSent    bool         // the head has been sent to the caller
+	lastEventID string       // direct upstreams only: id of the last event that the caller has received
 	span        telemetry.Span
 }
 
-// close ends the router's interest in the attempt.
+// close cancels the attempt's context and closes its stream.
 func (at *attempt) close() {
 	at.stop()
 	at.span.End()
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -22,24 +22,24 @@
 		"Attempts that were not sent to the upstream that was chosen, by what speaks against it by now.")
 )
 
-// handleSignal takes in what an answer says of its upstream.
+// handleSignal applies the signals about an upstream that came in the headers of its answer.
 func (a directTransport) handleSignal(at *attempt, w exchange.Signal) {
 	a.recordReportedLoad(at, w)
 	now, vm := time.Now(), at.vm.ID
 	if w.Leaving {
 		signalsReceived.Inc(condition.Leaving.String())
 		if a.router.conditions.RecordLeaving(now, vm) {
-			a.log(telemetry.LineFailure, "upstream says that it leaves", at.upstreamAttrs()...)
+			a.log(telemetry.LineFailure, "upstream announced that it is leaving", at.upstreamAttrs()...)
 		}
 	}
 	if w.RetryAfter > 0 {
 		signalsReceived.Inc(condition.Resting.String())
 		a.router.conditions.RecordResting(now, vm, w.RetryAfter)
-		a.log(telemetry.LineFailure, "upstream wants rest", append(at.upstreamAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
+		a.log(telemetry.LineFailure, "upstream asked for a pause", append(at.upstreamAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
 	}
 }
 
-// upstreamAttrs names the upstream of an attempt in a line.
+// upstreamAttrs returns the log attributes that identify the upstream of an attempt.
 func (at *attempt) upstreamAttrs() []slog.Attr {
 	return []slog.Attr{
 		slog.Int("attempt", at.number),
@@ -50,7 +50,8 @@
 	}
 }
 
-// listedConditions returns the conditions of an upstream that the list and operators' orders tell.
+// listedConditions returns the conditions that follow from an upstream's entry in the list and
+// from operators' orders.
 func (u upstream) listedConditions() condition.Set {
 	var s condition.Set
 	if u.vm.Leaving {
@@ -62,7 +63,8 @@
 	return s
 }
 
-// listedConditions returns the conditions listedConditions an upstream that the pool's view tells.
+// listedConditions returns the conditions of an upstream according to the pool's view: Gone if
+// the view does not list it.
 func (p *Pool) listedConditions(id string) condition.Set {
 	if p == nil {
 		return condition.Of(condition.Gone)
@@ -74,8 +76,8 @@
 	return listed
 }
 
-// conditionsOf returns what speaks conditionsOf an upstream of a pool now, but for its outcomes, which
-// count conditionsOf others' in the choice.
+// conditionsOf returns all present conditions of an upstream of a pool except Suspected: the
+// choice of an upstream compares its outcomes with those of the others.
 func (r *Router) conditionsOf(now time.Time, p *Pool, id string) condition.Set {
 	s := p.listedConditions(id).Union(r.conditions.Conditions(now, id))
 	if r.isAtWarmupLimit(now, p, id) {
@@ -84,8 +86,8 @@
 	return s
 }
 
-// unavailableIn returns which upstreams of a pool may get no request of this router now; nil: any
-// that the list allows.
+// unavailableIn returns a function that reports whether this router may not send requests to
+// upstream i of a pool now; nil if only the list restricts the choice.
 func (r *Router) unavailableIn(now time.Time, p *Pool) (unavailable func(i int) bool) {
 	if len(p.warmAt) == 0 && r.conditions.Empty() {
 		return nil
@@ -96,9 +98,10 @@
 	}
 }
 
-// admitSend counts a request that is about to be sent to an upstream of a pool, and returns why it
-// may not be; nil: it may. It goes by what is known now: much may have been heard of the
-// upstream since it was chosen.
+// admitSend admits a request that is about to be sent to an upstream of a pool and counts it
+// towards the upstream's warm-up limit. It returns the reason if the request may not be sent,
+// else nil. It checks the present conditions, which may have changed since the upstream was
+// chosen.
 func (r *Router) admitSend(now time.Time, pool string, vm topo.VM) *verdict.Error {
 	p := r.View().Pools[pool]
 	if permission, reason := r.conditionsOf(now, p, vm.ID).Allows(condition.Work); permission == condition.Never {
@@ -110,21 +113,23 @@
 	return nil
 }
 
+// withhold counts an attempt that is not sent and returns its error.
 func withhold(reason condition.Kind) *verdict.Error {
 	withheld.Inc(reason.String())
 	return errWithheld[reason]
 }
 
-// errWithheld is why an attempt was not sent, by what speaks against its upstream.
+// errWithheld maps the condition of an upstream to the error of an attempt that was not sent
+// because of it.
 var errWithheld = map[condition.Kind]*verdict.Error{
 	condition.Gone:    verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "the upstream is gone"),
 	condition.Drained: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream is drained by operators' order"),
-	condition.Leaving: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream leaves"),
-	condition.Resting: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream wants rest"),
-	condition.Cold:    verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream is cold, and has got what it bears"),
+	condition.Leaving: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream is leaving"),
+	condition.Resting: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream asked for a pause"),
+	condition.Cold:    verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream is warming up and at its request limit"),
 }
 
-// canDonate reports whether others may get cached prompts from an upstream.
+// canDonate reports whether other upstreams may fetch cached prompts from an upstream.
 func (r *Router) canDonate(now time.Time, view *View, vm topo.VM, allowed residency.Regions) bool {
 	s := r.conditions.Conditions(now, vm.ID)
 	if _, listed := view.VMs[vm.ID]; !listed {
@@ -137,8 +142,8 @@
 	return permission != condition.Never
 }
 
-// passedOver says why the upstream that ranks first for a session is not the one that was
-// chosen; empty: it is, or there is no session.
+// passedOver returns the home upstream of the session and why it was not chosen. Both are empty
+// if it was chosen or the request has no session.
 func (a *Answer) passedOver(now time.Time) (home, reason string) {
 	if a.basis.Home == placement.None || a.basis.PassedOver == placement.NotPassedOver {
 		return "", ""
@@ -152,15 +157,16 @@
 }
 
 const (
-	// coldRetryAfter is within which time a cold upstream takes requests of this router again.
+	// coldRetryAfter is how long callers wait for a cold upstream at its warm-up limit, which
+	// takes requests of this router again within this time.
 	coldRetryAfter = time.Second
-	// retryAfterJitter is the time over which callers come back that were turned away for one rest:
-	// the upstream gets them one after the other.
+	// retryAfterJitter is the time over which the retries of rejected callers are spread, so that
+	// they don't all reach an upstream at the moment its pause ends.
 	retryAfterJitter = time.Second
 )
 
-// availableAfter returns when the first upstream of a pool takes requests again; zero: one does now, or
-// none of them will.
+// availableAfter returns the time until the first upstream of a pool takes requests again, with
+// jitter. It returns zero if one takes requests now or none ever will.
 func (r *Router) availableAfter(now time.Time, p *Pool) time.Duration {
 	soonest := condition.Forever
 	for i, vm := range p.VMs {
@@ -179,8 +185,8 @@
 	return soonest + time.Duration(rand.Int64N(int64(retryAfterJitter)))
 }
 
-// availabilityBudget is a Budget that sends nobody back to a pool before one of its upstreams takes
-// requests.
+// availabilityBudget is a Budget whose RetryAfter is not shorter than the time until an upstream
+// of the pool takes requests again.
 type availabilityBudget struct {
 	dispatch.Budget
 	router *Router
@@ -192,7 +198,7 @@
 	return max(a.Budget.RetryAfter(left), a.router.availableAfter(time.Now(), a.pool))
 }
 
-// pruneConditions forgets the conditions of upstreams that are gone for long.
+// pruneConditions drops the conditions of upstreams that left the list a while ago.
 func (r *Router) pruneConditions(now time.Time) {
 	vms := r.View().VMs
 	r.conditions.Prune(now, func(id string) bool {
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -15,19 +15,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// directTransport carries attempts to upstreams that have no sidecar. Nothing remembers a
-// request there, so what was sent and lost may have run.
+// directTransport sends attempts to upstreams that have no sidecar. These keep no record of
+// requests, so a request whose connection is lost after it was sent may have run.
 type directTransport struct{ *Answer }
 
-// directStream is an answer of a direct upstream. Its attempt's context ends the
-// reading.
+// directStream is the answer of a direct upstream. Reading ends with the context of its
+// attempt.
 type directStream struct {
 	*exchange.Stream
 	tracker      *balance.Tracker
 	vm           load.VM
 	profile      string
-	firstBytesAt time.Time // when its first bytes came
-	lastEventAt  time.Time // when the newest event did
+	firstBytesAt time.Time // arrival of the first bytes
+	lastEventAt  time.Time // arrival of the newest event
 }
 
 // Next implements stream.
@@ -39,7 +39,7 @@
 	return p, err
 }
 
-// observeTiming takes in when a piece of a stream of events came.
+// observeTiming records the arrival of a piece of an event stream.
 func (s *directStream) observeTiming(now time.Time, p wire.Piece) {
 	switch n := bytes.Count(p.Bytes, eventEnd); {
 	case s.firstBytesAt.IsZero():
@@ -52,10 +52,10 @@
 	}
 }
 
-// eventEnd ends an event of a stream.
+// eventEnd terminates each event of an event stream.
 var eventEnd = []byte("\n\n")
 
-// submit implements carrier.
+// submit implements transport.
 func (a directTransport) submit(at *attempt) dispatch.Event {
 	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
@@ -76,21 +76,22 @@
 		s.Drain()
 		at.stream = nil
 		if s.Status() == http.StatusMisdirectedRequest {
-			// Another one has its address: it is gone, though its entry is still there, or
-			// was written again by a heartbeat that came late. Each further request would
-			// be refused in the same way for as long.
+			// Another upstream has its address: the one that was addressed is gone, but its
+			// entry is still in the store, or was written again by a late heartbeat. Until
+			// the entry is removed, each further request would be refused in the same way.
 			a.router.markUnreachable(at.vm.ID)
 		} else {
-			// An upstream that turns requests away while others take theirs comes last, like
-			// one that fails them: a request that may be sent once cannot go on to the next.
-			// With half of the upstreams turning half of their requests away, .7% of all
-			// were told to come back, .2% with this; in a surge beside slow ones .16, .11%.
+			// An upstream that rejects requests while others accept theirs is chosen last,
+			// like one that fails them: a request that may be sent only once cannot try
+			// another upstream. With half of the upstreams rejecting half of their requests,
+			// .7% of all requests were rejected without this and .2% with it; in a surge
+			// with slow upstreams, .16 and .11%.
 			at.watch.RecordOutcome(false)
 		}
 		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: refusedError(s.Status())}
 	}
 	if at.headSent && s.Status() != http.StatusOK {
-		err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream did not go on with the stream: status %d", s.Status())
+		err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream did not continue the stream: status %d", s.Status())
 		s.Close()
 		at.stream = nil
 		return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: err}
@@ -98,9 +99,9 @@
 	return a.awaitFirstByte(at, s)
 }
 
-// admitAttempt reports whether the attempt may be sent now. A caller that has closed its
-// connection while its request waited for this router's processor is gone, though
-// nobody has read that from the connection yet: its runner would work for nobody.
+// admitAttempt reports whether the attempt may be sent now, and marks it as sent if so. It
+// checks the caller's connection, because a caller may have closed it while its request waited
+// for the processor of this router: the upstream would work for nobody.
 func (a directTransport) admitAttempt(at *attempt) bool {
 	if a.req.CallerGone != nil && a.req.CallerGone() {
 		at.gate.seal()
@@ -116,7 +117,7 @@
 	return true
 }
 
-// exchangeCall returns what is sent to the upstream of an attempt.
+// exchangeCall returns the call to the upstream of an attempt.
 func (a directTransport) exchangeCall(at *attempt) exchange.Call {
 	now := time.Now()
 	c := exchange.Call{
@@ -138,7 +139,7 @@
 	return c
 }
 
-// failureEvent turns a call without an answer into an event.
+// failureEvent returns the event for a call that failed without an answer.
 func (a directTransport) failureEvent(at *attempt, err *verdict.Error) dispatch.Event {
 	now := time.Now()
 	switch {
@@ -156,16 +157,18 @@
 	}
 }
 
-// refusedError is an upstream's word that it has not run a request.
+// refusedError returns the error for a request that an upstream has rejected without running
+// it.
 func refusedError(status int) *verdict.Error {
 	reason := verdict.ReasonQueueFull
 	if status == http.StatusMisdirectedRequest {
-		reason = verdict.ReasonUpstreamDown // another one has its address
+		reason = verdict.ReasonUpstreamDown // another upstream has its address
 	}
 	return verdict.New(verdict.NotRun, reason, "the upstream refused with status %d", status)
 }
 
-// awaitFirstByte waits for the first byte of an answer.
+// awaitFirstByte waits for the first byte of an answer, which counts as an outcome of the
+// attempt, and returns the event for it.
 func (a directTransport) awaitFirstByte(at *attempt, s *exchange.Stream) dispatch.Event {
 	at.readAhead = nil
 	status := s.Status()
@@ -197,6 +200,8 @@
 	}
 }
 
+// lostEvent returns the event for an answer whose connection broke before its first byte; nil
+// if this router closed it.
 func (a directTransport) lostEvent(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
@@ -207,23 +212,22 @@
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
-// recordLostAnswer speaks against the upstream of an attempt whose connection broke, unless
-// this router has broken it.
+// recordLostAnswer counts a connection that broke as a failure of the upstream, unless this
+// router closed it.
 func (a directTransport) recordLostAnswer(at *attempt) {
 	if at.ctx.Err() == nil {
 		at.watch.RecordOutcome(false)
 	}
 }
 
-// attach implements carrier. dispatch asks nobody to attach to what has no
-// sidecar.
+// attach implements transport. Package dispatch never attaches to upstreams without a sidecar.
 func (a directTransport) attach(at *attempt) dispatch.Event {
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
-// cancel implements carrier: an upstream drops a request whose connection is
-// closed, and the attempt's end closes it.
+// cancel implements transport. It does nothing: the end of the attempt closes the connection,
+// and an upstream drops a request whose connection is closed.
 func (a directTransport) cancel(*attempt) {}
 
-// handleEnd implements carrier.
+// handleEnd implements transport.
 func (a directTransport) handleEnd(*attempt, *wire.End) {}
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -25,8 +25,8 @@
 	return pool == nil || pool.VMs[0].Role == topo.RoleDirect
 }
 
-// poolName returns the pool that serves the request: one of those between which
-// its profile splits its traffic, always the same for a session.
+// poolName returns the pool that serves the request. If the profile splits its
+// traffic between pools, it draws one by weight, always the same for a session.
 func (r *Request) poolName() string {
 	shares := r.Profile.Split
 	total := 0
@@ -94,11 +94,11 @@
 	return a, nil
 }
 
-// noUpstreamRetryAfter is when callers are to come back where nothing tells when an upstream will take
-// requests again.
+// noUpstreamRetryAfter is the retry delay for callers of a pool without an upstream that takes
+// requests, where it is not known when one will.
 const noUpstreamRetryAfter = time.Second
 
-// retryAfterNoUpstream returns when the caller of a request is to come back for which there is no upstream.
+// retryAfterNoUpstream returns the retry delay for a request for which there is no upstream.
 func (a *Answer) retryAfterNoUpstream(now time.Time) time.Duration {
 	if a.pool == nil {
 		return noUpstreamRetryAfter
@@ -109,24 +109,24 @@
 var rejectedLate = telemetry.NewCounter("router_expected_late_total",
 	"Requests turned away at once because no upstream was expected to begin their answer in time, or had a free place.")
 
-// rejectLate turns a request away that no upstream is expected to begin in time.
+// rejectLate rejects a request that no upstream is expected to start answering in time.
 //
-// In a surge of more than a pool can do, requests wait at the engines until their callers
-// give up: 12195 of 45731 were dropped there unrun, after 2.1 s each. Turned away at once,
-// callers come back when there is room.
+// In a surge beyond the capacity of a pool, requests would wait at the engines until their
+// callers give up: 12195 of 45731 were dropped there without being run, after 2.1 s each.
+// Callers that are rejected at once retry when there is capacity again.
 func (a *Answer) rejectLate(retryAfter time.Duration) error {
 	rejectedLate.Inc()
-	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.estimatedStart()).WithRetryAfter(retryAfter)
+	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to start only after %v", a.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
-// estimatedStart returns in which time the first byte of the answer is estimatedStart, an hour at most.
+// estimatedStart returns the estimated time until the first byte of the answer, at most an hour.
 func (a *Answer) estimatedStart() time.Duration {
 	seconds := min(a.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 }
 
-// target implements carrier. It chooses anew for each attempt: a stream may break
-// off seconds after its request came, and an upstream that was a candidate then
+// target implements transport. It chooses anew for each attempt: a stream may break
+// off seconds after its request arrived, and an upstream that was a candidate then
 // may be leaving now.
 func (a directTransport) target(e dispatch.Offer) (target, bool) {
 	if e.Attempt > 0 {
@@ -142,7 +142,7 @@
 	return target{}, false
 }
 
-// wasTried reports whether an attempt has gone to an upstream.
+// wasTried reports whether the request has had an attempt at an upstream.
 func (a *Answer) wasTried(vm topo.VM) bool {
 	for _, at := range a.attempts {
 		if at.vm.ID == vm.ID {
@@ -152,7 +152,7 @@
 	return false
 }
 
-// chooseTargets returns the upstreams to which a request may be offered now, in order.
+// chooseTargets returns the upstreams to which a request may be offered now, best first.
 func (a *Answer) chooseTargets(now time.Time) []target {
 	if a.pool == nil {
 		return nil
@@ -182,9 +182,9 @@
 	return out
 }
 
-// donor returns the upstream from which a chosen one may get the session's prompt:
-// the one that has served the session last, if it is still there, else the likeliest
-// by the ranking.
+// donor returns the upstream from which a chosen one may fetch the session's cached prompt:
+// the one that served the session last, if it can still donate, else the one that the choice
+// names. It returns the zero VM if there is none.
 func (a *Answer) donor(now time.Time, c placement.Choice) topo.VM {
 	enabled := a.router.policy()
 	if !enabled.Donors {
@@ -201,9 +201,9 @@
 	return a.pool.VMs[c.Donor]
 }
 
-// recordReportedLoad takes in what an upstream says of its load. The request that it answers
-// has only begun and is not in it: of 5.9 requests at an upstream, the heads of
-// answers tell 4.7.
+// recordReportedLoad records the load that an upstream reports, plus one: the request that it
+// answers has only just started and is not included. Of 5.9 requests at an upstream, the heads
+// of answers reported 4.7.
 func (a directTransport) recordReportedLoad(at *attempt, w exchange.Signal) {
 	if w.Load != nil {
 		at.tracker.SetSlots(w.Load.Slots)
@@ -211,7 +211,7 @@
 	}
 }
 
-// upstreamOrgName is what upstreams call an organisation.
+// upstreamOrgName returns the name of an organisation at upstreams.
 func upstreamOrgName(o *profile.Organisation) string {
 	if o.UpstreamName != "" {
 		return o.UpstreamName
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -15,6 +15,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
+// addAttempt adds an attempt at a VM.
 func (a *Answer) addAttempt(vm topo.VM) *attempt {
 	ctx, stop := context.WithCancel(a.ctx)
 	at := &attempt{ctx: ctx, stop: stop, number: len(a.attempts), vm: vm, call: a.req.Call}
@@ -22,6 +23,7 @@
 	return at
 }
 
+// offer starts an attempt at the next upstream.
 func (a *Answer) offer(e dispatch.Offer) {
 	to, ok := a.transport.target(e)
 	at := a.addAttempt(to.vm)
@@ -47,12 +49,14 @@
 	a.launch(at, 0, a.transport.submit)
 }
 
-// noUpstreamLeft is the outcome of an attempt for which there is no upstream.
+// noUpstreamLeft returns the event for an attempt for which there is no upstream.
 func noUpstreamLeft(at *attempt) dispatch.Event {
 	err := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream is left that has not been tried")
 	return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: err}
 }
 
+// followKey starts an attempt at the VM of the successor key under which the
+// request goes on.
 func (a *Answer) followKey(key wire.Key, effect effectFunc) {
 	previous := a.attempts[len(a.attempts)-1]
 	at := a.addAttempt(a.view.VMs[key.VM])
@@ -61,8 +65,8 @@
 	a.launchWithKey(at, key, effect)
 }
 
-// reattach asks for the rest of an attempt's answer, or for the answer to an
-// earlier request if that is all that is wanted.
+// reattach asks for the rest of an attempt's answer. If there is no such attempt,
+// it asks for the answer to an earlier request, from resumeOffset on.
 func (a *Answer) reattach(e dispatch.Attach) {
 	if e.Attempt < len(a.attempts) {
 		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.attach)
@@ -73,9 +77,9 @@
 	a.launchWithKey(at, *a.req.Key, a.transport.attach)
 }
 
-// deliver makes an attempt's answer the caller's. From here on the request
-// itself is not needed any more: an answer that goes on for minutes does not
-// hold the body that asked for it.
+// deliver makes an attempt's answer the one that goes to the caller. If no other
+// upstream may continue the answer, it also drops the request's body, so that it
+// is not kept in memory for the minutes that an answer may take.
 func (a *Answer) deliver(at *attempt, resumable bool) {
 	a.winner = at
 	if resumable {
@@ -88,9 +92,9 @@
 	a.req.Call = wire.Call{Method: a.req.Call.Method}
 }
 
-// launchWithKey submits an attempt under a key that others may have used before. Of a
-// VM that the list does not know nothing can be learnt: what ran there may have
-// run.
+// launchWithKey carries out an effect on an attempt under a key that may have been
+// used before. If the VM of the key is not in the list, the outcome of an earlier
+// use can't be determined, so the attempt ends with the verdict MayHaveRun.
 func (a *Answer) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
 	at.key = &key
 	if at.vm.ID == "" {
@@ -103,11 +107,12 @@
 	a.launch(at, 0, effect)
 }
 
-// effectFunc carries out an effect on an attempt and returns what came of it.
+// effectFunc carries out an effect on an attempt and returns the outcome; nil if
+// there is nothing to decide.
 type effectFunc func(*attempt) dispatch.Event
 
-// launch runs f for an attempt on a goroutine, after the pause that the retryth
-// reconnect asks for.
+// launch runs f for an attempt on a new goroutine, after the backoff for the
+// given number of retries.
 func (a *Answer) launch(at *attempt, retryNumber int, f effectFunc) {
 	at.busy = true
 	pause := retry.Backoff(retryNumber, rand.Float64())
@@ -122,7 +127,7 @@
 	}()
 }
 
-// drop cancels the loser of two hedged attempts.
+// drop cancels an attempt that lost to another one.
 func (a *Answer) drop(at *attempt) {
 	if !at.gate.seal() {
 		a.transport.cancel(at)
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -17,9 +17,9 @@
 var resumedStreams = telemetry.NewCounter("router_resumed_streams_total",
 	"Answers that were attached to anew because the connection to their sidecar was lost.")
 
-// Dispatch finds an upstream for the request and returns when the first piece
-// of the answer is there. The caller of Dispatch closes the Answer. ctx ends
-// when the one who waits for the answer is gone.
+// Dispatch sends the request to an upstream and returns when the first piece
+// of the answer has arrived. The caller of Dispatch closes the Answer. ctx ends
+// when the caller of the request is gone.
 func (r *Router) Dispatch(ctx context.Context, req Request) (*Answer, error) {
 	view := r.View()
 	if r.isDirect(view, &req) {
@@ -73,8 +73,8 @@
 	return a
 }
 
-// candidates returns the upstreams to which the request is offered, in order.
-// A key that the caller holds comes first at its own VM.
+// candidates returns the upstreams to offer the request to, in order. If the
+// caller holds a key, the VM of the key comes first.
 func (r *Router) candidates(now time.Time, a *Answer) []topo.VM {
 	vms := r.chooseCandidates(now, a)
 	if a.req.Key == nil {
@@ -84,6 +84,8 @@
 	return append([]topo.VM{a.view.VMs[a.req.Key.VM]}, vms...)
 }
 
+// chooseCandidates returns the upstreams for a request without regard to its
+// key, the best first.
 func (r *Router) chooseCandidates(now time.Time, a *Answer) []topo.VM {
 	if a.pool == nil {
 		return nil
@@ -100,9 +102,9 @@
 	return r.chooseFromPool(now, a.pool, q)
 }
 
-// candidateSeed returns what the choice for a request without a session begins with. It
-// follows from the request, so that a copy of it meets the same few upstreams,
-// and those can be told if it has crashed one.
+// candidateSeed returns the seed of the choice for a request without a session.
+// It is the fingerprint where there is one, so that copies of a request go to the
+// same few upstreams, which can be informed if one copy has crashed an upstream.
 func (a *Answer) candidateSeed() uint64 {
 	if a.fingerprint != 0 {
 		return a.fingerprint
@@ -110,11 +112,13 @@
 	return rand.Uint64()
 }
 
-// rankUpstreams returns the upstreams of a pool by their rankUpstreams for a hash.
+// rankUpstreams returns the upstreams of a pool by their rank for a hash.
 func (r *Router) rankUpstreams(now time.Time, p *Pool, hash uint64) []topo.VM {
 	return r.chooseFromPool(now, p, placement.Query{Session: hash, Ticket: placement.None})
 }
 
+// chooseFromPool returns the upstreams of a pool for a query, the best first
+// and those that could not be reached lately last.
 func (r *Router) chooseFromPool(now time.Time, p *Pool, q placement.Query) []topo.VM {
 	var out [placement.MaxCandidates]int
 	n := p.loadReports.choose(now, p.placed, q, &out)
@@ -131,13 +135,13 @@
 	return append(vms, unreachable...)
 }
 
-// ID is the request's id, by which its caller can ask for it again.
+// ID returns the request's id, with which its caller can ask for it again.
 func (a *Answer) ID() string {
 	return a.router.sealKey(a.req.Org.Name, a.session, *a.winner.key)
 }
 
-// Ticket is the placement ticket for the session's next request, or empty for
-// a request without a session.
+// Ticket returns the placement ticket for the session's next request, or an
+// empty string for a request without a session.
 func (a *Answer) Ticket() string {
 	if a.session == 0 {
 		return ""
@@ -145,7 +149,7 @@
 	return a.router.sealTicket(a.req.Org.Name, a.session, *a.winner.key, time.Now())
 }
 
-// NextKey is a request key that the caller may use for its next request.
+// NextKey returns a request key that the caller may use for its next request.
 func (a *Answer) NextKey() string {
 	key := a.winner.key
 	return a.router.sealKey(a.req.Org.Name, a.session, newKey(key.VM, key.Incarnation, time.Now()))
--- a/internal/router/warming.go
+++ b/internal/router/warming.go
@@ -11,27 +11,27 @@
 var coldSent = telemetry.NewCounter("router_cold_requests_total",
 	"Attempts that were sent to upstreams that are cold after their start.")
 
-// coldStart is what a router goes by where upstreams are cold.
+// coldStart limits how many requests this router sends to upstreams that have just started.
 type coldStart struct {
 	limiter           *warmup.Limiter
-	registeredRouters atomic.Int64 // routers of the region, by the register; zero: it was not read yet
-	reportedRouters   atomic.Int64 // the same, as the router tells that this one relies on; zero: it has not
+	registeredRouters atomic.Int64 // routers of the region according to the register; zero: not read yet
+	reportedRouters   atomic.Int64 // the same, as reported by this router's parent; zero: not reported yet
 }
 
-// routerCount returns how many routerCount may send to an upstream. The register is read at a start
-// only by most, and routerCount come and go, so that whoever knows of more counts: too many
-// make shares smaller, too few would break the limit.
+// routerCount returns how many routers may send to an upstream. Most routers read the register
+// only at their start, and routers come and go, so the larger of the two counts is used: too
+// large a count makes each router's share smaller, too small a count would break the limit.
 func (w *coldStart) routerCount(regions int) int {
 	return int(max(w.registeredRouters.Load(), w.reportedRouters.Load())) * max(regions, 1)
 }
 
-// warmupLimit returns what a cold upstream of a pool may get from all routers.
+// warmupLimit returns the limit on requests from all routers to a cold upstream of a pool.
 func (t Tuning) warmupLimit(p *Pool) warmup.Limit {
 	return warmup.Limit{PerSecond: p.warmupRate, Overage: t.WarmupOverage, Slack: t.WarmupSlack}
 }
 
-// isAtWarmupLimit reports whether an upstream of a pool is cold, and has got from this router what it
-// bears.
+// isAtWarmupLimit reports whether an upstream of a pool is cold and this router has used up its
+// share of the upstream's warm-up limit.
 func (r *Router) isAtWarmupLimit(now time.Time, p *Pool, id string) bool {
 	if _, cold := p.coldUntil(now, id); !cold {
 		return false
@@ -40,8 +40,8 @@
 	return !r.coldStart.limiter.HasCapacity(now, id, tuning.warmupLimit(p), r.coldStart.routerCount(tuning.Regions))
 }
 
-// admitCold counts a request that is about to be sent to an upstream of a pool, and reports
-// whether it may be if that is cold.
+// admitCold reports whether a request may be sent to an upstream of a pool within its warm-up
+// limit, and counts the request if the upstream is cold.
 func (r *Router) admitCold(now time.Time, p *Pool, id string) bool {
 	if _, cold := p.coldUntil(now, id); !cold {
 		return true
@@ -54,7 +54,8 @@
 	return true
 }
 
-// coldUntil returns until when an upstream of the pool is cold, if it is.
+// coldUntil returns when an upstream of the pool will be warm, and reports whether it is cold
+// now.
 func (p *Pool) coldUntil(now time.Time, id string) (warmAt time.Time, cold bool) {
 	if p == nil {
 		return time.Time{}, false
