--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -11,7 +11,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// DirectUpstreams returns what this router holds against each upstream that has no sidecar, by pool.
+// DirectUpstreams returns the load and the conditions of each upstream without a sidecar, as
+// known to this router, sorted by pool and id.
 func (r *Router) DirectUpstreams(now time.Time) []admin.UpstreamAccount {
 	var out []admin.UpstreamAccount
 	for _, p := range r.View().Pools {
@@ -49,8 +50,8 @@
 	return out
 }
 
-// listedStatements returns the conditions of an upstream that the pool's view tells. A cold one is
-// named also while it gets requests.
+// listedStatements returns the conditions of an upstream according to the pool's view. A cold
+// upstream is included even while it may get requests.
 func (p *Pool) listedStatements(now time.Time, id string) []condition.Statement {
 	var out []condition.Statement
 	listed := p.listedConditions(id)
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -17,28 +17,28 @@
 	"github.com/parsleyfront/parsleyfront/internal/vocabulary"
 )
 
-// States of an upstream as operators see it.
+// States of an upstream in the operators' API.
 const (
 	serving    = "serving"
-	draining   = "draining" // told to leave, or says so itself
+	draining   = "draining" // ordered to leave, or leaving by itself
 	down       = "down"
-	unreported = "unheard" // nothing has been heard of it lately
+	unreported = "unheard" // no recent report of its load
 )
 
-// States of a quarantined request as operators see it.
+// States of a quarantined request in the operators' API.
 const (
-	suspected = "suspect"   // runs alone, at one upstream
-	convicted = "convicted" // answered at once
+	suspected = "suspect"   // runs alone, at one upstream only
+	convicted = "convicted" // rejected without being run
 )
 
-// AdminNode is a Router as the operators' API sees it. It implements admin.Node.
+// AdminNode adapts a Router to the operators' API. It implements admin.Node.
 type AdminNode struct {
 	router  *Router
 	vm      string
 	started time.Time
 }
 
-// AdminNode returns the face of the router on a VM for the operators' API.
+// AdminNode returns the adapter of the router on a VM to the operators' API.
 func (r *Router) AdminNode(vm string) *AdminNode {
 	return &AdminNode{router: r, vm: vm, started: time.Now()}
 }
@@ -71,7 +71,7 @@
 	return s
 }
 
-// upstreams returns the upstreams of the list of VMs by pool, those included
+// upstreams returns the upstreams in the list of VMs by pool, including those
 // that take no new work because they are to leave.
 func (o *AdminNode) upstreams() map[string][]topo.VM {
 	pools := make(map[string][]topo.VM)
@@ -83,7 +83,8 @@
 	return pools
 }
 
-// addLeaving adds upstreams that are to leave, of whose loads traffic knows nothing.
+// addLeaving adds upstreams that are to leave. Their loads are not known, because the
+// view contains only upstreams that take new work.
 func addLeaving(p *admin.PoolStatus, vms []topo.VM, brief bool) {
 	p.Known += len(vms)
 	p.Draining += len(vms)
@@ -100,7 +101,7 @@
 }
 
 // quarantined returns the requests that are suspected or convicted of crashing
-// upstreams, as far as this router has been told.
+// upstreams, as far as this router knows.
 func (s *suspects) quarantined(now time.Time) []admin.Quarantined {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +156,7 @@
 	return vms
 }
 
-// status returns the pool as the router believes it to be.
+// status returns the state of the pool's upstreams according to their latest reports.
 func (p *Pool) status(now time.Time, brief bool) admin.PoolStatus {
 	s := admin.PoolStatus{Known: len(p.VMs)}
 	p.loadReports.mu.Lock()
@@ -238,7 +239,8 @@
 	return e, nil
 }
 
-// explainPlace says what put an upstream among the candidates and where.
+// explainPlace returns why an upstream is among the candidates, and what affects its
+// place there.
 func (o *AdminNode) explainPlace(now time.Time, vm topo.VM, bySession, byTicket bool, r load.Report, bound int) string {
 	var parts []string
 	switch {
@@ -250,9 +252,9 @@
 		parts = append(parts, "less loaded of two random upstreams; no session")
 	}
 	if r.State != load.Serving {
-		parts = append(parts, "believed to refuse")
+		parts = append(parts, "reported as not serving")
 	} else if bound > 0 && r.Load >= bound {
-		parts = append(parts, "believed full, after those with room")
+		parts = append(parts, "reported at its load bound, so after those below it")
 	}
 	if o.router.isUnreachable(vm.ID, now) {
 		parts = append(parts, "could not be reached lately, so last")
@@ -260,6 +262,7 @@
 	return strings.Join(parts, "; ")
 }
 
+// ticketNote returns whether the ticket of a query is followed, or why not.
 func ticketNote(q admin.Query, pool *Pool, followed string) string {
 	switch {
 	case q.Ticket == "":
@@ -273,7 +276,7 @@
 	}
 }
 
-// find returns the organisation and the profile by which a request is treated.
+// find returns the organisation and the profile that apply to a request.
 func (v *View) find(q admin.Query) (*profile.Organisation, *profile.Profile, error) {
 	var org *profile.Organisation
 	for _, o := range v.Orgs {
--- a/internal/router/belief.go
+++ b/internal/router/belief.go
@@ -9,12 +9,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// samplesPerMessage is how many loads of other upstreams go with each message.
+// samplesPerMessage is how many loads of other upstreams are sent with each message.
 const samplesPerMessage = 5
 
-// loadReports are the loads of one pool's upstreams as this router has heard them.
-// They outlive the views that refer to them, so a new sample costs one entry
-// of a table and no new view.
+// loadReports holds the reported loads of one pool's upstreams. It outlives the views
+// that refer to it, so that a new sample changes an entry of its table and needs no
+// new view. It is safe for concurrent use.
 type loadReports struct {
 	mu    sync.Mutex
 	table *load.Table
@@ -24,30 +24,33 @@
 	return &loadReports{table: load.NewTable()}
 }
 
-// choose writes the indices of the upstreams to which to offer a request.
+// choose writes the indices of the upstreams to offer a request to, best first, and
+// returns their number.
 func (b *loadReports) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return p.Choose(now, b.table, q, out)
 }
 
-// observe takes in what a sidecar says of itself and of others.
+// observe records the load that a sidecar reports of its own upstream, and its samples
+// of others.
 func (b *loadReports) observe(now time.Time, vm load.VM, weight int, c wire.Control) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.table.Observe(now, vm, load.Report{Load: c.Load, Weight: weight, State: loadState(c)})
-	// Samples that cannot be read are a peer of another version: its own load
-	// above is what matters.
+	// Samples that can't be decoded come from a sidecar of another release. They are
+	// ignored: the sidecar's own load, recorded above, matters more.
 	_ = b.table.Merge(now, c.Samples)
 }
 
-// samples returns what to tell a VM's sidecar.
+// samples returns encoded loads of other upstreams for the sidecar of a VM.
 func (b *loadReports) samples(now time.Time, vm load.VM) []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.table.Pack(now, samplesPerMessage, vm)
 }
 
+// retain drops the reports of all upstreams but members.
 func (b *loadReports) retain(members []load.VM) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -21,7 +21,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// heapBytes returns the bytes in use by live objects and stacks.
+// heapBytes returns the memory in use by live objects and stacks, in bytes.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -31,7 +31,7 @@
 }
 
 func benchOrg(i int) *profile.Organisation {
-	name := fmt.Sprint("club-", i)
+	name := fmt.Sprint("org-", i)
 	return &profile.Organisation{Name: name, Weight: 1, Profiles: []string{"chat"}, Keys: []profile.APIKey{
 		{ID: "a", SHA256: profile.HashKey(name + "a")}, {ID: "b", SHA256: profile.HashKey(name + "b")},
 	}}
@@ -43,7 +43,7 @@
 	return topo.Object{Ref: v.Ref(), Version: topo.Version(version), Value: value}
 }
 
-// benchState returns a state with organisations and one pool of upstreams.
+// benchState returns a state with a number of organisations and one pool of upstreams.
 func benchState(orgs, upstreams int) *State {
 	s := NewState("router", placement.Locality{}, config.DefaultPace(), 1)
 	p := profile.New(topo.KindProfile).(*profile.Profile)
@@ -62,7 +62,7 @@
 	return s
 }
 
-// BenchmarkStateBytes is the memory of a router's control state and its View.
+// BenchmarkStateBytes measures the memory of a router's control state and its View.
 func BenchmarkStateBytes(b *testing.B) {
 	sizes := []struct{ orgs, upstreams int }{{0, 0}, {1000, 0}, {4000, 0}, {14000, 0}, {0, 130}, {0, 1000}, {0, 2900}}
 	for _, n := range sizes {
@@ -77,22 +77,22 @@
 	}
 }
 
-// BenchmarkView is what it costs to show traffic one changed organisation.
+// BenchmarkView measures building a view after one organisation has changed.
 func BenchmarkView(b *testing.B) {
 	for _, orgs := range []int{1000, 4000, 14000} {
 		s := benchState(orgs, 0)
 		b.Run(fmt.Sprintf("orgs=%d", orgs), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				s.orgs["club-0"], s.stale.orgs = benchOrg(0), true
+				s.orgs["org-0"], s.stale.orgs = benchOrg(0), true
 				s.View()
 			}
 		})
 	}
 }
 
-// BenchmarkDecision is what a router decides for one request before it sends
-// it: fingerprint, candidates and, with no failure, the steps of its dispatch.
+// BenchmarkDecision measures what a router computes for one request before it sends
+// it (fingerprint and candidates), and the dispatch steps of a request without failure.
 func BenchmarkDecision(b *testing.B) {
 	for _, upstreams := range []int{130, 1000, 2900} {
 		ring, _ := token.NewRing(token.Secret{ID: 1, Value: make([]byte, 16)})
@@ -121,7 +121,7 @@
 	})
 }
 
-// idleSidecar admits all, sends a head and one byte, and then nothing.
+// idleSidecar admits every request, sends a head and one byte, and then nothing.
 type idleSidecar struct{}
 
 func (idleSidecar) HandleCall(_ context.Context, c *wire.Conn, m wire.Method, p wire.Params) (any, error) {
@@ -139,7 +139,7 @@
 
 func (idleSidecar) HandleFrame(*wire.Conn, wire.Frame) {}
 
-// BenchmarkOpenAnswer is the memory of an answer that waits for its next piece,
+// BenchmarkOpenAnswer measures the memory of an answer that waits for its next piece,
 // with the goroutine that reads it, without the caller's HTTP connection.
 func BenchmarkOpenAnswer(b *testing.B) {
 	for _, streams := range []int{1000, 4000, 10000} {
@@ -188,7 +188,7 @@
 			b.Fatal(err)
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // the readers come to rest
+	time.Sleep(100 * time.Millisecond) // until all readers wait
 	used := heapBytes() - before
 	stop()
 	for range n {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// claimsPerSecond is how many idempotency keys of callers the whole fleet claims
-	// in the store, a second. Each costs a write, and another to sweep it.
+	// claimsPerSecond bounds the rate at which the whole fleet claims idempotency
+	// keys of callers in the store. Each claim costs a write, and another to sweep it.
 	claimsPerSecond = 50
-	// claimBurst is how many one router claims at once.
+	// claimBurst bounds how many keys one router claims at once.
 	claimBurst = 10
-	// claimWait is how long a caller waits for the store.
+	// claimWait bounds how long a caller waits for the store.
 	claimWait = time.Second
-	// claimNoBudget is the outcome of a claim that was not tried.
+	// claimNoBudget is the outcome of a claim beyond the budget, which was not tried.
 	claimNoBudget claim.Outcome = "no-budget"
 )
 
 var claims = telemetry.NewFamily[claim.Outcome]("router_claims_total", "outcome",
 	"Idempotency keys chosen by callers, by what came of claiming them in the store.")
 
-// Claim returns the request key that stands for a caller's own idempotency key:
-// the one under which it was used before, or a fresh one. When it can't be told
-// which, this request is not run.
+// Claim returns the request key for a caller's own idempotency key: the one that
+// was claimed for it before, or a new one. If the store can't tell which, Claim
+// returns an error and the request must not run.
 func (r *Router) Claim(ctx context.Context, org *profile.Organisation, p *profile.Profile, session, callerKey string) (wire.Key, error) {
 	if !r.claimBudget.take(time.Now(), r.View().Routers) {
 		claims.Inc(claimNoBudget)
@@ -53,11 +53,12 @@
 	return key, nil
 }
 
+// claimUnavailable returns the error for a claim that could not be made now.
 func claimUnavailable(detail string) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonStoreDown, "%s", detail).WithRetryAfter(time.Second)
 }
 
-// claimBudget spreads claimRate over the routers, as a token bucket.
+// claimBudget is a token bucket with this router's share of claimsPerSecond.
 type claimBudget struct {
 	mu         sync.Mutex
 	tokens     float64
@@ -68,6 +69,7 @@
 	return &claimBudget{tokens: claimBurst, refilledAt: now}
 }
 
+// take takes a token and reports whether there was one.
 func (b *claimBudget) take(now time.Time, routers int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -14,7 +14,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// queryConfig asks a sidecar for configuration.
+// queryConfig queries a sidecar, or with a mesh the parent router, for configuration.
 func (r *Router) queryConfig(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 	if r.mesh != nil {
 		return r.pull(ctx, peer, wire.MethodConfigSince, q)
@@ -28,7 +28,7 @@
 	return d, err
 }
 
-// handleSidecarCall answers the calls that sidecars make of the router.
+// handleSidecarCall answers the calls of sidecars.
 func (r *Router) handleSidecarCall(ctx context.Context, vm topo.VM, m wire.Method, params wire.Params) (any, error) {
 	if m != wire.MethodConfigSince {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "unknown method %q", m)
@@ -40,7 +40,7 @@
 	return r.deltaSince(ctx, relay.SetConfig, config.Peer(vm.ID), q)
 }
 
-// deltaSince returns what a peer lacks of a set.
+// deltaSince returns the objects of a set that a peer lacks.
 func (r *Router) deltaSince(ctx context.Context, set relay.Set, peer config.Peer, q config.Query) (config.Delta, error) {
 	reply := make(chan config.Delta, 1)
 	r.mu.Lock()
@@ -61,6 +61,7 @@
 	return config.Delta{}, errors.New("router: stopping")
 }
 
+// deliverReply passes a reply to the call that waits for it.
 func (r *Router) deliverReply(e ConfigReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,13 +71,13 @@
 	}
 }
 
-// refreshConfig looks for news in the store at once.
+// refreshConfig makes the follower look for changes in the store at once.
 func (r *Router) refreshConfig() {
 	r.loop.Post(ConfigEvent{Event: config.Hinted{Now: time.Now()}})
 }
 
-// postConnectedPeers tells the follower which of the sidecars with a copy of the
-// configuration there is a connection to.
+// postConnectedPeers posts to the follower which of the sidecars that keep a copy of
+// the configuration this router is connected to.
 func (r *Router) postConnectedPeers() {
 	copies := r.View().ConfigCopies
 	r.mu.Lock()
--- a/internal/router/conviction.go
+++ b/internal/router/conviction.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// convictionAttempts is how often a conviction is offered to the store. The
-	// store only helps routers that start later, so it is then left.
+	// convictionAttempts is how often writing a conviction to the store is tried.
+	// It is then abandoned, because only routers that start later read it there.
 	convictionAttempts = 5
-	// convictionRetryInterval is the pause between two tries, and between the tries of a
-	// router that starts to read the convictions.
+	// convictionRetryInterval is the pause between two attempts to write a
+	// conviction, or to read the convictions at the start of a router.
 	convictionRetryInterval = 5 * time.Second
 )
 
 var convictions = telemetry.NewFamily[convictionOutcome]("router_convictions_stored_total", "outcome",
 	"Convictions of requests that crash upstreams, by what came of keeping them in the store.")
 
-// convictionOutcome is what came of keeping a conviction.
+// convictionOutcome is the outcome of writing a conviction to the store.
 type convictionOutcome string
 
 const (
@@ -35,11 +35,11 @@
 // Conviction is the value of a conviction object.
 type Conviction struct {
 	Suspects  json.RawMessage `json:"suspects"`   // as in wire.Control
-	KeepUntil int64           `json:"keep_until"` // Unix seconds; then it may be swept
+	KeepUntil int64           `json:"keep_until"` // Unix seconds; it may be swept afterwards
 }
 
-// storeConviction writes a conviction that this router has seen come about into
-// the store. Another router that saw it too may have been first.
+// storeConviction writes the conviction of a request to the store. A conflict
+// means that another router has written it already.
 func (r *Router) storeConviction(fingerprint uint64) {
 	p := quarantine.Print(fingerprint)
 	now := time.Now()
@@ -62,9 +62,9 @@
 	convictions.Inc(convictionNotStored)
 }
 
-// readConvictions takes in the convictions of the store once. A router that
-// starts has heard of none, and its first copy of such a request would be
-// refused by a sidecar only if that has heard.
+// readConvictions reads the convictions in the store once. A router that starts
+// knows of none, and the first copy of a convicted request that it sent would be
+// refused only by a sidecar that knows of the conviction.
 func (r *Router) readConvictions(ctx context.Context) {
 	cont := ""
 	for ctx.Err() == nil {
--- a/internal/router/keys.go
+++ b/internal/router/keys.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// KeyPrefix starts each request key and request id that the fleet makes. It
-	// tells them from idempotency keys that callers choose themselves.
+	// KeyPrefix starts each request key and request id that the fleet generates. It
+	// distinguishes them from idempotency keys that callers choose themselves.
 	KeyPrefix = "rk-"
 
-	// keyLifetime is how long a request key can be used first. Sidecars remember
-	// keys for as long, so it bounds their tables.
+	// keyLifetime is the time within which a request key has to be used first.
+	// Sidecars keep keys for as long, so it bounds their tables.
 	keyLifetime = 15 * time.Minute
-	// ticketLifetime is how long a placement ticket is worth following.
+	// ticketLifetime is how long a placement ticket is valid.
 	ticketLifetime = 24 * time.Hour
 )
 
-// newKey draws a key for the incarnation of a sidecar.
+// newKey generates a key for an incarnation of a sidecar.
 func newKey(vm string, incarnation uint64, now time.Time) wire.Key {
 	return wire.Key{VM: vm, Incarnation: incarnation, Nonce: token.NewNonce(), Expires: now.Add(keyLifetime).Unix()}
 }
 
-// sealKey returns a key in the form that callers hold.
+// sealKey returns a key as the sealed text that callers hold.
 func (r *Router) sealKey(org string, session uint64, k wire.Key) string {
 	return KeyPrefix + r.config.Ring.Seal(token.Token{
 		Purpose:     token.PurposeKey,
@@ -52,10 +52,10 @@
 	})
 }
 
-// OpenKey reads a request key or request id that a caller of org holds. One of
-// another organisation is answered exactly like a forged one, so that nobody
-// learns which ids exist. Expiry is for the sidecar to judge: it may still know
-// what became of the request.
+// OpenKey decodes a request key or request id that a caller of org holds. The
+// error for a key of another organisation is the same as for a forged one, so
+// that callers can't find out which ids exist. OpenKey does not check the expiry:
+// the sidecar does, because it may still know the outcome of the request.
 func (r *Router) OpenKey(org, s string) (wire.Key, error) {
 	t, err := r.config.Ring.Open(strings.TrimPrefix(s, KeyPrefix), token.PurposeKey)
 	if err != nil || !strings.HasPrefix(s, KeyPrefix) || t.Org != orgHash(org) {
@@ -64,9 +64,9 @@
 	return wire.Key{VM: t.VM, Incarnation: t.Incarnation, Nonce: t.Nonce, Expires: t.Expires.Unix()}, nil
 }
 
-// ticketVM returns the VM that a session's ticket names and how old the ticket
-// is, or "" if the ticket is not one of this fleet for this session. A ticket is
-// a hint: a bad one costs its caller the cached prefix and nothing else.
+// ticketVM returns the VM that a session's ticket names and the age of the ticket,
+// or "" if the ticket was not issued by this fleet for this session. A ticket is a
+// hint: with an invalid one, the caller loses only the cached prefix.
 func (r *Router) ticketVM(now time.Time, ticket string, session uint64) (vm string, age time.Duration) {
 	if ticket == "" || session == 0 {
 		return "", 0
--- a/internal/router/ledger_test.go
+++ b/internal/router/ledger_test.go
@@ -12,11 +12,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// An operator's machine runs a newer release and writes a profile that this
-// router holds to be invalid. Were it taken, its traffic would be treated by a
-// bound that cannot work; were it dropped, callers would be told that their
-// profile does not exist; were it passed over without a word, apply --wait
-// would say that it is in force.
+// An operator's tool of a newer release writes a profile that is invalid for this
+// router. The test guards against three failures: the router applies the profile
+// with a bound that cannot work; it drops the profile, and callers get the error
+// that it does not exist; it ignores the profile silently, and apply --wait
+// reports it as in force.
 func TestInvalidObjectKeepsPreviousVersionInForce(t *testing.T) {
 	s, l := NewState("r", placement.Locality{}, config.DefaultPace(), 1), ledger.New()
 	step := func(v topo.Version, p profile.Profile) {
@@ -43,17 +43,17 @@
 	step(7, good)
 	step(8, bad)
 	if p := s.View().Profiles["chat"]; p == nil || p.LoadMultiple != profile.DefaultLoadMultiple {
-		t.Errorf("in force is %+v, want the version before", p)
+		t.Errorf("profile in force is %+v, want the previous version", p)
 	}
 	if in := l.InForce(good.Ref()); in.Version != 7 || in.Problem == "" || len(l.Status().Rejected) != 1 {
-		t.Errorf("operators are told %+v, %+v", in, l.Status())
+		t.Errorf("reported to operators: %+v, %+v", in, l.Status())
 	}
 	step(9, good)
 	if in := l.InForce(good.Ref()); in.Version != 9 || in.Problem != "" {
-		t.Errorf("after a valid version operators are told %+v", in)
+		t.Errorf("reported to operators after a valid version: %+v", in)
 	}
 	gone := topo.Ref{Kind: topo.KindPool, Name: "gone"}
 	if in := l.InForce(gone); in.Version != 9 {
-		t.Errorf("an object that does not exist is said to be followed to %d, want 9", in.Version)
+		t.Errorf("an object that does not exist is reported as followed to version %d, want 9", in.Version)
 	}
 }
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -10,13 +10,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// concurrencySlack is how far over its even share of an organisation's
-// concurrency a router goes, since the balancer does not spread callers evenly.
-// The fleet admits at most the larger of concurrencySlack times the limit and
-// one request a router.
+// concurrencySlack is the multiple of its even share of an organisation's
+// concurrency that a router admits, because the balancer does not spread callers
+// evenly. The fleet admits at most the larger of concurrencySlack times the limit
+// and one request per router.
 const concurrencySlack = 2
 
-// limits holds what a router counts of its own traffic.
+// limits enforces the concurrency of organisations and the retry budgets of
+// profiles on one router's traffic.
 type limits struct {
 	mu       sync.Mutex
 	inFlight map[string]int // requests in flight, by organisation
@@ -27,7 +28,8 @@
 	return &limits{inFlight: make(map[string]int), budgets: make(map[string]*retry.Budget)}
 }
 
-// acquire counts a request of org in until the result is called.
+// acquire counts a request of org until release is called. It returns a refusal
+// if the organisation has used up this router's share of its concurrency.
 func (l *limits) acquire(org *profile.Organisation, routers int) (release func(), refusal *verdict.Error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +58,7 @@
 	return min(limit, (concurrencySlack*limit+routers-1)/routers)
 }
 
-// budget returns the retry budget of a profile, which the request has paid into.
+// budget returns the retry budget of a profile, after a deposit for one request.
 func (l *limits) budget(p *profile.Profile) dispatch.Budget {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +71,7 @@
 	return sharedBudget{limits: l, budget: b}
 }
 
-// sharedBudget is a Budget that the requests of a profile share.
+// sharedBudget is a dispatch.Budget that the requests of a profile share.
 type sharedBudget struct {
 	limits *limits
 	budget *retry.Budget
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -24,7 +24,8 @@
 var drainedDomains = telemetry.NewGauge("router_drained_domains",
 	"Failure domains whose upstreams take no new work by operators' order.")
 
-// answerOutcome is how a request has ended: one of the two below or a reason.
+// answerOutcome is how a request ended: one of the two below or the reason of its
+// failure.
 type answerOutcome string
 
 const (
@@ -32,7 +33,8 @@
 	outcomeCallerLeft answerOutcome = "caller-left"
 )
 
-// logOffer tells where a request is offered, and what the choice rests on.
+// logOffer logs to which upstream a request is offered, and the values behind
+// the choice.
 func (a *Answer) logOffer(at *attempt, e dispatch.Offer, to target) {
 	attrs := []slog.Attr{
 		slog.String("profile", a.req.Profile.Name),
@@ -60,7 +62,8 @@
 	a.log(telemetry.LineRoutine, "request placed", attrs...)
 }
 
-// roundTenths rounds for the log. JSON has no infinity, so no bound is told as -1.
+// roundTenths rounds to one decimal for the log. An infinite value, which stands for
+// no bound, becomes -1, because JSON has no infinity.
 func roundTenths(x float64) float64 {
 	if math.IsInf(x, 0) {
 		return -1
@@ -68,17 +71,17 @@
 	return math.Round(x*10) / 10
 }
 
-// logEvent tells of an attempt that has failed, and whether anything follows.
+// logEvent logs a failed attempt. decided tells whether the failure had effects.
 func (a *Answer) logEvent(e dispatch.Event, decided bool) {
 	switch e := e.(type) {
 	case dispatch.Unreachable:
 		a.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
 	case dispatch.Refused:
-		a.logFailure("attempt was refused", e.Attempt, e.Err, decided)
+		a.logFailure("attempt was rejected", e.Attempt, e.Err, decided)
 	case dispatch.ConnectionLost:
-		a.logFailure("attempt was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
+		a.logFailure("connection to the upstream was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
 	case dispatch.ErrorResponse:
-		a.logFailure("upstream answered with a failure", e.Attempt, e.Err, decided)
+		a.logFailure("upstream answered with an error", e.Attempt, e.Err, decided)
 	case dispatch.Ended:
 		if e.Err != nil {
 			a.logFailure("attempt failed", e.Attempt, e.Err, decided)
@@ -97,7 +100,7 @@
 		slog.Bool("decided", decided))
 }
 
-// logEnd counts and tells how the request ended.
+// logEnd logs and counts the end of the request, once.
 func (a *Answer) logEnd() {
 	if a.endLogged || a.state == nil {
 		return
@@ -138,7 +141,7 @@
 	a.router.config.RequestLog.Line(class, msg, a.req.ID, attrs...)
 }
 
-// logFollowed tells of configuration that has come into force, or was rejected.
+// logFollowed logs configuration that has come into force or was rejected.
 func logFollowed(e ConfigApplied) {
 	if len(e.Objects) > 0 {
 		newest := topo.Version(0)
@@ -152,11 +155,11 @@
 		slog.Warn("order to a failure domain is in force", "failure_domain", order.Domain, "drained", order.Drained, "version", order.Version)
 	}
 	for _, p := range e.Rejected {
-		slog.Error("configuration is invalid here and not in force", "object", p.Ref.String(), "problem", p.Message)
+		slog.Error("configuration object is invalid for this release and not in force", "object", p.Ref.String(), "problem", p.Message)
 	}
 }
 
-// logMembers tells which upstreams have joined, are leaving or have left.
+// logMembers logs which upstreams have joined, are leaving or have left.
 func logMembers(e MembershipChanged) {
 	for _, c := range e.Changes {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "upstream "+string(c.State),
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// lookupTimeout bounds a question about an earlier request.
+	// lookupTimeout bounds a query about an earlier request.
 	lookupTimeout = 3 * time.Second
-	// MaxMint is how many request keys one call hands out at most.
+	// MaxMint bounds the number of request keys that one call returns.
 	MaxMint = 1000
 )
 
-// Resume returns the answer to an earlier request of org, from offset on. The
-// request is not run again, whatever comes.
+// Resume returns the answer to an earlier request of org, from offset on. It
+// never runs the request again.
 func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Answer, error) {
 	view := r.View()
 	a := &Answer{
@@ -45,22 +45,22 @@
 	return a, nil
 }
 
-// Status returns what is known of an earlier request of org.
+// Status returns the status of an earlier request of org.
 func (r *Router) Status(ctx context.Context, org string, key wire.Key) (wire.Status, error) {
 	var status wire.Status
 	err := r.querySidecar(ctx, key, wire.MethodStatus, wire.StatusRequest{Key: key, Org: org}, &status)
 	return status, err
 }
 
-// Cancel ends an earlier request of org.
+// Cancel cancels an earlier request of org and returns its status.
 func (r *Router) Cancel(ctx context.Context, org string, key wire.Key) (wire.Status, error) {
 	var status wire.Status
 	err := r.querySidecar(ctx, key, wire.MethodCancel, wire.Cancel{Key: key, Org: org}, &status)
 	return status, err
 }
 
-// querySidecar puts a question about a request to the sidecar that decides on its key.
-// Where the sidecar can't be asked, the request may have run.
+// querySidecar makes a call about a request to the sidecar that decides on its key. If
+// the sidecar can't be reached, the error has the verdict MayHaveRun.
 func (r *Router) querySidecar(ctx context.Context, key wire.Key, m wire.Method, params, result any) error {
 	vm, ok := r.View().VMs[key.VM]
 	if !ok {
@@ -80,7 +80,7 @@
 	return e
 }
 
-// Mint returns n request keys for requests of a profile, and when they expire.
+// Mint returns n keys for requests of a profile, and when they expire.
 func (r *Router) Mint(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string, n int) ([]string, time.Time, error) {
 	first, err := r.mintKey(ctx, org, p, session)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return keys, time.Unix(first.Expires, 0), nil
 }
 
-// mintKey draws a key for the upstream to which the session's next request would
-// be offered first.
+// mintKey generates a key for the first upstream to which the session's next
+// request would be offered and whose sidecar can be reached.
 func (r *Router) mintKey(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string) (wire.Key, error) {
 	now := time.Now()
 	view := r.View()
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -22,18 +22,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Mesh is how the routers of a fleet reach each other, and what they relay.
+// Mesh configures how the routers of a fleet communicate, and what they relay.
 type Mesh struct {
 	Self   relay.Node
 	Timing relay.Timing
-	// Packets carries messages between routers, Calls what they pull. Without them
-	// this router reads the store by itself.
+	// Packets carries messages between routers. Calls accepts connections of routers
+	// that pull objects. Without them this router reads the store itself.
 	Packets net.PacketConn
 	Calls   net.Listener
 	Dial    topo.DialFunc
-	// SuspendedTime returns for how long the machine has been suspended in all; nil: never.
+	// SuspendedTime returns the total time for which the VM has been suspended; nil: it
+	// is never suspended.
 	SuspendedTime func() time.Duration
-	// Members reads the entries of upstreams.
+	// Members decodes the entries of upstreams.
 	Members      membership.Decoder
 	MemberTiming membership.Timing
 }
@@ -59,7 +60,7 @@
 	meshShareReceived     meshKind = "share-heard"
 )
 
-// mesh carries out what the relay decides.
+// mesh carries out the relay's effects and serves other routers.
 type mesh struct {
 	Mesh
 	router     *Router
@@ -69,12 +70,12 @@
 	packed     *pack.Packer
 	register   *register.Registrar
 
-	// What follows is owned by the control loop.
-	lastReport   []byte    // to those that rely on this router, last
-	lastReportAt time.Time // when that was put together
-	nextReportAt time.Time // before which they are told nothing more
-	nextPool     int       // the pool, in the order of names, with which that will begin
-	sharedAt     time.Time // when what was heard was shared last
+	// The control loop owns the fields below.
+	lastReport   []byte    // latest report to the routers that rely on this one
+	lastReportAt time.Time // when lastReport was built
+	nextReportAt time.Time // earliest time of the next report
+	nextPool     int       // first pool of the next report, in the order of names
+	sharedAt     time.Time // time of the latest report to the parent
 }
 
 func newMesh(r *Router, m Mesh) *mesh {
@@ -111,7 +112,7 @@
 	}
 }
 
-// receiveMessages takes in the messages of other routers.
+// receiveMessages handles the messages of other routers until the socket is closed.
 func (m *mesh) receiveMessages() {
 	buf := make([]byte, 2*relay.MaxMessage)
 	for {
@@ -120,14 +121,14 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(socketRetryDelay) // a socket may report what became of an earlier message
+			time.Sleep(socketRetryDelay) // may be the delivery error of an earlier message
 			continue
 		}
 		m.handleMessage(buf[:n])
 	}
 }
 
-// socketRetryDelay is the pause after a failure of a listening socket that may pass.
+// socketRetryDelay is the pause after an error of a socket that may be temporary.
 const socketRetryDelay = 100 * time.Millisecond
 
 func (m *mesh) handleMessage(b []byte) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// execute carries out an effect, on the control loop's goroutine.
+// execute carries out an effect, on the goroutine of the control loop.
 func (m *mesh) execute(e relay.Effect) {
 	switch e := e.(type) {
 	case relay.SendBeat:
@@ -171,7 +172,7 @@
 	}
 }
 
-// sendShare sends a router what it is to know of loads and outcomes.
+// sendShare sends a router the loads and outcomes of upstreams that this one knows.
 func (m *mesh) sendShare(e relay.SendShare) {
 	now := time.Now()
 	messages := [][]byte{m.reportForFollowers(now)}
@@ -186,6 +187,7 @@
 	}
 }
 
+// setReading records whether this router reads the store.
 func (m *mesh) setReading(reads bool) {
 	m.readsStore.Store(reads)
 	if reads {
@@ -195,6 +197,7 @@
 	}
 }
 
+// setParent sets and logs the router that reads the store for this one; zero: none.
 func (m *mesh) setParent(node relay.Node) {
 	if m.parent.Name != "" && node.Name == "" {
 		slog.Warn("the router that read the store for this one is not relied on any more", "router", m.parent.Name)
@@ -206,16 +209,16 @@
 	m.router.setParent(node)
 }
 
-// send sends a message. One that is lost is made up for by the next.
+// send sends a message. There are no retries: the next message replaces one that is lost.
 func (m *mesh) send(to relay.Node, e relay.Effect, kind meshKind) {
 	b, err := relay.Encode(e)
 	if err != nil {
-		slog.Error("a message between routers was not sent", "error", err)
+		slog.Error("a message to another router could not be encoded", "error", err)
 		return
 	}
 	addr, err := netip.ParseAddrPort(to.Addr)
 	if err != nil {
-		slog.Error("a router has an address that is none", "router", to.Name, "error", err)
+		slog.Error("a router has an invalid address", "router", to.Name, "error", err)
 		return
 	}
 	if _, err := m.Packets.WriteTo(b, net.UDPAddrFromAddrPort(addr)); err == nil {
@@ -223,7 +226,7 @@
 	}
 }
 
-// accept serves the calls of routers that pull.
+// accept serves the connections of routers that pull objects.
 func (m *mesh) accept(ctx context.Context) {
 	for {
 		c, err := m.Calls.Accept()
@@ -267,12 +270,12 @@
 // HandleFrame implements wire.Handler. Routers send each other none.
 func (meshCalls) HandleFrame(*wire.Conn, wire.Frame) {}
 
-// suspendSlack is how much the two clocks may drift apart without the machine having
-// been suspended.
+// suspendSlack is the growth of SuspendedTime below which the VM does not count as having
+// been suspended: the two clocks behind it may drift apart.
 const suspendSlack = 200 * time.Millisecond
 
-// watchSuspend notices that the machine was suspended. The monotonic clock does not
-// count that time, so that what was heard before it would seem to be recent.
+// watchSuspend posts an event when the VM was suspended. The monotonic clock does not count
+// that time, so messages from before the suspension would seem to be recent.
 func (m *mesh) watchSuspend(ctx context.Context) {
 	tick := time.NewTicker(config.TickEvery)
 	defer tick.Stop()
@@ -283,7 +286,7 @@
 			return
 		case now := <-tick.C:
 			if total := m.SuspendedTime(); total > suspended+suspendSlack {
-				slog.Warn("the machine was suspended", "for", total-suspended)
+				slog.Warn("the VM was suspended", "for", total-suspended)
 				suspended = total
 				m.router.loop.Post(RelayEvent{Event: relay.Woke{Now: now}})
 			}
@@ -291,20 +294,20 @@
 	}
 }
 
-// setParent remembers whom this router pulls from.
+// setParent sets the router that this one pulls objects from.
 func (r *Router) setParent(n relay.Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.parent = n
 }
 
-// pull asks the router that this one relies on for objects.
+// pull queries the parent for objects. It returns an error if peer is no longer the parent.
 func (r *Router) pull(ctx context.Context, peer config.Peer, m wire.Method, q config.Query) (config.Delta, error) {
 	r.mu.Lock()
 	parent := r.parent
 	r.mu.Unlock()
 	if parent.Name != string(peer) {
-		return config.Delta{}, errors.Errorf("router: %s is not relied on any more", peer)
+		return config.Delta{}, errors.Errorf("router: %s is no longer the parent", peer)
 	}
 	var p pack.Delta
 	if err := r.peer(topo.VM{ID: parent.Name, Addr: parent.Addr}).Call(ctx, m, q, &p); err != nil {
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// noticeConnectors is how many routers connect to a sidecar for the sake of a
-	// notice: enough that one of them gets through.
+	// noticeConnectors is how many routers connect to a sidecar in order to send it
+	// a notice, so that at least one of them succeeds.
 	noticeConnectors = 3
-	// noticeRetryInterval is the pause before a notice that was not taken is sent again.
+	// noticeRetryInterval is the pause before a notice that was not accepted is sent again.
 	noticeRetryInterval = time.Second
-	// noticeRepeatInterval is the pause before word from the list of VMs is repeated. It
-	// has no version, so sidecars let it lapse.
+	// noticeRepeatInterval is the pause before a notice from the list of VMs is
+	// repeated. It has no version, so sidecars let it expire.
 	noticeRepeatInterval = 30 * time.Second
-	// noticeTimeout bounds the sending of a notice.
+	// noticeTimeout bounds the call that sends a notice.
 	noticeTimeout = 2 * time.Second
 )
 
 var notices = telemetry.NewCounter("router_notices_total",
 	"Notices to sidecars that their VM is to leave or to stay, repeats included.")
 
-// Notify tells a sidecar that its VM is to leave or to stay. NoticeTaken
-// follows if it was told.
+// Notify is an Effect: send a sidecar the notice that its VM is to leave or to
+// stay. NoticeAccepted follows unless the call fails.
 type Notify struct {
 	VM      topo.VM
 	Notice  wire.Notice
-	Connect bool // connect on purpose; otherwise only if there is a connection
+	Connect bool // open a connection if there is none; else the notice is only sent over an existing one
 }
 
-// NoticeAccepted is a sidecar that has taken a notice, or needs none of this router.
+// NoticeAccepted is an Event: a sidecar has accepted a notice, or is left to the
+// routers that are connected to it.
 type NoticeAccepted struct {
 	VM     string
 	Notice wire.Notice
 }
 
-// NoticeLost is a sidecar that takes new work although it was told to leave: it
-// has started anew since.
+// NoticeLost is an Event: a sidecar takes new work although it accepted a notice
+// to leave, because it has restarted since.
 type NoticeLost struct {
 	VM string
 }
@@ -50,14 +51,15 @@
 func (NoticeAccepted) isEvent() {}
 func (NoticeLost) isEvent()     {}
 
-// sentNotice is a notice that is on its way or has arrived.
+// sentNotice is a notice that was sent, and whether it was accepted.
 type sentNotice struct {
 	notice   wire.Notice
 	at       time.Time
 	accepted bool
 }
 
-// computeNotices returns what each VM of the list is to be told.
+// computeNotices returns the notice that each VM of the list should have, by its
+// id.
 func (s *State) computeNotices() map[string]wire.Notice {
 	out := make(map[string]wire.Notice)
 	for _, vm := range s.vms.Entries {
@@ -74,7 +76,7 @@
 	return out
 }
 
-// takeDueNotices returns the notices that are due.
+// takeDueNotices returns the notices that are due, and records them as sent.
 func (s *State) takeDueNotices(now time.Time) []Effect {
 	var effects []Effect
 	for _, vm := range s.vms.Entries {
@@ -88,6 +90,8 @@
 	return effects
 }
 
+// isNoticeDue reports whether a notice is new, was not accepted, or has to be
+// repeated.
 func (s *State) isNoticeDue(now time.Time, vm string, n wire.Notice) bool {
 	previous, ok := s.sentNotices[vm]
 	switch {
@@ -100,8 +104,8 @@
 	}
 }
 
-// mustConnect reports whether this router is one of those that rank highest for a VM.
-// Routers that agree on the list agree on who they are.
+// mustConnect reports whether this router is one of the noticeConnectors that rank
+// highest for a VM. Routers with the same list agree on which these are.
 func (s *State) mustConnect(vm string) bool {
 	ownRank, listed, higher, routers := noticeRank(s.vm, vm), false, 0, 0
 	for _, r := range s.vms.Entries {
@@ -117,6 +121,7 @@
 	return routers == 0 || listed && higher < noticeConnectors
 }
 
+// noticeRank returns the rank of a router for a VM.
 func noticeRank(router, vm string) uint64 {
 	return placement.Seed(router + "\x00" + vm)
 }
@@ -128,8 +133,9 @@
 	}
 }
 
-// onNoticeLost makes a notice due again, a while after it was sent: replies that left
-// the sidecar before the notice came still say that it takes work.
+// onNoticeLost makes a notice due again, but not before noticeRetryInterval has
+// passed since it was sent: replies that left the sidecar before the notice
+// arrived still say that it takes work.
 func (s *State) onNoticeLost(e NoticeLost) {
 	if previous, ok := s.sentNotices[e.VM]; ok {
 		previous.accepted = false
@@ -137,7 +143,7 @@
 	}
 }
 
-// sendNotice sends a notice, in the background.
+// sendNotice sends a notice in the background.
 func (r *Router) sendNotice(e Notify) {
 	go func() {
 		peer := r.peer(e.VM)
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// tickNotices steps a state through a tick and returns its notices.
+// tickNotices passes a tick to a state and returns the notices among its effects.
 func tickNotices(s *State, now time.Time) []Notify {
 	var out []Notify
 	for _, e := range s.Step(ConfigEvent{Event: config.Ticked{Now: now}}) {
@@ -21,10 +21,10 @@
 	return out
 }
 
-// An upstream is to leave that no router happens to be connected to. The first
-// router with old news connects, and its work is accepted: nobody has told the
-// sidecar. Were all routers to tell it, each leaving would cost it hundreds of
-// connections.
+// Guards against a leaving upstream that gets no notice because no router is
+// connected to it: a router with an outdated list would connect to it and have its
+// work accepted. It also guards against all routers connecting, which would cost
+// the sidecar hundreds of connections each time an upstream leaves.
 func TestThreeRoutersConnectToALeavingVM(t *testing.T) {
 	const routers = 40
 	list := topo.VMs{Entries: []topo.VM{{ID: "engine", Role: topo.RoleUpstream, Leaving: true}}}
@@ -45,28 +45,28 @@
 		}
 	}
 	if seekers != noticeConnectors {
-		t.Fatalf("%d routers connect on purpose", seekers)
+		t.Fatalf("%d routers connect to send the notice, want %d", seekers, noticeConnectors)
 	}
 }
 
-// The notice is lost on its way, or the sidecar restarts after it has taken it
-// and takes new work again.
+// Guards against a notice that has no effect because it was lost on its way, or
+// because the sidecar restarted after it had accepted the notice.
 func TestNoticeIsRepeatedUntilAccepted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewState("r", placement.Locality{}, config.DefaultPace(), 1)
 	s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: []topo.VM{{ID: "engine", Role: topo.RoleUpstream, Leaving: true}}}})
 	first := tickNotices(s, now)
 	if len(first) != 1 || len(tickNotices(s, now)) != 0 {
-		t.Fatal("not sent once at first")
+		t.Fatal("a new notice is not sent exactly once")
 	}
 	now = now.Add(noticeRetryInterval)
 	if len(tickNotices(s, now)) != 1 {
-		t.Fatal("not sent again although it was not taken")
+		t.Fatal("not sent again although it was not accepted")
 	}
 	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
 	now = now.Add(noticeRetryInterval)
 	if len(tickNotices(s, now)) != 0 {
-		t.Fatal("sent again although it was taken")
+		t.Fatal("sent again although it was accepted")
 	}
 	s.Step(NoticeLost{VM: "engine"})
 	if len(tickNotices(s, now)) != 1 {
@@ -74,6 +74,6 @@
 	}
 	s.Step(NoticeAccepted{VM: "engine", Notice: first[0].Notice})
 	if len(tickNotices(s, now.Add(noticeRepeatInterval))) != 1 {
-		t.Fatal("word from the list lapses at the sidecar")
+		t.Fatal("a notice from the list is not repeated before it expires at the sidecar")
 	}
 }
--- a/internal/router/order.go
+++ b/internal/router/order.go
@@ -8,14 +8,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Order gives an order of the controller to the sidecar of a VM.
+// Order sends an order of the controller to the sidecar of a VM.
 func (r *Router) Order(ctx context.Context, vm topo.VM, o wire.Order) (wire.OrderStatus, error) {
 	var status wire.OrderStatus
 	err := r.peer(vm).Call(ctx, wire.MethodOrder, o, &status)
 	return status, err
 }
 
-// Desired returns what pools are to load, and their upstreams that take work.
+// Desired returns the specifications of all pools, and their upstreams that take work.
 func (r *Router) Desired() controller.Desired {
 	view := r.View()
 	var d controller.Desired
@@ -28,7 +28,7 @@
 	return d
 }
 
-// RouterVMs returns the ids of the routers that the platform lists.
+// RouterVMs returns the ids of the listed routers that are not leaving.
 func (r *Router) RouterVMs() []string {
 	var out []string
 	for id, vm := range r.View().VMs {
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -12,8 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// endpoint is a sidecar at an address. A new VM may get the address of a former
-// one, and is not to be taken for it.
+// endpoint identifies a sidecar by its VM and address. The address alone would not
+// do: a new VM may get the address of a former one.
 type endpoint struct {
 	vm, addr string
 }
@@ -43,7 +43,7 @@
 	return r.config.Dial(ctx, vm)
 }
 
-// handleControl takes in what a sidecar says on the back of a reply.
+// handleControl processes the control data that a sidecar attaches to a reply.
 func (r *Router) handleControl(now time.Time, vm topo.VM, c wire.Control) {
 	view := r.View()
 	if c.Config > 0 && (c.Config != view.Version || c.ConfigDigest != view.Digest) {
@@ -59,9 +59,8 @@
 	}
 }
 
-// control returns what the sidecar of a VM of pool is told on the back of a
-// request with a fingerprint. Only those that are to keep a copy of the
-// configuration hear of its version.
+// control returns the control data that goes with a request to the sidecar of a VM
+// of pool. Only sidecars that keep a copy of the configuration get its version.
 func (r *Router) control(now time.Time, vm string, pool *Pool, fingerprint uint64) wire.Control {
 	var c wire.Control
 	if view := r.View(); view.ConfigCopies[vm] {
@@ -74,18 +73,19 @@
 	return c
 }
 
-// markUnreachable puts an upstream behind the others for a while: it could not be reached.
+// markUnreachable records that an upstream could not be reached, which ranks it
+// last for a while.
 func (r *Router) markUnreachable(vm string) {
 	r.conditions.RecordUnreachable(time.Now(), vm)
 }
 
-// isUnreachable reports whether an upstream is avoided at now.
+// isUnreachable reports whether an upstream could not be reached lately.
 func (r *Router) isUnreachable(vm string, now time.Time) bool {
 	return r.conditions.Conditions(now, vm).Has(condition.Unreachable)
 }
 
-// prunePeers forgets the sidecars of VMs that have left. VMs come and go by the
-// thousand in the life of a router.
+// prunePeers drops the peers of VMs that have left or changed their address, once
+// they are disconnected. Thousands of VMs come and go during the uptime of a router.
 func (r *Router) prunePeers() {
 	vms := r.View().VMs
 	r.mu.Lock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// closePeers ends all connections to sidecars.
+// closePeers closes all connections to sidecars.
 func (r *Router) closePeers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -12,8 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Next returns the next piece of the answer. After an End there is nothing
-// more; an error means that the answer stays incomplete.
+// Next returns the next piece of the answer. A piece with an End is the last
+// one; an error means that the answer is incomplete and stays so.
 func (a *Answer) Next() (wire.Piece, error) {
 	for !a.state.Finished() {
 		p, ok, err := a.readNext()
@@ -30,10 +30,11 @@
 	return wire.Piece{End: a.end}, nil
 }
 
-// readNext returns what the winner has to say next, if that is for the caller.
+// readNext returns the next piece of the answer that is being delivered, or
+// processes an event. It reports whether there is a piece for the caller.
 func (a *Answer) readNext() (wire.Piece, bool, error) {
 	at := a.winner
-	if at == nil { // another upstream is asked to go on
+	if at == nil { // an attempt at another upstream is to continue the answer
 		return wire.Piece{}, false, a.waitForEvent()
 	}
 	if len(at.readAhead) > 0 {
@@ -70,8 +71,8 @@
 	return wire.Piece{}, false, nil
 }
 
-// handleSilence handles a stream that has paused for too long. It is given up only if
-// another upstream goes on with it: silence alone is no reason to end an answer.
+// handleSilence handles a stream that has paused for too long. The stream is abandoned
+// only if another upstream continues it: a pause alone is no reason to end an answer.
 func (a *Answer) handleSilence(at *attempt) {
 	if a.cutter.Discard() {
 		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
@@ -81,9 +82,11 @@
 	}
 }
 
-// errPartialEvent ends a stream of which the caller has a part of an event.
+// errPartialEvent ends a stream that broke off after a part of an event was sent to
+// the caller, so that no other upstream can continue it.
 var errPartialEvent = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
 
+// nextPiece reads the next piece from the upstream, until the request's deadline.
 func (a *Answer) nextPiece() (wire.Piece, error) {
 	if a.winner.stream == nil {
 		return wire.Piece{}, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "not attached")
@@ -96,8 +99,8 @@
 	return a.winner.stream.Next(ctx)
 }
 
-// forward takes note of a piece and reports whether the caller gets it. The
-// head comes again with each attach, and goes out once.
+// forward accounts for a piece and reports whether it goes to the caller. The
+// head arrives again with each attach, but is sent to the caller only once.
 func (a *Answer) forward(p wire.Piece) (wire.Piece, bool, error) {
 	at := a.winner
 	if a.timeToFirstByte == 0 {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -11,29 +11,29 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// RelayEvent is something that concerns the routers among themselves.
+// RelayEvent is an event for the relay between routers.
 type RelayEvent struct{ Event relay.Event }
 
-// MembersEvent is something that concerns the entries of upstreams.
+// MembersEvent is an event for the follower of the upstreams' entries.
 type MembersEvent struct{ Event config.Event }
 
 func (RelayEvent) isEvent()   {}
 func (MembersEvent) isEvent() {}
 
-// RelayEffect is something to be done for the routers among themselves.
+// RelayEffect is an effect of the relay between routers.
 type RelayEffect struct{ Effect relay.Effect }
 
-// MembersEffect is something to be done for the follower of entries.
+// MembersEffect is an effect of the follower of the upstreams' entries.
 type MembersEffect struct{ Effect config.Effect }
 
-// UnusableEntry tells of an entry that names no upstream which could be used.
+// UnusableEntry is an Effect: count, and log once, an entry that names no usable upstream.
 type UnusableEntry struct {
 	Err      error
-	Repeated bool // it was so for the same reason before it was written anew
+	Repeated bool // the entry's previous version was unusable for the same reason
 }
 
-// UpstreamsRestarted tells of upstreams that have started again, and of writes of former
-// incarnations that came late.
+// UpstreamsRestarted is an Effect: handle upstreams that have restarted, and count late
+// writes of former incarnations.
 type UpstreamsRestarted struct{ membership.ApplyResult }
 
 func (RelayEffect) isEffect()        {}
@@ -41,30 +41,31 @@
 func (UpstreamsRestarted) isEffect() {}
 func (MembersEffect) isEffect()      {}
 
-// relayState is what a router keeps that relies on others to read the store: a
-// follower of the upstreams' entries beside that of the configuration, and whom it
-// relies on.
+// relayState is the state of a router that may let another router read the store for
+// it: the relay, which chooses that router, and a follower of the upstreams' entries
+// beside that of the configuration.
 type relayState struct {
 	relay   *relay.State
 	members *config.Follower
 	entries *membership.State
 	reader  membership.Decoder
-	// unusable are the reasons for which entries name no upstream, by name. Whoever
-	// writes such an entry may do so at each heartbeat, and one line tells it all.
+	// unusable holds why entries name no usable upstream, by the name of the entry. Such
+	// an entry may be written again at each heartbeat, but is logged only once.
 	unusable map[string]string
 }
 
-// membersRetryFactor is how much longer than the configuration's the follower of entries
-// waits before it calls a store again that does not answer. An answer to one of the
-// two lets the other call at once, so that in an outage one is enough to try.
+// membersRetryFactor is how many times longer the follower of entries waits than the
+// follower of the configuration before it calls a store again that does not answer. An
+// answer to one of the two lets the other call at once, so during an outage it is enough
+// that one of them retries often.
 const membersRetryFactor = 4
 
-// failingStoreCalls is after how many calls without an answer, one after the other, the
-// store counts as not answering this router. A single answer may be lost.
+// failingStoreCalls is the number of consecutive calls without an answer after which the
+// store counts as failing. One is not enough, because a single answer may be lost.
 const failingStoreCalls = 2
 
-// EnableRelay makes the State follow the entries of upstreams like the configuration,
-// with relay's choice of who reads them.
+// EnableRelay makes the State follow the entries of upstreams in the same way as the
+// configuration. The relay chooses the router that reads both from the store.
 func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Pace, seed uint64) {
 	pace.RetryMost *= membersRetryFactor
 	s.relayState = &relayState{
@@ -76,7 +77,7 @@
 	}
 }
 
-// stepRelay passes an event to the relay and carries out what concerns the State.
+// stepRelay passes an event to the relay and applies the effects that concern the State.
 func (s *State) stepRelay(now time.Time, e relay.Event) []Effect {
 	var out []Effect
 	for _, effect := range s.relayState.relay.Step(e) {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// ListedRouters returns how many routers of the region are listed; zero: that is not known.
+// ListedRouters returns the number of listed routers of the region; zero: not known.
 func (s *State) ListedRouters() int {
 	if s.relayState == nil {
 		return 0
@@ -107,7 +108,7 @@
 	return s.relayState.relay.Listed()
 }
 
-// onParentReport takes in how far the router is that this one relies on.
+// onParentReport passes the parent's marks of both sets to the followers.
 func (s *State) onParentReport(now time.Time, e relay.Told) []Effect {
 	peer := config.Peer(e.Parent.Name)
 	out := s.stepConfig(config.Heard{Now: now, Peer: peer, Mark: e.Knowledge[relay.SetConfig].Mark})
@@ -118,7 +119,7 @@
 	return append(out, s.stepMembers(now, config.Heard{Now: now, Peer: peer, Mark: members.Mark})...)
 }
 
-// stepMembers passes an event to the follower of entries and takes what has changed.
+// stepMembers passes an event to the follower of entries and applies what has changed.
 func (s *State) stepMembers(now time.Time, e config.Event) []Effect {
 	r := s.relayState
 	var out []Effect
@@ -136,9 +137,10 @@
 			s.onStoreRestored(now)
 			out = append(out, MembersEffect{Effect: effect})
 		case config.StoreRegained:
-			// While another router went on reading it, the store was not away, and no
-			// entry has lapsed. Held all the same, one that is removed now would get
-			// new work for longer than its upstream serves.
+			// If this router relies on another one that could still read the store, there
+			// was no outage and no entry has expired. If entries were kept as after an
+			// outage, an upstream whose entry is removed now would get new work for longer
+			// than it serves.
 			if !r.relay.Relies() {
 				r.entries.StoreRecovered(now)
 			}
@@ -154,7 +156,8 @@
 	return out
 }
 
-// decodeEntries reads entries. One that names no upstream is told.
+// decodeEntries decodes entries, and returns an UnusableEntry for each that names no usable
+// upstream.
 func (r *relayState) decodeEntries(objects []topo.Object) ([]membership.Change, []Effect) {
 	out := make([]membership.Change, 0, len(objects))
 	var unusable []Effect
@@ -180,7 +183,7 @@
 	return out, unusable
 }
 
-// updateVMList takes the upstreams that count now as the list of VMs.
+// updateVMList makes the upstreams whose entries are valid now the list of VMs.
 func (s *State) updateVMList(now time.Time) []Effect {
 	vms := s.relayState.entries.VMs()
 	slices.SortFunc(vms, func(a, b topo.VM) int { return strings.Compare(a.ID, b.ID) })
@@ -190,7 +193,7 @@
 	return s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: vms}})
 }
 
-// reportProgress tells the relay how far this router follows both sets.
+// reportProgress passes to the relay how far this router has followed both sets.
 func (s *State) reportProgress(now time.Time) []Effect {
 	if s.relayState == nil || now.IsZero() {
 		return nil
@@ -211,7 +214,7 @@
 	return s.stepRelay(now, relay.Followed{Now: now, Knowledge: k, Failing: failing})
 }
 
-// tickRelay lets time pass for the relay and the follower of entries.
+// tickRelay passes the present time to the relay and the follower of entries.
 func (s *State) tickRelay(now time.Time) []Effect {
 	if s.relayState == nil {
 		return nil
@@ -221,8 +224,8 @@
 	return append(out, s.stepRelay(now, relay.Ticked{Now: now})...)
 }
 
-// stepMembersEvent passes on what the reading of entries has brought, and tells the
-// relay at once: others may wait for it.
+// stepMembersEvent passes an event to the follower of entries and reports the progress to
+// the relay at once, because other routers may be waiting for it.
 func (s *State) stepMembersEvent(e config.Event) []Effect {
 	now := e.When()
 	return append(s.stepMembers(now, e), s.reportProgress(now)...)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -15,22 +15,23 @@
 
 const (
 	// deadlineMargin is how much earlier than the router a sidecar ends a
-	// request at its deadline. The sidecar knows whether the request has run,
-	// so its word should arrive before the router has to say that it does not.
+	// request at its deadline. The sidecar knows whether the request has run, so
+	// its answer should arrive before the router has to report that it does not
+	// know.
 	deadlineMargin = 50 * time.Millisecond
-	// hedgeFraction of its objective is how long an idempotent read waits for its first
-	// byte before a second upstream is asked too: an answer of usual length still
-	// comes in time. Of calls that take 15 ms with an objective of 100 ms, 1 in 30
-	// is hedged.
+	// hedgeFraction is the fraction of its objective that an idempotent request waits
+	// for its first byte before it is also sent to a second upstream: an answer of the
+	// usual duration still arrives in time then. Of calls that take 15 ms with an
+	// objective of 100 ms, 1 in 30 is hedged.
 	hedgeFraction = 0.5
-	// switchFraction of its objective is how long a stream that may be resumed waits
-	// for its first byte before it is given up for another upstream. Of notes with
-	// an objective of 400 ms, whose first byte takes 75 ms, 1 in 100 is.
+	// switchFraction is the fraction of its objective that a resumable stream waits for
+	// its first byte before it is moved to another upstream. Of notes with an objective
+	// of 400 ms, whose first byte takes 75 ms, 1 in 100 is moved.
 	switchFraction = 0.75
-	// pauseFraction of the longest pause that its profile wants is how long a stream
-	// that may be resumed waits for its next event. Events lie 20 ms apart.
+	// pauseFraction is the fraction of its profile's longest pause that a resumable
+	// stream waits for its next event before it is moved. Events are 20 ms apart.
 	pauseFraction = 0.75
-	// marginDivisor limits the margin to a part of a short deadline.
+	// marginDivisor limits the margin to 1/marginDivisor of a short deadline.
 	marginDivisor = 10
 )
 
@@ -38,25 +39,25 @@
 type Request struct {
 	Org     *profile.Organisation
 	Profile *profile.Profile
-	Session string    // names the chat within the organisation; empty: none
-	Ticket  string    // as the caller sent it back, or empty
-	Key     *wire.Key // that the caller holds, or nil
+	Session string    // identifies the chat within the organisation; empty: none
+	Ticket  string    // placement ticket that the caller sent; empty: none
+	Key     *wire.Key // request key that the caller holds; nil: none
 	Call    wire.Call
 
-	// The rest is for upstreams without a sidecar.
+	// The fields below are for upstreams without a sidecar.
 
-	ID            string        // of the caller's attempt, unlike those of its repeats
-	Host          string        // that the caller named
+	ID            string        // of this attempt of the caller; a repeat has another one
+	Host          string        // host name that the caller used
 	Urgency       int           // as in package exchange
-	Arrived       time.Time     // from when on its deadlines count
-	CallerTimeout time.Duration // for which the caller waits; zero: it does not say
-	LastEvent     string        // id of the last event that the caller has of an earlier answer
+	Arrived       time.Time     // start of its deadlines
+	CallerTimeout time.Duration // how long the caller waits from Arrived on; zero: not known
+	LastEvent     string        // id of the last event that the caller has received of an earlier answer
 	CallerGone    func() bool   // reports whether the caller has closed its connection; nil: not known
-	Trace         string        // W3C traceparent for the sidecar, or empty
+	Trace         string        // W3C traceparent; empty: none
 }
 
-// regions returns where the request may run: where its profile and its organisation both
-// allow it.
+// regions returns the regions where the request may run: those that both its profile and its
+// organisation allow.
 func (r *Request) regions() residency.Regions {
 	allowed := residency.NewRegions(r.Profile.Regions)
 	if r.Org != nil {
@@ -74,7 +75,7 @@
 	return false
 }
 
-// plan returns what dispatch needs to know of the request.
+// plan returns the dispatch plan of the request.
 func (r *Request) plan(now time.Time, offers int) dispatch.Plan {
 	return dispatch.Plan{
 		Idempotent:   r.Profile.Idempotent,
@@ -87,7 +88,7 @@
 	}
 }
 
-// directPlan is plan for upstreams that have no sidecar.
+// directPlan returns the dispatch plan of a request to upstreams that have no sidecar.
 func (r *Request) directPlan(enabled policy.Policy, offers int) dispatch.Plan {
 	p := r.plan(r.Arrived, offers)
 	p.Direct = true
@@ -106,7 +107,7 @@
 	return p
 }
 
-// after returns the time d after now, or the zero time if there is no d.
+// after returns the time d after now, or the zero time if d is not positive.
 func after(now time.Time, d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
@@ -114,16 +115,16 @@
 	return now.Add(d)
 }
 
-// mayBeReturning reports whether the caller has less time than its first try would have,
-// by more than the objective: its answer is late already. Callers that are less patient
-// than others look alike.
+// mayBeReturning reports whether the caller may be retrying: it has less time than a first
+// attempt would have, by more than the objective, so its answer is late already. Callers with
+// a shorter timeout than others can't be told apart from those.
 func (r *Request) mayBeReturning() bool {
 	return r.CallerTimeout > 0 && r.Profile.Deadline.Std()-r.CallerTimeout > r.Profile.Objective.Std()
 }
 
-// objective returns in which time the first byte is wanted; zero: no matter. A stream that
-// has begun goes on as soon as any upstream can: put behind other requests, it would pause
-// until its caller gives it up.
+// objective returns the latency objective for the first byte; zero: none. A stream that has
+// begun has none, because it is to continue as soon as any upstream can take it: deferred
+// behind other requests, it would pause until its caller gives up.
 func (r *Request) objective(begun bool) time.Duration {
 	if begun || r.LastEvent != "" {
 		return 0
@@ -131,7 +132,8 @@
 	return r.Profile.Objective.Std()
 }
 
-// callerTimeLeft returns how much of its caller's time is callerTimeLeft; zero: it is not known.
+// callerTimeLeft returns the time until the caller gives up, at least a millisecond; zero: not
+// known.
 func (r *Request) callerTimeLeft(now time.Time) time.Duration {
 	if r.CallerTimeout == 0 {
 		return 0
@@ -139,8 +141,8 @@
 	return max(r.Arrived.Add(r.CallerTimeout).Sub(now), time.Millisecond)
 }
 
-// treatment returns what the sidecar is to know, with what is left of the
-// deadlines of plan at now.
+// treatment returns how the sidecar is to treat the request, with the time left
+// until the deadlines of plan.
 func (r *Request) treatment(now time.Time, plan dispatch.Plan) wire.Treatment {
 	p := r.Profile
 	return wire.Treatment{
@@ -157,7 +159,8 @@
 	}
 }
 
-// sidecarTimeLeft returns what a sidecar may use of the time until a deadline.
+// sidecarTimeLeft returns the part of the time until a deadline that a sidecar may
+// use, at least a millisecond; zero: there is no deadline.
 func sidecarTimeLeft(at, now time.Time, total time.Duration) time.Duration {
 	if at.IsZero() {
 		return 0
@@ -166,8 +169,8 @@
 	return max(at.Sub(now)-margin, time.Millisecond)
 }
 
-// fingerprint identifies a request by its content: copies of a request that
-// its caller sends again have the same.
+// fingerprint returns a hash of the request's content, never zero. Copies of a
+// request that its caller sends again have the same fingerprint.
 func (r *Request) fingerprint() uint64 {
 	h := xxh3.New()
 	for _, part := range []string{r.Org.Name, r.Profile.Name, r.Call.Method, r.Call.Path} {
@@ -175,14 +178,15 @@
 		_, _ = h.Write([]byte{0})
 	}
 	_, _ = h.Write(r.Call.Body)
-	return max(h.Sum64(), 1) // zero means not known
+	return max(h.Sum64(), 1) // zero stands for not known
 }
 
+// orgHash returns the hash of an organisation's name.
 func orgHash(name string) uint64 {
 	return xxh3.HashString(name)
 }
 
-// sessionHash returns the hash of a session, or zero for none.
+// sessionHash returns the hash of an organisation's session; zero: no session.
 func sessionHash(org, session string) uint64 {
 	if session == "" {
 		return 0
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -7,8 +7,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/profile"
 )
 
-// A stream that goes on at another upstream, by itself or because its caller came back for
-// the rest, has no first byte to wait for.
+// A stream that continues at another upstream, after a failure or because its caller came back
+// for the rest, has no objective for its first byte.
 func TestOnlyNewStreamsHaveAnObjective(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	p := &profile.Profile{Objective: profile.Duration(objective)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -36,52 +36,54 @@
 		"Writes of entries by former incarnations of upstreams, which were passed over.")
 )
 
-// defaultVMListInterval is how often the list of VMs is read.
+// defaultVMListInterval is the default interval between two readings of the list of VMs.
 const defaultVMListInterval = 2 * time.Second
 
-// Config is what a router is told at its start.
+// Config configures a Router.
 type Config struct {
 	Store topo.Store
 	VMs   topo.VMList
-	// Source of the configuration; nil: Store.
+	// Source is where the configuration is read from; nil: Store.
 	Source follow.Source
-	// Decode reads the objects of Source; nil: they are as parsleyctl writes them.
+	// Decode decodes the objects of Source; nil: they are in the format of parsleyctl.
 	Decode func(topo.Object) (profile.Object, error)
-	// Pace of the calls of the store; zero: config.DefaultPace.
+	// Pace sets the rate of calls to the store; zero: config.DefaultPace.
 	Pace config.Pace
-	// VMListInterval is how often the list of VMs is read; zero: listEvery.
+	// VMListInterval is the interval between two readings of the list of VMs; zero:
+	// defaultVMListInterval.
 	VMListInterval time.Duration
 	Ring           *token.Ring
-	// Dial connects to the sidecar of a VM and makes sure that it is that one.
+	// Dial connects to the sidecar of a VM and verifies its identity.
 	Dial func(ctx context.Context, vm topo.VM) (net.Conn, error)
-	// Direct calls upstreams that have no sidecar; nil where all have one.
+	// Direct calls upstreams that have no sidecar; nil if all have one.
 	Direct *exchange.Client
-	// Mesh is how routers reach each other; nil: each reads the store, and VMs.
+	// Mesh connects the routers of the fleet with each other; nil: each of them reads
+	// the store and the list of VMs itself.
 	Mesh *Mesh
-	// Tuning at the start.
+	// Tuning is the initial tuning.
 	Tuning Tuning
-	// RequestLog takes the lines about single requests; nil: none are written.
+	// RequestLog is the log of single requests; nil: they are not logged.
 	RequestLog *telemetry.RequestLog
-	// VM on which the router runs, by its id in the list.
+	// VM is the id, in the list, of the VM that the router runs on.
 	VM string
-	// FailureDomain in which the router runs; empty: not known.
+	// FailureDomain is the failure domain that the router runs in; empty: not known.
 	FailureDomain string
 }
 
-// Tuning is what may change while a router runs. It concerns upstreams without a
-// sidecar.
+// Tuning holds the settings that may change while a router runs. They apply to
+// upstreams without a sidecar.
 type Tuning struct {
-	// Retries bounds what this router sends again.
+	// Retries limits retries by this router.
 	Retries retry.Rule
-	// LoadMultiple bounds an upstream's load to this multiple of the mean.
+	// LoadMultiple is the load bound of an upstream, as a multiple of the pool's mean.
 	LoadMultiple float64
-	// WarmupOverage times what its pool says that a cold upstream bears in a second, and
-	// WarmupSlack more, is what may reach it from all routers.
+	// WarmupOverage times the pool's warm-up rate plus WarmupSlack is how many requests
+	// a second a cold upstream may get from all routers together.
 	WarmupOverage, WarmupSlack float64
-	// Regions of the platform; zero counts as one. Routers know how many there are in
-	// their own only.
+	// Regions is the number of the platform's regions; zero counts as one. A router
+	// knows only the number of routers in its own region.
 	Regions int
-	// Policy says which mechanisms are on.
+	// Policy sets which mechanisms are on.
 	Policy policy.Policy
 }
 
@@ -90,12 +92,13 @@
 	return r.tuning.Load().Policy
 }
 
-// WaitsForConfig reports whether requests wait for the router's first configuration.
+// WaitsForConfig reports whether requests that arrive before the router's first
+// configuration wait for it.
 func (r *Router) WaitsForConfig() bool {
 	return r.policy().StartWait
 }
 
-// Router serves requests.
+// Router sends requests to upstreams. It is safe for concurrent use.
 type Router struct {
 	config         Config
 	ctx            context.Context
@@ -106,7 +109,7 @@
 	firstReady     chan struct{} // closed when the router is ready for the first time
 	firstReadyOnce sync.Once
 	limits         *limits
-	retries        *retry.PoolBudgets // of upstreams without a sidecar
+	retries        *retry.PoolBudgets // direct upstreams only
 	claimBudget    *claimBudget
 	claimer        *claim.Claimer
 	suspects       *suspects
@@ -116,18 +119,18 @@
 	tuning         atomic.Pointer[Tuning]
 
 	mesh     *mesh
-	replaced []topo.VM // incarnations to be abandoned; owned by the control loop
+	replaced []topo.VM // former incarnations, for abandonReplaced; owned by the control loop
 
-	conditions *condition.Observations // of upstreams
+	conditions *condition.Observations // of upstreams, by their id
 
 	mu              sync.Mutex
-	parent          relay.Node                   // that reads the store for this router
-	pendingQueries  map[uint64]chan config.Delta // calls of sidecars that wait for a reply
+	parent          relay.Node                   // the router that reads the store for this one; zero: none
+	pendingQueries  map[uint64]chan config.Delta // calls of peers that wait for a reply, by ticket
 	lastQueryTicket uint64
 	peers           map[endpoint]*wire.Peer
 }
 
-// New returns a Router that works until ctx ends.
+// New starts a Router that runs until ctx ends.
 func New(ctx context.Context, c Config) *Router {
 	if c.Source == nil {
 		c.Source = follow.FromStore(c.Store)
@@ -187,7 +190,7 @@
 	r.retries.SetRule(t.Retries)
 }
 
-// execute carries out an effect, on the loop's goroutine.
+// execute carries out an effect, on the goroutine of the control loop.
 func (r *Router) execute(effect Effect) {
 	switch e := effect.(type) {
 	case ConfigEffect:
@@ -218,7 +221,8 @@
 	}
 }
 
-// onStoreRestored writes again what this router wrote into a store that has lost its last seconds.
+// onStoreRestored handles a store that has lost its last seconds: this router checks its entry
+// in the register, and writes its recent claims again.
 func (r *Router) onStoreRestored() {
 	if r.mesh != nil {
 		r.mesh.register.RequestCheck()
@@ -226,7 +230,8 @@
 	go r.claimer.RecreateLost(r.ctx)
 }
 
-// onUpstreamsRestarted takes in which upstreams have started again.
+// onUpstreamsRestarted logs which upstreams have restarted, and keeps their former
+// incarnations for abandonReplaced.
 func (r *Router) onUpstreamsRestarted(e UpstreamsRestarted) {
 	outdatedEntries.Add(int64(e.Outdated))
 	for _, vm := range e.Replaced {
@@ -235,9 +240,9 @@
 	r.replaced = append(r.replaced, e.Replaced...)
 }
 
-// abandonReplaced ends what is under way at the former incarnations of upstreams. It comes after the
-// view that does not have them: a request that is broken off looks for another upstream at
-// once, and would else be sent to the one that has just gone, and fail.
+// abandonReplaced ends the calls at former incarnations of upstreams. It runs after the view
+// without them is published: a request whose call is ended chooses another upstream at once,
+// and with the old view it could choose the incarnation that has just gone, and fail.
 func (r *Router) abandonReplaced() {
 	for _, vm := range r.replaced {
 		if r.config.Direct != nil {
@@ -247,7 +252,7 @@
 	r.replaced = nil
 }
 
-// publish shows traffic the new state, and then tells operators of it.
+// publish publishes the new state to requests, and then to operators.
 func (r *Router) publish() {
 	r.view.Store(r.state.View())
 	r.coldStart.registeredRouters.Store(int64(r.state.ListedRouters()))
@@ -258,27 +263,28 @@
 	}
 }
 
-// View returns the present picture of the control state.
+// View returns the latest published view of the control state.
 func (r *Router) View() *View {
 	return r.view.Load()
 }
 
-// Ready reports whether the router knows a configuration and upstreams.
+// Ready reports whether the router has a recent configuration and a list of upstreams.
 func (r *Router) Ready() bool {
 	v := r.View()
 	return v.ConfigRecent && len(v.Profiles) > 0 && len(v.VMs) > 0
 }
 
-// FirstReady is closed when the router is ready for the first time.
+// FirstReady returns a channel that is closed when the router is ready for the first time.
 func (r *Router) FirstReady() <-chan struct{} {
 	return r.firstReady
 }
 
-// Alive returns nil when the control loop turns.
+// Alive returns nil if the control loop responds before ctx ends.
 func (r *Router) Alive(ctx context.Context) error {
 	return r.loop.Probe(ctx)
 }
 
+// runMaintenance reads the list of VMs and drops expired data at intervals, until ctx ends.
 func (r *Router) runMaintenance(ctx context.Context) {
 	tag := ""
 	for ctx.Err() == nil {
@@ -298,8 +304,8 @@
 	}
 }
 
-// refreshVMs reads the list of VMs if it is not the one with tag, and returns the tag
-// of the present one.
+// refreshVMs reads the list of VMs if it has changed since the reading with tag, and
+// returns the tag of the latest reading.
 func (r *Router) refreshVMs(ctx context.Context, tag string) string {
 	vms, changed, err := r.config.VMs.VMs(ctx, tag)
 	if err != nil || !changed {
@@ -309,6 +315,7 @@
 	return vms.Tag
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -12,42 +12,45 @@
 	"github.com/parsleyfront/parsleyfront/internal/balance"
 )
 
-// sharingMessage is what routers tell each other beside the sets that they follow.
+// sharingMessage is the state that routers share with each other beside the sets that they
+// follow.
 type sharingMessage struct {
 	Pools []sharedPool `cbor:"1,keyasint,omitempty"`
-	// Leaving are upstreams that have said in answers that they leave, by hashes of their ids.
+	// Leaving holds the hashes of the ids of upstreams that have announced in answers that
+	// they are leaving.
 	Leaving []uint64 `cbor:"3,keyasint,omitempty"`
-	// Routers is how many routers of the region the sender knows.
+	// Routers is the number of routers of the region that the sender knows.
 	Routers int `cbor:"2,keyasint,omitempty"`
 }
 
-// sharedPool is the loads of one pool's upstreams.
+// sharedPool is the shared state of one pool's upstreams.
 type sharedPool struct {
 	Pool  uint32 `cbor:"1,keyasint"` // hash of its name
 	Loads []byte `cbor:"3,keyasint,omitempty"`
-	// Outcomes is how requests went at upstreams.
+	// Outcomes holds the outcomes of requests at upstreams.
 	Outcomes []byte `cbor:"4,keyasint,omitempty"`
-	// Speeds is how fast engines work.
+	// Speeds holds the speeds of engines.
 	Speeds []byte `cbor:"5,keyasint,omitempty"`
 }
 
 const (
-	// reportInterval is for how long what a router knows is not put together anew: messages to
-	// many routers leave at the same moment.
+	// reportInterval is how long a report is reused before it is built again: messages to many
+	// routers are sent at the same moment.
 	reportInterval = 20 * time.Millisecond
-	// maxSharingBytes bounds what is shared in one message, in bytes: it travels as one
-	// datagram. A pool's part takes at most 1,000.
+	// maxSharingBytes bounds the pools in one message, in bytes, because a message is one
+	// datagram. One pool takes at most 1,000.
 	maxSharingBytes = 1000
-	// maxLeavingShared bounds how many upstreams that leave one message names, 9 bytes each: those
-	// that said so last. The others were named before.
+	// maxLeavingShared bounds how many leaving upstreams one message names, at 9 bytes each. It
+	// names the latest ones; the others were named in earlier messages.
 	maxLeavingShared = 24
-	// reportBytesPerSecond is how much of that a router is told, in bytes a second: of the 4 KB that
-	// control may take, beats and what it tells itself need 1.2.
+	// reportBytesPerSecond bounds the rate of reports to each router that relies on this one. Of
+	// the 4 KB a second that control traffic may take, beats and that router's own reports need
+	// 1.2.
 	reportBytesPerSecond = 2800
 )
 
-// reportForFollowers returns what this router tells those that rely on it: of all pools, or of those
-// whose turn it is if they do not fit into one message; nil: nothing for now.
+// reportForFollowers returns the report to the routers that rely on this one; nil: none now. If
+// the pools do not fit into one message, successive reports cover them in turn.
 func (m *mesh) reportForFollowers(now time.Time) []byte {
 	if now.Sub(m.lastReportAt) < reportInterval {
 		return m.lastReport
@@ -74,7 +77,7 @@
 	return m.lastReport
 }
 
-// reportsForReader returns what this router tells the one that it relies on, in messages.
+// reportsForReader returns the report to the parent, as one or more messages.
 func (m *mesh) reportsForReader(now time.Time) [][]byte {
 	after := m.sharedAt
 	m.sharedAt = now
@@ -89,8 +92,9 @@
 	return out
 }
 
-// leavingUpstreams returns the upstreams that have said that they leave, and of which the list does not
-// say so: to this router, or also to those that have told it.
+// leavingUpstreams returns the hashes of upstreams that have announced to this router that they
+// are leaving, and are not listed as leaving. With includeReported, it adds those that other
+// routers have reported.
 func (m *mesh) leavingUpstreams(includeReported bool) []uint64 {
 	vms := m.router.View().VMs
 	var out []uint64
@@ -102,7 +106,7 @@
 	return out
 }
 
-// mergeLeaving takes in which upstreams have told another router that they leave.
+// mergeLeaving records the leaving upstreams that another router has reported.
 func (m *mesh) mergeLeaving(now time.Time, leaving []uint64) {
 	if len(leaving) == 0 {
 		return
@@ -114,7 +118,7 @@
 	}
 }
 
-// collectPools returns what is to be told of each pool, in the order of their names.
+// collectPools returns the state to share of each pool, in the order of their names.
 func (m *mesh) collectPools(collect func(*Pool) balance.SharedState) []sharedPool {
 	enabled := m.router.policy()
 	pools := m.router.View().Pools
@@ -128,10 +132,10 @@
 	return out
 }
 
-// sharedOverhead is what a pool takes in a message beside its entries, in bytes.
+// sharedOverhead is the size of a pool in a message beside its entries, in bytes.
 const sharedOverhead = 16
 
-// fittingPools returns how many of the first pools fit into one message, one at least.
+// fittingPools returns how many of the first pools fit into one message, at least one.
 func fittingPools(pools []sharedPool) int {
 	size := 0
 	for i, p := range pools {
@@ -143,26 +147,26 @@
 	return len(pools)
 }
 
-// encodeSharing returns pools and those that leave as they travel.
+// encodeSharing returns the encoded message; nil if it can't be encoded.
 func (m *mesh) encodeSharing(pools []sharedPool, leaving []uint64) []byte {
 	b, err := cbor.Marshal(sharingMessage{Pools: pools, Leaving: leaving, Routers: m.router.coldStart.routerCount(1)})
 	if err != nil {
-		slog.Error("what is shared between routers cannot be encoded", "error", err)
+		slog.Error("the state to share with other routers could not be encoded", "error", err)
 		return nil
 	}
 	return b
 }
 
-// shareSource is who has told.
+// shareSource tells which router has sent a sharingMessage.
 type shareSource uint8
 
 const (
-	fromReader   shareSource = iota // the router that this one relies on
-	fromFollower                    // one that relies on this one
+	fromReader   shareSource = iota // the parent, which this router relies on
+	fromFollower                    // a router that relies on this one
 )
 
-// mergeSharing takes in what another router has told. What cannot be read is of a router of
-// another release, and only makes loads less well known.
+// mergeSharing adds the state that another router has sent. Data that can't be decoded comes
+// from a router of another release and is ignored, which only makes the loads less accurate.
 func (m *mesh) mergeSharing(now time.Time, b []byte, from shareSource) {
 	if len(b) == 0 {
 		return
@@ -195,6 +199,7 @@
 	}
 }
 
+// shortHash returns the short hash that identifies a pool in messages.
 func shortHash(s string) uint32 {
 	return uint32(xxh3.HashString(s))
 }
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// newTestMesh returns a mesh of a router that knows a list of upstreams.
+// newTestMesh returns the mesh of a router with a pool "llm" of upstreams.
 func newTestMesh(upstreams ...string) *mesh {
 	vms := make([]topo.VM, len(upstreams))
 	for i, id := range upstreams {
@@ -26,7 +26,7 @@
 	return &mesh{router: r}
 }
 
-// newTestPool returns a pool of upstreams that are named after it.
+// newTestPool returns a pool with a number of upstreams that are named after it.
 func newTestPool(upstreams int, name string) *Pool {
 	vms := make([]topo.VM, upstreams)
 	for i := range vms {
@@ -37,13 +37,13 @@
 
 func (m *mesh) pool() *Pool { return m.router.View().Pools["llm"] }
 
-// loadOf returns what a router believes of an upstream's load.
+// loadOf returns a router's estimate of an upstream's load.
 func loadOf(p *Pool, now time.Time, id string) float64 {
 	return p.tracker.Load(now, load.Hash(id))
 }
 
-// A router hears of a load, tells the one that it relies on, and a third learns of it
-// from there, through the messages that go between them.
+// A router observes a load and reports it to the router that it relies on, which reports it to
+// a third one, through the encoded messages between routers.
 func TestLoadsAreRelayedThroughTheReader(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, reader, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
@@ -59,25 +59,25 @@
 	}
 	third.handleMessage(down)
 	if got := loadOf(third.pool(), time.Now(), "b"); got < 16 || got > 18 {
-		t.Errorf("the third router believes in a load of %.1f, want 17", got)
+		t.Errorf("load at the third router: %.1f, want 17", got)
 	}
 }
 
-// Upstreams are replaced one after the other. Each change of the list reaches routers at
-// different moments, and what they told each other of all other upstreams was left out for
-// as long: at each such moment a router knew only what it had heard itself.
+// Each change of the list of upstreams reaches routers at different moments. Guards against
+// routers that ignore each other's loads of all upstreams while their lists differ, and know
+// only the loads that they observed themselves.
 func TestLoadsAreSharedBetweenDifferentLists(t *testing.T) {
 	now := time.Unix(1000, 0)
 	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
 	behind.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
 	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
 	if got := loadOf(ahead.pool(), now, "b"); got < 16 || got > 18 {
-		t.Errorf("load %.1f of b, which both know, want 17", got)
+		t.Errorf("load of b, which both lists have: %.1f, want 17", got)
 	}
 }
 
-// A router of 30 pools of 100 upstreams tells of all of them, none in a message that is
-// too long for a datagram: one that is not sent tells nothing at all.
+// A router reports all of 30 pools of 100 upstreams, and no message is too long for a
+// datagram: a message that is too long would not be sent at all.
 func TestManyPoolsAreReportedInTurn(t *testing.T) {
 	const pools, upstreams = 30, 100
 	reader, other := newTestMesh(), newTestMesh()
@@ -104,13 +104,13 @@
 	}
 	for name, p := range other.router.View().Pools {
 		if got := loadOf(p, now, p.VMs[upstreams-1].ID); got == 0 {
-			t.Errorf("nothing is known of pool %s", name)
+			t.Errorf("no load is known of pool %s", name)
 		}
 	}
 }
 
-// A router may hear 4 KB of control a second. However large and many its pools are, what it
-// is told of loads takes no more than its part of that.
+// A router may receive 4 KB of control traffic a second. Reports of loads must not exceed
+// their part of that, however large and many the pools are.
 func TestReportsKeepToTheirRate(t *testing.T) {
 	for _, c := range []struct{ pools, upstreams int }{{1, 5}, {1, 117}, {22, 132}} {
 		m := newTestMesh()
@@ -131,13 +131,13 @@
 			bytes += len(m.reportForFollowers(now))
 		}
 		if rate := bytes / seconds; rate > reportBytesPerSecond*11/10 {
-			t.Errorf("%d pools of %d: %d bytes a second, want %d", c.pools, c.upstreams, rate, reportBytesPerSecond)
+			t.Errorf("%d pools of %d upstreams: %d bytes a second, want %d", c.pools, c.upstreams, rate, reportBytesPerSecond)
 		}
 	}
 }
 
-// While upstreams come and go, routers hold different lists for a moment. A load of one
-// that a router does not have is left out.
+// While upstreams come and go, the lists of routers differ for a moment. Loads of upstreams
+// that are not in a router's own list are ignored.
 func TestLoadsOfUnlistedUpstreamsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
@@ -145,12 +145,12 @@
 	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
 	for _, id := range []string{"b", "c"} {
 		if got := loadOf(ahead.pool(), now, id); got != 0 {
-			t.Errorf("load %.1f of %s, want nothing", got, id)
+			t.Errorf("load of %s: %.1f, want none", id, got)
 		}
 	}
 }
 
-// asUpstreams returns upstreams of which no more is known than the list says.
+// asUpstreams returns listed VMs as upstreams that are not drained.
 func asUpstreams(vms []topo.VM) []upstream {
 	out := make([]upstream, len(vms))
 	for i, vm := range vms {
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -13,11 +13,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// sidecarTransport carries attempts to the sidecarTransport of upstreams. A sidecar remembers a
-// request by its key, so what was lost on the way can be sent or asked for again.
+// sidecarTransport sends attempts to the sidecars of upstreams. A sidecar records each
+// request by its key, so a request or an answer that was lost can be sent or asked for
+// again.
 type sidecarTransport struct{ *Answer }
 
-// target implements carrier.
+// target implements transport.
 func (a sidecarTransport) target(e dispatch.Offer) (target, bool) {
 	vm := a.candidates[e.Candidate]
 	if e.Attempt > 0 {
@@ -26,10 +27,9 @@
 	return target{vm: vm}, true
 }
 
-// submit sends the attempt to its sidecar, for the first time or again, and
-// returns what came of it.
+// submit implements transport.
 func (a sidecarTransport) submit(at *attempt) dispatch.Event {
-	at.span.End() // of the time before
+	at.span.End() // of an earlier submission
 	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
 	peer, err := a.connect(at)
@@ -67,7 +67,7 @@
 	return a.awaitFirstPiece(at, stream, adm)
 }
 
-// attach asks for the rest of the attempt's answer.
+// attach implements transport.
 func (a sidecarTransport) attach(at *attempt) dispatch.Event {
 	peer, err := a.connect(at)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return a.awaitFirstPiece(at, stream, adm)
 }
 
-// connect returns the peer of the attempt's sidecar, connected, and draws the
-// attempt's key if it has none.
+// connect returns the peer of the attempt's sidecar, connected, and generates
+// the attempt's key if it has none.
 func (a sidecarTransport) connect(at *attempt) (*wire.Peer, error) {
 	peer := a.router.peer(at.vm)
 	hello, err := peer.Connect(at.ctx)
@@ -103,10 +103,11 @@
 }
 
 // successor returns the key under which the request goes on if the sidecar
-// refuses it. A request whose key its caller holds needs one: copies of it may
-// arrive through other routers, and all must go the same way. So does a suspect,
-// which the site of its crash may send on. The next sidecar is connected to
-// first, because a key names its incarnation.
+// refuses it; nil if it needs none or there is no further candidate. A request
+// whose key the caller holds needs one: copies of it may arrive through other
+// routers, and all must go to the same upstreams in the same order. A suspect
+// needs one because the site of its crash may send it on. A key names the
+// incarnation of its sidecar, so this connects to the next sidecar first.
 func (a sidecarTransport) successor(at *attempt) *wire.Key {
 	if a.req.Key == nil && !a.suspect || at.chainIndex+1 >= dispatch.MaxKeyChain || at.chainIndex+1 >= len(a.candidates) {
 		return nil
@@ -125,20 +126,22 @@
 	return nil
 }
 
-// maxResends is how often an attempt is written again that was not sent. The
-// first time may meet the same connection, before its end has been noticed.
+// maxResends is how often an attempt is submitted again that was not sent. One
+// would not do: it may use the same broken connection if its end has not been
+// noticed yet.
 const maxResends = 2
 
-// isUnsent reports whether a call failed before any of it was sent. A connection
-// that was fine a moment ago has then been closed, as after a change of
-// certificates; a fresh one mostly works, and where a pool has no other
-// upstream the caller would be refused for nothing.
+// isUnsent reports whether a call failed before any of it was sent. In most cases
+// an established connection was closed, for example after a change of
+// certificates, and a new connection works. Without another submission, the
+// request would fail needlessly where a pool has no other upstream.
 func isUnsent(adm wire.Admission, err error) bool {
 	return err != nil && adm.Error == nil && verdict.From(err).Reason == verdict.ReasonNoUpstream
 }
 
-// refusalEvent turns a failed call into an event. A sidecar's own word has an
-// admission or a reason of its own; everything else is a lost connection.
+// refusalEvent returns the event for a failed call. An answer of the sidecar has
+// an error in its admission or a reason other than ReasonConnection; everything
+// else is a lost connection.
 func (a sidecarTransport) refusalEvent(at *attempt, adm wire.Admission, err error) dispatch.Event {
 	now := time.Now()
 	e := verdict.From(err)
@@ -158,21 +161,22 @@
 	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Moved: adm.Moved, Final: a.isStranded(at, e)}
 }
 
-// isStranded reports whether a refused suspect has nowhere else to go: it was the
-// only VM where it may run that refused it.
+// isStranded reports whether a suspect was refused by the only VM where it may
+// run.
 func (a sidecarTransport) isStranded(at *attempt, err *verdict.Error) bool {
 	return err.Reason == verdict.ReasonSuspect && a.reassign(at.vm).ID == at.vm.ID
 }
 
-// awaitFirstPiece waits for the first piece of an admitted attempt's answer. A head
-// alone is not one: until there is a byte, nothing is sent to the caller, and
-// what is idempotent can still be tried elsewhere.
+// awaitFirstPiece waits for the first piece after the head of an admitted
+// attempt's answer, and returns the event for it. Until then nothing is sent to
+// the caller, so that an idempotent request can still be tried at another
+// upstream.
 func (a sidecarTransport) awaitFirstPiece(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
 	at.stream = stream
 	a.router.handleControl(time.Now(), at.vm, adm.Control)
 	a.post(outcome{attempt: at, event: dispatch.Admitted{Attempt: at.number}})
 	if at.headSent {
-		return nil // the Answer reads on by itself
+		return nil // Answer.Next reads the rest
 	}
 	at.readAhead = nil
 	for {
@@ -183,7 +187,7 @@
 		if p.End != nil && p.End.Error != nil {
 			a.router.handleControl(time.Now(), at.vm, p.End.Control)
 			a.reportCrash(at, p.End.Error)
-			if p.End.Moved != nil { // it waited there and was sent on
+			if p.End.Moved != nil { // it waited there and was moved to another upstream
 				return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: p.End.Error, Moved: p.End.Moved}
 			}
 			if p.End.Error.Verdict == verdict.NotRun {
@@ -198,8 +202,8 @@
 	}
 }
 
-// closeBroken closes a stream that has failed. The end of the request's own context
-// is no failure of the stream.
+// closeBroken closes a stream that has failed and returns the event for it; nil if
+// the attempt's own context has ended, which is no failure of the stream.
 func (a sidecarTransport) closeBroken(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
@@ -209,16 +213,16 @@
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
-// cancelTimeout bounds the attempt to cancel what nobody waits for. If it
-// fails, the request runs to its own deadline.
+// cancelTimeout bounds the call that cancels a request which nobody waits for. If
+// the call fails, the request runs to its own deadline.
 const cancelTimeout = 3 * time.Second
 
-// cancel implements carrier.
+// cancel implements transport.
 func (a sidecarTransport) cancel(at *attempt) {
 	a.router.cancel(at.vm, a.req.Org.Name, *at.key)
 }
 
-// handleEnd implements carrier.
+// handleEnd implements transport.
 func (a sidecarTransport) handleEnd(at *attempt, end *wire.End) {
 	a.router.handleControl(time.Now(), at.vm, end.Control)
 	if end.Error != nil {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -1,6 +1,10 @@
-// Package router is the router's role: it knows the configuration and the
-// upstreams, sends each request to a sidecar and brings back the answer or the
-// truth about its absence.
+// Package router implements the role of a router: it follows the configuration and
+// the list of upstreams, sends each request to an upstream, and returns the answer
+// or an error that says whether the request may have run.
+//
+// State is the control state. It handles events and returns effects, without I/O.
+// Router carries out the effects, and publishes a View of the state that requests
+// read without locks.
 package router
 
 import (
@@ -20,21 +24,21 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Event is something that has happened to a router.
+// Event is an input of State.
 type Event interface{ isEvent() }
 
-// ConfigEvent is something that concerns the configuration.
+// ConfigEvent is an event for the follower of the configuration.
 type ConfigEvent struct {
 	Event config.Event
 }
 
-// ConfigQueried is a sidecar or another router that asks for objects of a set.
+// ConfigQueried is a query of a sidecar or another router for objects of a set.
 type ConfigQueried struct {
 	Now    time.Time
 	Set    relay.Set
 	Peer   config.Peer
 	Query  config.Query
-	Ticket uint64 // of the call that waits for the ConfigReply
+	Ticket uint64 // identifies the call that waits for the ConfigReply
 }
 
 // VMsChanged is a new reading of the list of VMs.
@@ -47,12 +51,13 @@
 func (ConfigQueried) isEvent() {}
 func (VMsChanged) isEvent()    {}
 
-// MembershipChanged is an Effect: the list of VMs has changed.
+// MembershipChanged is an Effect: log changes of the list of VMs.
 type MembershipChanged struct{ Changes []topo.VMChange }
 
 func (MembershipChanged) isEffect() {}
 
-// ConfigApplied is an Effect: objects have come into force, or were rejected.
+// ConfigApplied is an Effect: log and publish which objects have come into force or
+// were rejected.
 type ConfigApplied struct {
 	ledger.Followed
 	Drained []DomainOrder
@@ -61,23 +66,24 @@
 
 func (ConfigApplied) isEffect() {}
 
-// DomainOrder is an order to a failure domain that has come into force.
+// DomainOrder is an operators' order to drain a failure domain, or its withdrawal,
+// that has come into force.
 type DomainOrder struct {
 	Domain  string
-	Drained bool // else it is taken back
+	Drained bool // false: the order is withdrawn
 	Version topo.Version
-	InForce int // failure domains that are under an order now
+	InForce int // number of failure domains that are drained now
 }
 
-// Effect is something that a router is to do.
+// Effect is an output of State, which the Router carries out.
 type Effect interface{ isEffect() }
 
-// ConfigEffect is something to be done for the configuration's follower.
+// ConfigEffect is an effect of the configuration's follower.
 type ConfigEffect struct {
 	Effect config.Effect
 }
 
-// ConfigReply answers a ConfigAsked.
+// ConfigReply answers a ConfigQueried.
 type ConfigReply struct {
 	Ticket uint64
 	Delta  config.Delta
@@ -86,7 +92,7 @@
 func (ConfigEffect) isEffect() {}
 func (ConfigReply) isEffect()  {}
 
-// State is a router's control state.
+// State is a router's control state. It is not safe for concurrent use.
 type State struct {
 	self           placement.Locality
 	decode         func(topo.Object) (profile.Object, error)
@@ -94,28 +100,28 @@
 	profiles       map[string]*profile.Profile
 	orgs           map[string]*profile.Organisation
 	limits         *profile.Limits
-	poolSpecs      map[string]*profile.Pool // what pools load
-	vm             string                   // of this router
-	orders         drain.Orders             // of operators
-	desiredNotices map[string]wire.Notice   // what each VM is to be told
-	sentNotices    map[string]sentNotice    // what it has been told
+	poolSpecs      map[string]*profile.Pool // by pool
+	vm             string                   // id of this router's VM
+	orders         drain.Orders             // operators' orders to drain
+	desiredNotices map[string]wire.Notice   // the notice that each VM should have
+	sentNotices    map[string]sentNotice    // the latest notice to each VM
 	vms            topo.VMs
 	loadReports    map[string]*loadReports     // by pool
 	trackers       map[string]*balance.Tracker // by pool
 	firstSeen      map[string]time.Time        // when VMs were first seen in the list
 	relayState     *relayState                 // nil: this router always reads the store
 
-	view  *View      // as it was published last
-	stale staleParts // since then
+	view  *View      // the view returned last
+	stale staleParts // parts of the state that have changed since
 }
 
-// staleParts says which parts of a View have to be built anew.
+// staleParts are the parts of a View that have to be rebuilt.
 type staleParts struct {
 	profiles, orgs, pools bool
 }
 
-// NewState returns the State of a router on VM vm at self that knows nothing
-// yet. It calls the store at a pace, with jitter that seed sets.
+// NewState returns the empty State of a router on a VM at a locality. pace sets the
+// rate of its calls to the store, and seed their jitter.
 func NewState(vm string, self placement.Locality, pace config.Pace, seed uint64) *State {
 	return &State{
 		vm:          vm,
@@ -133,12 +139,12 @@
 	}
 }
 
-// SetDecoder makes the State read objects that are not as parsleyctl writes them.
+// SetDecoder sets the decoder of objects that are not in the format of parsleyctl.
 func (s *State) SetDecoder(decode func(topo.Object) (profile.Object, error)) {
 	s.decode = decode
 }
 
-// Step applies an event.
+// Step handles an event and returns the effects to carry out.
 func (s *State) Step(event Event) []Effect {
 	switch e := event.(type) {
 	case ConfigEvent:
@@ -172,7 +178,8 @@
 	return nil
 }
 
-// recordFirstSeen notes which VMs are new in the list.
+// recordFirstSeen records when VMs were first seen in the list, and drops those that
+// are not listed any more.
 func (s *State) recordFirstSeen(now time.Time) {
 	firstSeen := make(map[string]time.Time, len(s.vms.Entries))
 	for _, vm := range s.vms.Entries {
@@ -185,7 +192,8 @@
 	s.firstSeen = firstSeen
 }
 
-// answerQuery answers a node that lacks objects.
+// answerQuery answers the query of a peer for objects, and passes its mark to the
+// follower of the configuration.
 func (s *State) answerQuery(e ConfigQueried) []Effect {
 	if e.Set == relay.SetMembers {
 		if s.relayState == nil {
@@ -194,13 +202,14 @@
 		return []Effect{ConfigReply{Ticket: e.Ticket, Delta: s.relayState.members.Set().Answer(e.Query)}}
 	}
 	var effects []Effect
-	if e.Peer != "" { // routers hear of each other's marks by beats
+	if e.Peer != "" { // empty for routers, which learn each other's marks from beats
 		effects = s.stepConfig(config.Heard{Now: e.Now, Peer: e.Peer, Mark: e.Query.Mark})
 	}
 	return append(effects, ConfigReply{Ticket: e.Ticket, Delta: s.follower.Set().Answer(e.Query)})
 }
 
-// configPeers returns whom to ask for configuration: the sidecars that keep a copy.
+// configPeers returns the peers to query for configuration: the sidecars that keep a
+// copy.
 func (s *State) configPeers() []config.Peer {
 	var out []config.Peer
 	for _, vm := range s.vms.Entries {
@@ -211,7 +220,8 @@
 	return config.Copies(out)
 }
 
-// stepConfig passes an event to the follower and takes what it says is in force.
+// stepConfig passes an event to the follower of the configuration and applies the
+// objects that have come into force.
 func (s *State) stepConfig(e config.Event) []Effect {
 	var effects []Effect
 	applied := ConfigApplied{}
@@ -238,16 +248,17 @@
 	return append(effects, applied)
 }
 
-// onStoreRestored takes in that the store has come back from an older copy: upstreams that have no
-// entry there may write it again.
+// onStoreRestored handles a store that was restored from an older copy: upstreams
+// whose entries are missing there get time to write them again.
 func (s *State) onStoreRestored(now time.Time) {
 	if s.relayState != nil {
 		s.relayState.entries.StoreRecovered(now)
 	}
 }
 
-// recheckUndrained takes in which failure domains are taken back. Their upstreams may have become
-// cold just before, and are not known to be warm until they have said so.
+// recheckUndrained handles the withdrawal of orders to drain failure domains. The
+// upstreams there may have restarted shortly before, so they count as cold until
+// their entries say that they are warm.
 func (s *State) recheckUndrained(now time.Time, orders []DomainOrder) []Effect {
 	if s.relayState == nil {
 		return nil
@@ -265,7 +276,8 @@
 	return s.updateVMList(now)
 }
 
-// warmupDuration returns for how long upstreams of a pool are cold after their start.
+// warmupDuration returns how long upstreams of a pool are cold after their start; zero
+// if the pool has no warm-up limit.
 func (s *State) warmupDuration(pool string) time.Duration {
 	if p := s.poolSpecs[pool]; p != nil && p.WarmupRate > 0 {
 		return p.Warmup.Std()
@@ -273,8 +285,8 @@
 	return 0
 }
 
-// applyOrReject takes an object. One that is invalid for this release is not taken: the
-// version before stays in force.
+// applyOrReject applies an object and records the outcome. An object that is invalid
+// for this release is rejected, and its previous version stays in force.
 func (s *State) applyOrReject(o topo.Object, f *ConfigApplied) {
 	if err := s.applyObject(o); err != nil {
 		f.Rejected = append(f.Rejected, rejection(o.Ref, err))
@@ -286,9 +298,10 @@
 	f.Objects = append(f.Objects, admin.ObjectVersion{Ref: o.Ref, Version: o.Version})
 }
 
+// applyObject applies an object. It returns an error if the object is invalid.
 func (s *State) applyObject(o topo.Object) error {
 	if o.Kind == topo.KindEdition {
-		return nil // by which the follower tells older copies, and no decision goes
+		return nil // only the follower uses it, to detect older copies of the store
 	}
 	if o.Deleted {
 		s.removeObject(o)
@@ -317,7 +330,8 @@
 	return nil
 }
 
-// decodeRevision reads an object that parsleyctl wrote; nil: it deletes the object.
+// decodeRevision decodes an object that parsleyctl wrote; nil: the revision deletes
+// the object.
 func decodeRevision(o topo.Object) (profile.Object, error) {
 	spec, err := config.Spec(o)
 	if err != nil || len(spec) == 0 {
@@ -326,13 +340,14 @@
 	return profile.Decode(o.Ref, spec)
 }
 
-// applyDrainOrder takes an operator's applyDrainOrder to a VM or a failure domain.
+// applyDrainOrder applies an operators' order to drain a VM or a failure domain.
 func (s *State) applyDrainOrder(o topo.Object) {
 	s.orders.Apply(o)
 	s.desiredNotices = s.computeNotices()
 	s.stale.pools = true
 }
 
+// removeObject removes a deleted object from the state.
 func (s *State) removeObject(o topo.Object) {
 	switch o.Kind {
 	case topo.KindProfile:
@@ -351,7 +366,7 @@
 	}
 }
 
-// rejection returns the first problem of an object.
+// rejection returns the first problem of an invalid object.
 func rejection(ref topo.Ref, err error) profile.Problem {
 	var problems profile.Problems
 	if errors.As(err, &problems) && len(problems) > 0 {
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// maxSuspectsBytes is how many bytes of suspects go with one message at most.
+	// maxSuspectsBytes bounds the suspects that one message carries, in bytes.
 	maxSuspectsBytes = 256
-	// reportTimeout bounds a report of a crash, which a caller waits for.
+	// reportTimeout bounds a report of a crash, for which a caller has to wait.
 	reportTimeout = 500 * time.Millisecond
-	// resendTargetsPerRouter is how many upstreams a resend through one router may meet
-	// first: those two that it chooses the less loaded of, or the home and the
-	// VM of the ticket.
+	// resendTargetsPerRouter is how many upstreams one router may offer a resent
+	// request first: either of two random upstreams, of which it takes the less
+	// loaded one, or the home upstream and the VM of the ticket.
 	resendTargetsPerRouter = 2
 )
 
@@ -35,7 +35,7 @@
 		"Reports of crashes to the sidecars that a resend would go to, by what came of them.", telemetry.Alert)
 )
 
-// reportOutcome is what came of a report.
+// reportOutcome is the outcome of reporting a crash to a sidecar.
 type reportOutcome string
 
 const (
@@ -43,7 +43,7 @@
 	reportLost      reportOutcome = "lost"
 )
 
-// suspects is the router's Book.
+// suspects is the router's quarantine.Book. It is safe for concurrent use.
 type suspects struct {
 	mu   sync.Mutex
 	book *quarantine.Book
@@ -53,8 +53,8 @@
 	return &suspects{book: quarantine.New("", 0)}
 }
 
-// merge takes in what a sidecar told. What cannot be read is a hint of a peer
-// of another version, without which all still holds.
+// merge adds the suspects that a sidecar sent. Data that can't be decoded comes
+// from a peer of another release and is ignored: the suspects are only hints.
 func (s *suspects) merge(now time.Time, data json.RawMessage) {
 	if len(data) == 0 {
 		return
@@ -64,7 +64,8 @@
 	_ = s.book.Merge(now, data)
 }
 
-// decide decides on a request, and returns what the sidecar is to be told.
+// decide returns how a request may run, and the suspects to send to its sidecar:
+// those about the request if it is a suspect, else some of the others.
 func (s *suspects) decide(now time.Time, fingerprint uint64) (quarantine.Ruling, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +77,7 @@
 	return r, s.book.About(now, p)
 }
 
-// evidence returns all that is known of a request.
+// evidence returns all that is known about a request's crashes; empty: nothing.
 func (s *suspects) evidence(now time.Time, fingerprint uint64) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,9 @@
 	s.book.Expire(now)
 }
 
-// applyQuarantine makes a suspect's site the only candidate, and refuses a convict.
+// applyQuarantine returns an error for a convicted request. For a suspect it makes
+// the site of the crash the only candidate, or grants it isolation if that VM has
+// left the list.
 func (a *Answer) applyQuarantine(now time.Time) *verdict.Error {
 	ruling, _ := a.router.suspects.decide(now, a.fingerprint)
 	switch ruling.Action {
@@ -110,8 +113,9 @@
 	return nil
 }
 
-// restrictToSite puts the site of the crash in the place of all candidates but the VM
-// of the caller's key, which decides first.
+// restrictToSite puts the site of the crash before all candidates. If the caller
+// holds a key, the VM of the key, which decides on the key, stays first and the
+// site becomes the only other candidate.
 func (a *Answer) restrictToSite(site topo.VM) {
 	if a.req.Key == nil {
 		a.candidates = append([]topo.VM{site}, a.candidates...)
@@ -120,8 +124,8 @@
 	a.candidates = append(a.candidates[:1:1], site)
 }
 
-// grantIsolation gives leave to run alone in the place of a site that has left the list:
-// at the VM that ranks first for the request itself, the same at all routers
+// grantIsolation permits a suspect whose crash site has left the list to run alone
+// at the VM that ranks first for its fingerprint, which is the same at all routers
 // with the same list.
 func (a *Answer) grantIsolation() {
 	if a.pool == nil || a.req.Key != nil {
@@ -132,7 +136,8 @@
 	a.candidates = append(vms[:1:1], a.candidates...)
 }
 
-// reassign sends a suspect that was refused to the site of its crash.
+// reassign returns the site of the crash if the request is a suspect and the site
+// is listed, else vm.
 func (a *Answer) reassign(vm topo.VM) topo.VM {
 	ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint)
 	if ruling.Action != quarantine.Elsewhere {
@@ -144,10 +149,10 @@
 	return vm
 }
 
-// reportCrash tells the sidecars that a resend of the request would be offered to
-// of a crash, before the caller is answered and can send it again. Otherwise a
-// resend that comes at once, through another router, takes the next upstream
-// with it.
+// reportCrash reports a crash to the sidecars that a resent request would be
+// offered to, before the caller gets its answer and can send the request again.
+// Otherwise a request that is resent at once through another router would crash
+// the next upstream.
 func (a *Answer) reportCrash(at *attempt, err *verdict.Error) {
 	if err.Reason != verdict.ReasonUpstreamFailed || err.Verdict == verdict.NotRun {
 		return
@@ -177,8 +182,9 @@
 	wg.Wait()
 }
 
-// returnPermit tells the site of a crash that the leave it gave an attempt will not
-// be used: no sidecar on its way has taken it.
+// returnPermit reports to the site of a crash that its permission to run the
+// request alone elsewhere will not be used, because no sidecar has admitted the
+// request.
 func (a *Answer) returnPermit(at *attempt) {
 	if !at.hasPermit || at.crashSite.ID == "" {
 		return
@@ -189,8 +195,8 @@
 	_ = a.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
 }
 
-// resendTargets returns the VMs that a resend would be offered to first: through this
-// router, and through one of each failure domain that knows no loads.
+// resendTargets returns the VMs that a resent request would be offered to first by
+// this router, and by a router of each failure domain that knows no loads.
 func (a *Answer) resendTargets() []topo.VM {
 	seen := make(map[string]topo.VM)
 	for _, vm := range a.candidates[:min(resendTargetsPerRouter, len(a.candidates))] {
@@ -199,10 +205,11 @@
 	if a.pool != nil {
 		a.addDomainTargets(seen)
 	}
-	delete(seen, "") // the VM of a key that the list does not know
+	delete(seen, "") // the VM of a key that is not in the list
 	return slices.Collect(maps.Values(seen))
 }
 
+// addDomainTargets adds the first choices of a router of each failure domain.
 func (a *Answer) addDomainTargets(seen map[string]topo.VM) {
 	members := a.pool.members
 	domains := make(map[string]bool)
--- a/internal/router/suspicions.go
+++ b/internal/router/suspicions.go
@@ -9,20 +9,20 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// logSuspicions tells which upstreams are suspected now, and which are not any more.
+// logSuspicions logs which upstreams have become suspected, and which no longer are.
 func (p *Pool) logSuspicions(name string) {
 	for _, c := range p.tracker.SuspicionChanges() {
 		vm := p.upstreamByHash(c.VM)
-		level, msg := slog.LevelInfo, "upstream is trusted again"
+		level, msg := slog.LevelInfo, "upstream is no longer suspected"
 		if c.Suspected {
-			level, msg = slog.LevelWarn, "upstream fails more than others and comes last"
+			level, msg = slog.LevelWarn, "upstream is suspected: it fails more requests than others and is chosen last"
 		}
 		slog.LogAttrs(context.Background(), level, msg, slog.String("upstream", vm.ID), slog.String("addr", vm.Addr),
 			slog.String("pool", name), slog.Float64("failed", roundTenths(c.Failed)), slog.Float64("of", roundTenths(c.All)))
 	}
 }
 
-// upstreamByHash returns an upstream of the pool.
+// upstreamByHash returns an upstream of the pool; the zero VM if it has none with that hash.
 func (p *Pool) upstreamByHash(id load.VM) topo.VM {
 	for _, vm := range p.VMs {
 		if load.Hash(vm.ID) == id {
@@ -32,8 +32,9 @@
 	return topo.VM{}
 }
 
-// countsAsOutcome reports whether a status speaks for or against an upstream. 504 is its word
-// that the time which it was given is over, which may have been short.
+// countsAsOutcome reports whether an answer's status counts as a success or failure of the
+// upstream. A 504 doesn't: it means that the time limit which came with the request has passed,
+// and that limit may have been short.
 func countsAsOutcome(status int) bool {
 	return status != http.StatusGatewayTimeout
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -14,43 +14,45 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// View is an immutable picture of a router's control state, for traffic. Views
-// share the parts that have not changed between them.
+// View is an immutable snapshot of a router's control state, which requests read.
+// Consecutive views share the parts that have not changed.
 type View struct {
-	Version      topo.Version // of the configuration, as nodes tell each other
+	Version      topo.Version // of the configuration, as reported to other nodes
 	Digest       uint64       // of the configuration at that version
-	ConfigRecent bool         // the configuration is known to be a recent one
+	ConfigRecent bool         // the configuration is known to be recent
 	Profiles     profile.ByName
-	Orgs         map[string]*profile.Organisation // by the hash of an API key
-	Limits       *profile.Limits                  // of what callers may send; nil: the defaults
+	Orgs         map[string]*profile.Organisation // by the hash of each API key
+	Limits       *profile.Limits                  // on requests of callers; nil: the defaults
 	hosts        profile.Hosts
 	Pools        map[string]*Pool
 	VMs          map[string]topo.VM
-	PoolSpecs    map[string]*profile.Pool // what pools load
+	PoolSpecs    map[string]*profile.Pool // by pool
 	Leaving      map[string]bool          // VMs that are to leave
 	ConfigCopies map[string]bool          // VMs whose sidecars keep a copy of the configuration
-	Routers      int                      // that the list of VMs knows, at least one
+	Routers      int                      // number of routers in the list of VMs, at least one
 }
 
-// Pool is the upstreams of one pool.
+// Pool holds the upstreams of one pool that may get requests, with their load reports and
+// conditions. Its contents are immutable but for loadReports, tracker and byRegions, which are
+// safe for concurrent use.
 type Pool struct {
 	VMs         []topo.VM
 	members     []placement.Member // in the order of VMs
 	placed      *placement.Pool    // of members
 	loadReports *loadReports
 	tracker     *balance.Tracker
-	serving     []load.VM // those of VMs that are not leaving
+	serving     []load.VM // upstreams that are not leaving
 
 	locality  placement.Locality
-	byRegions sync.Map // by the key of regions: the *Pool of its upstreams there
+	byRegions sync.Map // *Pool of the upstreams in some regions, by the key of the regions
 
-	listed     map[string]condition.Set // what the list and operators' orders tell of each, by id
-	warmupRate float64                  // requests a second that a cold upstream bears; zero: any
-	warmAt     map[string]time.Time     // when those are warm that are cold, by id
+	listed     map[string]condition.Set // conditions from the list and operators' orders, by id
+	warmupRate float64                  // requests a second that a cold upstream may get; zero: no limit
+	warmAt     map[string]time.Time     // when cold upstreams become warm, by id
 }
 
-// View returns the picture of the present state: the former one if nothing that
-// shows in it has changed.
+// View returns a view of the present state. It returns the previous one if nothing in
+// it has changed.
 func (s *State) View() *View {
 	mark, recent := s.follower.Set().Mark(), s.follower.Ready()
 	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == recent
@@ -74,7 +76,7 @@
 	return s.view
 }
 
-// byKey orders organisations by the hashes of their API keys.
+// byKey returns the organisations by the hashes of their API keys.
 func byKey(orgs map[string]*profile.Organisation) map[string]*profile.Organisation {
 	out := make(map[string]*profile.Organisation, len(orgs))
 	for _, o := range orgs {
@@ -85,7 +87,8 @@
 	return out
 }
 
-// buildPools sorts the upstreams that take new work by pool.
+// buildPools builds the parts of a view that follow from the list of VMs, operators' orders
+// and pool specifications.
 func (s *State) buildPools(v *View) {
 	members := make(map[string][]upstream)
 	v.VMs = make(map[string]topo.VM, len(s.vms.Entries))
@@ -99,8 +102,8 @@
 				v.Routers++
 			}
 		case vm.Role == topo.RoleDirect:
-			// One without a sidecar can still hand its prompts on to others, whoever has
-			// said that it leaves.
+			// Direct upstreams that leave or are drained stay in the pool, because others
+			// can still fetch cached prompts from them.
 			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, firstSeen: s.firstSeen[vm.ID], drained: order.Leave})
 		case !vm.Leaving && !order.Leave:
 			members[vm.Pool] = append(members[vm.Pool], upstream{vm: vm, firstSeen: s.firstSeen[vm.ID]})
@@ -130,19 +133,18 @@
 	}
 }
 
-// upstream is an upstream of a pool, with what the control state knows of it beside its
-// entry in the list.
+// upstream is an upstream of a pool, with the control state about it.
 type upstream struct {
 	vm        topo.VM
 	firstSeen time.Time // when it was first seen in the list
 	drained   bool      // it takes no new work by operators' order
 }
 
-// member returns the upstream as package placement sees it.
+// member returns the upstream as a member for package placement.
 func (u upstream) member() placement.Member {
 	return placement.Member{
 		VM:      load.Hash(u.vm.ID),
-		Seed:    placement.Seed(u.vm.Name()), // one that starts again moves no sessions of others
+		Seed:    placement.Seed(u.vm.Name()), // a restart does not move the sessions of other upstreams
 		Weight:  max(u.vm.Weight, 1),
 		Domain:  u.vm.FailureDomain,
 		Leaving: takesNoWork(u.listedConditions()),
@@ -151,6 +153,7 @@
 	}
 }
 
+// takesNoWork reports whether an upstream with these conditions may get no requests.
 func takesNoWork(s condition.Set) bool {
 	permission, _ := s.Allows(condition.Work)
 	return permission == condition.Never
@@ -173,8 +176,8 @@
 	return p
 }
 
-// inRegions returns the pool of the upstreams that are inRegions some regions; nil: there is none. What is
-// known of upstreams is known of the whole pool.
+// inRegions returns the pool restricted to the upstreams in some regions; nil if there are none.
+// The result shares the load reports, tracker and conditions of the whole pool.
 func (p *Pool) inRegions(regions residency.Regions) *Pool {
 	if p == nil || regions.Unrestricted() {
 		return p
@@ -197,8 +200,8 @@
 	return part
 }
 
-// setWarmupRate notes which upstreams are cold, if those of the pool bear only so many requests a
-// second then.
+// setWarmupRate sets how many requests a second a cold upstream may get, and records which
+// upstreams are cold. It does nothing if rate is not positive: there is no limit then.
 func (p *Pool) setWarmupRate(rate float64) {
 	if rate <= 0 {
 		return
@@ -212,17 +215,17 @@
 	}
 }
 
-// ForModel returns the profile by which org uses model.
+// ForModel returns the profile that applies to requests of org for a model.
 func (v *View) ForModel(org *profile.Organisation, name, model string) *profile.Profile {
 	return v.Profiles.ForModel(org, name, model)
 }
 
-// ForService returns the profile by which org makes a call of a service.
+// ForService returns the profile that applies to calls of org to a service.
 func (v *View) ForService(org *profile.Organisation, name, service, method, path string) *profile.Profile {
 	return v.Profiles.ForService(org, name, service, method, path)
 }
 
-// ForHost returns the profile for calls of a path of a host; nil if there is none.
+// ForHost returns the profile for calls to a path of a host; nil if there is none.
 func (v *View) ForHost(host, path string) *profile.Profile {
 	return v.hosts.Find(host, path)
 }
