--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -215,7 +215,7 @@
 			Calls:         n.Calls,
 			Dial:          n.Routers,
 			SuspendedTime: n.Slept,
-			Members:       platform.Runners{Regions: p.Regions},
+			MemberDecoder: platform.Runners{Regions: p.Regions},
 			MemberTiming:  memberTiming(p, on),
 		},
 		Direct:        exchange.NewClient(platform.Calls{}, n.Upstreams),
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -115,7 +115,7 @@
 		Urgency:       urgency(x.profile, x.org),
 		Arrived:       x.arrived,
 		CallerTimeout: x.said.Patience,
-		LastEvent:     x.said.LastEvent,
+		LastEventID:   x.said.LastEvent,
 		CallerGone:    x.gone,
 	})
 	if err != nil {
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -39,8 +39,8 @@
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the body is not a request for keys: %s", err)
 	}
 	count := max(req.Count, 1)
-	if req.Count < 0 || count > router.MaxMint {
-		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "count is out of range: ask for 1 to %d keys", router.MaxMint)
+	if req.Count < 0 || count > router.MaxMintedKeys {
+		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "count is out of range: ask for 1 to %d keys", router.MaxMintedKeys)
 	}
 	p := x.profileFor(req.Profile)
 	if p == nil {
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -127,7 +127,7 @@
 		Instance:    at.vm.Name(),
 		Urgency:     a.basis.Urgency,
 		TimeLeft:    sidecarTimeLeft(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
-		LastEventID: a.req.LastEvent,
+		LastEventID: a.req.LastEventID,
 		Donor:       at.donor.Addr,
 	}
 	if at.lastEventID != "" {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -16,8 +16,8 @@
 const (
 	// lookupTimeout bounds a query about an earlier request.
 	lookupTimeout = 3 * time.Second
-	// MaxMint bounds the number of request keys that one call returns.
-	MaxMint = 1000
+	// MaxMintedKeys bounds the number of request keys that one call returns.
+	MaxMintedKeys = 1000
 )
 
 // Resume returns the answer to an earlier request of org, from offset on. It
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -34,9 +34,9 @@
 	// SuspendedTime returns the total time for which the VM has been suspended; nil: it
 	// is never suspended.
 	SuspendedTime func() time.Duration
-	// Members decodes the entries of upstreams.
-	Members      membership.Decoder
-	MemberTiming membership.Timing
+	// MemberDecoder decodes the entries of upstreams.
+	MemberDecoder membership.Decoder
+	MemberTiming  membership.Timing
 }
 
 var (
@@ -84,7 +84,7 @@
 		r.loop.Post(RelayEvent{Event: relay.Registered{Now: time.Now(), Nodes: nodes}})
 	})
 	out.members = &follow.Runner{
-		Source:  follow.FromStore(r.config.Store, m.Members.Kind()),
+		Source:  follow.FromStore(r.config.Store, m.MemberDecoder.Kind()),
 		Follows: "upstreams",
 		Ask: func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 			return r.pull(ctx, peer, wire.MethodMembersSince, q)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -51,7 +51,7 @@
 	Urgency       int           // as in package exchange
 	Arrived       time.Time     // start of its deadlines
 	CallerTimeout time.Duration // how long the caller waits from Arrived on; zero: not known
-	LastEvent     string        // id of the last event that the caller has received of an earlier answer
+	LastEventID   string        // id of the last event that the caller has received of an earlier answer
 	CallerGone    func() bool   // reports whether the caller has closed its connection; nil: not known
 	Trace         string        // W3C traceparent; empty: none
 }
@@ -126,7 +126,7 @@
 // begun has none, because it is to continue as soon as any upstream can take it: deferred
 // behind other requests, it would pause until its caller gives up.
 func (r *Request) objective(begun bool) time.Duration {
-	if begun || r.LastEvent != "" {
+	if begun || r.LastEventID != "" {
 		return 0
 	}
 	return r.Profile.Objective.Std()
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -17,7 +17,7 @@
 		last  string
 		want  time.Duration
 	}{{false, "", objective}, {true, "", 0}, {false, "17", 0}} {
-		r := Request{Profile: p, LastEvent: c.last}
+		r := Request{Profile: p, LastEventID: c.last}
 		if got := r.objective(c.begun); got != c.want {
 			t.Errorf("begun %v, last event %q: %v, want %v", c.begun, c.last, got, c.want)
 		}
