--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -6,9 +6,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Mark is a node's summary of its Set, by which two nodes find that they
+// Summary is a node's summary of its Set, by which two nodes find that they
 // differ. A zero Digest says nothing.
-type Mark struct {
+type Summary struct {
 	Version  topo.Version `json:"version"`
 	Complete topo.Version `json:"complete,omitempty"`
 	Digest   uint64       `json:"digest,omitempty"`
@@ -20,14 +20,14 @@
 type Query struct {
 	Since topo.Version `json:"since"`
 	After topo.Version `json:"after,omitempty"` // the last object of the former piece
-	Mark  Mark         `json:"mark"`
+	Mark  Summary      `json:"mark"`
 }
 
 // Delta is a piece of the answer to a Query. Objects are in order of version.
 type Delta struct {
 	Objects []topo.Object `json:"objects,omitempty"`
 	More    bool          `json:"more,omitempty"` // ask again, after the last of Objects
-	Mark    Mark          `json:"mark"`
+	Mark    Summary       `json:"mark"`
 	// Known is the version up to which an object that the sender does not hold
 	// does not exist. Deletions up to there are not among Objects.
 	Known topo.Version `json:"known,omitempty"`
@@ -35,14 +35,14 @@
 
 // HeardMark returns the mark of a node as it travels on the back of traffic: its
 // version and digest. The node is complete at least up to its version.
-func HeardMark(v topo.Version, digest uint64) Mark {
-	return Mark{Version: v, Complete: v, Digest: digest}
+func HeardMark(v topo.Version, digest uint64) Summary {
+	return Summary{Version: v, Complete: v, Digest: digest}
 }
 
 // Mark returns the Set's summary. The digest is left out while the Set holds
 // objects beyond those up to which it is complete: equal sets would differ.
-func (s *Set) Mark() Mark {
-	m := Mark{Version: s.settled, Complete: s.complete, Edition: s.edition.Number}
+func (s *Set) Mark() Summary {
+	m := Summary{Version: s.settled, Complete: s.complete, Edition: s.edition.Number}
 	if s.newest <= s.complete {
 		m.Digest = s.digest
 	}
@@ -86,12 +86,12 @@
 }
 
 // CaughtUp reports whether a node lacks nothing that another one knows.
-func (m Mark) CaughtUp(other Mark) bool {
+func (m Summary) CaughtUp(other Summary) bool {
 	return m.Version >= other.Version || m.same(other)
 }
 
 // same reports whether two nodes hold the same objects.
-func (m Mark) same(other Mark) bool {
+func (m Summary) same(other Summary) bool {
 	return m.Digest != 0 && m.Digest == other.Digest
 }
 
@@ -99,7 +99,7 @@
 // the other, so that they hold the same objects unless something went missing.
 // The versions may differ even so: a removal from the store is the newest object of
 // a node that has watched it, and unknown to one that has listed since.
-func (m Mark) comparable(other Mark) bool {
+func (m Summary) comparable(other Summary) bool {
 	settled := m.Digest != 0 && other.Digest != 0
 	return settled && m.Complete >= other.Version && other.Complete >= m.Version
 }
--- a/internal/config/event.go
+++ b/internal/config/event.go
@@ -31,7 +31,7 @@
 type Heard struct {
 	Now  time.Time
 	Peer Peer
-	Mark Mark
+	Mark Summary
 }
 
 // Answered is a peer's answer to an Ask.
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func (n *node) mark() config.Mark {
+func (n *node) mark() config.Summary {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	m := n.follower.Set().Mark()
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -122,7 +122,7 @@
 }
 
 // compare decides what a peer's mark calls for.
-func (f *Follower) compare(now time.Time, peer Peer, m Mark) []Effect {
+func (f *Follower) compare(now time.Time, peer Peer, m Summary) []Effect {
 	out := f.entered(now, m.Complete.Era())
 	if f.outdatedPeer(m) {
 		return out
@@ -131,7 +131,7 @@
 }
 
 // settle asks a peer for what its mark shows that it knows.
-func (f *Follower) settle(now time.Time, peer Peer, m Mark) []Effect {
+func (f *Follower) settle(now time.Time, peer Peer, m Summary) []Effect {
 	if f.pull != nil {
 		if m.Version > f.set.Version() {
 			f.behind = peer
@@ -181,7 +181,7 @@
 // refresh asks, now and then, a peer with the same objects how far it is
 // complete. Without it, the store may have compacted the changes since what a
 // sidecar knows, and a router that starts from there must list everything.
-func (f *Follower) refresh(now time.Time, peer Peer, m Mark) []Effect {
+func (f *Follower) refresh(now time.Time, peer Peer, m Summary) []Effect {
 	if m.Complete <= f.set.Complete() || now.Before(f.nextRefresh) {
 		return nil
 	}
@@ -197,7 +197,7 @@
 // two has missed a change. It shows as a change that took effect in most
 // places. Both take over what the other has, recent changes first, and since
 // the newer version of each object wins, both end with the same.
-func (f *Follower) differ(now time.Time, peer Peer, m Mark) []Effect {
+func (f *Follower) differ(now time.Time, peer Peer, m Summary) []Effect {
 	if f.repair.digest != m.Digest {
 		f.repair.digest = m.Digest
 		f.repair.width = 0
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		v := held[f.pull.peer]
-		d := Delta{Objects: []topo.Object{at(v)}, Mark: Mark{Version: v, Complete: v}}
+		d := Delta{Objects: []topo.Object{at(v)}, Mark: Summary{Version: v, Complete: v}}
 		f.Step(Answered{Now: now, Peer: f.pull.peer, Delta: d})
 	}
 	if have := f.set.Held(object); have != 9 {
@@ -61,10 +61,10 @@
 // deletion. The profile that a router has read in between must not stay.
 func TestDeletionThatCameBackIsTaken(t *testing.T) {
 	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
-	f.Step(Heard{Now: now, Peer: "a", Mark: Mark{Version: 1}})
+	f.Step(Heard{Now: now, Peer: "a", Mark: Summary{Version: 1}})
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	gone := topo.Object{Ref: object, Version: 1, Deleted: true}
-	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Objects: []topo.Object{gone}, Known: 3, Mark: Mark{Version: 1, Complete: 3}}})
+	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Objects: []topo.Object{gone}, Known: 3, Mark: Summary{Version: 1, Complete: 3}}})
 	if o, ok := f.set.Get(object); ok {
 		t.Errorf("version %d is still in force", o.Version)
 	}
@@ -79,7 +79,7 @@
 	f.peers = []Peer{"a"}
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 5})
 	f.ask(now, "a", 2)
-	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Mark: Mark{Version: 2, Complete: 9}}})
+	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Mark: Summary{Version: 2, Complete: 9}}})
 	if f.set.Complete() != 9 {
 		t.Fatalf("complete up to %d, want what the peer claims", f.set.Complete())
 	}
@@ -303,7 +303,7 @@
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	f.Step(Duty{Now: now, On: false})
 	f.Step(Duty{Now: now, On: true})
-	for _, e := range f.Step(Heard{Now: now, Peer: "a", Mark: Mark{Version: 3, Complete: 3}}) {
+	for _, e := range f.Step(Heard{Now: now, Peer: "a", Mark: Summary{Version: 3, Complete: 3}}) {
 		if _, ok := e.(Ask); ok {
 			return
 		}
@@ -343,8 +343,8 @@
 	}
 	f.Step(Unwatched{Now: now})
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
-	f.Step(Heard{Now: now, Peer: "reader", Mark: Mark{Version: 2, Complete: 2}})
-	f.Step(Answered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{at(2)}, Mark: Mark{Version: 2, Complete: 2}}})
+	f.Step(Heard{Now: now, Peer: "reader", Mark: Summary{Version: 2, Complete: 2}})
+	f.Step(Answered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{at(2)}, Mark: Summary{Version: 2, Complete: 2}}})
 	if f.Set().Held(object) != 2 || !f.Ready() {
 		t.Errorf("version %d is held, ready %v", f.Set().Held(object), f.Ready())
 	}
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -59,13 +59,13 @@
 type keptDelta struct {
 	set    relay.Set
 	since  config.Query // without the asker's mark
-	mark   config.Mark
+	mark   config.Summary
 	packed Delta
 }
 
 // Pack returns the delta that answers a query of a set.
 func (p *Packer) Pack(set relay.Set, q config.Query, d config.Delta) (Delta, error) {
-	q.Mark = config.Mark{}
+	q.Mark = config.Summary{}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, k := range p.kept {
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -26,7 +26,7 @@
 }
 
 // outdatedPeer reports whether a peer has taken its configuration from an older copy.
-func (f *Follower) outdatedPeer(m Mark) bool {
+func (f *Follower) outdatedPeer(m Summary) bool {
 	return Edition{Number: m.Edition, Version: m.Version}.precedes(f.set.edition)
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -48,7 +48,7 @@
 
 // Knowledge is how far a router follows one set.
 type Knowledge struct {
-	Mark config.Mark `cbor:"1,keyasint"`
+	Mark config.Summary `cbor:"1,keyasint"`
 	// Age is how long ago the store confirmed that nothing newer existed, in
 	// milliseconds; negative: not known.
 	Age int64 `cbor:"2,keyasint"`
@@ -194,8 +194,8 @@
 	ownAt     time.Time // when own was true
 	nextBeat  time.Time
 	nextShare time.Time
-	told      Sets[config.Mark] // in the last beat
-	toldAt    Sets[time.Time]   // when that was known to be the newest; zero: it was not
+	told      Sets[config.Summary] // in the last beat
+	toldAt    Sets[time.Time]      // when that was known to be the newest; zero: it was not
 }
 
 // New returns the State of a router that knows of no other. It reads the store.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -159,7 +159,7 @@
 }
 
 func (w *world) followed(n *testNode) {
-	k := Knowledge{Mark: config.Mark{Version: n.version}, Age: -1, Back: -1}
+	k := Knowledge{Mark: config.Summary{Version: n.version}, Age: -1, Back: -1}
 	if !n.answered.IsZero() {
 		k.Age = w.now.Sub(n.answered).Milliseconds()
 	}
