--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -6,9 +6,9 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// sessionsKept is how many sessions a router remembers. At the target's size, 19,000
+// maxSessions is how many sessions a router remembers. At the target's size, 19,000
 // of those that may come back go through one router; each takes 150 bytes.
-const sessionsKept = 32 << 10
+const maxSessions = 32 << 10
 
 // LastServed knows which upstream has answered each session last through this router, as what V
 // stands for. It holds the session's prompt, whatever the ranking says now: upstreams may have
@@ -20,7 +20,7 @@
 
 // NewLastServed returns a Holders that knows none.
 func NewLastServed[V any]() *LastServed[V] {
-	sessions, err := simplelru.NewLRU[uint64, V](sessionsKept, nil)
+	sessions, err := simplelru.NewLRU[uint64, V](maxSessions, nil)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -19,14 +19,14 @@
 func (s SharedState) Empty() bool { return s.Loads == nil && s.Outcomes == nil && s.Speeds == nil }
 
 // Allowed returns what of s a policy lets routers tell each other.
-func (s SharedState) Allowed(on policy.Policy) SharedState {
-	if !on.SharedLoads {
+func (s SharedState) Allowed(mechanisms policy.Policy) SharedState {
+	if !mechanisms.SharedLoads {
 		s.Loads = nil
 	}
-	if !on.SharedOutcomes {
+	if !mechanisms.SharedOutcomes {
 		s.Outcomes = nil
 	}
-	if !on.Waits {
+	if !mechanisms.Waits {
 		s.Speeds = nil
 	}
 	return s
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -32,19 +32,19 @@
 
 // Tracker is what a router knows of the upstreams of one pool.
 type Tracker struct {
-	mu       sync.Mutex
-	loads    *load.PoolLoad
-	demand   *load.Demand
-	pace     *load.RelativeLatency
-	outliers *outlier.Detector
-	speed    *load.Speed
-	mix      load.UrgencyMix
-	places   int // of an engine; zero: they do not tell
+	mu              sync.Mutex
+	loads           *load.PoolLoad
+	demand          *load.Demand
+	relativeLatency *load.RelativeLatency
+	outliers        *outlier.Detector
+	speed           *load.Speed
+	urgencies       load.UrgencyMix
+	slots           int // of an engine; zero: they do not tell
 }
 
 // NewTracker returns a Tracker that knows nothing.
 func NewTracker() *Tracker {
-	return &Tracker{loads: load.NewPoolLoad(), demand: load.NewDemand(), pace: load.NewRelativeLatency(), outliers: outlier.New(), speed: load.NewSpeed()}
+	return &Tracker{loads: load.NewPoolLoad(), demand: load.NewDemand(), relativeLatency: load.NewRelativeLatency(), outliers: outlier.New(), speed: load.NewSpeed()}
 }
 
 // Request is a request that looks for an upstream.
@@ -67,92 +67,92 @@
 // time for that. It is served when a surge is over, and takes no place from those that come
 // meanwhile. Of 28456 callers in a surge of twice what the pool can do, 16593 get their
 // answer in time, 11608 without (TestSurgeBeyondThePoolIsServedInTime).
-func (t *Tracker) Choose(now time.Time, p *placement.Pool, on policy.Policy, r Request, out *[placement.MaxCandidates]placement.Choice) (int, placement.Basis) {
+func (t *Tracker) Choose(now time.Time, p *placement.Pool, mechanisms policy.Policy, r Request, out *[placement.MaxCandidates]placement.Choice) (int, placement.Basis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r.IgnoreDomains = !on.DomainSpill
-	if !on.HotSpread {
+	r.IgnoreDomains = !mechanisms.DomainSpill
+	if !mechanisms.HotSpread {
 		r.SessionShare = 0
 	}
-	idle := p.Drained()
+	drained := p.Drained()
 	if r.LoadMultiple > 0 {
-		seen := t.loads.OwnShare(p.Len(), idle)
-		r.LoadMultiple, r.BoundJitter = fillTo(r.LoadMultiple, seen), softness(seen)
+		ownShare := t.loads.OwnShare(p.Len(), drained)
+		r.LoadMultiple, r.BoundJitter = fillLimit(r.LoadMultiple, ownShare), boundJitter(ownShare)
 	}
-	if !on.SoftBounds {
+	if !mechanisms.SoftBounds {
 		r.BoundJitter = 0
 	}
-	l := loadsAt{Tracker: t, on: on, now: now, n: p.Len(), idle: idle, request: r}
-	queues := on.Waits && t.places > 0 && r.Objective > 0
-	if queues {
-		l.request.LatencyLimit, l.request.ShortestObjective = r.Objective.Seconds(), t.mix.ShortestObjective().Seconds()*t.speed.DurationFactor(r.Profile)
+	l := loadsAt{Tracker: t, mechanisms: mechanisms, now: now, upstreams: p.Len(), drained: drained, request: r}
+	usesEstimates := mechanisms.Waits && t.slots > 0 && r.Objective > 0
+	if usesEstimates {
+		l.request.LatencyLimit, l.request.ShortestObjective = r.Objective.Seconds(), t.urgencies.ShortestObjective().Seconds()*t.speed.DurationFactor(r.Profile)
 	}
 	n, basis := p.ChooseBounded(l, l.request.Query, out)
-	if queues && r.TimeLeft > 0 && (basis.ShouldReject || r.ObjectiveMissed) {
-		l.behind = true
-		l.request.Urgency = min(r.Urgency+lastUrgencies, leastUrgency)
-		l.request.LatencyLimit = waitShare * r.TimeLeft.Seconds()
+	if usesEstimates && r.TimeLeft > 0 && (basis.ShouldReject || r.ObjectiveMissed) {
+		l.deferred = true
+		l.request.Urgency = min(r.Urgency+deferredUrgencyStep, lastUrgency)
+		l.request.LatencyLimit = deferredWaitShare * r.TimeLeft.Seconds()
 		l.request.Deferred = true
 		n, basis = p.ChooseBounded(l, l.request.Query, out)
 	}
-	basis.Urgency, basis.Deferred = l.request.Urgency, l.behind
+	basis.Urgency, basis.Deferred = l.request.Urgency, l.deferred
 	return n, basis
 }
 
 const (
-	// lastUrgencies is by how much less urgent a request is that cannot be answered in time
+	// deferredUrgencyStep is by how much less urgent a request is that cannot be answered in time
 	// any more: after all that can.
-	lastUrgencies = 5
-	// leastUrgency is the last one that upstreams tell apart.
-	leastUrgency = 9
-	// waitShare of what is left of its caller's time is how long such a request may wait
+	deferredUrgencyStep = 5
+	// lastUrgency is the last one that upstreams tell apart.
+	lastUrgency = 9
+	// deferredWaitShare of what is left of its caller's time is how long such a request may wait
 	// for the first byte of its answer: the rest is for the answer.
-	waitShare = 0.5
-	// queueShare times its places is up to which load an engine gets such requests. Engines
+	deferredWaitShare = 0.5
+	// deferredLoadPerSlot times its places is up to which load an engine gets such requests. Engines
 	// turn away whatever comes when their queue is full, the most urgent requests too.
-	queueShare = 2.0
+	deferredLoadPerSlot = 2.0
 )
 
 const (
-	// toldShare is the part of the platform's bound on the load of an upstream up to
+	// minFillShare is the part of the platform's bound on the load of an upstream up to
 	// which routers fill it where they go by what they are told, which is a little
-	// old, and mostShare where they count nearly everything themselves. In between,
-	// countedShare times the part that a router counts is added. With 4 routers that
+	// old, and maxFillShare where they count nearly everything themselves. In between,
+	// ownFillShare times the part that a router counts is added. With 4 routers that
 	// makes 0.9: a fifth fewer tokens are moved than with 0.8.
-	toldShare, countedShare, mostShare = 0.8, 0.4, 0.95
+	minFillShare, ownFillShare, maxFillShare = 0.8, 0.4, 0.95
 )
 
-// boundShare returns the part of the platform's bound up to which a router fills an
+// fillShare returns the part of the platform's bound up to which a router fills an
 // upstream if it counts a part of all requests itself.
-func boundShare(seen float64) float64 {
-	return min(toldShare+countedShare*seen, mostShare)
+func fillShare(ownShare float64) float64 {
+	return min(minFillShare+ownFillShare*ownShare, maxFillShare)
 }
 
-// hardFrom is the part of all requests from which on a router that counts it keeps to one
+// fixedBoundShare is the part of all requests from which on a router that counts it keeps to one
 // bound for all: what it does not count is too little for all routers to turn away at once.
-const hardFrom = 0.25
+const fixedBoundShare = 0.25
 
-// softness returns how far chance draws the bounds of requests of a router that counts a
+// boundJitter returns how far chance draws the bounds of requests of a router that counts a
 // part of all requests itself.
-func softness(seen float64) float64 {
-	return max(1-seen/hardFrom, 0)
+func boundJitter(ownShare float64) float64 {
+	return max(1-ownShare/fixedBoundShare, 0)
 }
 
 const (
-	// roomShare is the part of the room between the mean and the bound that a router uses
-	// at least, up to roomMost times the mean.
-	roomShare, roomMost = 0.8, 1.5
+	// headroomShare is the part of the room between the mean and the bound that a router uses
+	// at least, up to maxHeadroomMultiple times the mean.
+	headroomShare, maxHeadroomMultiple = 0.8, 1.5
 )
 
-// fillTo returns up to which multiple of the mean a router fills an upstream.
+// fillLimit returns up to which multiple of the mean a router fills an upstream.
 //
 // A part of a tight bound is next to the mean, and what a router does not know of a load
 // is more than that. Most upstreams then seem to be over the bound, and routers that
 // were told the same send their sessions to the same few that seem to be below. Of 60
 // routers before 24 upstreams with a bound of 1.25, 800 of 1261 answers were late, and
 // none with this (model.TestManyRoutersDoNotRunToTheSameUpstreams).
-func fillTo(multiple, seen float64) float64 {
-	return max(multiple*boundShare(seen), min(1+roomShare*(multiple-1), roomMost))
+func fillLimit(multiple, ownShare float64) float64 {
+	return max(multiple*fillShare(ownShare), min(1+headroomShare*(multiple-1), maxHeadroomMultiple))
 }
 
 // RecordRequest counts a request of a session and returns its share of the pool's.
@@ -182,28 +182,28 @@
 func (t *Tracker) SetSlots(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.places = n
+	t.slots = n
 }
 
 // RecordObjective takes in within which objective the first byte of a request is wanted.
 func (t *Tracker) RecordObjective(urgency int, objective time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.SetObjective(urgency, objective)
+	t.urgencies.SetObjective(urgency, objective)
 }
 
 // BeginWait counts an attempt that waits for its first byte.
 func (t *Tracker) BeginWait(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.AddWaiting(a.Urgency)
+	t.urgencies.AddWaiting(a.Urgency)
 }
 
 // EndWait counts the first byte of an attempt that Sent has counted, or its end without one.
 func (t *Tracker) EndWait(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mix.RemoveWaiting(a.Urgency)
+	t.urgencies.RemoveWaiting(a.Urgency)
 }
 
 // RecordEvents takes in that n events of a stream came within a time after the one before.
@@ -239,7 +239,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.Keep(members)
-	t.pace.Keep(members)
+	t.relativeLatency.Keep(members)
 	t.outliers.Keep(members)
 	t.speed.Keep(members)
 }
@@ -254,25 +254,25 @@
 }
 
 // RecordOutcome takes in how an attempt went, and how long that took to show.
-func (t *Tracker) RecordOutcome(now time.Time, a Attempt, d time.Duration, well bool) {
+func (t *Tracker) RecordOutcome(now time.Time, a Attempt, d time.Duration, succeeded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !well {
-		t.pace.RecordFailure(now, a.VM, a.Profile, d)
+	if !succeeded {
+		t.relativeLatency.RecordFailure(now, a.VM, a.Profile, d)
 		t.outliers.Failed(now, a.VM)
 		return
 	}
-	t.pace.RecordAnswer(now, a.VM, a.Profile, d)
+	t.relativeLatency.RecordAnswer(now, a.VM, a.Profile, d)
 	t.outliers.Succeeded(now, a.VM)
-	if t.places > 0 && !a.Deferred {
-		t.speed.RecordFirstByte(now, a.VM, a.Profile, d, t.behind(a.Load, a.Urgency))
+	if t.slots > 0 && !a.Deferred {
+		t.speed.RecordFirstByte(now, a.VM, a.Profile, d, t.requestsAhead(a.Load, a.Urgency))
 	}
 }
 
-// behind returns behind how many others a request of an urgency waits at an engine with
+// requestsAhead returns requestsAhead how many others a request of an urgency waits at an engine with
 // some load.
-func (t *Tracker) behind(load float64, urgency int) float64 {
-	return max(load+1-float64(t.places), 0) * t.mix.FractionAhead(urgency)
+func (t *Tracker) requestsAhead(running float64, urgency int) float64 {
+	return max(running+1-float64(t.slots), 0) * t.urgencies.FractionAhead(urgency)
 }
 
 // RecordFailure takes in that an attempt failed at an upstream, beside what Went has said of it.
@@ -307,12 +307,12 @@
 // loadsAt is a Tracker at one moment, for n upstreams. It implements placement.Loads.
 type loadsAt struct {
 	*Tracker
-	on      policy.Policy
-	now     time.Time
-	n       int
-	idle    int // of them, get nothing
-	request Request
-	behind  bool // the request waits behind those that can be answered in time
+	mechanisms policy.Policy
+	now        time.Time
+	upstreams  int
+	drained    int // of them, get nothing
+	request    Request
+	deferred   bool // the request waits behind those that can be answered in time
 }
 
 // Load implements placement.Loads.
@@ -322,28 +322,28 @@
 // it, of which this router knows its own requests.
 func (l loadsAt) Cost(vm load.VM) float64 {
 	wait := l.loads.Load(l.now, vm) + 1
-	if l.on.Pace {
-		wait *= l.pace.Factor(l.now, vm)
+	if l.mechanisms.Pace {
+		wait *= l.relativeLatency.Factor(l.now, vm)
 	}
 	return wait
 }
 
 // Estimate implements placement.Loads.
 func (l loadsAt) Estimate(vm load.VM) placement.Estimate {
-	load := l.loads.RecentLoad(l.now, vm)
-	behind := l.Tracker.behind(load, l.request.Urgency)
-	first := l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, 0, l.places)
-	until := first
-	if behind > 0 {
-		until = l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, behind, l.places)
+	queued := l.loads.RecentLoad(l.now, vm)
+	ahead := l.Tracker.requestsAhead(queued, l.request.Urgency)
+	withoutQueue := l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, 0, l.slots)
+	start := withoutQueue
+	if ahead > 0 {
+		start = l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, ahead, l.slots)
 	}
-	if l.behind && load >= queueShare*float64(l.places) {
-		until = math.Inf(1)
+	if l.deferred && queued >= deferredLoadPerSlot*float64(l.slots) {
+		start = math.Inf(1)
 	}
 	return placement.Estimate{
-		Start:     until,
-		QueueWait: until - first,
-		Queued:    behind > 0,
+		Start:     start,
+		QueueWait: start - withoutQueue,
+		Queued:    ahead > 0,
 		Slowdown:  l.speed.Slowdown(l.now, vm),
 	}
 }
@@ -354,7 +354,7 @@
 // Mean implements placement.Loads. It is that of all upstreams, also while some are
 // suspected: measured against those that take their requests on, the bound would be far
 // above the operators', who count all.
-func (l loadsAt) Mean() float64 { return l.loads.Mean(l.n, l.idle) }
+func (l loadsAt) Mean() float64 { return l.loads.Mean(l.upstreams, l.drained) }
 
 // Unavailable implements placement.Loads.
 func (l loadsAt) Unavailable(i int) bool {
@@ -363,5 +363,5 @@
 
 // IsSuspected implements placement.Loads.
 func (l loadsAt) IsSuspected(vm load.VM) bool {
-	return l.on.Outliers && l.outliers.IsSuspected(l.now, vm)
+	return l.mechanisms.Outliers && l.outliers.IsSuspected(l.now, vm)
 }
--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -13,23 +13,23 @@
 
 // Four routers each count a quarter of the requests, and fill upstreams further than
 // one of many that goes by what it is told.
-func TestBoundGrowsWithWhatIsCounted(t *testing.T) {
-	for _, c := range []struct{ seen, want float64 }{{0, 0.8}, {0.25, 0.9}, {1, 0.95}} {
-		if got := boundShare(c.seen); got != c.want {
-			t.Errorf("seen %v: %v, want %v", c.seen, got, c.want)
+func TestFillShareGrowsWithOwnShare(t *testing.T) {
+	for _, c := range []struct{ ownShare, want float64 }{{0, 0.8}, {0.25, 0.9}, {1, 0.95}} {
+		if got := fillShare(c.ownShare); got != c.want {
+			t.Errorf("seen %v: %v, want %v", c.ownShare, got, c.want)
 		}
 	}
 }
 
 // A bound of a quarter over the mean leaves room to choose, one of twice the mean is
 // what it was, and no router fills past the operators' bound.
-func TestTightBoundLeavesRoom(t *testing.T) {
-	for _, c := range []struct{ multiple, seen, want float64 }{
+func TestTightBoundLeavesHeadroom(t *testing.T) {
+	for _, c := range []struct{ multiple, ownShare, want float64 }{
 		{1.25, 0, 1.2}, {1.1, 0, 1.08}, {1.25, 1, 1.2}, {2, 0, 1.6}, {2, 0.25, 1.8}, {4, 0, 3.2},
 	} {
-		got := fillTo(c.multiple, c.seen)
+		got := fillLimit(c.multiple, c.ownShare)
 		if math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("multiple %v, seen %v: filled to %v, want %v", c.multiple, c.seen, got, c.want)
+			t.Errorf("multiple %v, seen %v: filled to %v, want %v", c.multiple, c.ownShare, got, c.want)
 		}
 		if got > c.multiple {
 			t.Errorf("multiple %v: filled to %v", c.multiple, got)
@@ -68,9 +68,9 @@
 	if err := third.MergeKnown(now, ids, reader.PackKnown(now, ids)); err != nil {
 		t.Fatal(err)
 	}
-	chosen := func(on policy.Policy) int {
+	chosen := func(mechanisms policy.Policy) int {
 		var out [placement.MaxCandidates]placement.Choice
-		third.Choose(now, pool, on, Request{Query: placement.Query{Session: session, Now: now}}, &out)
+		third.Choose(now, pool, mechanisms, Request{Query: placement.Query{Session: session, Now: now}}, &out)
 		return out[0].Index
 	}
 	if chosen(policy.All()) == home {
@@ -90,7 +90,7 @@
 	tracker := NewTracker()
 	var members []placement.Member
 	for i := range upstreams {
-		m := member(i)
+		m := newMember(i)
 		m.Drained, m.Leaving = i < drained, i < drained
 		if !m.Drained {
 			tracker.RecordLoad(now, m.VM, each)
@@ -108,8 +108,8 @@
 	}
 }
 
-// member is upstream i of a pool.
-func member(i int) placement.Member {
+// newMember is upstream i of a pool.
+func newMember(i int) placement.Member {
 	name := fmt.Sprint("engine-", i)
 	return placement.Member{VM: load.Hash(name), Seed: placement.Seed(name)}
 }
--- a/internal/balance/waits_test.go
+++ b/internal/balance/waits_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	places    = 16
+	slots     = 16
 	objective = 400 * time.Millisecond
 )
 
-// engines returns a Tracker of a pool of six engines of 16 places, of which answers take a
+// newEnginePool returns a Tracker of a pool of six newEnginePool of 16 places, of which answers take a
 // second and begin after 80 ms, and at each of which so many requests run or wait.
-func engines(now time.Time, requests int) (*Tracker, *placement.Pool, []load.VM) {
+func newEnginePool(now time.Time, requests int) (*Tracker, *placement.Pool, []load.VM) {
 	t := NewTracker()
 	var ids []load.VM
 	var ms []placement.Member
@@ -26,7 +26,7 @@
 		ms = append(ms, placement.Member{VM: id, Seed: placement.Seed(name)})
 		t.RecordLoad(now, id, requests)
 	}
-	t.SetSlots(places)
+	t.SetSlots(slots)
 	t.RecordObjective(0, objective)
 	for range 50 {
 		t.RecordAnswerTime(now, ids[0], "chat", time.Second)
@@ -35,10 +35,10 @@
 	return t, placement.NewPool(ms, placement.Locality{}), ids
 }
 
-func ask(t *Tracker, now time.Time, p *placement.Pool, on policy.Policy, random uint64, left time.Duration) (placement.Choice, placement.Basis) {
+func choose(t *Tracker, now time.Time, p *placement.Pool, mechanisms policy.Policy, random uint64, left time.Duration) (placement.Choice, placement.Basis) {
 	var out [placement.MaxCandidates]placement.Choice
 	q := placement.Query{Session: 7, LoadMultiple: 4, Random: random, Now: now}
-	_, basis := t.Choose(now, p, on, Request{Query: q, Profile: "chat", Objective: objective, TimeLeft: left}, &out)
+	_, basis := t.Choose(now, p, mechanisms, Request{Query: q, Profile: "chat", Objective: objective, TimeLeft: left}, &out)
 	return out[0], basis
 }
 
@@ -46,26 +46,26 @@
 // the note comes late, and those after it too. Behind all that can be answered in time it
 // is in nobody's way, and it is served when the queue is gone. Where the queues are nearly
 // full, or the coach has no time for that, it is turned away at once.
-func TestWhatCannotBeInTimeWaitsBehindOrIsTurnedAway(t *testing.T) {
+func TestLateRequestsAreDeferredOrRejected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name         string
-		requests     int
-		left         time.Duration
-		behind, late bool
+		name               string
+		requests           int
+		left               time.Duration
+		deferred, rejected bool
 	}{
 		{"free places", 8, 10 * time.Second, false, false},
 		{"a queue", 28, 10 * time.Second, true, false},
 		{"full queues", 40, 10 * time.Second, true, true},
 		{"no time", 30, time.Second, true, true},
 	} {
-		tracker, pool, _ := engines(now, c.requests)
+		tracker, pool, _ := newEnginePool(now, c.requests)
 		for random := range uint64(50) {
-			_, basis := ask(tracker, now, pool, policy.All(), random, c.left)
-			if basis.Deferred != c.behind || basis.ShouldReject != c.late {
+			_, basis := choose(tracker, now, pool, policy.All(), random, c.left)
+			if basis.Deferred != c.deferred || basis.ShouldReject != c.rejected {
 				t.Errorf("%s: behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
 			}
-			if want := map[bool]int{false: 0, true: lastUrgencies}[c.behind]; basis.Urgency != want {
+			if want := map[bool]int{false: 0, true: deferredUrgencyStep}[c.deferred]; basis.Urgency != want {
 				t.Errorf("%s: urgency %d, want %d", c.name, basis.Urgency, want)
 			}
 		}
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, basis := ask(tracker, now, pool, without, 1, c.left); basis.Deferred || basis.ShouldReject {
+		if _, basis := choose(tracker, now, pool, without, 1, c.left); basis.Deferred || basis.ShouldReject {
 			t.Errorf("%s: switched off, behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
 		}
 	}
@@ -84,13 +84,13 @@
 // takes. It leaves a home that works five times slower than the others.
 func TestSessionsLeaveSlowHomesAndNotBusyOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tracker, pool, ids := engines(now, 8)
-	home, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second)
+	tracker, pool, ids := newEnginePool(now, 8)
+	home, _ := choose(tracker, now, pool, policy.All(), 1, 10*time.Second)
 	tracker.RecordLoad(now, ids[home.Index], 17)
 	for range 40 {
 		tracker.RecordOutcome(now, Attempt{VM: ids[home.Index], Profile: "chat", Load: 17}, 900*time.Millisecond, true)
 	}
-	if got, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index != home.Index {
+	if got, _ := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index != home.Index {
 		t.Error("the session leaves a home that has a queue")
 	}
 	for _, id := range ids {
@@ -102,7 +102,7 @@
 			tracker.RecordEvents(now, id, "chat", 1, pause)
 		}
 	}
-	if got, _ := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index == home.Index {
+	if got, _ := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); got.Index == home.Index {
 		t.Error("the session stays at a home that works five times slower, and has a queue")
 	}
 }
@@ -110,23 +110,23 @@
 // All engines have full queues, and all routers turn everything away. With no request there
 // is no answer that would tell a newer load. The queues are gone within seconds, and nobody
 // may be turned away for what they were.
-func TestNobodyIsTurnedAwayForOldQueues(t *testing.T) {
+func TestNoRequestIsRejectedForAnOldQueueReport(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tracker, pool, _ := engines(now, 60)
-	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); !basis.ShouldReject {
+	tracker, pool, _ := newEnginePool(now, 60)
+	if _, basis := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); !basis.ShouldReject {
 		t.Fatal("with full queues nobody is turned away")
 	}
 	now = now.Add(4 * time.Second)
-	if _, basis := ask(tracker, now, pool, policy.All(), 1, 10*time.Second); basis.ShouldReject {
+	if _, basis := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); basis.ShouldReject {
 		t.Error("a request is turned away for queues of which nothing was heard for 4 s")
 	}
 }
 
 // Urgencies end at 9. A request of little urgency that waits behind others is sent with that,
 // and not with one that no engine knows.
-func TestUrgencyBehindOthersIsOneThatEnginesKnow(t *testing.T) {
+func TestDeferredUrgencyStaysInRange(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tracker, pool, _ := engines(now, 28)
+	tracker, pool, _ := newEnginePool(now, 28)
 	for urgency, want := range map[int]int{0: 5, 4: 9, 7: 9, 9: 9} {
 		var out [placement.MaxCandidates]placement.Choice
 		q := placement.Query{Session: 7, LoadMultiple: 4, Now: now}
@@ -142,10 +142,10 @@
 // A stream breaks off in a surge and goes on at another engine. Its caller has the first half
 // of it, and gives up after a pause of two seconds: it must not wait behind others, nor be
 // turned away, also if its caller was turned away before.
-func TestStreamsThatGoOnDoNotWaitBehind(t *testing.T) {
+func TestResumedStreamsAreNotDeferred(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, requests := range []int{28, 40} {
-		tracker, pool, _ := engines(now, requests)
+		tracker, pool, _ := newEnginePool(now, requests)
 		var out [placement.MaxCandidates]placement.Choice
 		q := placement.Query{Session: 7, LoadMultiple: 4, Now: now}
 		_, basis := tracker.Choose(now, pool, policy.All(), Request{Query: q, Profile: "chat", TimeLeft: 10 * time.Second, ObjectiveMissed: true}, &out)
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// givenUpTimes is HangTimes for an attempt that is given up before.
-const givenUpTimes = HangMultiple / 2
+// abandonMultiple is HangTimes for an attempt that is given up before.
+const abandonMultiple = HangMultiple / 2
 
 // Watch tells how one attempt at a direct upstream goes, for the choice of upstreams
 // for others: well with the first byte of its answer, badly if that does not come
@@ -16,11 +16,11 @@
 	attempt   Attempt
 	objective time.Duration // zero: none
 
-	mu     sync.Mutex
-	sent   time.Time
-	late   *time.Timer
-	judged bool
-	waits  bool // for its first byte
+	mu        sync.Mutex
+	sent      time.Time
+	hangTimer *time.Timer
+	recorded  bool
+	waiting   bool // for its first byte
 }
 
 // NewWatch returns the Watch of an attempt with an objective for its first byte; zero: it has none.
@@ -32,10 +32,10 @@
 func (w *Watch) Start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sent, w.waits = time.Now(), true
+	w.sent, w.waiting = time.Now(), true
 	w.tracker.BeginWait(w.attempt)
 	if w.objective > 0 {
-		w.late = time.AfterFunc(times(HangMultiple, w.objective), func() { w.RecordOutcome(false) })
+		w.hangTimer = time.AfterFunc(scale(HangMultiple, w.objective), func() { w.RecordOutcome(false) })
 	}
 }
 
@@ -43,23 +43,23 @@
 func (w *Watch) EndWait() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waits {
-		w.waits = false
+	if w.waiting {
+		w.waiting = false
 		w.tracker.EndWait(w.attempt)
 	}
 }
 
 // RecordOutcome says how the attempt went, unless that is known.
-func (w *Watch) RecordOutcome(well bool) {
+func (w *Watch) RecordOutcome(succeeded bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.judged || w.sent.IsZero() {
+	if w.recorded || w.sent.IsZero() {
 		return
 	}
-	w.judged = true
+	w.recorded = true
 	w.stop()
 	now := time.Now()
-	w.tracker.RecordOutcome(now, w.attempt, now.Sub(w.sent), well)
+	w.tracker.RecordOutcome(now, w.attempt, now.Sub(w.sent), succeeded)
 }
 
 // RecordFailure says that an answer broke off that had begun well.
@@ -71,7 +71,7 @@
 func (w *Watch) Abandon() {
 	w.EndWait()
 	w.mu.Lock()
-	slow := w.objective > 0 && time.Since(w.sent) > times(givenUpTimes, w.objective)
+	slow := w.objective > 0 && time.Since(w.sent) > scale(abandonMultiple, w.objective)
 	w.stop()
 	w.mu.Unlock()
 	if slow {
@@ -79,12 +79,12 @@
 	}
 }
 
-func times(x float64, d time.Duration) time.Duration {
+func scale(x float64, d time.Duration) time.Duration {
 	return time.Duration(x * float64(d))
 }
 
 func (w *Watch) stop() {
-	if w.late != nil {
-		w.late.Stop()
+	if w.hangTimer != nil {
+		w.hangTimer.Stop()
 	}
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -48,9 +48,9 @@
 // has said. It leaves while either is to leave: an order to the VM outlives the end of
 // its failure domain's.
 func (o *Orders) Lookup(vm, domain string) (Order, bool) {
-	own, ordered := o.vms[vm]
-	all, orderedAll := o.domains[domain]
-	return Order{Leave: own.Leave || all.Leave, Version: max(own.Version, all.Version)}, ordered || orderedAll
+	vmOrder, vmOrdered := o.vms[vm]
+	domainOrder, domainOrdered := o.domains[domain]
+	return Order{Leave: vmOrder.Leave || domainOrder.Leave, Version: max(vmOrder.Version, domainOrder.Version)}, vmOrdered || domainOrdered
 }
 
 // DrainedDomains returns the failure domains that are to leave, sorted.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -15,18 +15,18 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-func object(kind topo.Kind, name string, version topo.Version, deleted bool) topo.Object {
+func newObject(kind topo.Kind, name string, version topo.Version, deleted bool) topo.Object {
 	return topo.Object{Ref: topo.Ref{Kind: kind, Name: name}, Version: version, Deleted: deleted}
 }
 
 // An operator empties a hall in which one engine is out of order and had been drained by
 // itself. The hall is taken back while that engine is still being repaired: it must not
 // get work with the others.
-func TestOrderToAVMOutlivesThatToItsDomain(t *testing.T) {
+func TestVMOrderOutlivesItsDomainOrder(t *testing.T) {
 	var o Orders
-	o.Apply(object(topo.KindDrain, "broken", 3, false))
-	o.Apply(object(topo.KindDomainDrain, "hall", 5, false))
-	o.Apply(object(topo.KindDomainDrain, "hall", 9, true))
+	o.Apply(newObject(topo.KindDrain, "broken", 3, false))
+	o.Apply(newObject(topo.KindDomainDrain, "hall", 5, false))
+	o.Apply(newObject(topo.KindDomainDrain, "hall", 9, true))
 	if got, _ := o.Lookup("broken", "hall"); got != (Order{Leave: true, Version: 9}) {
 		t.Errorf("the engine's order is %+v", got)
 	}
@@ -39,9 +39,9 @@
 }
 
 // Whatever else is in the configuration is no order, and nobody is drained by it.
-func TestOtherObjectsAreNoOrders(t *testing.T) {
+func TestOtherObjectsAreNotOrders(t *testing.T) {
 	var o Orders
-	if o.Apply(object(topo.KindProfile, "hall", 1, false)) {
+	if o.Apply(newObject(topo.KindProfile, "hall", 1, false)) {
 		t.Error("a profile is taken for an order")
 	}
 	if _, ok := o.Lookup("hall", "hall"); ok {
@@ -51,7 +51,7 @@
 
 // For any series of orders: an upstream leaves if and only if the newest order to it or to
 // its failure domain says so, versions never fall, and the list of domains agrees.
-func TestNewestOrderHolds(t *testing.T) {
+func TestNewestOrderApplies(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		var o Orders
@@ -60,10 +60,10 @@
 		for version := topo.Version(1); version <= 20; version++ {
 			name, deleted := rapid.SampledFrom(names).Draw(t, "name"), rapid.Bool().Draw(t, "deleted")
 			if rapid.Bool().Draw(t, "domain") {
-				o.Apply(object(topo.KindDomainDrain, name, version, deleted))
+				o.Apply(newObject(topo.KindDomainDrain, name, version, deleted))
 				domains[name] = !deleted
 			} else {
-				o.Apply(object(topo.KindDrain, name, version, deleted))
+				o.Apply(newObject(topo.KindDrain, name, version, deleted))
 				vms[name] = !deleted
 			}
 			for _, vm := range names {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{130, 1000, 2900} {
 		for _, weights := range []int{1, 3} {
-			ms := members(n)
+			ms := newMembers(n)
 			table := load.NewTable()
 			for i := range ms {
 				ms[i].Weight = 1 + i%weights
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -31,18 +31,18 @@
 	// mean: where the mean is a few requests, chance alone puts two or three more on
 	// an upstream, and sessions would leave their prompts for that.
 	boundSlack = 2.25
-	// softLow and softHigh times the bound's multiple, and slackLow and slackHigh requests
+	// jitterMultipleMin and jitterMultipleMax times the bound's multiple, and slackLow and slackHigh requests
 	// on top, are between which the bound of a request lies where chance draws it.
-	softLow, softHigh   = 0.85, 1.15
-	slackLow, slackHigh = 1.5, 3.0
-	// spareMultiple of the mean, and spareSlack requests, is up to which an upstream takes
+	jitterMultipleMin, jitterMultipleMax = 0.85, 1.15
+	jitterSlackMin, jitterSlackMax       = 1.5, 3.0
+	// takeoverMultiple of the mean, and takeoverSlack requests, is up to which an upstream takes
 	// over requests of one that is suspected. With three fifths of a pool losing answers, the others would
 	// stand at the bound all the time, and chance would put them over the operators'.
-	spareMultiple, spareSlack = 1.3, 1.0
-	// newcomerFor is how long after it has joined an upstream is passed over as a
+	takeoverMultiple, takeoverSlack = 1.3, 1.0
+	// donorMinAge is how long after it has joined an upstream is passed over as a
 	// donor. Among upstreams that are replaced one after the other, it lowers the
 	// shared tokens that are read again by a sixth; 15 s do no better.
-	newcomerFor = 5 * time.Second
+	donorMinAge = 5 * time.Second
 )
 
 // Estimate is when the answer to a request is expected to begin at an upstream.
@@ -82,9 +82,9 @@
 	PassedOverSpread      PassOverReason = "spread" // the session has more requests than it may hold
 )
 
-// passedFor names the classes for which an upstream is passed over.
-var passedFor = map[class]PassOverReason{
-	suspected: "suspected", loaded: "loaded", lateFree: "slow", queued: "queued", far: "far", overBound: "over bound",
+// passOverReasons names the classes for which an upstream is passed over.
+var passOverReasons = map[class]PassOverReason{
+	suspected: "suspected", loaded: "loaded", tooSlow: "slow", queued: "queued", lowerRanked: "far", overBound: "over bound",
 }
 
 // Choice is an upstream to which a request is offered.
@@ -107,17 +107,17 @@
 		basis.Bound = q.bound(basis.Mean)
 	}
 	if q.Session == 0 {
-		return p.leastLoaded(l, q.Random, out), basis
+		return p.chooseCheapest(l, q.Random, out), basis
 	}
-	var ranked [depth]int
+	var ranked [maxRanked]int
 	order := ranked[:p.rank(q, ranked[:])]
 	if len(order) > 0 {
 		basis.Home = order[0]
 	}
-	p.spreadHot(l, q, basis, order)
-	n, first := p.underFirst(l, q, &basis, order, out)
-	basis.EstimatedStart = first.expected.Start
-	basis.ShouldReject = first.expected.Queued && tooMuch(q, basis)
+	p.spreadHotSession(l, q, basis, order)
+	n, first := p.chooseRanked(l, q, &basis, order, out)
+	basis.EstimatedStart = first.estimate.Start
+	basis.ShouldReject = first.estimate.Queued && shouldReject(q, basis)
 	// Upstreams of other regions come last.
 	for _, i := range ranked[:p.remote.top(q.Session, ranked[:])] {
 		n = p.add(l, out, n, i)
@@ -136,14 +136,14 @@
 // one request in twenty met an upstream over the operators' bound. Drawn anew for each
 // request, the bound has them leave one after the other.
 func (q Query) bound(mean float64) float64 {
-	draw := unit(mix(q.Random ^ boundSalt))
-	multiple := 1 + q.BoundJitter*(softLow+draw*(softHigh-softLow)-1)
-	slack := boundSlack + q.BoundJitter*(slackLow+draw*(slackHigh-slackLow)-boundSlack)
+	draw := unitInterval(mix(q.Random ^ boundSalt))
+	multiple := 1 + q.BoundJitter*(jitterMultipleMin+draw*(jitterMultipleMax-jitterMultipleMin)-1)
+	slack := boundSlack + q.BoundJitter*(jitterSlackMin+draw*(jitterSlackMax-jitterSlackMin)-boundSlack)
 	return multiple*q.LoadMultiple*mean + slack
 }
 
-// takes reports whether upstream i may get a request now.
-func (p *Pool) takes(l Loads, i int) bool {
+// accepts reports whether upstream i may get a request now.
+func (p *Pool) accepts(l Loads, i int) bool {
 	return !p.members[i].Leaving && !l.Unavailable(i)
 }
 
@@ -153,114 +153,114 @@
 	if q.IgnoreDomains {
 		return p.regional.top(q.Session, best)
 	}
-	return p.local.top(q.Session, best)
+	return p.byDomain.top(q.Session, best)
 }
 
-// calmShare and fullShare of the shortest objective of a pool are up to which expected wait
+// admitAllWait and rejectAllWait of the shortest objective of a pool are up to which expected wait
 // all requests are taken, and from which on none is. In between chance decides: what routers
 // are told of queues is some tenths of a second old, and a sharp limit has all of them turn
 // away, and then all of them take, at the same time.
-const calmShare, fullShare = 0.3, 1.0
+const admitAllWait, rejectAllWait = 0.3, 1.0
 
-// tooMuch reports whether a request is not to be sent to its first choice as it is.
-func tooMuch(q Query, b Basis) bool {
+// shouldReject reports whether a request is not to be sent to its first choice as it is.
+func shouldReject(q Query, b Basis) bool {
 	switch {
 	case q.LatencyLimit <= 0:
 		return false
 	case q.Deferred:
 		return b.EstimatedStart > q.LatencyLimit
 	}
-	share := (b.QueueWait/q.ShortestObjective - calmShare) / (fullShare - calmShare)
-	return share > unit(mix(q.Random))
+	rejectShare := (b.QueueWait/q.ShortestObjective - admitAllWait) / (rejectAllWait - admitAllWait)
+	return rejectShare > unitInterval(mix(q.Random))
 }
 
-// underFirst writes the upstreams of a ranking that serve to out, the best first, and
+// chooseRanked writes the upstreams of a ranking that serve to out, the best first, and
 // returns how many there are, and the first of them. It notes in basis when an answer is
 // expected to begin there, by what each can do: of those that work slowly few requests are
 // in question.
-func (p *Pool) underFirst(l Loads, q Query, basis *Basis, order []int, out *[MaxCandidates]Choice) (int, weighed) {
-	var ranked [depth]weighed
-	pass := pass{spare: spareMultiple*basis.Mean + spareSlack}
+func (p *Pool) chooseRanked(l Loads, q Query, basis *Basis, order []int, out *[MaxCandidates]Choice) (int, candidate) {
+	var ranked [maxRanked]candidate
+	scan := rankingScan{takeoverLimit: takeoverMultiple*basis.Mean + takeoverSlack}
 	n := 0
 	for _, i := range order {
-		if p.takes(l, i) {
-			ranked[n] = pass.place(p.weigh(l, q, *basis, i))
+		if p.accepts(l, i) {
+			ranked[n] = scan.adjust(p.classify(l, q, *basis, i))
 			n++
 		}
 	}
 	if n == 0 {
-		return 0, weighed{index: None, class: overBound}
+		return 0, candidate{index: None, class: overBound}
 	}
-	basis.QueueWait = pass.wait / pass.speeds
-	slices.SortStableFunc(ranked[:n], weighed.compare)
+	basis.QueueWait = scan.weightedWait / scan.speedSum
+	slices.SortStableFunc(ranked[:n], candidate.compare)
 	first := ranked[0]
-	basis.passed(p.takes(l, basis.Home), ranked[:n])
+	basis.setPassedOver(p.accepts(l, basis.Home), ranked[:n])
 	n = min(n, MaxCandidates)
 	for at, w := range ranked[:n] {
-		out[at] = p.choice(l, q, order, w.index)
+		out[at] = p.newChoice(l, q, order, w.index)
 	}
 	return n, first
 }
 
-// passed notes why the session's home is not the first of those that were weighed, which are
+// setPassedOver notes why the session's home is not the first of those that were weighed, which are
 // in their order.
-func (b *Basis) passed(taken bool, order []weighed) {
+func (b *Basis) setPassedOver(homeAccepts bool, order []candidate) {
 	switch {
 	case order[0].index == b.Home:
 		return
-	case !taken:
+	case !homeAccepts:
 		b.PassedOver = PassedOverUnavailable
 		return
 	}
 	b.PassedOver = PassedOverSpread
 	for _, w := range order {
 		if w.index == b.Home && w.class != eligible {
-			b.PassedOver = passedFor[w.class]
+			b.PassedOver = passOverReasons[w.class]
 		}
 	}
 }
 
-// pass goes over the upstreams of a ranking and knows of those that rank before.
-type pass struct {
-	spare        float64 // load up to which one takes over requests of one that is suspected
-	suspects     bool    // one is suspected
-	late         bool    // at one the answer is not expected to begin in time
-	atPace       bool    // one works at the usual pace
-	wait, speeds float64 // seconds of waiting by speed, and the speeds
+// rankingScan goes over the upstreams of a ranking and knows of those that rank before.
+type rankingScan struct {
+	takeoverLimit          float64 // load up to which one takes over requests of one that is suspected
+	hasSuspected           bool    // one is suspected
+	hasLate                bool    // at one the answer is not expected to begin in time
+	hasNormalSpeed         bool    // one works at the usual pace
+	weightedWait, speedSum float64 // seconds of waiting by speed, and the speeds
 }
 
-// place returns the next upstream with what those before it speak against it.
-func (s *pass) place(w weighed) weighed {
-	s.suspects = s.suspects || w.class == suspected
+// adjust returns the next upstream with what those before it speak against it.
+func (s *rankingScan) adjust(w candidate) candidate {
+	s.hasSuspected = s.hasSuspected || w.class == suspected
 	switch {
 	case w.class != eligible:
-	case s.suspects && w.upper >= s.spare:
+	case s.hasSuspected && w.upperLoad >= s.takeoverLimit:
 		w.class = loaded
-	case s.late && s.atPace:
-		w.class = far
+	case s.hasLate && s.hasNormalSpeed:
+		w.class = lowerRanked
 	}
-	s.late = s.late || w.class == lateFree || w.class == queued
-	s.atPace = s.atPace || w.expected.Slowdown < slowFrom
-	speed := 1 / max(w.expected.Slowdown, 1)
-	s.wait += speed * w.expected.QueueWait
-	s.speeds += speed
+	s.hasLate = s.hasLate || w.class == tooSlow || w.class == queued
+	s.hasNormalSpeed = s.hasNormalSpeed || w.estimate.Slowdown < slowdownLimit
+	speed := 1 / max(w.estimate.Slowdown, 1)
+	s.weightedWait += speed * w.estimate.QueueWait
+	s.speedSum += speed
 	return w
 }
 
-// weigh says what speaks against an upstream.
-func (p *Pool) weigh(l Loads, q Query, basis Basis, i int) weighed {
+// classify says what speaks against an upstream.
+func (p *Pool) classify(l Loads, q Query, basis Basis, i int) candidate {
 	vm := p.members[i].VM
-	w := weighed{index: i, upper: l.Upper(vm), expected: l.Estimate(vm)}
-	late := q.LatencyLimit > 0 && w.expected.Start > q.LatencyLimit
+	w := candidate{index: i, upperLoad: l.Upper(vm), estimate: l.Estimate(vm)}
+	late := q.LatencyLimit > 0 && w.estimate.Start > q.LatencyLimit
 	switch {
-	case w.upper >= basis.Bound:
+	case w.upperLoad >= basis.Bound:
 		w.class = overBound
-	case late && w.expected.Queued:
+	case late && w.estimate.Queued:
 		w.class = queued
 	case l.IsSuspected(vm):
 		w.class = suspected
 	case late:
-		w.class = lateFree
+		w.class = tooSlow
 	}
 	return w
 }
@@ -274,39 +274,39 @@
 	// loaded ones would be eligible, but for a suspected one that ranks before them: they
 	// have little room left for what is not their own.
 	loaded
-	// lateFree ones have a free place, but work too slowly to begin in time.
-	lateFree
+	// tooSlow ones have a free place, but work too slowly to begin in time.
+	tooSlow
 	// queued ones are not expected to begin in time because of what waits there.
 	queued
-	// far ones would be eligible, but for one that ranks before them, works at the usual pace
+	// lowerRanked ones would be eligible, but for one that ranks before them, works at the usual pace
 	// and has a queue: a session waits there. An engine reads a long prompt for as long as it
 	// takes for a hundred tokens of an answer, and in a surge all callers wait for that. With
 	// three of the usual pace considered in place of one, 1134 GB of prompts were moved in
 	// place of 960, and .583 of a day's worth was earned in place of .606 (one day, one seed).
-	far
+	lowerRanked
 	overBound
 )
 
-// slowFrom is how many times longer than usual an upstream takes for which no session waits.
-const slowFrom = 2.0
+// slowdownLimit is how many times longer than usual an upstream takes for which no session waits.
+const slowdownLimit = 2.0
 
-// weighed is an upstream with what speaks against it.
-type weighed struct {
-	index    int
-	class    class
-	upper    float64 // the load that it seldom exceeds
-	expected Estimate
+// candidate is an upstream with what speaks against it.
+type candidate struct {
+	index     int
+	class     class
+	upperLoad float64 // the load that it seldom exceeds
+	estimate  Estimate
 }
 
 // compare orders by class, in a class by the ranking, and those over the bound by their
 // load. Sessions keep to their ranking also where all have a queue: an engine that has to
 // read a prompt anew does so for as long as for a hundred tokens of an answer, and in a
 // surge all callers pay for that.
-func (w weighed) compare(other weighed) int {
+func (w candidate) compare(other candidate) int {
 	if by := cmp.Compare(w.class, other.class); by != 0 || w.class != overBound {
 		return by
 	}
-	return cmp.Compare(w.upper, other.upper)
+	return cmp.Compare(w.upperLoad, other.upperLoad)
 }
 
 func compareBools(a, b bool) int {
@@ -319,7 +319,7 @@
 	return 1
 }
 
-func (p *Pool) choice(l Loads, q Query, order []int, i int) Choice {
+func (p *Pool) newChoice(l Loads, q Query, order []int, i int) Choice {
 	return Choice{Index: i, Load: l.Load(p.members[i].VM), Donor: p.donor(q.Now, order, i)}
 }
 
@@ -331,7 +331,7 @@
 	for _, j := range order {
 		switch {
 		case j == i:
-		case now.Sub(p.members[j].Joined) > newcomerFor:
+		case now.Sub(p.members[j].Joined) > donorMinAge:
 			return j
 		case best == None:
 			best = j
@@ -340,35 +340,35 @@
 	return best
 }
 
-// leaveRatio is how many times longer than elsewhere in the region a request without a
+// leaveDomainRatio is how many times longer than elsewhere in the region a request without a
 // session is believed to take in the router's own failure domain before it leaves that.
-const leaveRatio = 1.5
+const leaveDomainRatio = 1.5
 
-// chanceRatio is how many times longer a request is believed to take at an upstream
+// significantRatio is how many times longer a request is believed to take at an upstream
 // than at another before that is more than chance. Without it, the one that was fastest
 // lately gets all requests of a quiet hour.
-const chanceRatio = 1.25
+const significantRatio = 1.25
 
-// leastLoaded chooses for a request without a session: of two random upstreams of the
+// chooseCheapest chooses for a request without a session: of two random upstreams of the
 // router's own failure domain, the one at which it is believed to take less time, unless
 // one of the region's others is far better. A domain may have one upstream: if that is
 // slow, its routers would send it all their requests. In a surge of three times the
 // traffic, .02 of the requests come late or are turned away, .24 to .50 if they stay in
 // the domain (TestRequestsGoAroundASlowUpstream).
-func (p *Pool) leastLoaded(l Loads, random uint64, out *[MaxCandidates]Choice) int {
+func (p *Pool) chooseCheapest(l Loads, random uint64, out *[MaxCandidates]Choice) int {
 	n := 0
 	for range p.regional.index {
 		if n == MaxCandidates {
 			return n
 		}
-		i := p.soonest(l, p.own, &random)
-		if j := p.soonest(l, p.regional.index, &random); i == None || p.sooner(l, j, i, leaveRatio) {
+		i := p.cheaperOfTwo(l, p.sameDomain, &random)
+		if j := p.cheaperOfTwo(l, p.regional.index, &random); i == None || p.cheaper(l, j, i, leaveDomainRatio) {
 			i = j
 		}
 		n = p.add(l, out, n, i)
 	}
 	// Chance may have picked the same few again and again.
-	for _, group := range [...][]int{p.own, p.rest, p.remote.index} {
+	for _, group := range [...][]int{p.sameDomain, p.otherDomains, p.remote.index} {
 		for _, i := range group {
 			n = p.add(l, out, n, i)
 		}
@@ -376,8 +376,8 @@
 	return n
 }
 
-// soonest returns the better of two random upstreams of a group, or None of an empty one.
-func (p *Pool) soonest(l Loads, group []int, random *uint64) int {
+// cheaperOfTwo returns the better of two random upstreams of a group, or None of an empty one.
+func (p *Pool) cheaperOfTwo(l Loads, group []int, random *uint64) int {
 	if len(group) == 0 {
 		return None
 	}
@@ -389,25 +389,25 @@
 	}
 	*random = mix(*random)
 	j := group[(at+1+int(*random%uint64(len(group)-1)))%len(group)]
-	if p.sooner(l, j, i, chanceRatio) {
+	if p.cheaper(l, j, i, significantRatio) {
 		return j
 	}
 	return i
 }
 
-// sooner reports whether a request without a session is to go to upstream i rather than
+// cheaper reports whether a request without a session is to go to upstream i rather than
 // to j, where it takes ratio times as long at least.
-func (p *Pool) sooner(l Loads, i, j int, ratio float64) bool {
+func (p *Pool) cheaper(l Loads, i, j int, ratio float64) bool {
 	a, b := p.members[i], p.members[j]
 	return cmp.Or(
-		compareBools(!p.takes(l, i), !p.takes(l, j)),
+		compareBools(!p.accepts(l, i), !p.accepts(l, j)),
 		compareBools(l.IsSuspected(a.VM), l.IsSuspected(b.VM)),
 		cmp.Compare(ratio*l.Cost(a.VM), l.Cost(b.VM)),
 	) < 0
 }
 
-// better reports whether upstream i is to get a request of a session rather than j.
-func (p *Pool) better(l Loads, i, j int) bool {
+// lessLoaded reports whether upstream i is to get a request of a session rather than j.
+func (p *Pool) lessLoaded(l Loads, i, j int) bool {
 	a, b := p.members[i].VM, p.members[j].VM
 	return cmp.Or(compareBools(l.IsSuspected(a), l.IsSuspected(b)), cmp.Compare(l.Load(a), l.Load(b))) < 0
 }
@@ -415,14 +415,14 @@
 // add adds upstream i to the n that are chosen, if there is room and it is not
 // among them, and returns how many there are then.
 func (p *Pool) add(l Loads, out *[MaxCandidates]Choice, n, i int) int {
-	if n == MaxCandidates || chosen(out[:n], i) || !p.takes(l, i) {
+	if n == MaxCandidates || containsChoice(out[:n], i) || !p.accepts(l, i) {
 		return n
 	}
 	out[n] = Choice{Index: i, Load: l.Load(p.members[i].VM), Donor: None}
 	return n + 1
 }
 
-func chosen(choices []Choice, i int) bool {
+func containsChoice(choices []Choice, i int) bool {
 	for _, c := range choices {
 		if c.Index == i {
 			return true
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -12,20 +12,20 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// loads is a Loads of fixed numbers, by upstream.
-type loads map[load.VM]float64
+// fixedLoads is a Loads of fixed numbers, by upstream.
+type fixedLoads map[load.VM]float64
 
-func (l loads) Load(vm load.VM) float64 { return l[vm] }
+func (l fixedLoads) Load(vm load.VM) float64 { return l[vm] }
 
-func (l loads) Cost(vm load.VM) float64 { return l[vm] }
+func (l fixedLoads) Cost(vm load.VM) float64 { return l[vm] }
 
-func (l loads) Upper(vm load.VM) float64 { return l[vm] }
+func (l fixedLoads) Upper(vm load.VM) float64 { return l[vm] }
 
-func (l loads) IsSuspected(load.VM) bool  { return false }
-func (l loads) Unavailable(int) bool      { return false }
-func (l loads) Estimate(load.VM) Estimate { return Estimate{} }
+func (l fixedLoads) IsSuspected(load.VM) bool  { return false }
+func (l fixedLoads) Unavailable(int) bool      { return false }
+func (l fixedLoads) Estimate(load.VM) Estimate { return Estimate{} }
 
-func (l loads) Mean() float64 {
+func (l fixedLoads) Mean() float64 {
 	sum := 0.0
 	for _, n := range l {
 		sum += n
@@ -33,8 +33,8 @@
 	return sum / float64(max(len(l), 1))
 }
 
-// bounded returns the indices of the upstreams that are chosen.
-func bounded(p *Pool, l Loads, q Query) []int {
+// chosenIndices returns the indices of the upstreams that are chosen.
+func chosenIndices(p *Pool, l Loads, q Query) []int {
 	var out [MaxCandidates]Choice
 	n, _ := p.ChooseBounded(l, q, &out)
 	var chosen []int
@@ -49,7 +49,7 @@
 // home of a session that moves is its donor.
 func TestSessionsStayWhenAnUpstreamJoins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := members(rapid.IntRange(2, 30).Draw(t, "upstreams"))
+		ms := newMembers(rapid.IntRange(2, 30).Draw(t, "upstreams"))
 		for i := range ms {
 			ms[i].Joined = start
 		}
@@ -57,8 +57,8 @@
 		ms[len(ms)-1].Joined = now
 		q := Query{Session: rapid.Uint64Min(1).Draw(t, "session"), Now: now}
 		var before, after [MaxCandidates]Choice
-		NewPool(ms[:len(ms)-1], Locality{}).ChooseBounded(loads{}, q, &before)
-		NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &after)
+		NewPool(ms[:len(ms)-1], Locality{}).ChooseBounded(fixedLoads{}, q, &before)
+		NewPool(ms, Locality{}).ChooseBounded(fixedLoads{}, q, &after)
 		home := after[0]
 		if home.Index == before[0].Index {
 			return
@@ -72,10 +72,10 @@
 // A surge of one session fills its home. What is over the bound spills to the next
 // of its ranking, the same at each router, and no upstream over the bound is chosen
 // before one that is under it. Those that leave are not chosen at all.
-func TestBoundedChoosesUnderTheBoundFirst(t *testing.T) {
+func TestChooseBoundedPrefersUpstreamsUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := members(rapid.IntRange(1, 30).Draw(t, "upstreams"))
-		l := make(loads)
+		ms := newMembers(rapid.IntRange(1, 30).Draw(t, "upstreams"))
+		l := make(fixedLoads)
 		for i := range ms {
 			ms[i].Leaving = rapid.IntRange(0, 4).Draw(t, "leaving") == 0
 			l[ms[i].VM] = float64(rapid.IntRange(0, 12).Draw(t, "load"))
@@ -108,31 +108,31 @@
 				serving++
 			}
 		}
-		if want := min(serving, MaxCandidates); n != want && len(ms) <= depth {
+		if want := min(serving, MaxCandidates); n != want && len(ms) <= maxRanked {
 			t.Errorf("%d are chosen of %d that serve", n, serving)
 		}
 	})
 }
 
-// suspecting is loads with upstreams that fail more than others.
-type suspecting struct {
-	loads
+// loadsWithSuspects is loads with upstreams that fail more than others.
+type loadsWithSuspects struct {
+	fixedLoads
 	suspected map[load.VM]bool
 }
 
-func (d suspecting) IsSuspected(vm load.VM) bool { return d.suspected[vm] }
+func (d loadsWithSuspects) IsSuspected(vm load.VM) bool { return d.suspected[vm] }
 
 // A session's home loses answers, and the next of its ranking is over the bound: the
 // third serves it, and the home is still offered before the one that has no room.
 func TestSuspectedUpstreamsComeLast(t *testing.T) {
-	ms := members(8)
+	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
-	order := bounded(NewPool(ms, Locality{}), loads{}, q)
-	l := suspecting{loads: loads{}, suspected: map[load.VM]bool{ms[order[0]].VM: true}}
+	order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, q)
+	l := loadsWithSuspects{fixedLoads: fixedLoads{}, suspected: map[load.VM]bool{ms[order[0]].VM: true}}
 	for _, m := range ms {
-		l.loads[m.VM] = 4
+		l.fixedLoads[m.VM] = 4
 	}
-	l.loads[ms[order[1]].VM] = 40
+	l.fixedLoads[ms[order[1]].VM] = 40
 	var out [MaxCandidates]Choice
 	NewPool(ms, Locality{}).ChooseBounded(l, q, &out)
 	if out[0].Index != order[2] {
@@ -146,7 +146,7 @@
 	counts := make([]int, len(ms))
 	p := NewPool(ms, Locality{})
 	for i := range uint64(800) {
-		counts[bounded(p, l, Query{Random: mix(i)})[0]]++
+		counts[chosenIndices(p, l, Query{Random: mix(i)})[0]]++
 	}
 	if counts[order[0]] > 800/len(ms)/4 {
 		t.Errorf("requests without a session go to the suspected one: %d of %v", counts[order[0]], counts)
@@ -156,12 +156,12 @@
 // A session's home has been leaving for a moment: the next of the ranking serves
 // it, and gets the prompt from there.
 func TestLeavingHomeIsTheDonor(t *testing.T) {
-	ms := members(8)
+	ms := newMembers(8)
 	q := Query{Session: 42, Now: start.Add(time.Hour)}
-	chosen := bounded(NewPool(ms, Locality{}), loads{}, q)
+	chosen := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, q)
 	ms[chosen[0]].Leaving = true
 	var out [MaxCandidates]Choice
-	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
+	NewPool(ms, Locality{}).ChooseBounded(fixedLoads{}, q, &out)
 	if out[0].Index != chosen[1] || out[0].Donor != chosen[0] {
 		t.Errorf("served by %d with donor %d, want %d and %d", out[0].Index, out[0].Donor, chosen[1], chosen[0])
 	}
@@ -169,24 +169,24 @@
 
 // Two upstreams have joined one after the other, and both rank before a session's
 // home. The first of them has not served the session yet: the donor is the home.
-func TestNewcomersAreNoDonors(t *testing.T) {
-	ms := members(8)
+func TestRecentlyJoinedUpstreamsAreNotDonors(t *testing.T) {
+	ms := newMembers(8)
 	now := start.Add(time.Hour)
 	q := Query{Session: 42, Now: now}
-	order := bounded(NewPool(ms, Locality{}), loads{}, q)
+	order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, q)
 	for i := range ms {
 		ms[i].Joined = start
 	}
-	ms[order[0]].Joined, ms[order[1]].Joined = now, now.Add(-newcomerFor)
+	ms[order[0]].Joined, ms[order[1]].Joined = now, now.Add(-donorMinAge)
 	var out [MaxCandidates]Choice
-	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
+	NewPool(ms, Locality{}).ChooseBounded(fixedLoads{}, q, &out)
 	if out[0].Donor != order[2] {
 		t.Errorf("the donor is %d, want the home %d", out[0].Donor, order[2])
 	}
 	for i := range ms {
 		ms[i].Joined = now // a router that has just started knows nobody for longer
 	}
-	NewPool(ms, Locality{}).ChooseBounded(loads{}, q, &out)
+	NewPool(ms, Locality{}).ChooseBounded(fixedLoads{}, q, &out)
 	if out[0].Donor != order[1] {
 		t.Errorf("the donor is %d, want the next in the ranking %d", out[0].Donor, order[1])
 	}
@@ -194,9 +194,9 @@
 
 // Logins have no session. They go to the less loaded of two upstreams of the
 // router's own failure domain, so that one which is slow gets few of them.
-func TestRequestsWithoutSessionAvoidTheLoaded(t *testing.T) {
-	ms := members(6)
-	l := make(loads)
+func TestRequestsWithoutSessionAvoidLoadedUpstreams(t *testing.T) {
+	ms := newMembers(6)
+	l := make(fixedLoads)
 	for i := range ms {
 		ms[i].Domain = []string{"r/a", "r/b"}[i%2]
 	}
@@ -204,7 +204,7 @@
 	p := NewPool(ms, Locality{Domain: "r/a"})
 	counts := make([]int, len(ms))
 	for i := range uint64(3000) {
-		counts[bounded(p, l, Query{Random: mix(i)})[0]]++
+		counts[chosenIndices(p, l, Query{Random: mix(i)})[0]]++
 	}
 	if counts[0] > counts[2]/2 || counts[0] > counts[4]/2 {
 		t.Errorf("the loaded one gets %d of %v", counts[0], counts)
@@ -215,14 +215,14 @@
 }
 
 // Without a bound nothing is over it.
-func TestNoMultipleIsNoBound(t *testing.T) {
-	ms := members(3)
+func TestZeroMultipleMeansNoBound(t *testing.T) {
+	ms := newMembers(3)
 	var out [MaxCandidates]Choice
-	_, basis := NewPool(ms, Locality{}).ChooseBounded(loads{ms[0].VM: 99}, Query{Session: 1}, &out)
+	_, basis := NewPool(ms, Locality{}).ChooseBounded(fixedLoads{ms[0].VM: 99}, Query{Session: 1}, &out)
 	if !math.IsInf(basis.Bound, 1) {
 		t.Errorf("bound %v", basis.Bound)
 	}
-	if order := bounded(NewPool(ms, Locality{}), loads{ms[0].VM: 99}, Query{Session: 1}); !slices.Contains(order, 0) {
+	if order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{ms[0].VM: 99}, Query{Session: 1}); !slices.Contains(order, 0) {
 		t.Errorf("order %v", order)
 	}
 }
@@ -231,40 +231,40 @@
 // bound by what is believed, but it is a little old, and each takes the sessions of
 // all that are suspected: chance puts them over the operators' bound. A suspected home
 // keeps what the next of the ranking has little room for.
-func TestSuspectedUpstreamsKeepWhatOthersHaveLittleRoomFor(t *testing.T) {
-	ms := members(8)
+func TestSuspectedHomeKeepsSessionsWhenOthersLackHeadroom(t *testing.T) {
+	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
-	order := bounded(NewPool(ms, Locality{}), loads{}, q)
-	l := suspecting{loads: loads{}, suspected: make(map[load.VM]bool)}
+	order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, q)
+	l := loadsWithSuspects{fixedLoads: fixedLoads{}, suspected: make(map[load.VM]bool)}
 	for i, m := range ms {
-		l.loads[m.VM] = 10
+		l.fixedLoads[m.VM] = 10
 		l.suspected[m.VM] = i != order[1] && i != order[2]
 	}
-	rest := bounded(NewPool(ms, Locality{}), l, q)
+	rest := chosenIndices(NewPool(ms, Locality{}), l, q)
 	if rest[0] != order[1] {
 		t.Errorf("with the room of all others, %d serves, want %d", rest[0], order[1])
 	}
 	for _, at := range []int{1, 2} {
-		l.loads[ms[order[at]].VM] = 16.5 // of 19.6 to which the bound lets it rise
+		l.fixedLoads[ms[order[at]].VM] = 16.5 // of 19.6 to which the bound lets it rise
 	}
-	if got := bounded(NewPool(ms, Locality{}), l, q); got[0] != order[0] {
+	if got := chosenIndices(NewPool(ms, Locality{}), l, q); got[0] != order[0] {
 		t.Errorf("served by %d, want the home %d: the others are near the bound", got[0], order[0])
 	}
-	own := q
-	for own.Session = 1; ; own.Session++ {
-		if ranked := bounded(NewPool(ms, Locality{}), loads{}, own); ranked[0] == order[1] {
+	other := q
+	for other.Session = 1; ; other.Session++ {
+		if ranked := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, other); ranked[0] == order[1] {
 			break
 		}
 	}
-	if got := bounded(NewPool(ms, Locality{}), l, own); got[0] != order[1] {
+	if got := chosenIndices(NewPool(ms, Locality{}), l, other); got[0] != order[1] {
 		t.Errorf("the sessions of one near the bound are served by %d, want their home %d", got[0], order[1])
 	}
 }
 
 // The one booking service of a failure domain leaves. Its routers' requests are shared by
 // those of the other domains; taken in the order of the list, the first would get all.
-func TestRequestsOfALeavingDomainAreShared(t *testing.T) {
-	ms := members(5)
+func TestRequestsOfALeavingDomainAreSpreadAcrossOtherDomains(t *testing.T) {
+	ms := newMembers(5)
 	for i := range ms {
 		ms[i].Domain = "r/b"
 	}
@@ -273,7 +273,7 @@
 	counts := make([]int, len(ms))
 	const requests = 4000
 	for i := range uint64(requests) {
-		counts[bounded(p, make(loads), Query{Random: mix(i)})[0]]++
+		counts[chosenIndices(p, make(fixedLoads), Query{Random: mix(i)})[0]]++
 	}
 	for i, n := range counts[1:] {
 		if n < requests/8 || n > requests/2 {
@@ -282,17 +282,17 @@
 	}
 }
 
-// closing is loads of which some may get no request.
-type closing struct {
-	loads
-	closed map[int]bool
+// loadsWithUnavailable is loads of which some may get no request.
+type loadsWithUnavailable struct {
+	fixedLoads
+	unavailable map[int]bool
 }
 
-func (c closing) Unavailable(i int) bool { return c.closed[i] }
+func (c loadsWithUnavailable) Unavailable(i int) bool { return c.unavailable[i] }
 
 // Guards against lines that do not say why a request did not go to its session's home.
-func TestBasisSaysWhyTheHomeIsPassedOver(t *testing.T) {
-	p, l := NewPool(members(6), Locality{}), make(loads)
+func TestBasisHoldsTheReasonWhyTheHomeIsPassedOver(t *testing.T) {
+	p, l := NewPool(newMembers(6), Locality{}), make(fixedLoads)
 	for _, m := range p.members {
 		l[m.VM] = 4
 	}
@@ -306,9 +306,9 @@
 		want  PassOverReason
 	}{
 		{"nothing", l, 0, NotPassedOver},
-		{"closed", closing{l, map[int]bool{home: true}}, 0, PassedOverUnavailable},
-		{"suspected", suspecting{loads: l, suspected: map[load.VM]bool{vm: true}}, 0, "suspected"},
-		{"over the bound", over(l, vm), 0, "over bound"},
+		{"closed", loadsWithUnavailable{l, map[int]bool{home: true}}, 0, PassedOverUnavailable},
+		{"suspected", loadsWithSuspects{fixedLoads: l, suspected: map[load.VM]bool{vm: true}}, 0, "suspected"},
+		{"over the bound", withOverload(l, vm), 0, "over bound"},
 	} {
 		var out [MaxCandidates]Choice
 		_, basis := p.ChooseBounded(c.loads, q, &out)
@@ -322,8 +322,8 @@
 	}
 }
 
-// over returns loads with one upstream over any bound.
-func over(l loads, vm load.VM) loads {
+// withOverload returns loads with one upstream withOverload any bound.
+func withOverload(l fixedLoads, vm load.VM) fixedLoads {
 	out := maps.Clone(l)
 	out[vm] = 100
 	return out
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// depth is how far down a session's ranking an upstream with room is sought.
-	depth = 16
-	// concurrentWithin is the age of a ticket up to which a session counts as
+	// maxRanked is how far down a session's ranking an upstream with room is sought.
+	maxRanked = 16
+	// concurrentTicketAge is the age of a ticket up to which a session counts as
 	// one whose turns run at the same time. People take longer to read an answer.
-	concurrentWithin = 5 * time.Second
+	concurrentTicketAge = 5 * time.Second
 )
 
 // Query is a request that looks for an upstream.
@@ -41,9 +41,9 @@
 	c := chooser{pool: p, table: t, now: now, multiple: q.LoadMultiple, out: out}
 	c.mean, c.known = t.Mean(now)
 	if q.Session == 0 {
-		c.spread(q.Random)
+		c.chooseWithoutSession(q.Random)
 	} else {
-		c.follow(q)
+		c.chooseForSession(q)
 	}
 	return c.n
 }
@@ -60,7 +60,7 @@
 	n        int
 }
 
-// follow chooses for a session. Its home comes first, since that is where
+// chooseForSession chooses for a session. Its home comes first, since that is where
 // prefixes are handed when upstreams come and go, then the upstream of its
 // ticket, where it was served last if its home had no room.
 //
@@ -68,45 +68,45 @@
 // bound and refuse its way down the ranking, and with it displace the sessions
 // of others. It is spread over upstreams below the mean instead, always in the
 // order of its ranking, so that it warms few caches.
-func (c *chooser) follow(q Query) {
-	var ranked [depth]int
+func (c *chooser) chooseForSession(q Query) {
+	var ranked [maxRanked]int
 	order := ranked[:c.pool.regional.top(q.Session, ranked[:])]
 	ticket := q.Ticket
 	if ticket < 0 || ticket >= len(c.pool.inRegion) || !c.pool.inRegion[ticket] {
 		ticket = None
 	}
-	if ticket != None && q.TicketAge < concurrentWithin {
-		c.offerBelowMean([]int{ticket})
-		c.offerBelowMean(order)
+	if ticket != None && q.TicketAge < concurrentTicketAge {
+		c.addBelowMean([]int{ticket})
+		c.addBelowMean(order)
 	}
-	c.fill(order[:min(len(order), 1)])
+	c.addServing(order[:min(len(order), 1)])
 	if ticket != None {
-		c.offer(ticket)
+		c.addWithCapacity(ticket)
 	}
-	c.offerBelowMean(order)
-	c.offer(order...)
-	c.fill(order)
-	c.leaveRegion(q.Session)
+	c.addBelowMean(order)
+	c.addWithCapacity(order...)
+	c.addServing(order)
+	c.addOtherRegions(q.Session)
 }
 
-// spread chooses for a request without a session: the less loaded of two
+// chooseWithoutSession chooses for a request without a session: the less loaded of two
 // random upstreams, those of the router's own failure domain before others.
-func (c *chooser) spread(random uint64) {
-	for _, group := range [...][]int{c.pool.own, c.pool.rest} {
+func (c *chooser) chooseWithoutSession(random uint64) {
+	for _, group := range [...][]int{c.pool.sameDomain, c.pool.otherDomains} {
 		for range group {
 			if c.n == MaxCandidates {
 				return
 			}
 			i, j := pick(group, &random), pick(group, &random)
-			if c.load(j) < c.load(i) {
+			if c.relativeLoad(j) < c.relativeLoad(i) {
 				i, j = j, i
 			}
-			c.offer(i, j)
+			c.addWithCapacity(i, j)
 		}
 	}
-	c.fill(c.pool.own)
-	c.fill(c.pool.rest)
-	c.leaveRegion(random)
+	c.addServing(c.pool.sameDomain)
+	c.addServing(c.pool.otherDomains)
+	c.addOtherRegions(random)
 }
 
 func pick(group []int, random *uint64) int {
@@ -114,46 +114,46 @@
 	return group[*random%uint64(len(group))]
 }
 
-// offer adds those of order that are not believed to refuse.
-func (c *chooser) offer(order ...int) {
+// addWithCapacity adds those of order that are not believed to refuse.
+func (c *chooser) addWithCapacity(order ...int) {
 	for _, i := range order {
-		if c.n < MaxCandidates && !c.has(i) && c.room(i) {
+		if c.n < MaxCandidates && !c.contains(i) && c.hasCapacity(i) {
 			c.add(i)
 		}
 	}
 }
 
-// offerBelowMean adds those of order whose load is not above the mean. That
+// addBelowMean adds those of order whose load is not above the mean. That
 // leaves the room up to the bound to the sessions that have their home there.
-func (c *chooser) offerBelowMean(order []int) {
+func (c *chooser) addBelowMean(order []int) {
 	for _, i := range order {
 		r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 		// Rounded up, so that in a pool with little to do a single request does
 		// not send the next turn of its chat away.
 		if !ok || r.Load <= int(math.Ceil(c.mean*float64(r.Weight))) {
-			c.offer(i)
+			c.addWithCapacity(i)
 		}
 	}
 }
 
-// fill adds upstreams that are believed to be full where too few others are
+// addServing adds upstreams that are believed to be full where too few others are
 // left: beliefs can be wrong, and the sidecar knows.
-func (c *chooser) fill(order []int) {
+func (c *chooser) addServing(order []int) {
 	for _, i := range order {
-		if c.n < MaxCandidates && !c.has(i) && c.serves(i) {
+		if c.n < MaxCandidates && !c.contains(i) && c.serves(i) {
 			c.add(i)
 		}
 	}
 }
 
-// leaveRegion adds upstreams of other regions if none of this one is believed
+// addOtherRegions adds upstreams of other regions if none of this one is believed
 // to serve, and those of this one all the same if no other does.
-func (c *chooser) leaveRegion(session uint64) {
+func (c *chooser) addOtherRegions(session uint64) {
 	if c.n > 0 {
 		return
 	}
 	var ranked [MaxCandidates]int
-	c.fill(ranked[:c.pool.remote.top(session, ranked[:])])
+	c.addServing(ranked[:c.pool.remote.top(session, ranked[:])])
 	if c.n > 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 	c.n++
 }
 
-func (c *chooser) has(i int) bool {
+func (c *chooser) contains(i int) bool {
 	for _, j := range c.out[:c.n] {
 		if i == j {
 			return true
@@ -181,8 +181,8 @@
 	return !ok || r.State == load.Serving
 }
 
-// room reports whether upstream i is believed to take one more request.
-func (c *chooser) room(i int) bool {
+// hasCapacity reports whether upstream i is believed to take one more request.
+func (c *chooser) hasCapacity(i int) bool {
 	r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 	if !ok {
 		return true
@@ -193,8 +193,8 @@
 	return r.Load < load.Bound(c.mean, c.known, c.multiple, r.Weight)
 }
 
-// load returns the believed load of upstream i for each unit of its weight.
-func (c *chooser) load(i int) float64 {
+// relativeLoad returns the believed relativeLoad of upstream i for each unit of its weight.
+func (c *chooser) relativeLoad(i int) float64 {
 	r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 	if !ok {
 		return c.mean
--- a/internal/placement/domains.go
+++ b/internal/placement/domains.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// perDomain is how many upstreams of a session's failure domain come before those
+	// domainRunLength is how many upstreams of a session's failure domain come before those
 	// of the next one. Prompts are handed on within a failure domain, at half the cost
 	// of a transfer between two; a request that all of them fail still reaches others.
-	perDomain = 3
-	// evenRatio is how many times larger than the smallest the largest failure domain
+	domainRunLength = 3
+	// maxEvenRatio is how many times larger than the smallest the largest failure domain
 	// of a region may be for all to get the same share of the sessions. While they do,
 	// an upstream that joins or leaves moves sessions within its failure domain only.
 	// Beyond it, each upstream of the smallest would have that many times as many.
-	evenRatio = 1.3
+	maxEvenRatio = 1.3
 )
 
 // domains orders the upstreams of a region for each session: failure domains by
@@ -30,24 +30,24 @@
 
 func newDomains(members []Member, index []int) domains {
 	var names []string
-	by := make(map[string][]int)
+	byName := make(map[string][]int)
 	for _, i := range index {
 		name := members[i].Domain
-		if by[name] == nil {
+		if byName[name] == nil {
 			names = append(names, name)
 		}
-		by[name] = append(by[name], i)
+		byName[name] = append(byName[name], i)
 	}
 	slices.Sort(names)
-	least, most := math.MaxInt, 0
+	smallest, largest := math.MaxInt, 0
 	for _, name := range names {
-		least, most = min(least, len(by[name])), max(most, len(by[name]))
+		smallest, largest = min(smallest, len(byName[name])), max(largest, len(byName[name]))
 	}
 	out := make(domains, 0, len(names))
 	for _, name := range names {
-		d := domainRanking{seed: Seed(name), weight: 1, ranking: newRanking(members, by[name])}
-		if float64(most) > evenRatio*float64(least) {
-			d.weight = float64(len(by[name]))
+		d := domainRanking{seed: Seed(name), weight: 1, ranking: newRanking(members, byName[name])}
+		if float64(largest) > maxEvenRatio*float64(smallest) {
+			d.weight = float64(len(byName[name]))
 		}
 		out = append(out, d)
 	}
@@ -63,23 +63,23 @@
 		if n == len(best) {
 			return n
 		}
-		n += d[i].top(session, best[n:min(n+perDomain, len(best))])
+		n += d[i].top(session, best[n:min(n+domainRunLength, len(best))])
 	}
 	for _, i := range order {
 		if n == len(best) {
 			return n
 		}
-		n += d[i].beyond(session, best[n:])
+		n += d[i].remaining(session, best[n:])
 	}
 	return n
 }
 
-// beyond writes the upstreams that rank behind the first perDomain of a failure domain,
+// remaining writes the upstreams that rank behind the first perDomain of a failure domain,
 // as far as there is room.
-func (d domainRanking) beyond(session uint64, rest []int) int {
-	var ranked [depth]int
-	n := d.top(session, ranked[:min(depth, perDomain+len(rest))])
-	return copy(rest, ranked[min(perDomain, n):n])
+func (d domainRanking) remaining(session uint64, dst []int) int {
+	var ranked [maxRanked]int
+	n := d.top(session, ranked[:min(maxRanked, domainRunLength+len(dst))])
+	return copy(dst, ranked[min(domainRunLength, n):n])
 }
 
 // order returns the failure domains in the order in which a session prefers them.
@@ -87,7 +87,7 @@
 	costs := make([]float64, len(d))
 	order := make([]int, len(d))
 	for i, domain := range d {
-		costs[i] = -math.Log(unit(mix(session^domain.seed))) / domain.weight
+		costs[i] = -math.Log(unitInterval(mix(session^domain.seed))) / domain.weight
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costs[a], costs[b]) })
--- a/internal/placement/domains_bench_test.go
+++ b/internal/placement/domains_bench_test.go
@@ -20,7 +20,7 @@
 				index[i] = i
 			}
 			d := newDomains(ms, index)
-			var best [depth]int
+			var best [maxRanked]int
 			session := uint64(1)
 			for b.Loop() {
 				session = mix(session)
--- a/internal/placement/domains_test.go
+++ b/internal/placement/domains_test.go
@@ -14,7 +14,7 @@
 	for _, n := range sizes {
 		total += n
 	}
-	ms := members(total)
+	ms := newMembers(total)
 	at := 0
 	for d, n := range sizes {
 		for range n {
@@ -25,8 +25,8 @@
 	return ms
 }
 
-func ranked(ms []Member, session uint64) []int {
-	var best [depth]int
+func rankByDomain(ms []Member, session uint64) []int {
+	var best [maxRanked]int
 	index := make([]int, len(ms))
 	for i := range ms {
 		index[i] = i
@@ -38,11 +38,11 @@
 // the prompt from where it is. Between two failure domains that takes twice as long, and
 // delays all that wait for the same link: the first few after the home are its
 // neighbours.
-func TestSessionsSpillWithinTheirFailureDomain(t *testing.T) {
+func TestSessionsSpillOverWithinTheirFailureDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := inDomains(rapid.SliceOfN(rapid.IntRange(1, 12), 1, 12).Draw(t, "sizes")...)
-		order := ranked(ms, rapid.Uint64Min(1).Draw(t, "session"))
-		if want := min(len(ms), depth); len(order) != want {
+		order := rankByDomain(ms, rapid.Uint64Min(1).Draw(t, "session"))
+		if want := min(len(ms), maxRanked); len(order) != want {
 			t.Fatalf("%d upstreams of %d are ranked, want %d", len(order), len(ms), want)
 		}
 		seen := make(map[int]bool)
@@ -59,7 +59,7 @@
 				size++
 			}
 		}
-		for _, i := range order[:min(perDomain, size)] {
+		for _, i := range order[:min(domainRunLength, size)] {
 			if ms[i].Domain != home {
 				t.Fatalf("%v: upstream %d is in %s, the home in %s", order, i, ms[i].Domain, home)
 			}
@@ -69,7 +69,7 @@
 
 // An upstream joins or leaves. Only chats of its own failure domain move, and only to it
 // or from it, so that no prompt goes between two domains for that.
-func TestNoSessionLeavesItsFailureDomainForANewcomer(t *testing.T) {
+func TestJoiningUpstreamMovesSessionsOfItsFailureDomainOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := make([]int, rapid.IntRange(1, 4).Draw(t, "domains"))
 		n := rapid.IntRange(4, 12).Draw(t, "size")
@@ -82,7 +82,7 @@
 		after := append(slices.Clone(before), joined)
 		for range 50 {
 			session := rapid.Uint64Min(1).Draw(t, "session")
-			was, is := ranked(before, session)[0], ranked(after, session)[0]
+			was, is := rankByDomain(before, session)[0], rankByDomain(after, session)[0]
 			if was != is && (is != len(before) || before[was].Domain != joined.Domain) {
 				t.Fatalf("the home moves from %d in %s to %d in %s", was, before[was].Domain, is, after[is].Domain)
 			}
@@ -92,12 +92,12 @@
 
 // Failure domains of very different sizes: were each to get the same share of the
 // sessions, upstreams of the small one would have four times as many as the others.
-func TestUnevenFailureDomainsShareByTheirSize(t *testing.T) {
+func TestUnevenFailureDomainsShareSessionsBySize(t *testing.T) {
 	ms := inDomains(12, 12, 3)
 	counts := make(map[string]int)
 	const sessions = 20000
 	for s := range uint64(sessions) {
-		counts[ms[ranked(ms, mix(s+1))[0]].Domain]++
+		counts[ms[rankByDomain(ms, mix(s+1))[0]].Domain]++
 	}
 	if small := float64(counts["r/2"]) / sessions; small < 0.09 || small > 0.13 {
 		t.Errorf("3 of 27 upstreams have %.3f of the sessions: %v", small, counts)
--- a/internal/placement/hot.go
+++ b/internal/placement/hot.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// replicaShare is the part of the room between the mean and the bound that one
+// sessionHeadroomShare is the part of the room between the mean and the bound that one
 // session may fill at an upstream; the rest is for what comes by chance. With half of
 // the room, twice as many requests of a surge find an upstream over the bound.
-const replicaShare = 0.35
+const sessionHeadroomShare = 0.35
 
-// spreadHot reorders the ranking of a session that has more requests than its home
+// spreadHotSession reorders the ranking of a session that has more requests than its home
 // may hold: the less loaded of two random ones of its first few comes first. Each
 // router works out from its own traffic how many they are. If they waited instead
 // until the home is known to be full, all would fill it at the same time, and turn
 // away from it at the same time. TestLoadsThatAreSharedKeepTheBound has the figures.
-func (p *Pool) spreadHot(l Loads, q Query, basis Basis, order []int) {
+func (p *Pool) spreadHotSession(l Loads, q Query, basis Basis, order []int) {
 	replicas := p.replicas(q, basis, len(order))
 	if replicas < 2 {
 		return
@@ -20,7 +20,7 @@
 	random := mix(q.Random)
 	i := int(random % uint64(replicas))
 	j := int(mix(random) % uint64(replicas))
-	if !p.takes(l, order[i]) || p.better(l, order[j], order[i]) {
+	if !p.accepts(l, order[i]) || p.lessLoaded(l, order[j], order[i]) {
 		i = j
 	}
 	first := order[i]
@@ -29,11 +29,11 @@
 }
 
 // replicas returns over how many upstreams a session is spread.
-func (p *Pool) replicas(q Query, basis Basis, most int) int {
+func (p *Pool) replicas(q Query, basis Basis, maxReplicas int) int {
 	if q.SessionShare == 0 || q.LoadMultiple == 0 {
 		return 1
 	}
 	requests := q.SessionShare * basis.Mean * float64(p.Len())
-	room := max(replicaShare*(basis.Bound-basis.Mean), 1)
-	return min(int(math.Ceil(requests/room)), most)
+	headroom := max(sessionHeadroomShare*(basis.Bound-basis.Mean), 1)
+	return min(int(math.Ceil(requests/headroom)), maxReplicas)
 }
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -12,35 +12,35 @@
 // The load of a plain service in a surge: three upstreams, one in each failure domain,
 // that work on six requests at a time, have 24 wait, turn others away, and tell no load.
 const (
-	plainUpstreams = 3
-	plainRouters   = 4
-	plainSlots     = 6
-	plainQueue     = 24
-	plainPerSecond = 125
-	plainWork      = 60 * time.Millisecond
-	plainAim       = 300 * time.Millisecond
-	plainSlowBy    = 5
-	plainSpan      = 20 * time.Second
-	plainFailsIn   = time.Millisecond
+	plainUpstreams         = 3
+	plainRouters           = 4
+	plainSlots             = 6
+	plainQueue             = 24
+	plainRequestsPerSecond = 125
+	plainDuration          = 60 * time.Millisecond
+	plainObjective         = 300 * time.Millisecond
+	plainSlowdown          = 5
+	plainRunTime           = 20 * time.Second
+	plainFailureTime       = time.Millisecond
 )
 
-// plain is the service, and what its routers believe.
-type plain struct {
-	random  *rand.Rand
-	ids     []load.VM
-	pools   [plainRouters]*Pool
-	tallies [plainRouters]*load.PoolLoad
-	paces   [plainRouters]*load.RelativeLatency
-	free    [plainUpstreams][plainSlots]time.Time // when each slot of an upstream is free
-	waiting [plainUpstreams]int                   // or running
-	ends    dones
-	slow    int // upstream that works slower, or None
-	broken  int // upstream that fails its requests at once, or None
+// plainSim is the service, and what its routers believe.
+type plainSim struct {
+	random    *rand.Rand
+	ids       []load.VM
+	pools     [plainRouters]*Pool
+	loads     [plainRouters]*load.PoolLoad
+	latencies [plainRouters]*load.RelativeLatency
+	free      [plainUpstreams][plainSlots]time.Time // when each slot of an upstream is free
+	waiting   [plainUpstreams]int                   // or running
+	pending   completions
+	slow      int // upstream that works slower, or None
+	broken    int // upstream that fails its requests at once, or None
 }
 
-func newPlain(slow int) *plain {
-	p := &plain{random: rand.New(rand.NewPCG(3, 4)), slow: slow, broken: None}
-	ms := members(plainUpstreams)
+func newPlainSim(slow int) *plainSim {
+	p := &plainSim{random: rand.New(rand.NewPCG(3, 4)), slow: slow, broken: None}
+	ms := newMembers(plainUpstreams)
 	names := []string{"r/a", "r/b", "r/c"}
 	for i := range ms {
 		ms[i].Domain = names[i]
@@ -48,25 +48,25 @@
 	}
 	for i := range p.pools {
 		p.pools[i] = NewPool(ms, Locality{Domain: names[i%len(names)]})
-		p.tallies[i], p.paces[i] = load.NewPoolLoad(), load.NewRelativeLatency()
+		p.loads[i], p.latencies[i] = load.NewPoolLoad(), load.NewRelativeLatency()
 	}
 	return p
 }
 
-// play returns which part of the requests is late or turned away.
-func (p *plain) play() float64 {
+// run returns which part of the requests is late or turned away.
+func (p *plainSim) run() float64 {
 	arrivals, missed := 0, 0
-	for now := start; now.Before(start.Add(plainSpan)); {
-		now = now.Add(time.Duration(p.random.ExpFloat64() / plainPerSecond * float64(time.Second)))
-		for len(p.ends) > 0 && !p.ends[0].at.After(now) {
-			e := heap.Pop(&p.ends).(done)
+	for now := start; now.Before(start.Add(plainRunTime)); {
+		now = now.Add(time.Duration(p.random.ExpFloat64() / plainRequestsPerSecond * float64(time.Second)))
+		for len(p.pending) > 0 && !p.pending[0].at.After(now) {
+			e := heap.Pop(&p.pending).(completion)
 			p.waiting[e.member]--
-			p.tallies[e.router].End(p.ids[e.member])
-			p.learn(e)
+			p.loads[e.router].End(p.ids[e.member])
+			p.recordLatency(e)
 		}
 		router := p.random.IntN(plainRouters)
 		var out [MaxCandidates]Choice
-		p.pools[router].ChooseBounded(plainAt{p.tallies[router], p.paces[router], now}, Query{Random: p.random.Uint64(), Now: now}, &out)
+		p.pools[router].ChooseBounded(plainLoads{p.loads[router], p.latencies[router], now}, Query{Random: p.random.Uint64(), Now: now}, &out)
 		arrivals++
 		if !p.serve(now, router, out[0].Index) {
 			missed++
@@ -75,23 +75,23 @@
 	return float64(missed) / float64(arrivals)
 }
 
-// learn has a router take in how long a request took.
-func (p *plain) learn(e done) {
-	pace, vm, took := p.paces[e.router], p.ids[e.member], e.at.Sub(e.began)
+// recordLatency has a router take in how long a request took.
+func (p *plainSim) recordLatency(e completion) {
+	latency, vm, took := p.latencies[e.router], p.ids[e.member], e.at.Sub(e.began)
 	if e.member == p.broken {
-		pace.RecordFailure(e.at, vm, "login", took)
+		latency.RecordFailure(e.at, vm, "login", took)
 	} else {
-		pace.RecordAnswer(e.at, vm, "login", took)
+		latency.RecordAnswer(e.at, vm, "login", took)
 	}
 }
 
 // serve sends a request to an upstream, and reports whether it is answered in time.
-func (p *plain) serve(now time.Time, router, member int) bool {
+func (p *plainSim) serve(now time.Time, router, member int) bool {
 	if p.waiting[member] == plainSlots+plainQueue {
 		return false
 	}
 	if member == p.broken {
-		p.start(now, now.Add(plainFailsIn), router, member)
+		p.start(now, now.Add(plainFailureTime), router, member)
 		return false
 	}
 	first := 0
@@ -100,9 +100,9 @@
 			first = i
 		}
 	}
-	work := time.Duration((0.5 + p.random.Float64()) * float64(plainWork))
+	work := time.Duration((0.5 + p.random.Float64()) * float64(plainDuration))
 	if member == p.slow {
-		work *= plainSlowBy
+		work *= plainSlowdown
 	}
 	from := p.free[member][first]
 	if from.Before(now) {
@@ -111,30 +111,30 @@
 	at := from.Add(work)
 	p.free[member][first] = at
 	p.start(now, at, router, member)
-	return at.Sub(now) <= plainAim
+	return at.Sub(now) <= plainObjective
 }
 
 // start counts a request that an upstream ends at a time.
-func (p *plain) start(now, at time.Time, router, member int) {
+func (p *plainSim) start(now, at time.Time, router, member int) {
 	p.waiting[member]++
-	p.tallies[router].Begin(p.ids[member])
-	heap.Push(&p.ends, done{at: at, began: now, router: router, member: member})
+	p.loads[router].Begin(p.ids[member])
+	heap.Push(&p.pending, completion{at: at, began: now, router: router, member: member})
 }
 
-// plainAt is what a router believes at one moment. It implements Loads.
-type plainAt struct {
-	tally *load.PoolLoad
-	pace  *load.RelativeLatency
-	now   time.Time
+// plainLoads is what a router believes at one moment. It implements Loads.
+type plainLoads struct {
+	loads   *load.PoolLoad
+	latency *load.RelativeLatency
+	now     time.Time
 }
 
-func (l plainAt) Load(vm load.VM) float64   { return l.tally.Load(l.now, vm) }
-func (l plainAt) Upper(vm load.VM) float64  { return l.tally.UpperBound(l.now, vm) }
-func (l plainAt) Cost(vm load.VM) float64   { return l.pace.Factor(l.now, vm) * (l.Load(vm) + 1) }
-func (l plainAt) IsSuspected(load.VM) bool  { return false }
-func (l plainAt) Unavailable(int) bool      { return false }
-func (l plainAt) Estimate(load.VM) Estimate { return Estimate{} }
-func (l plainAt) Mean() float64             { return l.tally.Mean(plainUpstreams, 0) }
+func (l plainLoads) Load(vm load.VM) float64   { return l.loads.Load(l.now, vm) }
+func (l plainLoads) Upper(vm load.VM) float64  { return l.loads.UpperBound(l.now, vm) }
+func (l plainLoads) Cost(vm load.VM) float64   { return l.latency.Factor(l.now, vm) * (l.Load(vm) + 1) }
+func (l plainLoads) IsSuspected(load.VM) bool  { return false }
+func (l plainLoads) Unavailable(int) bool      { return false }
+func (l plainLoads) Estimate(load.VM) Estimate { return Estimate{} }
+func (l plainLoads) Mean() float64             { return l.loads.Mean(plainUpstreams, 0) }
 
 // Guests book in a surge of three times the traffic while one of the three booking
 // services works five times slower. The routers of its failure domain see only that
@@ -142,13 +142,13 @@
 // quarter of all bookings are late or turned away, beside two services with free places.
 func TestRequestsGoAroundASlowUpstream(t *testing.T) {
 	for slow := range plainUpstreams {
-		if missed := newPlain(slow).play(); missed > 0.05 {
+		if missed := newPlainSim(slow).run(); missed > 0.05 {
 			t.Errorf("with upstream %d slow, %.3f of the requests are late or turned away", slow, missed)
 		} else {
 			t.Logf("with upstream %d slow, %.3f of the requests are late or turned away", slow, missed)
 		}
 	}
-	if missed := newPlain(None).play(); missed > 0.01 {
+	if missed := newPlainSim(None).run(); missed > 0.01 {
 		t.Errorf("with none slow, %.3f of the requests are late or turned away", missed)
 	}
 }
@@ -157,9 +157,9 @@
 // judged it an outlier yet. Taken for the fastest of the pool, it gets nearly all
 // bookings, and the two that are well stand idle.
 func TestAnUpstreamThatFailsAtOnceIsNotFast(t *testing.T) {
-	p := newPlain(None)
+	p := newPlainSim(None)
 	p.broken = 0
-	missed := p.play()
+	missed := p.run()
 	t.Logf("%.3f of the requests fail", missed)
 	if missed > 0.4 {
 		t.Errorf("%.3f of the requests fail with one upstream of three broken", missed)
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -32,22 +32,22 @@
 
 // Pool is an immutable list of upstreams as one node sees it.
 type Pool struct {
-	members          []Member
-	inRegion         []bool  // in the node's region
-	regional, remote ranking // of the node's region, and of the others
-	local            domains // of the region of the node, by failure domain
-	own, rest        []int   // of the node's failure domain, and of its region's others
-	whole, idle      int     // upstreams of the whole pool, and those of them that are Idle
+	members                  []Member
+	inRegion                 []bool  // in the node's region
+	regional, remote         ranking // of the node's region, and of the others
+	byDomain                 domains // of the region of the node, by failure domain
+	sameDomain, otherDomains []int   // of the node's failure domain, and of its region's others
+	total, drained           int     // upstreams of the whole pool, and those of them that are Idle
 }
 
 // NewPool returns the Pool of members for a node at self. The members keep
 // their indices. A region without upstreams counts as one with the others.
 func NewPool(members []Member, self Locality) *Pool {
-	p := &Pool{members: members, inRegion: make([]bool, len(members)), whole: len(members)}
+	p := &Pool{members: members, inRegion: make([]bool, len(members)), total: len(members)}
 	var regional, remote []int
 	for i, m := range members {
 		if m.Drained {
-			p.idle++
+			p.drained++
 		}
 		if topo.Region(m.Domain) == topo.Region(self.Domain) {
 			regional = append(regional, i)
@@ -61,32 +61,32 @@
 	for _, i := range regional {
 		p.inRegion[i] = true
 		if members[i].Domain == self.Domain {
-			p.own = append(p.own, i)
+			p.sameDomain = append(p.sameDomain, i)
 		} else {
-			p.rest = append(p.rest, i)
+			p.otherDomains = append(p.otherDomains, i)
 		}
 	}
 	p.regional, p.remote = newRanking(members, regional), newRanking(members, remote)
-	p.local = newDomains(members, regional)
+	p.byDomain = newDomains(members, regional)
 	return p
 }
 
 // Subset returns the Pool of some members of p, among which a request chooses that may not go
 // to the others. Bounds are those of the whole pool.
 func (p *Pool) Subset(members []Member, self Locality) *Pool {
-	part := NewPool(members, self)
-	part.whole, part.idle = p.whole, p.idle
-	return part
+	subset := NewPool(members, self)
+	subset.total, subset.drained = p.total, p.drained
+	return subset
 }
 
 // Len returns the number of upstreams of the whole pool.
 func (p *Pool) Len() int {
-	return p.whole
+	return p.total
 }
 
 // Drained returns how many of them are idle.
 func (p *Pool) Drained() int {
-	return p.idle
+	return p.drained
 }
 
 // Index returns the index of an upstream or None.
--- a/internal/placement/pool_test.go
+++ b/internal/placement/pool_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func members(n int) []Member {
+func newMembers(n int) []Member {
 	out := make([]Member, n)
 	for i := range out {
 		id := fmt.Sprintf("vm-%d", i)
@@ -43,7 +43,7 @@
 // caches.
 func TestOnlySessionsOfTheChangedUpstreamMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := members(rapid.IntRange(2, 40).Draw(t, "upstreams"))
+		ms := newMembers(rapid.IntRange(2, 40).Draw(t, "upstreams"))
 		for i := range ms {
 			ms[i].Weight = rapid.IntRange(1, 3).Draw(t, "weight")
 		}
@@ -64,17 +64,17 @@
 // A caller waits for refusals while its request is offered to upstreams that
 // are known to drain, though others serve; or it is offered to a VM that only
 // its ticket still knows.
-func TestCandidatesAreDistinctMembersThatServe(t *testing.T) {
+func TestCandidatesAreDistinctServingMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := members(rapid.IntRange(1, depth).Draw(t, "upstreams"))
+		ms := newMembers(rapid.IntRange(1, maxRanked).Draw(t, "upstreams"))
 		table := load.NewTable()
-		drains := make([]bool, len(ms))
+		draining := make([]bool, len(ms))
 		serving := 0
 		for i, m := range ms {
 			ms[i].Domain = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain")
-			drains[i] = rapid.Bool().Draw(t, "drains")
+			draining[i] = rapid.Bool().Draw(t, "drains")
 			r := load.Report{Load: rapid.IntRange(0, 5).Draw(t, "load")}
-			if drains[i] {
+			if draining[i] {
 				r.State = load.Draining
 			} else {
 				serving++
@@ -99,8 +99,8 @@
 		}
 		seen := make(map[int]bool)
 		for _, i := range out[:n] {
-			if seen[i] || serving > 0 && drains[i] {
-				t.Fatalf("candidates %v, draining %v", out[:n], drains)
+			if seen[i] || serving > 0 && draining[i] {
+				t.Fatalf("candidates %v, draining %v", out[:n], draining)
 			}
 			seen[i] = true
 		}
@@ -111,7 +111,7 @@
 // that has an upstream that serves, and go to another one when it has none.
 func TestRegionIsLeftOnlyWhenNoneServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := members(8)
+		ms := newMembers(8)
 		table := load.NewTable()
 		serves := make(map[string]bool)
 		for i := range ms {
@@ -140,8 +140,8 @@
 // A club's few chats bring hundreds of turns at a time. Were each offered to its
 // home first, the homes would be full for all others, and most turns would be
 // refused on their way. Turns whose ticket is seconds old go below the mean.
-func TestConcurrentTurnsLeaveTheRoomAboveTheMean(t *testing.T) {
-	ms := members(40)
+func TestConcurrentTurnsLeaveHeadroomAboveTheMean(t *testing.T) {
+	ms := newMembers(40)
 	p := NewPool(ms, Locality{})
 	session := uint64(7)
 	home := p.Home(session)
@@ -168,8 +168,8 @@
 
 // VMs of two kinds serve one pool. A small one that got as many chats as a large
 // one would run at its bound all the time.
-func TestWeightsShareSessions(t *testing.T) {
-	ms := members(30)
+func TestSessionsAreSharedByWeight(t *testing.T) {
+	ms := newMembers(30)
 	for i := range ms {
 		ms[i].Weight = 1 + i%3
 	}
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -17,15 +17,15 @@
 	weights []float64 // that occur
 }
 
-// maxClasses bounds the different weights that a ranking tells apart.
-const maxClasses = math.MaxUint8
+// maxWeightClasses bounds the different weights that a ranking tells apart.
+const maxWeightClasses = math.MaxUint8
 
 func newRanking(members []Member, index []int) ranking {
 	r := ranking{index: index, seeds: make([]uint64, len(index))}
 	classes := make([]uint8, len(index))
 	for at, i := range index {
 		r.seeds[at] = members[i].Seed
-		classes[at] = r.class(float64(max(members[i].Weight, 1)))
+		classes[at] = r.weightClass(float64(max(members[i].Weight, 1)))
 	}
 	if len(r.weights) > 1 {
 		r.classes = classes
@@ -33,13 +33,13 @@
 	return r
 }
 
-// class returns the index of a weight, or of the nearest one if there are too
+// weightClass returns the index of a weight, or of the nearest one if there are too
 // many.
-func (r *ranking) class(weight float64) uint8 {
+func (r *ranking) weightClass(weight float64) uint8 {
 	if at := slices.Index(r.weights, weight); at >= 0 {
 		return uint8(at)
 	}
-	if len(r.weights) < maxClasses {
+	if len(r.weights) < maxWeightClasses {
 		r.weights = append(r.weights, weight)
 		return uint8(len(r.weights) - 1)
 	}
@@ -58,22 +58,22 @@
 	if r.classes != nil {
 		return r.topWeighted(session, best)
 	}
-	var scores [depth]uint64
-	n, bar := 0, uint64(0) // bar is the score to beat, zero until best is full
+	var scores [maxRanked]uint64
+	n, threshold := 0, uint64(0) // bar is the score to beat, zero until best is full
 	for at, seed := range r.seeds {
 		score := mix(session ^ seed)
-		if score <= bar {
+		if score <= threshold {
 			continue
 		}
 		n = min(n+1, len(best))
-		place := n - 1
-		for place > 0 && scores[place-1] < score {
-			scores[place], best[place] = scores[place-1], best[place-1]
-			place--
+		pos := n - 1
+		for pos > 0 && scores[pos-1] < score {
+			scores[pos], best[pos] = scores[pos-1], best[pos-1]
+			pos--
 		}
-		scores[place], best[place] = score, r.index[at]
+		scores[pos], best[pos] = score, r.index[at]
 		if n == len(best) {
-			bar = scores[n-1]
+			threshold = scores[n-1]
 		}
 	}
 	return n
@@ -82,39 +82,39 @@
 // topWeighted is top for different weights. To take few logarithms, it keeps a
 // hash for each weight below which an upstream cannot be among the best.
 func (r *ranking) topWeighted(session uint64, best []int) int {
-	var costs [depth]float64
-	var bars [maxClasses]uint64
+	var costs [maxRanked]float64
+	var thresholds [maxWeightClasses]uint64
 	n := 0
 	for at, seed := range r.seeds {
 		class := r.classes[at]
 		hash := mix(session ^ seed)
-		if hash < bars[class] {
+		if hash < thresholds[class] {
 			continue
 		}
 		weight := r.weights[class]
-		cost := -math.Log(unit(hash)) / weight
+		cost := -math.Log(unitInterval(hash)) / weight
 		if n == len(best) && cost >= costs[n-1] {
-			bars[class] = hashOf(math.Exp(-costs[n-1] * weight))
+			thresholds[class] = hashBelow(math.Exp(-costs[n-1] * weight))
 			continue
 		}
 		n = min(n+1, len(best))
-		place := n - 1
-		for place > 0 && costs[place-1] > cost {
-			costs[place], best[place] = costs[place-1], best[place-1]
-			place--
+		pos := n - 1
+		for pos > 0 && costs[pos-1] > cost {
+			costs[pos], best[pos] = costs[pos-1], best[pos-1]
+			pos--
 		}
-		costs[place], best[place] = cost, r.index[at]
+		costs[pos], best[pos] = cost, r.index[at]
 	}
 	return n
 }
 
-// unit maps a hash to a number in (0, 1).
-func unit(hash uint64) float64 {
+// unitInterval maps a hash to a number in (0, 1).
+func unitInterval(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
-// hashOf returns a hash that unit maps to u or to a little less.
-func hashOf(u float64) uint64 {
+// hashBelow returns a hash that unit maps to u or to a little less.
+func hashBelow(u float64) uint64 {
 	return uint64(max(u*(1<<53)-1, 0)) << 11
 }
 
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -13,117 +13,117 @@
 // upstreams, 460 requests a second in all, of which two fifths take eight times as
 // long as the others.
 const (
-	sliverRouters   = 28
-	sliverUpstreams = 51
-	sliverPerSecond = 460
-	sliverSessions  = 900
-	sliverLong      = 1200 * time.Millisecond
-	sliverShort     = 150 * time.Millisecond
-	// sliverCalm is how long the fleet is at work before a surge of sliverSpan.
-	sliverCalm = 5 * time.Second
-	sliverSpan = 8 * time.Second
-	// shareEvery is how often routers tell each other loads, and hop how long that
+	fleetRouters           = 28
+	fleetUpstreams         = 51
+	fleetRequestsPerSecond = 460
+	fleetSessions          = 900
+	longRequest            = 1200 * time.Millisecond
+	shortRequest           = 150 * time.Millisecond
+	// calmTime is how long the fleet is at work before a surge of sliverSpan.
+	calmTime  = 5 * time.Second
+	surgeTime = 8 * time.Second
+	// shareInterval is how often routers tell each other loads, and hop how long that
 	// takes on its way.
-	shareEvery = 250 * time.Millisecond
-	hop        = 2 * time.Millisecond
+	shareInterval = 250 * time.Millisecond
+	shareDelay    = 2 * time.Millisecond
 	// capMultiple and capSlack are the bound over which an upstream holds too much,
 	// and allowedOver is the part of the requests that may find one there.
 	capMultiple, capSlack = 2.0, 3.0
-	allowedOver           = 0.03
+	maxOverShare          = 0.03
 )
 
 // mechanisms are those that keep the bound.
 type mechanisms struct {
-	sharing bool // of loads between routers
-	spread  bool // of hot sessions
-	soft    bool // bounds, drawn by chance as far as routers of a fleet of this size do
+	sharing    bool // of loads between routers
+	spreadHot  bool // of hot sessions
+	softBounds bool // bounds, drawn by chance as far as routers of a fleet of this size do
 }
 
-// sliverSoft is how far they do: each counts a 28th of the requests.
-const sliverSoft = 0.86
+// fleetBoundJitter is how far they do: each counts a 28th of the requests.
+const fleetBoundJitter = 0.86
 
-// surge is a session that gets a part of the traffic.
-type surge float64
+// trafficShare is a session that gets a part of the traffic.
+type trafficShare float64
 
-// done is the end of a request.
-type done struct {
+// completion is the end of a request.
+type completion struct {
 	at, began      time.Time
 	router, member int
 }
 
-// dones is a heap of the requests that run, the first to end on top.
-type dones []done
-
-func (d dones) Len() int           { return len(d) }
-func (d dones) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
-func (d dones) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dones) Push(x any)        { *d = append(*d, x.(done)) }
-func (d *dones) Pop() any          { x := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return x }
-
-// sliver is the fleet.
-type sliver struct {
-	random  *rand.Rand
-	members []Member
-	ids     []load.VM
-	pool    *Pool
-	idle    int // upstreams that are drained
-	tallies [sliverRouters]*load.PoolLoad
-	running []int
-	ends    dones
-	shared  time.Time
-	demands [sliverRouters]*load.Demand
-	by      mechanisms
-	hot     surge
+// completions is a heap of the requests that run, the first to end on top.
+type completions []completion
+
+func (d completions) Len() int           { return len(d) }
+func (d completions) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
+func (d completions) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *completions) Push(x any)        { *d = append(*d, x.(completion)) }
+func (d *completions) Pop() any          { x := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return x }
+
+// fleet is the fleet.
+type fleet struct {
+	random     *rand.Rand
+	members    []Member
+	ids        []load.VM
+	pool       *Pool
+	drained    int // upstreams that are drained
+	loads      [fleetRouters]*load.PoolLoad
+	running    []int
+	pending    completions
+	lastShared time.Time
+	demands    [fleetRouters]*load.Demand
+	enabled    mechanisms
+	hotShare   trafficShare
 }
 
-func newSliver(by mechanisms, hot surge) *sliver {
-	s := &sliver{random: rand.New(rand.NewPCG(1, 2)), members: members(sliverUpstreams), by: by, hot: hot, shared: start}
+func newFleet(enabled mechanisms, hotShare trafficShare) *fleet {
+	s := &fleet{random: rand.New(rand.NewPCG(1, 2)), members: newMembers(fleetUpstreams), enabled: enabled, hotShare: hotShare, lastShared: start}
 	for i := range s.members {
 		s.members[i].Joined = start
 		s.ids = append(s.ids, s.members[i].VM)
 	}
 	s.drain(0)
-	for i := range s.tallies {
-		s.tallies[i], s.demands[i] = load.NewPoolLoad(), load.NewDemand()
+	for i := range s.loads {
+		s.loads[i], s.demands[i] = load.NewPoolLoad(), load.NewDemand()
 	}
-	s.running = make([]int, sliverUpstreams)
+	s.running = make([]int, fleetUpstreams)
 	return s
 }
 
 // drain drains the first n upstreams.
-func (s *sliver) drain(n int) {
-	s.idle = n
+func (s *fleet) drain(n int) {
+	s.drained = n
 	for i := range s.members {
 		s.members[i].Drained, s.members[i].Leaving = i < n, i < n
 	}
 	s.pool = NewPool(s.members, Locality{})
 }
 
-// play returns which part of the requests went to an upstream that held more than
+// run returns which part of the requests went to an upstream that held more than
 // the bound allows then.
-func (s *sliver) play(t *testing.T) float64 {
+func (s *fleet) run(t *testing.T) float64 {
 	t.Helper()
 	arrivals, over := 0, 0
-	surge := start.Add(sliverCalm)
-	for now := start; now.Before(surge.Add(sliverSpan)); {
-		now = now.Add(time.Duration(s.random.ExpFloat64() / sliverPerSecond * float64(time.Second)))
+	surgeStart := start.Add(calmTime)
+	for now := start; now.Before(surgeStart.Add(surgeTime)); {
+		now = now.Add(time.Duration(s.random.ExpFloat64() / fleetRequestsPerSecond * float64(time.Second)))
 		s.end(now)
-		s.share(t, now)
-		router := s.random.IntN(sliverRouters)
-		q := Query{Session: s.session(!now.Before(surge)), LoadMultiple: 0.8 * capMultiple, Random: s.random.Uint64(), Now: now}
-		if s.by.soft {
-			q.BoundJitter = sliverSoft
+		s.shareLoads(t, now)
+		router := s.random.IntN(fleetRouters)
+		q := Query{Session: s.session(!now.Before(surgeStart)), LoadMultiple: 0.8 * capMultiple, Random: s.random.Uint64(), Now: now}
+		if s.enabled.softBounds {
+			q.BoundJitter = fleetBoundJitter
 		}
-		if share := s.demands[router].RecordRequest(now, q.Session, "chat"); s.by.spread {
+		if share := s.demands[router].RecordRequest(now, q.Session, "chat"); s.enabled.spreadHot {
 			q.SessionShare = share
 		}
 		var out [MaxCandidates]Choice
-		s.pool.ChooseBounded(tallyAt{s.tallies[router], now, s.idle}, q, &out)
+		s.pool.ChooseBounded(poolLoadAt{s.loads[router], now, s.drained}, q, &out)
 		i := out[0].Index
-		if !now.Before(surge) {
+		if !now.Before(surgeStart) {
 			arrivals++
 		}
-		if !now.Before(surge) && float64(s.running[i]) > capMultiple*s.mean()+capSlack {
+		if !now.Before(surgeStart) && float64(s.running[i]) > capMultiple*s.mean()+capSlack {
 			over++
 		}
 		s.begin(now, router, i)
@@ -131,73 +131,73 @@
 	return float64(over) / float64(arrivals)
 }
 
-func (s *sliver) session(surge bool) uint64 {
-	if surge && s.random.Float64() < float64(s.hot) {
+func (s *fleet) session(duringSurge bool) uint64 {
+	if duringSurge && s.random.Float64() < float64(s.hotShare) {
 		return mix(1)
 	}
-	return mix(uint64(2 + s.random.IntN(sliverSessions)))
+	return mix(uint64(2 + s.random.IntN(fleetSessions)))
 }
 
-func (s *sliver) mean() float64 {
-	return float64(len(s.ends)) / sliverUpstreams
+func (s *fleet) mean() float64 {
+	return float64(len(s.pending)) / fleetUpstreams
 }
 
 // begin starts a request. The head of its answer, which comes at once here, tells the
 // upstream's load.
-func (s *sliver) begin(now time.Time, router, member int) {
+func (s *fleet) begin(now time.Time, router, member int) {
 	s.running[member]++
-	took := time.Duration((0.5 + s.random.Float64()) * float64(sliverShort))
+	took := time.Duration((0.5 + s.random.Float64()) * float64(shortRequest))
 	if s.random.IntN(5) < 2 {
-		took = time.Duration((0.5 + s.random.Float64()) * float64(sliverLong))
+		took = time.Duration((0.5 + s.random.Float64()) * float64(longRequest))
 	}
-	heap.Push(&s.ends, done{at: now.Add(took), router: router, member: member})
-	s.tallies[router].Begin(s.ids[member])
-	s.tallies[router].Observe(now, s.ids[member], s.running[member])
+	heap.Push(&s.pending, completion{at: now.Add(took), router: router, member: member})
+	s.loads[router].Begin(s.ids[member])
+	s.loads[router].Observe(now, s.ids[member], s.running[member])
 }
 
-func (s *sliver) end(now time.Time) {
-	for len(s.ends) > 0 && !s.ends[0].at.After(now) {
-		d := heap.Pop(&s.ends).(done)
+func (s *fleet) end(now time.Time) {
+	for len(s.pending) > 0 && !s.pending[0].at.After(now) {
+		d := heap.Pop(&s.pending).(completion)
 		s.running[d.member]--
-		s.tallies[d.router].End(s.ids[d.member])
+		s.loads[d.router].End(s.ids[d.member])
 	}
 }
 
-// share has the first router hear from the others and tell them what it knows.
-func (s *sliver) share(t *testing.T, now time.Time) {
+// shareLoads has the first router hear from the others and tell them what it knows.
+func (s *fleet) shareLoads(t *testing.T, now time.Time) {
 	t.Helper()
-	if !s.by.sharing || now.Sub(s.shared) < shareEvery {
+	if !s.enabled.sharing || now.Sub(s.lastShared) < shareInterval {
 		return
 	}
-	reader := s.tallies[0]
-	for _, router := range s.tallies[1:] {
-		if err := reader.MergeObserved(now, s.ids, router.PackObserved(now, s.shared, s.ids)); err != nil {
+	reader := s.loads[0]
+	for _, router := range s.loads[1:] {
+		if err := reader.MergeObserved(now, s.ids, router.PackObserved(now, s.lastShared, s.ids)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	known := reader.PackKnown(now, s.ids)
-	for _, router := range s.tallies[1:] {
-		if err := router.MergeKnown(now.Add(hop), s.ids, known); err != nil {
+	for _, router := range s.loads[1:] {
+		if err := router.MergeKnown(now.Add(shareDelay), s.ids, known); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.shared = now
+	s.lastShared = now
 }
 
-// tallyAt is what a router believes at one moment. It implements Loads.
-type tallyAt struct {
-	tally *load.PoolLoad
-	now   time.Time
-	idle  int
+// poolLoadAt is what a router believes at one moment. It implements Loads.
+type poolLoadAt struct {
+	loads   *load.PoolLoad
+	now     time.Time
+	drained int
 }
 
-func (l tallyAt) Load(vm load.VM) float64   { return l.tally.Load(l.now, vm) }
-func (l tallyAt) Cost(vm load.VM) float64   { return l.Load(vm) }
-func (l tallyAt) Upper(vm load.VM) float64  { return l.tally.UpperBound(l.now, vm) }
-func (l tallyAt) IsSuspected(load.VM) bool  { return false }
-func (l tallyAt) Unavailable(int) bool      { return false }
-func (l tallyAt) Estimate(load.VM) Estimate { return Estimate{} }
-func (l tallyAt) Mean() float64             { return l.tally.Mean(sliverUpstreams, l.idle) }
+func (l poolLoadAt) Load(vm load.VM) float64   { return l.loads.Load(l.now, vm) }
+func (l poolLoadAt) Cost(vm load.VM) float64   { return l.Load(vm) }
+func (l poolLoadAt) Upper(vm load.VM) float64  { return l.loads.UpperBound(l.now, vm) }
+func (l poolLoadAt) IsSuspected(load.VM) bool  { return false }
+func (l poolLoadAt) Unavailable(int) bool      { return false }
+func (l poolLoadAt) Estimate(load.VM) Estimate { return Estimate{} }
+func (l poolLoadAt) Mean() float64             { return l.loads.Mean(fleetUpstreams, l.drained) }
 
 // Each of 28 routers sees its own requests and hears of an upstream's load when it
 // gets an answer from it, seconds apart. On a calm day chance fills some upstreams
@@ -207,19 +207,19 @@
 // together. Only spreading that chat ahead of what is told keeps the bound.
 func TestLoadsThatAreSharedKeepTheBound(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		hot  surge
+		name     string
+		hotShare trafficShare
 	}{{"calm", 0}, {"a session with an eighth", 0.125}, {"a session with a third", 0.33}} {
 		t.Run(c.name, func(t *testing.T) {
-			none := newSliver(mechanisms{}, c.hot).play(t)
-			shared := newSliver(mechanisms{sharing: true}, c.hot).play(t)
-			spread := newSliver(mechanisms{spread: true}, c.hot).play(t)
-			both := newSliver(mechanisms{sharing: true, spread: true, soft: true}, c.hot).play(t)
+			none := newFleet(mechanisms{}, c.hotShare).run(t)
+			shared := newFleet(mechanisms{sharing: true}, c.hotShare).run(t)
+			spread := newFleet(mechanisms{spreadHot: true}, c.hotShare).run(t)
+			both := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: true}, c.hotShare).run(t)
 			t.Logf("over the bound: %.4f; with loads shared %.4f, hot sessions spread %.4f, both %.4f", none, shared, spread, both)
-			if both > allowedOver {
+			if both > maxOverShare {
 				t.Errorf("%.4f of the requests reach an upstream over the bound", both)
 			}
-			if both > none/2 && none > allowedOver/10 {
+			if both > none/2 && none > maxOverShare/10 {
 				t.Errorf("%.4f are over the bound, %.4f with neither", both, none)
 			}
 		})
@@ -232,13 +232,13 @@
 // requests they leave them together for the same few.
 func TestSoftBoundsHoldWhileADomainIsDrained(t *testing.T) {
 	over := func(soft bool) float64 {
-		s := newSliver(mechanisms{sharing: true, spread: true, soft: soft}, 0)
-		s.drain(sliverUpstreams / 3)
-		return s.play(t)
+		s := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: soft}, 0)
+		s.drain(fleetUpstreams / 3)
+		return s.run(t)
 	}
 	hard, soft := over(false), over(true)
 	t.Logf("over the bound: %.4f with one for all, %.4f with one drawn for each request", hard, soft)
-	if soft > allowedOver {
+	if soft > maxOverShare {
 		t.Errorf("%.4f of the requests reach an upstream over the bound", soft)
 	}
 }
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -12,8 +12,8 @@
 
 // Regions is a set of regions. Its zero value is all of them.
 type Regions struct {
-	bound bool
-	names []string // sorted
+	restricted bool
+	names      []string // sorted
 }
 
 // NewRegions returns the regions of a list; all if it is empty.
@@ -23,18 +23,18 @@
 	}
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
-	return Regions{bound: true, names: slices.Compact(sorted)}
+	return Regions{restricted: true, names: slices.Compact(sorted)}
 }
 
 // Intersect returns the regions that are in both sets, which may be none.
 func (r Regions) Intersect(other Regions) Regions {
 	switch {
-	case !r.bound:
+	case !r.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return r
 	}
-	both := Regions{bound: true}
+	both := Regions{restricted: true}
 	for _, name := range r.names {
 		if other.Has(name) {
 			both.names = append(both.names, name)
@@ -45,11 +45,11 @@
 
 // Unrestricted reports whether every region is in the set, those included that are not known by
 // name.
-func (r Regions) Unrestricted() bool { return !r.bound }
+func (r Regions) Unrestricted() bool { return !r.restricted }
 
 // Has reports whether a region is in the set.
 func (r Regions) Has(name string) bool {
-	if !r.bound {
+	if !r.restricted {
 		return true
 	}
 	_, found := slices.BinarySearch(r.names, name)
@@ -59,7 +59,7 @@
 // Key returns a text that is the same for sets of the same regions, and only for those.
 // No region's name holds the byte that separates them.
 func (r Regions) Key() string {
-	if !r.bound {
+	if !r.restricted {
 		return ""
 	}
 	var key strings.Builder
@@ -73,7 +73,7 @@
 
 // String names the regions.
 func (r Regions) String() string {
-	if !r.bound {
+	if !r.restricted {
 		return "all regions"
 	}
 	return strings.Join(r.names, ", ")
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -14,16 +14,16 @@
 
 var names = []string{"casablanca", "ktm", "caribe", ""}
 
-func lists(t *rapid.T, label string) []string {
+func drawRegions(t *rapid.T, label string) []string {
 	return rapid.SliceOfN(rapid.SampledFrom(names), 0, 5).Draw(t, label)
 }
 
 // A club's chats may run in two regions and its reports in one. Whatever either list
 // holds, a request runs where both allow it and nowhere else, and a list that is left out
 // binds nothing.
-func TestBothListsBind(t *testing.T) {
+func TestIntersectionKeepsToBothLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := lists(t, "profile"), lists(t, "organisation")
+		a, b := drawRegions(t, "profile"), drawRegions(t, "organisation")
 		both, reversed := NewRegions(a).Intersect(NewRegions(b)), NewRegions(b).Intersect(NewRegions(a))
 		for _, name := range names {
 			want := NewRegions(a).Has(name) && NewRegions(b).Has(name)
@@ -31,7 +31,7 @@
 				t.Errorf("%v and %v: %q is %v", a, b, name, both.Has(name))
 			}
 		}
-		if same := NewRegions(a).Key() == NewRegions(b).Key(); same != equal(NewRegions(a), NewRegions(b)) {
+		if same := NewRegions(a).Key() == NewRegions(b).Key(); same != sameRegions(NewRegions(a), NewRegions(b)) {
 			t.Errorf("%v and %v: the same key is %v", a, b, same)
 		}
 		if both.Key() != reversed.Key() || both.Unrestricted() != (len(a)+len(b) == 0) {
@@ -40,8 +40,8 @@
 	})
 }
 
-// equal reports whether two sets hold the same regions.
-func equal(a, b Regions) bool {
+// sameRegions reports whether two sets hold the same regions.
+func sameRegions(a, b Regions) bool {
 	for _, name := range append(names, "elsewhere") {
 		if a.Has(name) != b.Has(name) {
 			return false
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -45,43 +45,43 @@
 	// window is the time in which a router counts what it has sent. It is longer than the
 	// second of the limit by what a request's way to an upstream may differ from another's.
 	window = 1100 * time.Millisecond
-	// evenShare is the part of the limit that routers of a small fleet share evenly. The
+	// equalShare is the part of the limit that routers of a small fleet share evenly. The
 	// rest is for routers that have joined since they were counted.
-	evenShare = 0.75
-	// overOdds is how likely more routers than the limit allows may send to the same
+	equalShare = 0.75
+	// overshootProbability is how likely more routers than the limit allows may send to the same
 	// upstream, where chance decides which do.
-	overOdds = 1e-6
+	overshootProbability = 1e-6
 )
 
 // Share returns how many requests a router of a fleet of so many may send to a cold
 // upstream in any window. A router that does not know how many there are sends none.
 func Share(router, upstream string, l Limit, routers int) int {
-	most := l.MaxPerSecond()
-	if routers <= 0 || most <= 0 {
+	total := l.MaxPerSecond()
+	if routers <= 0 || total <= 0 {
 		return 0
 	}
-	if even := int(evenShare * float64(most)); even >= routers {
-		return even / routers
+	if equal := int(equalShare * float64(total)); equal >= routers {
+		return equal / routers
 	}
-	if draw(router, upstream) < senders(most)/float64(routers) {
+	if uniformHash(router, upstream) < meanSenders(total)/float64(routers) {
 		return 1
 	}
 	return 0
 }
 
-// draw returns a number in [0, 1) for a router and an upstream, the same at all times.
-func draw(router, upstream string) float64 {
+// uniformHash returns a number in [0, 1) for a router and an upstream, the same at all times.
+func uniformHash(router, upstream string) float64 {
 	return float64(xxh3.HashString(router+"\x00"+upstream)>>11) / (1 << 53)
 }
 
-// senders returns how many routers may send on average, each one request at a time, if
+// meanSenders returns how many routers may send on average, each one request at a time, if
 // chance picks them and more than most of them may be picked with the odds of overOdds
 // only. Of many routers picked by chance, the number has a Poisson distribution.
-func senders(most int) float64 {
-	low, high := 0.0, float64(most)
+func meanSenders(limit int) float64 {
+	low, high := 0.0, float64(limit)
 	for range 40 { // halvings, well below any difference that matters
 		mean := (low + high) / 2
-		if above(most, mean) > overOdds {
+		if poissonTail(limit, mean) > overshootProbability {
 			high = mean
 		} else {
 			low = mean
@@ -90,8 +90,8 @@
 	return low
 }
 
-// above returns the odds that a Poisson variable of a mean exceeds n.
-func above(n int, mean float64) float64 {
+// poissonTail returns the odds that a Poisson variable of a mean exceeds n.
+func poissonTail(n int, mean float64) float64 {
 	term := math.Exp(-mean)
 	sum := 0.0
 	for k := range n + 1 {
@@ -107,11 +107,11 @@
 
 	mu     sync.Mutex
 	sent   map[string][]time.Time // in the last window, by upstream
-	shares map[key]int            // as of Share
+	shares map[shareKey]int       // as of Share
 }
 
-// key is what a Share depends on beside the router.
-type key struct {
+// shareKey is what a Share depends on beside the router.
+type shareKey struct {
 	upstream string
 	limit    Limit
 	routers  int
@@ -119,18 +119,18 @@
 
 // NewLimiter returns the Gate of a router that has sent nothing.
 func NewLimiter(router string) *Limiter {
-	return &Limiter{router: router, sent: make(map[string][]time.Time), shares: make(map[key]int)}
+	return &Limiter{router: router, sent: make(map[string][]time.Time), shares: make(map[shareKey]int)}
 }
 
 // HasCapacity reports whether a request more may be sent to a cold upstream now.
 func (g *Limiter) HasCapacity(now time.Time, upstream string, l Limit, routers int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.open(now, upstream, l, routers)
+	return g.hasCapacity(now, upstream, l, routers)
 }
 
-func (g *Limiter) open(now time.Time, upstream string, l Limit, routers int) bool {
-	share := g.share(key{upstream: upstream, limit: l, routers: routers})
+func (g *Limiter) hasCapacity(now time.Time, upstream string, l Limit, routers int) bool {
+	share := g.share(shareKey{upstream: upstream, limit: l, routers: routers})
 	sent := 0
 	for _, at := range g.sent[upstream] {
 		if now.Sub(at) < window {
@@ -140,13 +140,13 @@
 	return sent < share
 }
 
-// sharesKept bounds the shares that are remembered. Upstreams come and go.
-const sharesKept = 4096
+// maxCachedShares bounds the shares that are remembered. Upstreams come and go.
+const maxCachedShares = 4096
 
-func (g *Limiter) share(k key) int {
+func (g *Limiter) share(k shareKey) int {
 	share, ok := g.shares[k]
 	if !ok {
-		if len(g.shares) >= sharesKept {
+		if len(g.shares) >= maxCachedShares {
 			clear(g.shares)
 		}
 		share = Share(g.router, k.upstream, k.limit, k.routers)
@@ -161,7 +161,7 @@
 func (g *Limiter) TryAcquire(now time.Time, upstream string, l Limit, routers int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.open(now, upstream, l, routers) {
+	if !g.hasCapacity(now, upstream, l, routers) {
 		return false
 	}
 	g.sent[upstream] = append(g.recent(now, upstream), now)
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -17,32 +17,32 @@
 
 var start = time.Unix(1000, 0)
 
-// router is a router of a fleet, as the test plays it.
-type router struct {
-	gate    *Limiter
-	routers int           // that it believes in
-	behind  time.Duration // by which its clock has fallen back in suspensions
-	until   time.Time     // when it runs again
+// simRouter is a simRouter of a fleet, as the test plays it.
+type simRouter struct {
+	limiter        *Limiter
+	fleetSize      int           // that it believes in
+	clockLag       time.Duration // by which its clock has fallen back in suspensions
+	suspendedUntil time.Time     // when it runs again
 }
 
-// arrivals lets all routers send as much as they may to one cold upstream, and returns when
+// sendAll lets all routers send as much as they may to one cold upstream, and returns when
 // each request went there. Routers are suspended now and then, and their clocks do not
 // count that.
-func arrivals(t *rapid.T, fleet []*router, l Limit, span time.Duration) []time.Time {
+func sendAll(t *rapid.T, fleet []*simRouter, l Limit, span time.Duration) []time.Time {
 	var out []time.Time
 	for now := start; now.Before(start.Add(span)); now = now.Add(20 * time.Millisecond) {
 		if rapid.IntRange(0, 9).Draw(t, "suspend") == 0 {
 			r := fleet[rapid.IntRange(0, len(fleet)-1).Draw(t, "router")]
 			pause := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
-			if !now.Before(r.until) {
-				r.until, r.behind = now.Add(pause), r.behind+pause
+			if !now.Before(r.suspendedUntil) {
+				r.suspendedUntil, r.clockLag = now.Add(pause), r.clockLag+pause
 			}
 		}
 		for _, r := range fleet {
-			if now.Before(r.until) {
+			if now.Before(r.suspendedUntil) {
 				continue
 			}
-			for r.gate.TryAcquire(now.Add(-r.behind), "cold", l, r.routers) {
+			for r.limiter.TryAcquire(now.Add(-r.clockLag), "cold", l, r.fleetSize) {
 				out = append(out, now)
 			}
 		}
@@ -50,8 +50,8 @@
 	return out
 }
 
-// most returns the most of times within a second.
-func most(times []time.Time) int {
+// maxPerSecond returns the maxPerSecond of times within a second.
+func maxPerSecond(times []time.Time) int {
 	highest := 0
 	for i := range times {
 		end, _ := slices.BinarySearchFunc(times, times[i].Add(time.Second), time.Time.Compare)
@@ -64,7 +64,7 @@
 // as fast as they may: an engine that got more than it bears would crash again, and its
 // chats would wait twice. Routers differ in how many they believe there are, by those that
 // have joined lately, and some are suspended meanwhile.
-func TestColdUpstreamsGetWhatTheyBearAtMost(t *testing.T) {
+func TestColdUpstreamsStayWithinTheirLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
 			PerSecond: float64(rapid.IntRange(1, 40).Draw(t, "per second")),
@@ -72,12 +72,12 @@
 			Slack:     float64(rapid.IntRange(0, 8).Draw(t, "slack")),
 		}
 		n := rapid.IntRange(1, 300).Draw(t, "routers")
-		var fleet []*router
+		var fleet []*simRouter
 		for i := range n {
 			believed := n - rapid.IntRange(0, n/10).Draw(t, "unknown")
-			fleet = append(fleet, &router{gate: NewLimiter(fmt.Sprint("front-", i)), routers: believed})
+			fleet = append(fleet, &simRouter{limiter: NewLimiter(fmt.Sprint("front-", i)), fleetSize: believed})
 		}
-		if got := most(arrivals(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
+		if got := maxPerSecond(sendAll(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
 			t.Fatalf("%d routers sent %d within a second to one that bears %d", n, got, l.MaxPerSecond())
 		}
 	})
@@ -85,7 +85,7 @@
 
 // A limit that is no use protects nobody: where chats wait at all routers, a cold engine
 // gets a fifth at least of what it bears, on average, whatever the size of the fleet.
-func TestColdUpstreamsGetSomething(t *testing.T) {
+func TestColdUpstreamsGetAMinimumShareOfTheirLimit(t *testing.T) {
 	l := Limit{PerSecond: 11, Overage: 1.5, Slack: 5}
 	for _, n := range []int{1, 4, 15, 30, 68, 330} {
 		sum, upstreams := 0, 200
@@ -102,7 +102,7 @@
 
 // A router that has just started knows of no other. It holds back: all those that start
 // together would each take the whole of the limit for itself.
-func TestRouterThatKnowsNobodySendsNothing(t *testing.T) {
+func TestRouterWithUnknownFleetSizeSendsNothing(t *testing.T) {
 	g := NewLimiter("front-1")
 	if g.TryAcquire(start, "cold", Limit{PerSecond: 100}, 0) {
 		t.Error("a request was sent")
@@ -111,7 +111,7 @@
 
 // Where operators tell no bound on top of what a service states, that is the limit; and one
 // that states nothing has none that could be shared.
-func TestLimitWithoutOperatorsBounds(t *testing.T) {
+func TestLimitWithoutOperatorSettings(t *testing.T) {
 	for _, c := range []struct {
 		limit Limit
 		want  int
@@ -127,7 +127,7 @@
 }
 
 // Upstreams come and go by the thousand. What was sent to them is forgotten.
-func TestGateForgets(t *testing.T) {
+func TestLimiterForgetsExpiredRequests(t *testing.T) {
 	g := NewLimiter("front-1")
 	for i := range 100 {
 		g.TryAcquire(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
