--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// BenchmarkChoose is the cost of one decision: with a session and without.
+// BenchmarkChoose measures one choice, with and without a session.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{130, 1000, 2900} {
 		for _, weights := range []int{1, 3} {
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -9,98 +9,103 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// Loads is what a router believes of the loads of a pool's upstreams.
+// Loads is what a router knows about the load and state of a pool's upstreams.
 type Loads interface {
+	// Load returns the estimated load of an upstream, in requests.
 	Load(vm load.VM) float64
+	// Upper returns a load that an upstream seldom exceeds.
 	Upper(vm load.VM) float64
+	// Mean returns the estimated mean load of the pool's upstreams.
 	Mean() float64
-	// Cost returns how long a request more is believed to take at an upstream, in
-	// units that mean something only next to those of the pool's others.
+	// Cost returns the estimated response time of one more request at an upstream, in units that
+	// are comparable only within the pool.
 	Cost(vm load.VM) float64
-	// Estimate returns when the request's answer is expected to begin at an upstream.
+	// Estimate returns when the answer to the request is expected to begin at an upstream.
 	Estimate(vm load.VM) Estimate
-	// IsSuspected reports whether an upstream fails more of its requests than others.
+	// IsSuspected reports whether an upstream fails more of its requests than others do.
 	IsSuspected(vm load.VM) bool
-	// Unavailable reports whether upstream i of the pool may get no request now, whatever its load:
-	// it leaves, or is cold and has got what it bears.
+	// Unavailable reports whether upstream i of the pool may get no request now, whatever its
+	// load: it is leaving, or it is cold and at its warm-up limit.
 	Unavailable(i int) bool
 }
 
 const (
-	// boundSlack is how many requests an upstream takes over the multiple of the
-	// mean: where the mean is a few requests, chance alone puts two or three more on
-	// an upstream, and sessions would leave their prompts for that.
+	// boundSlack is the number of requests that an upstream may have over the multiple of the
+	// mean. Where the mean is a few requests, chance alone puts two or three more on an
+	// upstream, and without the slack sessions would leave their cached prompts for that.
 	boundSlack = 2.25
-	// jitterMultipleMin and jitterMultipleMax times the bound's multiple, and slackLow and slackHigh requests
-	// on top, are between which the bound of a request lies where chance draws it.
+	// jitterMultipleMin to jitterMultipleMax times the multiple, plus jitterSlackMin to
+	// jitterSlackMax requests, is the range of a fully randomised bound (BoundJitter 1).
 	jitterMultipleMin, jitterMultipleMax = 0.85, 1.15
 	jitterSlackMin, jitterSlackMax       = 1.5, 3.0
-	// takeoverMultiple of the mean, and takeoverSlack requests, is up to which an upstream takes
-	// over requests of one that is suspected. With three fifths of a pool losing answers, the others would
-	// stand at the bound all the time, and chance would put them over the operators'.
+	// takeoverMultiple times the mean plus takeoverSlack requests is the load up to which an
+	// upstream takes over requests of a suspected one. Without this limit, when three fifths of
+	// a pool lose answers, the others would stay at the load bound, and chance would put them
+	// over the operators' bound.
 	takeoverMultiple, takeoverSlack = 1.3, 1.0
-	// donorMinAge is how long after it has joined an upstream is passed over as a
-	// donor. Among upstreams that are replaced one after the other, it lowers the
-	// shared tokens that are read again by a sixth; 15 s do no better.
+	// donorMinAge is the time since an upstream joined during which it is not preferred as a
+	// donor. When upstreams are replaced one after the other, this reduces the shared tokens
+	// that are read again by a sixth; 15 s brings no further reduction.
 	donorMinAge = 5 * time.Second
 )
 
 // Estimate is when the answer to a request is expected to begin at an upstream.
 type Estimate struct {
-	Start     float64 // seconds until its first byte
-	QueueWait float64 // seconds of them that others take which go before it
-	Queued    bool    // there is no free place
+	Start     float64 // seconds until the first byte
+	QueueWait float64 // seconds of Start spent behind requests that are served earlier
+	Queued    bool    // no slot is free
 	Slowdown  float64 // how many times longer than usual the upstream takes
 }
 
-// Basis is what a choice rests on, for those who ask why.
+// Basis holds the figures that a choice rests on, for logs and for explanations to operators.
 type Basis struct {
-	Mean           float64 // believed mean load of the pool
-	Bound          float64 // over which an upstream comes last; infinite: none
-	EstimatedStart float64 // seconds until the first byte is expected, at the first choice
-	QueueWait      float64 // seconds of waiting at the session's upstreams, by what each can do
-	// Urgency is with which the request is sent, 0 first, and Behind tells that it waits
-	// behind all those that can still be answered in time.
+	Mean           float64 // estimated mean load of the pool
+	Bound          float64 // load from which on an upstream comes last; infinite: no bound
+	EstimatedStart float64 // seconds until the first byte at the first choice
+	QueueWait      float64 // mean seconds of waiting at the session's upstreams, weighted by their speed
+	// Urgency is the urgency that the request is sent with, 0 being the most urgent. Deferred
+	// reports whether the request waits behind all those that can still be answered in time.
 	Urgency  int
 	Deferred bool
-	// Home is the upstream that ranks first for the session, None without one, and Passed why
-	// it is not the first choice.
+	// Home is the index of the session's home upstream, None without a session. PassedOver is
+	// the reason why it is not the first choice.
 	Home       int
 	PassedOver PassOverReason
-	// ShouldReject tells that the request had better be turned away: more come than the pool
-	// answers in time, and the first choice has no free place.
+	// ShouldReject reports whether the request should be rejected: more requests come than the
+	// pool can answer in time, and the first choice has no free slot.
 	ShouldReject bool
 }
 
-// PassOverReason is why the upstream that ranks first for a session is not the first choice.
+// PassOverReason is the reason why a session's home upstream is not the first choice.
 type PassOverReason string
 
 // Reasons to pass over an upstream.
 const (
 	NotPassedOver         PassOverReason = ""
 	PassedOverUnavailable PassOverReason = "closed" // it may get no request
-	PassedOverSpread      PassOverReason = "spread" // the session has more requests than it may hold
+	PassedOverSpread      PassOverReason = "spread" // the session has more requests than one upstream may hold
 )
 
-// passOverReasons names the classes for which an upstream is passed over.
+// passOverReasons maps the class of a passed-over upstream to the reason.
 var passOverReasons = map[class]PassOverReason{
 	suspected: "suspected", loaded: "loaded", tooSlow: "slow", queued: "queued", lowerRanked: "far", overBound: "over bound",
 }
 
-// Choice is an upstream to which a request is offered.
+// Choice is an upstream that a request is offered to.
 type Choice struct {
 	Index int
-	Load  float64 // as it is believed
-	Donor int     // upstream that is the likeliest to hold the session's prompt beside it, or None
+	Load  float64 // estimated load
+	Donor int     // upstream other than this one that most likely holds the session's prompt, or None
 }
 
-// ChooseBounded writes the upstreams to which a request is offered to out, where no
-// sidecar bounds their load: the session's ranking, with those behind that may be
-// over the multiple of the mean. It returns how many there are, and why.
+// ChooseBounded writes the upstreams that a request is offered to into out, for pools in which
+// no sidecar limits the load. Within each class of upstreams they are in the order of the
+// session's ranking, and those that may exceed the load bound come last. It returns their number
+// and the basis of the choice.
 //
-// The ranking keeps a session where its prompt is cached. Under a surge of one
-// session it spills over to the next in the ranking, always in the same order at
-// each router, so that few upstreams read the same prompt.
+// The ranking keeps a session where its prompt is cached. In a surge of one session, requests
+// spill over to the next upstreams of the ranking in the same order at each router, so that few
+// upstreams read the same prompt.
 func (p *Pool) ChooseBounded(l Loads, q Query, out *[MaxCandidates]Choice) (int, Basis) {
 	basis := Basis{Mean: l.Mean(), Bound: math.Inf(1), Home: None}
 	if q.LoadMultiple > 0 {
@@ -125,16 +130,17 @@
 	return n, basis
 }
 
-// boundSalt sets the draw of a bound apart from others of the same random number.
+// boundSalt makes the random draw of a bound independent of other draws from the same
+// Query.Random.
 const boundSalt = 0x5bd1e995
 
-// bound returns over which load an upstream comes last for a request.
+// bound returns the load from which on an upstream comes last for the request.
 //
-// Routers are told the same loads, some tenths of a second old. With one bound for all
-// requests, an upstream that is seen to pass it loses those of all routers at the same
-// moment, and the one that is seen to have room gets them: with a third of the pool idle,
-// one request in twenty met an upstream over the operators' bound. Drawn anew for each
-// request, the bound has them leave one after the other.
+// Routers receive the same loads, some tenths of a second old. With one bound for all requests,
+// an upstream reported over the bound loses the requests of all routers at the same moment, and
+// the next one with spare capacity gets all of them: with a third of the pool idle, one request
+// in twenty reached an upstream over the operators' bound. A bound drawn anew for each request
+// lets them move one after the other.
 func (q Query) bound(mean float64) float64 {
 	draw := unitInterval(mix(q.Random ^ boundSalt))
 	multiple := 1 + q.BoundJitter*(jitterMultipleMin+draw*(jitterMultipleMax-jitterMultipleMin)-1)
@@ -147,8 +153,8 @@
 	return !p.members[i].Leaving && !l.Unavailable(i)
 }
 
-// rank writes the indices of the region's upstreams to best, in the order in which a
-// session prefers them, and returns how many there are.
+// rank writes the indices of the region's upstreams to best in the order of the session's
+// ranking and returns their number.
 func (p *Pool) rank(q Query, best []int) int {
 	if q.IgnoreDomains {
 		return p.regional.top(q.Session, best)
@@ -156,13 +162,13 @@
 	return p.byDomain.top(q.Session, best)
 }
 
-// admitAllWait and rejectAllWait of the shortest objective of a pool are up to which expected wait
-// all requests are taken, and from which on none is. In between chance decides: what routers
-// are told of queues is some tenths of a second old, and a sharp limit has all of them turn
-// away, and then all of them take, at the same time.
+// admitAllWait times the shortest objective of the pool is the mean queue wait up to which all
+// requests are admitted, and rejectAllWait times it the one from which on none is. In between, a
+// random share is rejected: reports of queues are some tenths of a second old, and with a sharp
+// limit all routers would reject and then all admit at the same time.
 const admitAllWait, rejectAllWait = 0.3, 1.0
 
-// shouldReject reports whether a request is not to be sent to its first choice as it is.
+// shouldReject reports whether a request should not be sent to its first choice as it is.
 func shouldReject(q Query, b Basis) bool {
 	switch {
 	case q.LatencyLimit <= 0:
@@ -174,10 +180,9 @@
 	return rejectShare > unitInterval(mix(q.Random))
 }
 
-// chooseRanked writes the upstreams of a ranking that serve to out, the best first, and
-// returns how many there are, and the first of them. It notes in basis when an answer is
-// expected to begin there, by what each can do: of those that work slowly few requests are
-// in question.
+// chooseRanked writes the available upstreams of a ranking to out, best first, and returns their
+// number and the first of them. It sets basis.QueueWait to the mean wait weighted by speed,
+// since slow upstreams get few of the requests.
 func (p *Pool) chooseRanked(l Loads, q Query, basis *Basis, order []int, out *[MaxCandidates]Choice) (int, candidate) {
 	var ranked [maxRanked]candidate
 	scan := rankingScan{takeoverLimit: takeoverMultiple*basis.Mean + takeoverSlack}
@@ -202,8 +207,8 @@
 	return n, first
 }
 
-// setPassedOver notes why the session's home is not the first of those that were weighed, which are
-// in their order.
+// setPassedOver records why the session's home is not the first of the candidates, which are
+// sorted best first.
 func (b *Basis) setPassedOver(homeAccepts bool, order []candidate) {
 	switch {
 	case order[0].index == b.Home:
@@ -220,16 +225,18 @@
 	}
 }
 
-// rankingScan goes over the upstreams of a ranking and knows of those that rank before.
+// rankingScan adjusts the classes of the upstreams of a ranking one after the other and records
+// what it has seen of the higher-ranked ones.
 type rankingScan struct {
-	takeoverLimit          float64 // load up to which one takes over requests of one that is suspected
-	hasSuspected           bool    // one is suspected
-	hasLate                bool    // at one the answer is not expected to begin in time
-	hasNormalSpeed         bool    // one works at the usual pace
-	weightedWait, speedSum float64 // seconds of waiting by speed, and the speeds
+	takeoverLimit          float64 // load up to which an upstream takes over requests of a suspected one
+	hasSuspected           bool    // an upstream so far is suspected
+	hasLate                bool    // at an upstream so far the answer is not expected to begin in time
+	hasNormalSpeed         bool    // an upstream so far works at normal speed
+	weightedWait, speedSum float64 // sum of queue waits in seconds times speeds, and sum of the speeds
 }
 
-// adjust returns the next upstream with what those before it speak against it.
+// adjust returns the next candidate of the ranking with its class lowered as far as the
+// higher-ranked ones require it.
 func (s *rankingScan) adjust(w candidate) candidate {
 	s.hasSuspected = s.hasSuspected || w.class == suspected
 	switch {
@@ -247,7 +254,7 @@
 	return w
 }
 
-// classify says what speaks against an upstream.
+// classify returns upstream i with its class, regardless of the other upstreams.
 func (p *Pool) classify(l Loads, q Query, basis Basis, i int) candidate {
 	vm := p.members[i].VM
 	w := candidate{index: i, upperLoad: l.Upper(vm), estimate: l.Estimate(vm)}
@@ -265,43 +272,46 @@
 	return w
 }
 
-// class says how willingly an upstream is chosen, the best first.
+// class is the order in which upstreams are chosen, best first.
 type class uint8
 
 const (
 	eligible class = iota
 	suspected
-	// loaded ones would be eligible, but for a suspected one that ranks before them: they
-	// have little room left for what is not their own.
+	// loaded ones would be eligible, but a suspected one ranks before them and they have little
+	// spare capacity for requests other than their own.
 	loaded
-	// tooSlow ones have a free place, but work too slowly to begin in time.
+	// tooSlow ones have a free slot, but work too slowly for the answer to begin in time.
 	tooSlow
-	// queued ones are not expected to begin in time because of what waits there.
+	// queued ones have a queue that keeps the answer from beginning in time.
 	queued
-	// lowerRanked ones would be eligible, but for one that ranks before them, works at the usual pace
-	// and has a queue: a session waits there. An engine reads a long prompt for as long as it
-	// takes for a hundred tokens of an answer, and in a surge all callers wait for that. With
-	// three of the usual pace considered in place of one, 1134 GB of prompts were moved in
-	// place of 960, and .583 of a day's worth was earned in place of .606 (one day, one seed).
+	// lowerRanked ones would be eligible, but an upstream that ranks before them works at normal
+	// speed and has a queue: the session waits there. Reading a long prompt takes an engine as
+	// long as a hundred tokens of an answer, and in a surge all callers wait for that. When
+	// three upstreams of normal speed were considered instead of one, 1134 GB of prompts were
+	// moved instead of 960, and .583 of a day's worth was earned instead of .606 (one day, one
+	// seed).
 	lowerRanked
+	// overBound ones may exceed the load bound.
 	overBound
 )
 
-// slowdownLimit is how many times longer than usual an upstream takes for which no session waits.
+// slowdownLimit is the slowdown from which on an upstream does not count as working at normal
+// speed, so that no session waits for it.
 const slowdownLimit = 2.0
 
-// candidate is an upstream with what speaks against it.
+// candidate is an upstream with its class and the figures behind it.
 type candidate struct {
 	index     int
 	class     class
-	upperLoad float64 // the load that it seldom exceeds
+	upperLoad float64 // load that it seldom exceeds
 	estimate  Estimate
 }
 
-// compare orders by class, in a class by the ranking, and those over the bound by their
-// load. Sessions keep to their ranking also where all have a queue: an engine that has to
-// read a prompt anew does so for as long as for a hundred tokens of an answer, and in a
-// surge all callers pay for that.
+// compare orders candidates by class, and those over the bound by load. The sort is stable, so
+// that others of the same class keep the order of the ranking. Sessions keep to their ranking
+// even if all upstreams have a queue: reading a prompt again takes an engine as long as a
+// hundred tokens of an answer, and in a surge all callers wait for that.
 func (w candidate) compare(other candidate) int {
 	if by := cmp.Compare(w.class, other.class); by != 0 || w.class != overBound {
 		return by
@@ -309,6 +319,7 @@
 	return cmp.Compare(w.upperLoad, other.upperLoad)
 }
 
+// compareBools orders false before true.
 func compareBools(a, b bool) int {
 	switch {
 	case a == b:
@@ -319,13 +330,15 @@
 	return 1
 }
 
+// newChoice returns the Choice of upstream i for a session with the given ranking.
 func (p *Pool) newChoice(l Loads, q Query, order []int, i int) Choice {
 	return Choice{Index: i, Load: l.Load(p.members[i].VM), Donor: p.donor(q.Now, order, i)}
 }
 
-// donor returns the upstream that is the likeliest to hold a session's prompt beside
-// i: the first of its ranking, but for those that have just joined. They rank first
-// for their part of the sessions, most of which they have not served yet.
+// donor returns the upstream other than i that most likely holds a session's prompt: the first
+// of its ranking that joined at least donorMinAge ago, otherwise the first of the others.
+// Upstreams that have just joined rank first for their share of the sessions, but have not
+// served most of them yet.
 func (p *Pool) donor(now time.Time, order []int, i int) int {
 	best := None
 	for _, j := range order {
@@ -341,20 +354,20 @@
 }
 
 // leaveDomainRatio is how many times longer than elsewhere in the region a request without a
-// session is believed to take in the router's own failure domain before it leaves that.
+// session must be expected to take in the router's own failure domain to be sent outside it.
 const leaveDomainRatio = 1.5
 
-// significantRatio is how many times longer a request is believed to take at an upstream
-// than at another before that is more than chance. Without it, the one that was fastest
-// lately gets all requests of a quiet hour.
+// significantRatio is how many times longer a request must be expected to take at one upstream
+// than at another for the difference to be more than chance. Without it, the upstream that was
+// fastest lately gets all requests when traffic is low.
 const significantRatio = 1.25
 
 // chooseCheapest chooses for a request without a session: of two random upstreams of the
-// router's own failure domain, the one at which it is believed to take less time, unless
-// one of the region's others is far better. A domain may have one upstream: if that is
-// slow, its routers would send it all their requests. In a surge of three times the
-// traffic, .02 of the requests come late or are turned away, .24 to .50 if they stay in
-// the domain (TestRequestsGoAroundASlowUpstream).
+// router's own failure domain, the one with the lower cost, unless one of the region's others is
+// far better. A domain may have only one upstream, and if that is slow, the routers of the
+// domain would send it all their requests. In a surge of three times the traffic, .02 of the
+// requests are late or rejected, but .24 to .50 if they stay in the domain
+// (TestRequestsGoAroundASlowUpstream).
 func (p *Pool) chooseCheapest(l Loads, random uint64, out *[MaxCandidates]Choice) int {
 	n := 0
 	for range p.regional.index {
@@ -367,7 +380,7 @@
 		}
 		n = p.add(l, out, n, i)
 	}
-	// Chance may have picked the same few again and again.
+	// The random draws may have picked the same few upstreams repeatedly.
 	for _, group := range [...][]int{p.sameDomain, p.otherDomains, p.remote.index} {
 		for _, i := range group {
 			n = p.add(l, out, n, i)
@@ -376,7 +389,8 @@
 	return n
 }
 
-// cheaperOfTwo returns the better of two random upstreams of a group, or None of an empty one.
+// cheaperOfTwo returns the better of two random upstreams of a group, or None if the group is
+// empty.
 func (p *Pool) cheaperOfTwo(l Loads, group []int, random *uint64) int {
 	if len(group) == 0 {
 		return None
@@ -395,8 +409,8 @@
 	return i
 }
 
-// cheaper reports whether a request without a session is to go to upstream i rather than
-// to j, where it takes ratio times as long at least.
+// cheaper reports whether a request without a session should go to upstream i rather than to j.
+// Of two equally available ones, the cost at j must exceed ratio times that at i.
 func (p *Pool) cheaper(l Loads, i, j int, ratio float64) bool {
 	a, b := p.members[i], p.members[j]
 	return cmp.Or(
@@ -406,14 +420,15 @@
 	) < 0
 }
 
-// lessLoaded reports whether upstream i is to get a request of a session rather than j.
+// lessLoaded reports whether a request of a session should go to upstream i rather than to j: i
+// is not suspected and j is, or both are alike and i has the lower load.
 func (p *Pool) lessLoaded(l Loads, i, j int) bool {
 	a, b := p.members[i].VM, p.members[j].VM
 	return cmp.Or(compareBools(l.IsSuspected(a), l.IsSuspected(b)), cmp.Compare(l.Load(a), l.Load(b))) < 0
 }
 
-// add adds upstream i to the n that are chosen, if there is room and it is not
-// among them, and returns how many there are then.
+// add appends upstream i to the n choices in out if there is space left, it accepts requests and
+// it is not among them. It returns the new number of choices.
 func (p *Pool) add(l Loads, out *[MaxCandidates]Choice, n, i int) int {
 	if n == MaxCandidates || containsChoice(out[:n], i) || !p.accepts(l, i) {
 		return n
@@ -422,6 +437,7 @@
 	return n + 1
 }
 
+// containsChoice reports whether upstream i is among the choices.
 func containsChoice(choices []Choice, i int) bool {
 	for _, c := range choices {
 		if c.Index == i {
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// fixedLoads is a Loads of fixed numbers, by upstream.
+// fixedLoads implements Loads with a constant load for each upstream.
 type fixedLoads map[load.VM]float64
 
 func (l fixedLoads) Load(vm load.VM) float64 { return l[vm] }
@@ -33,7 +33,7 @@
 	return sum / float64(max(len(l), 1))
 }
 
-// chosenIndices returns the indices of the upstreams that are chosen.
+// chosenIndices returns the indices of the chosen upstreams, in order.
 func chosenIndices(p *Pool, l Loads, q Query) []int {
 	var out [MaxCandidates]Choice
 	n, _ := p.ChooseBounded(l, q, &out)
@@ -44,9 +44,9 @@
 	return chosen
 }
 
-// An upstream that joins while a pool is at work takes only the sessions for which
-// it ranks first, and the others stay where their prompts are cached. The former
-// home of a session that moves is its donor.
+// An upstream that joins a pool with traffic takes only the sessions for which it ranks first.
+// The others stay where their prompts are cached. The former home of a session that moves is its
+// donor.
 func TestSessionsStayWhenAnUpstreamJoins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := newMembers(rapid.IntRange(2, 30).Draw(t, "upstreams"))
@@ -69,9 +69,9 @@
 	})
 }
 
-// A surge of one session fills its home. What is over the bound spills to the next
-// of its ranking, the same at each router, and no upstream over the bound is chosen
-// before one that is under it. Those that leave are not chosen at all.
+// No upstream over the load bound is chosen before one under it, and leaving upstreams are not
+// chosen at all. In a surge of one session, requests over the bound spill over to the next
+// upstreams of its ranking, in the same order at each router.
 func TestChooseBoundedPrefersUpstreamsUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := newMembers(rapid.IntRange(1, 30).Draw(t, "upstreams"))
@@ -91,14 +91,14 @@
 		over := false
 		for _, c := range out[:n] {
 			if ms[c.Index].Leaving || seen[c.Index] || c.Donor == c.Index {
-				t.Fatalf("chosen: %+v", out[:n])
+				t.Fatalf("a chosen upstream is leaving, repeated or its own donor: %+v", out[:n])
 			}
 			seen[c.Index] = true
 			if q.Session == 0 {
 				continue
 			}
 			if over && c.Load < basis.Bound {
-				t.Fatalf("%+v comes after one over the bound of %.1f", c, basis.Bound)
+				t.Fatalf("%+v comes after an upstream over the bound of %.1f", c, basis.Bound)
 			}
 			over = c.Load >= basis.Bound
 		}
@@ -109,12 +109,12 @@
 			}
 		}
 		if want := min(serving, MaxCandidates); n != want && len(ms) <= maxRanked {
-			t.Errorf("%d are chosen of %d that serve", n, serving)
+			t.Errorf("%d upstreams are chosen of %d that serve", n, serving)
 		}
 	})
 }
 
-// loadsWithSuspects is loads with upstreams that fail more than others.
+// loadsWithSuspects is fixedLoads with suspected upstreams.
 type loadsWithSuspects struct {
 	fixedLoads
 	suspected map[load.VM]bool
@@ -122,8 +122,9 @@
 
 func (d loadsWithSuspects) IsSuspected(vm load.VM) bool { return d.suspected[vm] }
 
-// A session's home loses answers, and the next of its ranking is over the bound: the
-// third serves it, and the home is still offered before the one that has no room.
+// A session's home loses answers, and the next upstream of its ranking is over the bound. The
+// third serves the session, and the home is still offered before the one over the bound.
+// Requests without a session avoid the suspected upstream.
 func TestSuspectedUpstreamsComeLast(t *testing.T) {
 	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
@@ -140,7 +141,7 @@
 	}
 	for _, c := range out {
 		if c.Index == order[1] {
-			t.Error("one over the bound comes before others with room")
+			t.Error("an upstream over the bound comes before others with spare capacity")
 		}
 	}
 	counts := make([]int, len(ms))
@@ -149,12 +150,12 @@
 		counts[chosenIndices(p, l, Query{Random: mix(i)})[0]]++
 	}
 	if counts[order[0]] > 800/len(ms)/4 {
-		t.Errorf("requests without a session go to the suspected one: %d of %v", counts[order[0]], counts)
+		t.Errorf("requests without a session go to the suspected upstream: %d of %v", counts[order[0]], counts)
 	}
 }
 
-// A session's home has been leaving for a moment: the next of the ranking serves
-// it, and gets the prompt from there.
+// When a session's home has just begun to leave, the next upstream of the ranking serves the
+// session and fetches the prompt from the home.
 func TestLeavingHomeIsTheDonor(t *testing.T) {
 	ms := newMembers(8)
 	q := Query{Session: 42, Now: start.Add(time.Hour)}
@@ -167,8 +168,8 @@
 	}
 }
 
-// Two upstreams have joined one after the other, and both rank before a session's
-// home. The first of them has not served the session yet: the donor is the home.
+// Two upstreams that joined one after the other rank before a session's home. The first of them
+// to join has not served the session yet, so the donor must be the home.
 func TestRecentlyJoinedUpstreamsAreNotDonors(t *testing.T) {
 	ms := newMembers(8)
 	now := start.Add(time.Hour)
@@ -184,7 +185,7 @@
 		t.Errorf("the donor is %d, want the home %d", out[0].Donor, order[2])
 	}
 	for i := range ms {
-		ms[i].Joined = now // a router that has just started knows nobody for longer
+		ms[i].Joined = now // a router that has just started has seen no upstream for longer
 	}
 	NewPool(ms, Locality{}).ChooseBounded(fixedLoads{}, q, &out)
 	if out[0].Donor != order[1] {
@@ -192,8 +193,8 @@
 	}
 }
 
-// Logins have no session. They go to the less loaded of two upstreams of the
-// router's own failure domain, so that one which is slow gets few of them.
+// Requests without a session, such as logins, go to the less loaded of two upstreams of the
+// router's own failure domain, so that a slow upstream gets few of them.
 func TestRequestsWithoutSessionAvoidLoadedUpstreams(t *testing.T) {
 	ms := newMembers(6)
 	l := make(fixedLoads)
@@ -207,30 +208,30 @@
 		counts[chosenIndices(p, l, Query{Random: mix(i)})[0]]++
 	}
 	if counts[0] > counts[2]/2 || counts[0] > counts[4]/2 {
-		t.Errorf("the loaded one gets %d of %v", counts[0], counts)
+		t.Errorf("the loaded upstream gets %d of %v", counts[0], counts)
 	}
 	if counts[1]+counts[3]+counts[5] > 0 {
-		t.Errorf("%v leave the failure domain", counts)
+		t.Errorf("requests leave the failure domain: %v", counts)
 	}
 }
 
-// Without a bound nothing is over it.
+// With a load multiple of zero there is no load bound.
 func TestZeroMultipleMeansNoBound(t *testing.T) {
 	ms := newMembers(3)
 	var out [MaxCandidates]Choice
 	_, basis := NewPool(ms, Locality{}).ChooseBounded(fixedLoads{ms[0].VM: 99}, Query{Session: 1}, &out)
 	if !math.IsInf(basis.Bound, 1) {
-		t.Errorf("bound %v", basis.Bound)
+		t.Errorf("bound %v, want +Inf", basis.Bound)
 	}
 	if order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{ms[0].VM: 99}, Query{Session: 1}); !slices.Contains(order, 0) {
-		t.Errorf("order %v", order)
+		t.Errorf("order %v, want it to hold 0", order)
 	}
 }
 
-// Most upstreams of a pool lose answers for a while. The few others are within the
-// bound by what is believed, but it is a little old, and each takes the sessions of
-// all that are suspected: chance puts them over the operators' bound. A suspected home
-// keeps what the next of the ranking has little room for.
+// Most upstreams of a pool lose answers and are suspected. The few others are within the bound
+// by their reported loads, but the reports are slightly old and each upstream takes over the
+// sessions of all suspected ones, so that chance would put them over the operators' bound. A
+// suspected home must keep its sessions where the others have little headroom.
 func TestSuspectedHomeKeepsSessionsWhenOthersLackHeadroom(t *testing.T) {
 	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
@@ -242,10 +243,10 @@
 	}
 	rest := chosenIndices(NewPool(ms, Locality{}), l, q)
 	if rest[0] != order[1] {
-		t.Errorf("with the room of all others, %d serves, want %d", rest[0], order[1])
+		t.Errorf("served by %d, want %d, which has spare capacity", rest[0], order[1])
 	}
 	for _, at := range []int{1, 2} {
-		l.fixedLoads[ms[order[at]].VM] = 16.5 // of 19.6 to which the bound lets it rise
+		l.fixedLoads[ms[order[at]].VM] = 16.5 // the bound is 19.6
 	}
 	if got := chosenIndices(NewPool(ms, Locality{}), l, q); got[0] != order[0] {
 		t.Errorf("served by %d, want the home %d: the others are near the bound", got[0], order[0])
@@ -257,12 +258,12 @@
 		}
 	}
 	if got := chosenIndices(NewPool(ms, Locality{}), l, other); got[0] != order[1] {
-		t.Errorf("the sessions of one near the bound are served by %d, want their home %d", got[0], order[1])
+		t.Errorf("sessions of an upstream near the bound are served by %d, want their home %d", got[0], order[1])
 	}
 }
 
-// The one booking service of a failure domain leaves. Its routers' requests are shared by
-// those of the other domains; taken in the order of the list, the first would get all.
+// The only upstream of a failure domain leaves. The requests of its routers must be spread over
+// the upstreams of the other domains. Chosen in list order, the first of them would get all.
 func TestRequestsOfALeavingDomainAreSpreadAcrossOtherDomains(t *testing.T) {
 	ms := newMembers(5)
 	for i := range ms {
@@ -282,7 +283,7 @@
 	}
 }
 
-// loadsWithUnavailable is loads of which some may get no request.
+// loadsWithUnavailable is fixedLoads with upstreams that may get no request.
 type loadsWithUnavailable struct {
 	fixedLoads
 	unavailable map[int]bool
@@ -290,7 +291,7 @@
 
 func (c loadsWithUnavailable) Unavailable(i int) bool { return c.unavailable[i] }
 
-// Guards against lines that do not say why a request did not go to its session's home.
+// Logs and explanations must state why a request did not go to its session's home upstream.
 func TestBasisHoldsTheReasonWhyTheHomeIsPassedOver(t *testing.T) {
 	p, l := NewPool(newMembers(6), Locality{}), make(fixedLoads)
 	for _, m := range p.members {
@@ -313,7 +314,7 @@
 		var out [MaxCandidates]Choice
 		_, basis := p.ChooseBounded(c.loads, q, &out)
 		if basis.Home != home || basis.PassedOver != c.want {
-			t.Errorf("%s: home %d passed over since %q, want %d, %q", c.name, basis.Home, basis.PassedOver, home, c.want)
+			t.Errorf("%s: home %d passed over for %q, want %d, %q", c.name, basis.Home, basis.PassedOver, home, c.want)
 		}
 	}
 	var out [MaxCandidates]Choice
@@ -322,7 +323,7 @@
 	}
 }
 
-// withOverload returns loads with one upstream withOverload any bound.
+// withOverload returns a copy of l in which one upstream is over any bound.
 func withOverload(l fixedLoads, vm load.VM) fixedLoads {
 	out := maps.Clone(l)
 	out[vm] = 100
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -8,35 +8,40 @@
 )
 
 const (
-	// maxRanked is how far down a session's ranking an upstream with room is sought.
+	// maxRanked is the number of upstreams at the top of a session's ranking that are
+	// considered.
 	maxRanked = 16
-	// concurrentTicketAge is the age of a ticket up to which a session counts as
-	// one whose turns run at the same time. People take longer to read an answer.
+	// concurrentTicketAge is the age of a ticket below which the session is taken to run several
+	// turns at the same time. People take longer to read an answer.
 	concurrentTicketAge = 5 * time.Second
 )
 
-// Query is a request that looks for an upstream.
+// Query is a request that needs an upstream.
 type Query struct {
-	Session      uint64        // hash of organisation and session; zero: none
+	Session      uint64        // hash of organisation and session; zero: no session
 	Ticket       int           // index of the upstream that served the session last, or None
-	TicketAge    time.Duration // since the ticket was given
-	LoadMultiple float64       // bound on load as a multiple of the mean; zero: none
-	Random       uint64        // for choices that chance decides
-	// BoundJitter is how far chance draws the bound of the request, from 0, not at all, to 1.
+	TicketAge    time.Duration // since the ticket was issued
+	LoadMultiple float64       // load bound as a multiple of the mean load; zero: no bound
+	Random       uint64        // source of randomness for the choice
+	// BoundJitter is how far the load bound of the request is randomised, from 0 (not at all) to
+	// 1.
 	BoundJitter   float64
-	SessionShare  float64 // part of the pool's requests that the session has at least
+	SessionShare  float64 // lower estimate of the session's share of the pool's requests
 	Now           time.Time
-	IgnoreDomains bool // failure domains do not count in the ranking
-	// LatencyLimit is in how many seconds the first byte of the answer is wanted; zero: no matter.
+	IgnoreDomains bool // rank upstreams regardless of their failure domains
+	// LatencyLimit is the time in seconds within which the first byte of the answer must arrive;
+	// zero: no limit.
 	LatencyLimit float64
-	// ShortestObjective is the shortest objective of the pool's requests, in seconds.
+	// ShortestObjective is the shortest latency objective of the pool's requests, in seconds.
 	ShortestObjective float64
-	// Deferred tells that the request is in the way of no other.
+	// Deferred reports whether the request waits behind all those that can still be answered in
+	// time, and so delays none of them.
 	Deferred bool
 }
 
-// Choose writes the upstreams to which a request is offered to out, in order,
-// and returns how many there are. It is advice: each upstream's sidecar decides.
+// Choose writes the upstreams that a request is offered to into out, in order of preference, and
+// returns their number. The order is advisory: each upstream's sidecar decides whether to accept
+// the request.
 func (p *Pool) Choose(now time.Time, t *load.Table, q Query, out *[MaxCandidates]int) int {
 	c := chooser{pool: p, table: t, now: now, multiple: q.LoadMultiple, out: out}
 	c.mean, c.known = t.Mean(now)
@@ -55,19 +60,19 @@
 	now      time.Time
 	multiple float64
 	mean     float64
-	known    int
+	known    int // number of upstreams with a known load
 	out      *[MaxCandidates]int
 	n        int
 }
 
-// chooseForSession chooses for a session. Its home comes first, since that is where
-// prefixes are handed when upstreams come and go, then the upstream of its
-// ticket, where it was served last if its home had no room.
+// chooseForSession chooses for a request with a session. The home upstream comes first, since
+// cached prefixes are handed over to it when upstreams join and leave. The upstream of the
+// session's ticket comes next: it served the session last if the home had no spare capacity.
 //
-// A session that runs many turns at the same time would fill its home to the
-// bound and refuse its way down the ranking, and with it displace the sessions
-// of others. It is spread over upstreams below the mean instead, always in the
-// order of its ranking, so that it warms few caches.
+// A session that runs many turns at the same time would fill its home up to the load bound, be
+// refused by one upstream after the other down its ranking, and displace other sessions there.
+// It is spread over upstreams below the mean load instead, always in the order of its ranking,
+// so that it fills few caches.
 func (c *chooser) chooseForSession(q Query) {
 	var ranked [maxRanked]int
 	order := ranked[:c.pool.regional.top(q.Session, ranked[:])]
@@ -89,8 +94,9 @@
 	c.addOtherRegions(q.Session)
 }
 
-// chooseWithoutSession chooses for a request without a session: the less loaded of two
-// random upstreams, those of the router's own failure domain before others.
+// chooseWithoutSession chooses for a request without a session: the less loaded of two random
+// upstreams, first among those of the router's own failure domain, then among the region's
+// others.
 func (c *chooser) chooseWithoutSession(random uint64) {
 	for _, group := range [...][]int{c.pool.sameDomain, c.pool.otherDomains} {
 		for range group {
@@ -109,12 +115,13 @@
 	c.addOtherRegions(random)
 }
 
+// pick returns a random element of group and advances random.
 func pick(group []int, random *uint64) int {
 	*random = mix(*random)
 	return group[*random%uint64(len(group))]
 }
 
-// addWithCapacity adds those of order that are not believed to refuse.
+// addWithCapacity adds those upstreams of order that are expected to accept the request.
 func (c *chooser) addWithCapacity(order ...int) {
 	for _, i := range order {
 		if c.n < MaxCandidates && !c.contains(i) && c.hasCapacity(i) {
@@ -123,21 +130,21 @@
 	}
 }
 
-// addBelowMean adds those of order whose load is not above the mean. That
-// leaves the room up to the bound to the sessions that have their home there.
+// addBelowMean adds those upstreams of order whose load does not exceed the mean. The capacity
+// between the mean and the bound is left to the sessions that have their home there.
 func (c *chooser) addBelowMean(order []int) {
 	for _, i := range order {
 		r, ok := c.table.Get(c.now, c.pool.members[i].VM)
-		// Rounded up, so that in a pool with little to do a single request does
-		// not send the next turn of its chat away.
+		// The mean is rounded up: otherwise, in a pool with few requests, a single request would
+		// send the next turn of its chat to another upstream.
 		if !ok || r.Load <= int(math.Ceil(c.mean*float64(r.Weight))) {
 			c.addWithCapacity(i)
 		}
 	}
 }
 
-// addServing adds upstreams that are believed to be full where too few others are
-// left: beliefs can be wrong, and the sidecar knows.
+// addServing adds upstreams that appear full where there are too few others: the load known here
+// can be out of date, and the sidecar decides by the actual load.
 func (c *chooser) addServing(order []int) {
 	for _, i := range order {
 		if c.n < MaxCandidates && !c.contains(i) && c.serves(i) {
@@ -146,8 +153,8 @@
 	}
 }
 
-// addOtherRegions adds upstreams of other regions if none of this one is believed
-// to serve, and those of this one all the same if no other does.
+// addOtherRegions adds upstreams of other regions if none of this region is known to serve. If
+// no other region has a serving upstream either, it adds those of this region anyway.
 func (c *chooser) addOtherRegions(session uint64) {
 	if c.n > 0 {
 		return
@@ -176,12 +183,13 @@
 	return false
 }
 
+// serves reports whether upstream i is serving, as far as is known.
 func (c *chooser) serves(i int) bool {
 	r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 	return !ok || r.State == load.Serving
 }
 
-// hasCapacity reports whether upstream i is believed to take one more request.
+// hasCapacity reports whether upstream i is expected to accept one more request.
 func (c *chooser) hasCapacity(i int) bool {
 	r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 	if !ok {
@@ -193,7 +201,7 @@
 	return r.Load < load.Bound(c.mean, c.known, c.multiple, r.Weight)
 }
 
-// relativeLoad returns the believed relativeLoad of upstream i for each unit of its weight.
+// relativeLoad returns the estimated load of upstream i per unit of its weight.
 func (c *chooser) relativeLoad(i int) float64 {
 	r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 	if !ok {
--- a/internal/placement/domains.go
+++ b/internal/placement/domains.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// domainRunLength is how many upstreams of a session's failure domain come before those
-	// of the next one. Prompts are handed on within a failure domain, at half the cost
-	// of a transfer between two; a request that all of them fail still reaches others.
+	// domainRunLength is the number of upstreams of a session's failure domain that come before
+	// those of the next one. Transfers of prompts within a failure domain cost half as much as
+	// between two. A request that fails at all of them still reaches another domain.
 	domainRunLength = 3
-	// maxEvenRatio is how many times larger than the smallest the largest failure domain
-	// of a region may be for all to get the same share of the sessions. While they do,
-	// an upstream that joins or leaves moves sessions within its failure domain only.
-	// Beyond it, each upstream of the smallest would have that many times as many.
+	// maxEvenRatio is the largest ratio between the sizes of the largest and the smallest
+	// failure domain of a region at which all domains get the same share of the sessions. With
+	// equal shares, an upstream that joins or leaves moves sessions only within its failure
+	// domain. At a higher ratio, each upstream of the smallest domain would have that many times
+	// as many sessions.
 	maxEvenRatio = 1.3
 )
 
-// domains orders the upstreams of a region for each session: failure domains by
-// weighted rendezvous hashing, and in each its upstreams.
+// domains orders the upstreams of a region for each session: the failure domains by weighted
+// rendezvous hashing, and within each its upstreams.
 type domains []domainRanking
 
+// domainRanking is the ranking of the upstreams of one failure domain.
 type domainRanking struct {
 	seed   uint64
-	weight float64 // its share of the sessions, before those of others
+	weight float64 // relative share of the sessions
 	ranking
 }
 
+// newDomains returns the domains of the members with the given indices.
 func newDomains(members []Member, index []int) domains {
 	var names []string
 	byName := make(map[string][]int)
@@ -54,8 +57,8 @@
 	return out
 }
 
-// top writes the indices of the upstreams that rank highest for session to best, the
-// highest first, and returns how many there are.
+// top writes the indices of the upstreams that rank highest for session to best, highest first,
+// and returns their number.
 func (d domains) top(session uint64, best []int) int {
 	order := d.order(session)
 	n := 0
@@ -74,15 +77,15 @@
 	return n
 }
 
-// remaining writes the upstreams that rank behind the first perDomain of a failure domain,
-// as far as there is room.
+// remaining writes the upstreams of a failure domain that rank after its first domainRunLength
+// to dst, as many as fit, and returns their number.
 func (d domainRanking) remaining(session uint64, dst []int) int {
 	var ranked [maxRanked]int
 	n := d.top(session, ranked[:min(maxRanked, domainRunLength+len(dst))])
 	return copy(dst, ranked[min(domainRunLength, n):n])
 }
 
-// order returns the failure domains in the order in which a session prefers them.
+// order returns the indices of the failure domains in the order of the session's ranking.
 func (d domains) order(session uint64) []int {
 	costs := make([]float64, len(d))
 	order := make([]int, len(d))
--- a/internal/placement/domains_bench_test.go
+++ b/internal/placement/domains_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDomains is a session's ranking in three failure domains, and in twelve at the
-// size that the users want: .76 and 8 us. Ranking each domain twice took .95 us in three.
+// BenchmarkDomains measures the ranking of a session in three failure domains, and in twelve at
+// the largest supported size: .76 and 8 us. Ranking each domain twice took .95 us in three.
 func BenchmarkDomains(b *testing.B) {
 	for _, c := range []struct{ upstreams, domains int }{{18, 3}, {2900, 12}} {
 		b.Run(fmt.Sprintf("upstreams=%d/domains=%d", c.upstreams, c.domains), func(b *testing.B) {
--- a/internal/placement/domains_test.go
+++ b/internal/placement/domains_test.go
@@ -25,6 +25,7 @@
 	return ms
 }
 
+// rankByDomain returns the session's ranking of ms by failure domain.
 func rankByDomain(ms []Member, session uint64) []int {
 	var best [maxRanked]int
 	index := make([]int, len(ms))
@@ -34,10 +35,9 @@
 	return slices.Clone(best[:newDomains(ms, index).top(session, best[:])])
 }
 
-// A chat's home fills up and its next turns go to other upstreams, each of which gets
-// the prompt from where it is. Between two failure domains that takes twice as long, and
-// delays all that wait for the same link: the first few after the home are its
-// neighbours.
+// When a session's home is full, its next turns go to other upstreams, each of which fetches the
+// prompt. Between two failure domains the transfer takes twice as long and delays all others on
+// the same link. The first upstreams after the home must be in its failure domain.
 func TestSessionsSpillOverWithinTheirFailureDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := inDomains(rapid.SliceOfN(rapid.IntRange(1, 12), 1, 12).Draw(t, "sizes")...)
@@ -67,8 +67,8 @@
 	})
 }
 
-// An upstream joins or leaves. Only chats of its own failure domain move, and only to it
-// or from it, so that no prompt goes between two domains for that.
+// An upstream that joins or leaves must move only sessions of its own failure domain, and only
+// to or from itself, so that no prompt is transferred between two domains.
 func TestJoiningUpstreamMovesSessionsOfItsFailureDomainOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := make([]int, rapid.IntRange(1, 4).Draw(t, "domains"))
@@ -90,8 +90,8 @@
 	})
 }
 
-// Failure domains of very different sizes: were each to get the same share of the
-// sessions, upstreams of the small one would have four times as many as the others.
+// With failure domains of very different sizes and an equal share of the sessions for each,
+// upstreams of the small one would have four times as many sessions as the others.
 func TestUnevenFailureDomainsShareSessionsBySize(t *testing.T) {
 	ms := inDomains(12, 12, 3)
 	counts := make(map[string]int)
--- a/internal/placement/hot.go
+++ b/internal/placement/hot.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// sessionHeadroomShare is the part of the room between the mean and the bound that one
-// session may fill at an upstream; the rest is for what comes by chance. With half of
-// the room, twice as many requests of a surge find an upstream over the bound.
+// sessionHeadroomShare is the share of the capacity between the mean and the load bound that one
+// session may use at an upstream; the rest absorbs random variation. With one half, twice as
+// many requests of a surge reach an upstream over the bound.
 const sessionHeadroomShare = 0.35
 
-// spreadHotSession reorders the ranking of a session that has more requests than its home
-// may hold: the less loaded of two random ones of its first few comes first. Each
-// router works out from its own traffic how many they are. If they waited instead
-// until the home is known to be full, all would fill it at the same time, and turn
-// away from it at the same time. TestLoadsThatAreSharedKeepTheBound has the figures.
+// spreadHotSession reorders the ranking of a session that has more requests than its home may
+// hold: the less loaded of two random upstreams at the top of the ranking comes first. Each
+// router estimates the session's requests from its own traffic. If routers waited until the home
+// is reported full, all would fill it at the same time and leave it at the same time.
+// TestLoadsThatAreSharedKeepTheBound has the figures.
 func (p *Pool) spreadHotSession(l Loads, q Query, basis Basis, order []int) {
 	replicas := p.replicas(q, basis, len(order))
 	if replicas < 2 {
@@ -28,7 +28,7 @@
 	order[0] = first
 }
 
-// replicas returns over how many upstreams a session is spread.
+// replicas returns the number of upstreams that a session is spread over, at most maxReplicas.
 func (p *Pool) replicas(q Query, basis Basis, maxReplicas int) int {
 	if q.SessionShare == 0 || q.LoadMultiple == 0 {
 		return 1
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,10 +1,9 @@
-// Package placement decides which upstreams a request is offered to, and in
-// which order.
+// Package placement decides which upstreams a request is offered to, and in which order.
 package placement
 
 import "github.com/zeebo/xxh3"
 
-// MaxCandidates is how many upstreams a request is offered to at most.
+// MaxCandidates is the maximum number of upstreams that a request is offered to.
 const MaxCandidates = 4
 
 // Seed returns the hash of an upstream's name.
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -9,8 +9,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// The load of a plain service in a surge: three upstreams, one in each failure domain,
-// that work on six requests at a time, have 24 wait, turn others away, and tell no load.
+// A plain service in a surge: three upstreams, one in each failure domain, that each serve six
+// requests at a time, queue up to 24, reject the rest, and do not report their load.
 const (
 	plainUpstreams         = 3
 	plainRouters           = 4
@@ -24,18 +24,18 @@
 	plainFailureTime       = time.Millisecond
 )
 
-// plainSim is the service, and what its routers believe.
+// plainSim simulates the service and the state of its routers.
 type plainSim struct {
 	random    *rand.Rand
 	ids       []load.VM
 	pools     [plainRouters]*Pool
 	loads     [plainRouters]*load.PoolLoad
 	latencies [plainRouters]*load.RelativeLatency
-	free      [plainUpstreams][plainSlots]time.Time // when each slot of an upstream is free
-	waiting   [plainUpstreams]int                   // or running
+	free      [plainUpstreams][plainSlots]time.Time // when each slot of an upstream becomes free
+	waiting   [plainUpstreams]int                   // requests queued or running at an upstream
 	pending   completions
-	slow      int // upstream that works slower, or None
-	broken    int // upstream that fails its requests at once, or None
+	slow      int // index of the slow upstream, or None
+	broken    int // index of the upstream that fails its requests at once, or None
 }
 
 func newPlainSim(slow int) *plainSim {
@@ -53,7 +53,7 @@
 	return p
 }
 
-// run returns which part of the requests is late or turned away.
+// run returns the share of the requests that are late or rejected.
 func (p *plainSim) run() float64 {
 	arrivals, missed := 0, 0
 	for now := start; now.Before(start.Add(plainRunTime)); {
@@ -75,7 +75,7 @@
 	return float64(missed) / float64(arrivals)
 }
 
-// recordLatency has a router take in how long a request took.
+// recordLatency records the duration of a request at its router.
 func (p *plainSim) recordLatency(e completion) {
 	latency, vm, took := p.latencies[e.router], p.ids[e.member], e.at.Sub(e.began)
 	if e.member == p.broken {
@@ -85,7 +85,7 @@
 	}
 }
 
-// serve sends a request to an upstream, and reports whether it is answered in time.
+// serve sends a request to an upstream and reports whether it is answered in time.
 func (p *plainSim) serve(now time.Time, router, member int) bool {
 	if p.waiting[member] == plainSlots+plainQueue {
 		return false
@@ -114,14 +114,14 @@
 	return at.Sub(now) <= plainObjective
 }
 
-// start counts a request that an upstream ends at a time.
+// start adds a request that its upstream completes at the given time.
 func (p *plainSim) start(now, at time.Time, router, member int) {
 	p.waiting[member]++
 	p.loads[router].Begin(p.ids[member])
 	heap.Push(&p.pending, completion{at: at, began: now, router: router, member: member})
 }
 
-// plainLoads is what a router believes at one moment. It implements Loads.
+// plainLoads is what a router knows at one moment. It implements Loads.
 type plainLoads struct {
 	loads   *load.PoolLoad
 	latency *load.RelativeLatency
@@ -136,26 +136,26 @@
 func (l plainLoads) Estimate(load.VM) Estimate { return Estimate{} }
 func (l plainLoads) Mean() float64             { return l.loads.Mean(plainUpstreams, 0) }
 
-// Guests book in a surge of three times the traffic while one of the three booking
-// services works five times slower. The routers of its failure domain see only that
-// their own requests take longer. As long as they go on sending it all they have, a
-// quarter of all bookings are late or turned away, beside two services with free places.
+// In a surge of three times the usual traffic, one of three upstreams works five times slower.
+// The routers of its failure domain notice it only because their own requests take longer. If
+// they kept sending it all their requests, a quarter of all requests would be late or rejected
+// while the other two upstreams have free slots.
 func TestRequestsGoAroundASlowUpstream(t *testing.T) {
 	for slow := range plainUpstreams {
 		if missed := newPlainSim(slow).run(); missed > 0.05 {
-			t.Errorf("with upstream %d slow, %.3f of the requests are late or turned away", slow, missed)
+			t.Errorf("with upstream %d slow, %.3f of the requests are late or rejected", slow, missed)
 		} else {
-			t.Logf("with upstream %d slow, %.3f of the requests are late or turned away", slow, missed)
+			t.Logf("with upstream %d slow, %.3f of the requests are late or rejected", slow, missed)
 		}
 	}
 	if missed := newPlainSim(None).run(); missed > 0.01 {
-		t.Errorf("with none slow, %.3f of the requests are late or turned away", missed)
+		t.Errorf("with none slow, %.3f of the requests are late or rejected", missed)
 	}
 }
 
-// One of three booking services answers each request at once with an error. Nobody has
-// judged it an outlier yet. Taken for the fastest of the pool, it gets nearly all
-// bookings, and the two that are well stand idle.
+// One of three upstreams answers each request at once with an error and is not suspected yet. If
+// its short response times counted as fast, it would get nearly all requests while the two
+// healthy upstreams stay idle.
 func TestAnUpstreamThatFailsAtOnceIsNotFast(t *testing.T) {
 	p := newPlainSim(None)
 	p.broken = 0
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -7,7 +7,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// None is the index of no upstream.
+// None is the index that stands for no upstream.
 const None = -1
 
 // Member is an upstream of a pool.
@@ -16,10 +16,11 @@
 	Seed   uint64 // hash of the VM's id, from Seed
 	Weight int    // relative capacity; zero means one
 	Domain string // failure domain: "region/domain", or "domain" if there are no regions
-	// Leaving upstreams take no new requests. They still hold prompts that others
-	// may get from them.
+	// Leaving reports whether the upstream takes no new requests. It still holds prompts that
+	// others may fetch from it.
 	Leaving bool
-	// Drained ones are Leaving, but stay: operators have ordered that they get nothing.
+	// Drained reports whether the upstream is leaving because operators have ordered that it
+	// gets no requests. It remains part of the pool.
 	Drained bool
 	// Joined is when the upstream was first seen in the list.
 	Joined time.Time
@@ -30,18 +31,18 @@
 	Domain string
 }
 
-// Pool is an immutable list of upstreams as one node sees it.
+// Pool is an immutable list of upstreams as seen from one router or sidecar.
 type Pool struct {
 	members                  []Member
-	inRegion                 []bool  // in the node's region
-	regional, remote         ranking // of the node's region, and of the others
-	byDomain                 domains // of the region of the node, by failure domain
-	sameDomain, otherDomains []int   // of the node's failure domain, and of its region's others
-	total, drained           int     // upstreams of the whole pool, and those of them that are Idle
+	inRegion                 []bool  // whether each member is in the region of the router or sidecar
+	regional, remote         ranking // of the same region, and of all others
+	byDomain                 domains // of the same region, ordered by failure domain
+	sameDomain, otherDomains []int   // of the same failure domain, and of the region's other ones
+	total, drained           int     // upstreams of the whole pool, and how many of them are drained
 }
 
-// NewPool returns the Pool of members for a node at self. The members keep
-// their indices. A region without upstreams counts as one with the others.
+// NewPool returns the Pool of members for a router or sidecar at self. The members keep their
+// indices. If the region of self has no upstreams, those of all other regions count as its own.
 func NewPool(members []Member, self Locality) *Pool {
 	p := &Pool{members: members, inRegion: make([]bool, len(members)), total: len(members)}
 	var regional, remote []int
@@ -71,8 +72,8 @@
 	return p
 }
 
-// Subset returns the Pool of some members of p, among which a request chooses that may not go
-// to the others. Bounds are those of the whole pool.
+// Subset returns the Pool of some members of p, for requests that may not go to the others. Load
+// bounds are those of the whole pool.
 func (p *Pool) Subset(members []Member, self Locality) *Pool {
 	subset := NewPool(members, self)
 	subset.total, subset.drained = p.total, p.drained
@@ -84,12 +85,12 @@
 	return p.total
 }
 
-// Drained returns how many of them are idle.
+// Drained returns how many upstreams of the whole pool are drained.
 func (p *Pool) Drained() int {
 	return p.drained
 }
 
-// Index returns the index of an upstream or None.
+// Index returns the index of an upstream, or None.
 func (p *Pool) Index(vm load.VM) int {
 	for i := range p.members {
 		if p.members[i].VM == vm {
@@ -99,13 +100,13 @@
 	return None
 }
 
-// Home returns the upstream that ranks first for a session, or None.
+// Home returns the index of the home upstream of a session, which ranks first for it, or None.
 func (p *Pool) Home(session uint64) int {
 	return p.Successor(session, None)
 }
 
-// Successor returns the upstream to which a session goes when leaving, the
-// index of its present upstream, is gone; None if there is no other.
+// Successor returns the index of the upstream that a session moves to when its present upstream,
+// at index leaving, is gone. It returns None if there is no other upstream.
 func (p *Pool) Successor(session uint64, leaving int) int {
 	var best [2]int
 	n := p.regional.top(session, best[:])
--- a/internal/placement/pool_test.go
+++ b/internal/placement/pool_test.go
@@ -20,6 +20,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
+// newMembers returns n upstreams of weight 1.
 func newMembers(n int) []Member {
 	out := make([]Member, n)
 	for i := range out {
@@ -29,7 +30,7 @@
 	return out
 }
 
-// home returns the VM to which a session is offered first.
+// home returns the VM that a session is offered to first.
 func home(ms []Member, session uint64) load.VM {
 	var out [MaxCandidates]int
 	p := NewPool(ms, Locality{})
@@ -37,10 +38,9 @@
 	return ms[out[0]].VM
 }
 
-// A returning chat finds its cached prefix although an upstream came or went
-// since. If a change of the list moved other sessions than those of the
-// upstream that changed, every replacement would cost the whole pool its
-// caches.
+// A returning session must find its cached prefix although an upstream joined or left in the
+// meantime. If a change of the list moved sessions other than those of the changed upstream,
+// each replacement would cost the whole pool its caches.
 func TestOnlySessionsOfTheChangedUpstreamMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := newMembers(rapid.IntRange(2, 40).Draw(t, "upstreams"))
@@ -61,9 +61,9 @@
 	})
 }
 
-// A caller waits for refusals while its request is offered to upstreams that
-// are known to drain, though others serve; or it is offered to a VM that only
-// its ticket still knows.
+// Guards against offering a request to upstreams that are known to drain although others serve,
+// which costs the caller a refusal each, and against offering it to a VM that is no longer
+// listed because the ticket names it.
 func TestCandidatesAreDistinctServingMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := newMembers(rapid.IntRange(1, maxRanked).Draw(t, "upstreams"))
@@ -107,8 +107,8 @@
 	})
 }
 
-// Regions lose each other for minutes: a chat must stay in its own region while
-// that has an upstream that serves, and go to another one when it has none.
+// Regions can lose contact for minutes. A session must stay in its own region while that has a
+// serving upstream, and go to another one when it has none.
 func TestRegionIsLeftOnlyWhenNoneServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := newMembers(8)
@@ -137,9 +137,10 @@
 	})
 }
 
-// A club's few chats bring hundreds of turns at a time. Were each offered to its
-// home first, the homes would be full for all others, and most turns would be
-// refused on their way. Turns whose ticket is seconds old go below the mean.
+// A few sessions of one organisation bring hundreds of turns at a time. If each turn were
+// offered to its home first, the homes would be full for all other sessions, and most turns
+// would be refused several times. Turns whose ticket is seconds old go to upstreams below the
+// mean.
 func TestConcurrentTurnsLeaveHeadroomAboveTheMean(t *testing.T) {
 	ms := newMembers(40)
 	p := NewPool(ms, Locality{})
@@ -162,12 +163,12 @@
 	q.TicketAge = time.Minute
 	p.Choose(start, table, q, &out)
 	if out[0] != home {
-		t.Fatal("a returning chat does not go home")
+		t.Fatal("a returning session does not go to its home")
 	}
 }
 
-// VMs of two kinds serve one pool. A small one that got as many chats as a large
-// one would run at its bound all the time.
+// VMs of two sizes serve one pool. If a small one got as many sessions as a large one, it would
+// always run at its load bound.
 func TestSessionsAreSharedByWeight(t *testing.T) {
 	ms := newMembers(30)
 	for i := range ms {
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// ranking orders a set of upstreams for each session by weighted rendezvous
-// hashing: of the upstreams' random numbers u in (0, 1), drawn by the hash of
-// session and upstream, the smallest -ln(u)/weight wins. It needs no state and
-// no agreement: routers with the same list agree, and a change of the list
-// moves only the sessions of the upstream that came or went.
+// ranking orders a set of upstreams for each session by weighted rendezvous hashing. The hash of
+// session and upstream gives each upstream a random number u in (0, 1), and the upstream with
+// the smallest -ln(u)/weight ranks first. It needs no state and no coordination: routers with
+// the same list compute the same order, and a change of the list moves only the sessions of the
+// upstream that joined or left.
 type ranking struct {
-	index   []int     // of the upstreams, in the caller's list
+	index   []int     // indices of the upstreams in the caller's list
 	seeds   []uint64  // in the order of index
-	classes []uint8   // index into weights; nil if all weights are the same
-	weights []float64 // that occur
+	classes []uint8   // for each upstream, its index into weights; nil if all weights are equal
+	weights []float64 // the distinct weights
 }
 
-// maxWeightClasses bounds the different weights that a ranking tells apart.
+// maxWeightClasses is the maximum number of distinct weights in a ranking.
 const maxWeightClasses = math.MaxUint8
 
+// newRanking returns the ranking of the members with the given indices.
 func newRanking(members []Member, index []int) ranking {
 	r := ranking{index: index, seeds: make([]uint64, len(index))}
 	classes := make([]uint8, len(index))
@@ -33,8 +34,8 @@
 	return r
 }
 
-// weightClass returns the index of a weight, or of the nearest one if there are too
-// many.
+// weightClass returns the index of a weight in r.weights and adds the weight if it is new. Once
+// there are maxWeightClasses weights, it returns the index of the nearest one.
 func (r *ranking) weightClass(weight float64) uint8 {
 	if at := slices.Index(r.weights, weight); at >= 0 {
 		return uint8(at)
@@ -52,14 +53,14 @@
 	return uint8(nearest)
 }
 
-// top writes the indices of the upstreams that rank highest for session to
-// best, the highest first, and returns how many there are.
+// top writes the indices of the upstreams that rank highest for session to best, highest first,
+// and returns their number.
 func (r *ranking) top(session uint64, best []int) int {
 	if r.classes != nil {
 		return r.topWeighted(session, best)
 	}
 	var scores [maxRanked]uint64
-	n, threshold := 0, uint64(0) // bar is the score to beat, zero until best is full
+	n, threshold := 0, uint64(0) // threshold is the lowest score in best, zero until best is full
 	for at, seed := range r.seeds {
 		score := mix(session ^ seed)
 		if score <= threshold {
@@ -79,8 +80,8 @@
 	return n
 }
 
-// topWeighted is top for different weights. To take few logarithms, it keeps a
-// hash for each weight below which an upstream cannot be among the best.
+// topWeighted is top for upstreams of different weights. To save logarithms, it keeps for each
+// weight the hash below which an upstream cannot be among the best.
 func (r *ranking) topWeighted(session uint64, best []int) int {
 	var costs [maxRanked]float64
 	var thresholds [maxWeightClasses]uint64
@@ -113,13 +114,13 @@
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
-// hashBelow returns a hash that unit maps to u or to a little less.
+// hashBelow returns a hash that unitInterval maps to u or to a slightly smaller number.
 func hashBelow(u float64) uint64 {
 	return uint64(max(u*(1<<53)-1, 0)) << 11
 }
 
-// mix is the finaliser of SplitMix64: each bit of the input changes half of
-// those of the output.
+// mix is the finaliser of SplitMix64: a change of any input bit flips each output bit with
+// probability one half.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -9,9 +9,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// The load of a fleet in which each router sees a sliver: 28 routers before 51
-// upstreams, 460 requests a second in all, of which two fifths take eight times as
-// long as the others.
+// The load of a fleet in which each router sees a small share of the traffic: 28 routers, 51
+// upstreams and 460 requests a second in total, of which two fifths take eight times as long as
+// the others.
 const (
 	fleetRouters           = 28
 	fleetUpstreams         = 51
@@ -19,30 +19,31 @@
 	fleetSessions          = 900
 	longRequest            = 1200 * time.Millisecond
 	shortRequest           = 150 * time.Millisecond
-	// calmTime is how long the fleet is at work before a surge of sliverSpan.
+	// calmTime is how long the fleet runs before a surge of surgeTime.
 	calmTime  = 5 * time.Second
 	surgeTime = 8 * time.Second
-	// shareInterval is how often routers tell each other loads, and hop how long that
-	// takes on its way.
+	// shareInterval is the interval at which routers send each other loads, and shareDelay the
+	// network delay.
 	shareInterval = 250 * time.Millisecond
 	shareDelay    = 2 * time.Millisecond
-	// capMultiple and capSlack are the bound over which an upstream holds too much,
-	// and allowedOver is the part of the requests that may find one there.
+	// capMultiple and capSlack are the bound over which an upstream is overloaded, and
+	// maxOverShare is the largest allowed share of requests that reach an overloaded one.
 	capMultiple, capSlack = 2.0, 3.0
 	maxOverShare          = 0.03
 )
 
-// mechanisms are those that keep the bound.
+// mechanisms are the enabled mechanisms that keep the load within the bound.
 type mechanisms struct {
-	sharing    bool // of loads between routers
-	spreadHot  bool // of hot sessions
-	softBounds bool // bounds, drawn by chance as far as routers of a fleet of this size do
+	sharing    bool // routers send each other loads
+	spreadHot  bool // hot sessions are spread over several upstreams
+	softBounds bool // load bounds are randomised by fleetBoundJitter
 }
 
-// fleetBoundJitter is how far they do: each counts a 28th of the requests.
+// fleetBoundJitter is the bound jitter that routers of such a fleet use: each counts a 28th of
+// the requests.
 const fleetBoundJitter = 0.86
 
-// trafficShare is a session that gets a part of the traffic.
+// trafficShare is the share of the traffic that one session gets in a surge.
 type trafficShare float64
 
 // completion is the end of a request.
@@ -51,7 +52,7 @@
 	router, member int
 }
 
-// completions is a heap of the requests that run, the first to end on top.
+// completions is a heap of the running requests, the first to end on top.
 type completions []completion
 
 func (d completions) Len() int           { return len(d) }
@@ -60,13 +61,13 @@
 func (d *completions) Push(x any)        { *d = append(*d, x.(completion)) }
 func (d *completions) Pop() any          { x := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return x }
 
-// fleet is the fleet.
+// fleet simulates the routers and upstreams.
 type fleet struct {
 	random     *rand.Rand
 	members    []Member
 	ids        []load.VM
 	pool       *Pool
-	drained    int // upstreams that are drained
+	drained    int // number of drained upstreams
 	loads      [fleetRouters]*load.PoolLoad
 	running    []int
 	pending    completions
@@ -99,8 +100,7 @@
 	s.pool = NewPool(s.members, Locality{})
 }
 
-// run returns which part of the requests went to an upstream that held more than
-// the bound allows then.
+// run returns the share of the requests in the surge that reach an upstream over the bound.
 func (s *fleet) run(t *testing.T) float64 {
 	t.Helper()
 	arrivals, over := 0, 0
@@ -131,6 +131,7 @@
 	return float64(over) / float64(arrivals)
 }
 
+// session returns the session of the next request.
 func (s *fleet) session(duringSurge bool) uint64 {
 	if duringSurge && s.random.Float64() < float64(s.hotShare) {
 		return mix(1)
@@ -138,11 +139,12 @@
 	return mix(uint64(2 + s.random.IntN(fleetSessions)))
 }
 
+// mean returns the mean number of running requests at an upstream.
 func (s *fleet) mean() float64 {
 	return float64(len(s.pending)) / fleetUpstreams
 }
 
-// begin starts a request. The head of its answer, which comes at once here, tells the
+// begin starts a request. The header of its answer, which arrives at once here, reports the
 // upstream's load.
 func (s *fleet) begin(now time.Time, router, member int) {
 	s.running[member]++
@@ -155,6 +157,7 @@
 	s.loads[router].Observe(now, s.ids[member], s.running[member])
 }
 
+// end completes all requests that end by now.
 func (s *fleet) end(now time.Time) {
 	for len(s.pending) > 0 && !s.pending[0].at.After(now) {
 		d := heap.Pop(&s.pending).(completion)
@@ -163,7 +166,8 @@
 	}
 }
 
-// shareLoads has the first router hear from the others and tell them what it knows.
+// shareLoads merges the loads that all routers have observed at the first router and sends the
+// result to the others.
 func (s *fleet) shareLoads(t *testing.T, now time.Time) {
 	t.Helper()
 	if !s.enabled.sharing || now.Sub(s.lastShared) < shareInterval {
@@ -184,7 +188,7 @@
 	s.lastShared = now
 }
 
-// poolLoadAt is what a router believes at one moment. It implements Loads.
+// poolLoadAt is what a router knows at one moment. It implements Loads.
 type poolLoadAt struct {
 	loads   *load.PoolLoad
 	now     time.Time
@@ -199,12 +203,12 @@
 func (l poolLoadAt) Estimate(load.VM) Estimate { return Estimate{} }
 func (l poolLoadAt) Mean() float64             { return l.loads.Mean(fleetUpstreams, l.drained) }
 
-// Each of 28 routers sees its own requests and hears of an upstream's load when it
-// gets an answer from it, seconds apart. On a calm day chance fills some upstreams
-// that no router knows to be full, unless they tell each other. When one chat gets a
-// third of the traffic, all send it to its home, which holds several times the mean;
-// once all are told so at the same moment, they turn away together, and come back
-// together. Only spreading that chat ahead of what is told keeps the bound.
+// Each of 28 routers counts its own requests and receives an upstream's load only with its
+// answers, seconds apart. In calm traffic, chance fills some upstreams that no router knows to
+// be full, unless routers send each other loads. When one session gets a third of the traffic,
+// all routers send it to its home, which then holds several times the mean. Once all routers
+// receive that load at the same moment, they leave the home together and return to it together.
+// Only spreading the session before its home is reported full keeps the bound.
 func TestLoadsThatAreSharedKeepTheBound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -215,21 +219,21 @@
 			shared := newFleet(mechanisms{sharing: true}, c.hotShare).run(t)
 			spread := newFleet(mechanisms{spreadHot: true}, c.hotShare).run(t)
 			both := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: true}, c.hotShare).run(t)
-			t.Logf("over the bound: %.4f; with loads shared %.4f, hot sessions spread %.4f, both %.4f", none, shared, spread, both)
+			t.Logf("over the bound: %.4f; with loads shared %.4f, hot sessions spread %.4f, both and randomised bounds %.4f", none, shared, spread, both)
 			if both > maxOverShare {
 				t.Errorf("%.4f of the requests reach an upstream over the bound", both)
 			}
 			if both > none/2 && none > maxOverShare/10 {
-				t.Errorf("%.4f are over the bound, %.4f with neither", both, none)
+				t.Errorf("%.4f of the requests are over the bound, %.4f without any mechanism", both, none)
 			}
 		})
 	}
 }
 
-// The operators drain a third of the pool in a busy hour. The engines that are left have
-// half as much again to do, and stand nearer to the operators' bound, which counts all. All
-// routers see the same engines pass their bound at the same moment; with one bound for all
-// requests they leave them together for the same few.
+// With a third of the pool drained under heavy traffic, the remaining engines have half as much
+// load again and are closer to the operators' bound, which counts all upstreams. All routers see
+// the same engines exceed the bound at the same moment. With one bound for all requests, they
+// would leave them together for the same few others.
 func TestSoftBoundsHoldWhileADomainIsDrained(t *testing.T) {
 	over := func(soft bool) float64 {
 		s := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: soft}, 0)
@@ -237,7 +241,7 @@
 		return s.run(t)
 	}
 	hard, soft := over(false), over(true)
-	t.Logf("over the bound: %.4f with one for all, %.4f with one drawn for each request", hard, soft)
+	t.Logf("over the bound: %.4f with one bound for all requests, %.4f with one drawn for each request", hard, soft)
 	if soft > maxOverShare {
 		t.Errorf("%.4f of the requests reach an upstream over the bound", soft)
 	}
