--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -348,8 +348,8 @@
 	}
 }
 
-// Upper implements placement.Loads.
-func (l loadsAt) Upper(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
+// UpperLoad implements placement.Loads.
+func (l loadsAt) UpperLoad(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
 
 // Mean implements placement.Loads. It is that of all upstreams, also while some are
 // suspected: measured against those that take their requests on, the bound would be far
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -13,8 +13,8 @@
 type Loads interface {
 	// Load returns the estimated load of an upstream, in requests.
 	Load(vm load.VM) float64
-	// Upper returns a load that an upstream seldom exceeds.
-	Upper(vm load.VM) float64
+	// UpperLoad returns a load that an upstream seldom exceeds.
+	UpperLoad(vm load.VM) float64
 	// Mean returns the estimated mean load of the pool's upstreams.
 	Mean() float64
 	// Cost returns the estimated response time of one more request at an upstream, in units that
@@ -142,7 +142,7 @@
 // in twenty reached an upstream over the operators' bound. A bound drawn anew for each request
 // lets them move one after the other.
 func (q Query) bound(mean float64) float64 {
-	draw := unitInterval(mix(q.Random ^ boundSalt))
+	draw := toUnitInterval(mix(q.Random ^ boundSalt))
 	multiple := 1 + q.BoundJitter*(jitterMultipleMin+draw*(jitterMultipleMax-jitterMultipleMin)-1)
 	slack := boundSlack + q.BoundJitter*(jitterSlackMin+draw*(jitterSlackMax-jitterSlackMin)-boundSlack)
 	return multiple*q.LoadMultiple*mean + slack
@@ -177,7 +177,7 @@
 		return b.EstimatedStart > q.LatencyLimit
 	}
 	rejectShare := (b.QueueWait/q.ShortestObjective - admitAllWait) / (rejectAllWait - admitAllWait)
-	return rejectShare > unitInterval(mix(q.Random))
+	return rejectShare > toUnitInterval(mix(q.Random))
 }
 
 // chooseRanked writes the available upstreams of a ranking to out, best first, and returns their
@@ -201,8 +201,8 @@
 	first := ranked[0]
 	basis.setPassedOver(p.accepts(l, basis.Home), ranked[:n])
 	n = min(n, MaxCandidates)
-	for at, w := range ranked[:n] {
-		out[at] = p.newChoice(l, q, order, w.index)
+	for at, c := range ranked[:n] {
+		out[at] = p.newChoice(l, q, order, c.index)
 	}
 	return n, first
 }
@@ -218,9 +218,9 @@
 		return
 	}
 	b.PassedOver = PassedOverSpread
-	for _, w := range order {
-		if w.index == b.Home && w.class != eligible {
-			b.PassedOver = passOverReasons[w.class]
+	for _, c := range order {
+		if c.index == b.Home && c.class != eligible {
+			b.PassedOver = passOverReasons[c.class]
 		}
 	}
 }
@@ -237,39 +237,39 @@
 
 // adjust returns the next candidate of the ranking with its class lowered as far as the
 // higher-ranked ones require it.
-func (s *rankingScan) adjust(w candidate) candidate {
-	s.hasSuspected = s.hasSuspected || w.class == suspected
+func (s *rankingScan) adjust(c candidate) candidate {
+	s.hasSuspected = s.hasSuspected || c.class == suspected
 	switch {
-	case w.class != eligible:
-	case s.hasSuspected && w.upperLoad >= s.takeoverLimit:
-		w.class = loaded
+	case c.class != eligible:
+	case s.hasSuspected && c.upperLoad >= s.takeoverLimit:
+		c.class = loaded
 	case s.hasLate && s.hasNormalSpeed:
-		w.class = lowerRanked
+		c.class = lowerRanked
 	}
-	s.hasLate = s.hasLate || w.class == tooSlow || w.class == queued
-	s.hasNormalSpeed = s.hasNormalSpeed || w.estimate.Slowdown < slowdownLimit
-	speed := 1 / max(w.estimate.Slowdown, 1)
-	s.weightedWait += speed * w.estimate.QueueWait
+	s.hasLate = s.hasLate || c.class == tooSlow || c.class == queued
+	s.hasNormalSpeed = s.hasNormalSpeed || c.estimate.Slowdown < slowdownLimit
+	speed := 1 / max(c.estimate.Slowdown, 1)
+	s.weightedWait += speed * c.estimate.QueueWait
 	s.speedSum += speed
-	return w
+	return c
 }
 
 // classify returns upstream i with its class, regardless of the other upstreams.
 func (p *Pool) classify(l Loads, q Query, basis Basis, i int) candidate {
 	vm := p.members[i].VM
-	w := candidate{index: i, upperLoad: l.Upper(vm), estimate: l.Estimate(vm)}
-	late := q.LatencyLimit > 0 && w.estimate.Start > q.LatencyLimit
+	c := candidate{index: i, upperLoad: l.UpperLoad(vm), estimate: l.Estimate(vm)}
+	late := q.LatencyLimit > 0 && c.estimate.Start > q.LatencyLimit
 	switch {
-	case w.upperLoad >= basis.Bound:
-		w.class = overBound
-	case late && w.estimate.Queued:
-		w.class = queued
+	case c.upperLoad >= basis.Bound:
+		c.class = overBound
+	case late && c.estimate.Queued:
+		c.class = queued
 	case l.IsSuspected(vm):
-		w.class = suspected
+		c.class = suspected
 	case late:
-		w.class = tooSlow
+		c.class = tooSlow
 	}
-	return w
+	return c
 }
 
 // class is the order in which upstreams are chosen, best first.
@@ -312,11 +312,11 @@
 // that others of the same class keep the order of the ranking. Sessions keep to their ranking
 // even if all upstreams have a queue: reading a prompt again takes an engine as long as a
 // hundred tokens of an answer, and in a surge all callers wait for that.
-func (w candidate) compare(other candidate) int {
-	if by := cmp.Compare(w.class, other.class); by != 0 || w.class != overBound {
+func (c candidate) compare(other candidate) int {
+	if by := cmp.Compare(c.class, other.class); by != 0 || c.class != overBound {
 		return by
 	}
-	return cmp.Compare(w.upperLoad, other.upperLoad)
+	return cmp.Compare(c.upperLoad, other.upperLoad)
 }
 
 // compareBools orders false before true.
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -19,7 +19,7 @@
 
 func (l fixedLoads) Cost(vm load.VM) float64 { return l[vm] }
 
-func (l fixedLoads) Upper(vm load.VM) float64 { return l[vm] }
+func (l fixedLoads) UpperLoad(vm load.VM) float64 { return l[vm] }
 
 func (l fixedLoads) IsSuspected(load.VM) bool  { return false }
 func (l fixedLoads) Unavailable(int) bool      { return false }
--- a/internal/placement/domains.go
+++ b/internal/placement/domains.go
@@ -90,7 +90,7 @@
 	costs := make([]float64, len(d))
 	order := make([]int, len(d))
 	for i, domain := range d {
-		costs[i] = -math.Log(unitInterval(mix(session^domain.seed))) / domain.weight
+		costs[i] = -math.Log(toUnitInterval(mix(session^domain.seed))) / domain.weight
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costs[a], costs[b]) })
--- a/internal/placement/domains_test.go
+++ b/internal/placement/domains_test.go
@@ -82,9 +82,9 @@
 		after := append(slices.Clone(before), joined)
 		for range 50 {
 			session := rapid.Uint64Min(1).Draw(t, "session")
-			was, is := rankByDomain(before, session)[0], rankByDomain(after, session)[0]
-			if was != is && (is != len(before) || before[was].Domain != joined.Domain) {
-				t.Fatalf("the home moves from %d in %s to %d in %s", was, before[was].Domain, is, after[is].Domain)
+			oldHome, newHome := rankByDomain(before, session)[0], rankByDomain(after, session)[0]
+			if oldHome != newHome && (newHome != len(before) || before[oldHome].Domain != joined.Domain) {
+				t.Fatalf("the home moves from %d in %s to %d in %s", oldHome, before[oldHome].Domain, newHome, after[newHome].Domain)
 			}
 		}
 	})
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -59,10 +59,10 @@
 	for now := start; now.Before(start.Add(plainRunTime)); {
 		now = now.Add(time.Duration(p.random.ExpFloat64() / plainRequestsPerSecond * float64(time.Second)))
 		for len(p.pending) > 0 && !p.pending[0].at.After(now) {
-			e := heap.Pop(&p.pending).(completion)
-			p.waiting[e.member]--
-			p.loads[e.router].End(p.ids[e.member])
-			p.recordLatency(e)
+			c := heap.Pop(&p.pending).(completion)
+			p.waiting[c.member]--
+			p.loads[c.router].End(p.ids[c.member])
+			p.recordLatency(c)
 		}
 		router := p.random.IntN(plainRouters)
 		var out [MaxCandidates]Choice
@@ -128,13 +128,13 @@
 	now     time.Time
 }
 
-func (l plainLoads) Load(vm load.VM) float64   { return l.loads.Load(l.now, vm) }
-func (l plainLoads) Upper(vm load.VM) float64  { return l.loads.UpperBound(l.now, vm) }
-func (l plainLoads) Cost(vm load.VM) float64   { return l.latency.Factor(l.now, vm) * (l.Load(vm) + 1) }
-func (l plainLoads) IsSuspected(load.VM) bool  { return false }
-func (l plainLoads) Unavailable(int) bool      { return false }
-func (l plainLoads) Estimate(load.VM) Estimate { return Estimate{} }
-func (l plainLoads) Mean() float64             { return l.loads.Mean(plainUpstreams, 0) }
+func (l plainLoads) Load(vm load.VM) float64      { return l.loads.Load(l.now, vm) }
+func (l plainLoads) UpperLoad(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
+func (l plainLoads) Cost(vm load.VM) float64      { return l.latency.Factor(l.now, vm) * (l.Load(vm) + 1) }
+func (l plainLoads) IsSuspected(load.VM) bool     { return false }
+func (l plainLoads) Unavailable(int) bool         { return false }
+func (l plainLoads) Estimate(load.VM) Estimate    { return Estimate{} }
+func (l plainLoads) Mean() float64                { return l.loads.Mean(plainUpstreams, 0) }
 
 // In a surge of three times the usual traffic, one of three upstreams works five times slower.
 // The routers of its failure domain notice it only because their own requests take longer. If
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		weight := r.weights[class]
-		cost := -math.Log(unitInterval(hash)) / weight
+		cost := -math.Log(toUnitInterval(hash)) / weight
 		if n == len(best) && cost >= costs[n-1] {
 			thresholds[class] = hashBelow(math.Exp(-costs[n-1] * weight))
 			continue
@@ -109,8 +109,8 @@
 	return n
 }
 
-// unitInterval maps a hash to a number in (0, 1).
-func unitInterval(hash uint64) float64 {
+// toUnitInterval maps a hash to a number in (0, 1).
+func toUnitInterval(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -55,11 +55,11 @@
 // completions is a heap of the running requests, the first to end on top.
 type completions []completion
 
-func (d completions) Len() int           { return len(d) }
-func (d completions) Less(i, j int) bool { return d[i].at.Before(d[j].at) }
-func (d completions) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *completions) Push(x any)        { *d = append(*d, x.(completion)) }
-func (d *completions) Pop() any          { x := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return x }
+func (c completions) Len() int           { return len(c) }
+func (c completions) Less(i, j int) bool { return c[i].at.Before(c[j].at) }
+func (c completions) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *completions) Push(x any)        { *c = append(*c, x.(completion)) }
+func (c *completions) Pop() any          { x := (*c)[len(*c)-1]; *c = (*c)[:len(*c)-1]; return x }
 
 // fleet simulates the routers and upstreams.
 type fleet struct {
@@ -78,114 +78,114 @@
 }
 
 func newFleet(enabled mechanisms, hotShare trafficShare) *fleet {
-	s := &fleet{random: rand.New(rand.NewPCG(1, 2)), members: newMembers(fleetUpstreams), enabled: enabled, hotShare: hotShare, lastShared: start}
-	for i := range s.members {
-		s.members[i].Joined = start
-		s.ids = append(s.ids, s.members[i].VM)
+	f := &fleet{random: rand.New(rand.NewPCG(1, 2)), members: newMembers(fleetUpstreams), enabled: enabled, hotShare: hotShare, lastShared: start}
+	for i := range f.members {
+		f.members[i].Joined = start
+		f.ids = append(f.ids, f.members[i].VM)
 	}
-	s.drain(0)
-	for i := range s.loads {
-		s.loads[i], s.demands[i] = load.NewPoolLoad(), load.NewDemand()
+	f.drain(0)
+	for i := range f.loads {
+		f.loads[i], f.demands[i] = load.NewPoolLoad(), load.NewDemand()
 	}
-	s.running = make([]int, fleetUpstreams)
-	return s
+	f.running = make([]int, fleetUpstreams)
+	return f
 }
 
 // drain drains the first n upstreams.
-func (s *fleet) drain(n int) {
-	s.drained = n
-	for i := range s.members {
-		s.members[i].Drained, s.members[i].Leaving = i < n, i < n
+func (f *fleet) drain(n int) {
+	f.drained = n
+	for i := range f.members {
+		f.members[i].Drained, f.members[i].Leaving = i < n, i < n
 	}
-	s.pool = NewPool(s.members, Locality{})
+	f.pool = NewPool(f.members, Locality{})
 }
 
 // run returns the share of the requests in the surge that reach an upstream over the bound.
-func (s *fleet) run(t *testing.T) float64 {
+func (f *fleet) run(t *testing.T) float64 {
 	t.Helper()
 	arrivals, over := 0, 0
 	surgeStart := start.Add(calmTime)
 	for now := start; now.Before(surgeStart.Add(surgeTime)); {
-		now = now.Add(time.Duration(s.random.ExpFloat64() / fleetRequestsPerSecond * float64(time.Second)))
-		s.end(now)
-		s.shareLoads(t, now)
-		router := s.random.IntN(fleetRouters)
-		q := Query{Session: s.session(!now.Before(surgeStart)), LoadMultiple: 0.8 * capMultiple, Random: s.random.Uint64(), Now: now}
-		if s.enabled.softBounds {
+		now = now.Add(time.Duration(f.random.ExpFloat64() / fleetRequestsPerSecond * float64(time.Second)))
+		f.end(now)
+		f.shareLoads(t, now)
+		router := f.random.IntN(fleetRouters)
+		q := Query{Session: f.session(!now.Before(surgeStart)), LoadMultiple: 0.8 * capMultiple, Random: f.random.Uint64(), Now: now}
+		if f.enabled.softBounds {
 			q.BoundJitter = fleetBoundJitter
 		}
-		if share := s.demands[router].RecordRequest(now, q.Session, "chat"); s.enabled.spreadHot {
+		if share := f.demands[router].RecordRequest(now, q.Session, "chat"); f.enabled.spreadHot {
 			q.SessionShare = share
 		}
 		var out [MaxCandidates]Choice
-		s.pool.ChooseBounded(poolLoadAt{s.loads[router], now, s.drained}, q, &out)
+		f.pool.ChooseBounded(poolLoadAt{f.loads[router], now, f.drained}, q, &out)
 		i := out[0].Index
 		if !now.Before(surgeStart) {
 			arrivals++
 		}
-		if !now.Before(surgeStart) && float64(s.running[i]) > capMultiple*s.mean()+capSlack {
+		if !now.Before(surgeStart) && float64(f.running[i]) > capMultiple*f.mean()+capSlack {
 			over++
 		}
-		s.begin(now, router, i)
+		f.begin(now, router, i)
 	}
 	return float64(over) / float64(arrivals)
 }
 
 // session returns the session of the next request.
-func (s *fleet) session(duringSurge bool) uint64 {
-	if duringSurge && s.random.Float64() < float64(s.hotShare) {
+func (f *fleet) session(duringSurge bool) uint64 {
+	if duringSurge && f.random.Float64() < float64(f.hotShare) {
 		return mix(1)
 	}
-	return mix(uint64(2 + s.random.IntN(fleetSessions)))
+	return mix(uint64(2 + f.random.IntN(fleetSessions)))
 }
 
 // mean returns the mean number of running requests at an upstream.
-func (s *fleet) mean() float64 {
-	return float64(len(s.pending)) / fleetUpstreams
+func (f *fleet) mean() float64 {
+	return float64(len(f.pending)) / fleetUpstreams
 }
 
 // begin starts a request. The header of its answer, which arrives at once here, reports the
 // upstream's load.
-func (s *fleet) begin(now time.Time, router, member int) {
-	s.running[member]++
-	took := time.Duration((0.5 + s.random.Float64()) * float64(shortRequest))
-	if s.random.IntN(5) < 2 {
-		took = time.Duration((0.5 + s.random.Float64()) * float64(longRequest))
+func (f *fleet) begin(now time.Time, router, member int) {
+	f.running[member]++
+	took := time.Duration((0.5 + f.random.Float64()) * float64(shortRequest))
+	if f.random.IntN(5) < 2 {
+		took = time.Duration((0.5 + f.random.Float64()) * float64(longRequest))
 	}
-	heap.Push(&s.pending, completion{at: now.Add(took), router: router, member: member})
-	s.loads[router].Begin(s.ids[member])
-	s.loads[router].Observe(now, s.ids[member], s.running[member])
+	heap.Push(&f.pending, completion{at: now.Add(took), router: router, member: member})
+	f.loads[router].Begin(f.ids[member])
+	f.loads[router].Observe(now, f.ids[member], f.running[member])
 }
 
 // end completes all requests that end by now.
-func (s *fleet) end(now time.Time) {
-	for len(s.pending) > 0 && !s.pending[0].at.After(now) {
-		d := heap.Pop(&s.pending).(completion)
-		s.running[d.member]--
-		s.loads[d.router].End(s.ids[d.member])
+func (f *fleet) end(now time.Time) {
+	for len(f.pending) > 0 && !f.pending[0].at.After(now) {
+		c := heap.Pop(&f.pending).(completion)
+		f.running[c.member]--
+		f.loads[c.router].End(f.ids[c.member])
 	}
 }
 
 // shareLoads merges the loads that all routers have observed at the first router and sends the
 // result to the others.
-func (s *fleet) shareLoads(t *testing.T, now time.Time) {
+func (f *fleet) shareLoads(t *testing.T, now time.Time) {
 	t.Helper()
-	if !s.enabled.sharing || now.Sub(s.lastShared) < shareInterval {
+	if !f.enabled.sharing || now.Sub(f.lastShared) < shareInterval {
 		return
 	}
-	reader := s.loads[0]
-	for _, router := range s.loads[1:] {
-		if err := reader.MergeObserved(now, s.ids, router.PackObserved(now, s.lastShared, s.ids)); err != nil {
+	collector := f.loads[0]
+	for _, router := range f.loads[1:] {
+		if err := collector.MergeObserved(now, f.ids, router.PackObserved(now, f.lastShared, f.ids)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	known := reader.PackKnown(now, s.ids)
-	for _, router := range s.loads[1:] {
-		if err := router.MergeKnown(now.Add(shareDelay), s.ids, known); err != nil {
+	known := collector.PackKnown(now, f.ids)
+	for _, router := range f.loads[1:] {
+		if err := router.MergeKnown(now.Add(shareDelay), f.ids, known); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.lastShared = now
+	f.lastShared = now
 }
 
 // poolLoadAt is what a router knows at one moment. It implements Loads.
@@ -195,13 +195,13 @@
 	drained int
 }
 
-func (l poolLoadAt) Load(vm load.VM) float64   { return l.loads.Load(l.now, vm) }
-func (l poolLoadAt) Cost(vm load.VM) float64   { return l.Load(vm) }
-func (l poolLoadAt) Upper(vm load.VM) float64  { return l.loads.UpperBound(l.now, vm) }
-func (l poolLoadAt) IsSuspected(load.VM) bool  { return false }
-func (l poolLoadAt) Unavailable(int) bool      { return false }
-func (l poolLoadAt) Estimate(load.VM) Estimate { return Estimate{} }
-func (l poolLoadAt) Mean() float64             { return l.loads.Mean(fleetUpstreams, l.drained) }
+func (l poolLoadAt) Load(vm load.VM) float64      { return l.loads.Load(l.now, vm) }
+func (l poolLoadAt) Cost(vm load.VM) float64      { return l.Load(vm) }
+func (l poolLoadAt) UpperLoad(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
+func (l poolLoadAt) IsSuspected(load.VM) bool     { return false }
+func (l poolLoadAt) Unavailable(int) bool         { return false }
+func (l poolLoadAt) Estimate(load.VM) Estimate    { return Estimate{} }
+func (l poolLoadAt) Mean() float64                { return l.loads.Mean(fleetUpstreams, l.drained) }
 
 // Each of 28 routers counts its own requests and receives an upstream's load only with its
 // answers, seconds apart. In calm traffic, chance fills some upstreams that no router knows to
@@ -236,9 +236,9 @@
 // would leave them together for the same few others.
 func TestSoftBoundsHoldWhileADomainIsDrained(t *testing.T) {
 	over := func(soft bool) float64 {
-		s := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: soft}, 0)
-		s.drain(fleetUpstreams / 3)
-		return s.run(t)
+		f := newFleet(mechanisms{sharing: true, spreadHot: true, softBounds: soft}, 0)
+		f.drain(fleetUpstreams / 3)
+		return f.run(t)
 	}
 	hard, soft := over(false), over(true)
 	t.Logf("over the bound: %.4f with one bound for all requests, %.4f with one drawn for each request", hard, soft)
