--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -28,15 +28,15 @@
 }
 
 // Record takes in that an upstream has begun to answer a request of a session.
-func (h *LastServed[V]) Record(session uint64, by V) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.sessions.Add(session, by)
+func (l *LastServed[V]) Record(session uint64, upstream V) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sessions.Add(session, upstream)
 }
 
 // Get returns the upstream that has answered the session last.
-func (h *LastServed[V]) Get(session uint64) (V, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.sessions.Get(session)
+func (l *LastServed[V]) Get(session uint64) (V, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.sessions.Get(session)
 }
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -271,8 +271,8 @@
 
 // requestsAhead returns requestsAhead how many others a request of an urgency waits at an engine with
 // some load.
-func (t *Tracker) requestsAhead(running float64, urgency int) float64 {
-	return max(running+1-float64(t.slots), 0) * t.urgencies.FractionAhead(urgency)
+func (t *Tracker) requestsAhead(requests float64, urgency int) float64 {
+	return max(requests+1-float64(t.slots), 0) * t.urgencies.FractionAhead(urgency)
 }
 
 // RecordFailure takes in that an attempt failed at an upstream, beside what Went has said of it.
@@ -321,23 +321,23 @@
 // Cost implements placement.Loads: the time of an answer grows with what waits before
 // it, of which this router knows its own requests.
 func (l loadsAt) Cost(vm load.VM) float64 {
-	wait := l.loads.Load(l.now, vm) + 1
+	cost := l.loads.Load(l.now, vm) + 1
 	if l.mechanisms.Pace {
-		wait *= l.relativeLatency.Factor(l.now, vm)
+		cost *= l.relativeLatency.Factor(l.now, vm)
 	}
-	return wait
+	return cost
 }
 
 // Estimate implements placement.Loads.
 func (l loadsAt) Estimate(vm load.VM) placement.Estimate {
-	queued := l.loads.RecentLoad(l.now, vm)
-	ahead := l.Tracker.requestsAhead(queued, l.request.Urgency)
+	recent := l.loads.RecentLoad(l.now, vm)
+	ahead := l.Tracker.requestsAhead(recent, l.request.Urgency)
 	withoutQueue := l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, 0, l.slots)
 	start := withoutQueue
 	if ahead > 0 {
 		start = l.speed.EstimateFirstByte(l.now, vm, l.request.Profile, ahead, l.slots)
 	}
-	if l.deferred && queued >= deferredLoadPerSlot*float64(l.slots) {
+	if l.deferred && recent >= deferredLoadPerSlot*float64(l.slots) {
 		start = math.Inf(1)
 	}
 	return placement.Estimate{
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -79,8 +79,8 @@
 	}
 }
 
-func scale(x float64, d time.Duration) time.Duration {
-	return time.Duration(x * float64(d))
+func scale(factor float64, d time.Duration) time.Duration {
+	return time.Duration(factor * float64(d))
 }
 
 func (w *Watch) stop() {
