--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -8,17 +8,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// SharedState is what routers tell each other of a pool's upstreams, by their short names.
+// SharedState is what routers send each other about a pool's upstreams, which it names by their
+// short names.
 type SharedState struct {
 	Loads    []byte
-	Outcomes []byte // how requests went
-	Speeds   []byte // how fast engines work
+	Outcomes []byte // successes and failures of requests
+	Speeds   []byte // stream slowdown of engines
 }
 
-// Empty reports whether s says nothing.
+// Empty reports whether s holds nothing.
 func (s SharedState) Empty() bool { return s.Loads == nil && s.Outcomes == nil && s.Speeds == nil }
 
-// Allowed returns what of s a policy lets routers tell each other.
+// Allowed returns the parts of s that a policy lets routers share.
 func (s SharedState) Allowed(mechanisms policy.Policy) SharedState {
 	if !mechanisms.SharedLoads {
 		s.Loads = nil
@@ -32,29 +33,31 @@
 	return s
 }
 
-// PackKnown returns what a router knows of upstreams, for those that rely on it.
+// PackKnown returns all that this router knows of the upstreams, for the routers that depend on
+// its reports.
 func (t *Tracker) PackKnown(now time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackKnown(now, members), Outcomes: t.outliers.Summary(now, members), Speeds: t.speed.Summary(now, members)}
 }
 
-// PackObserved returns what a router has seen of upstreams since a time, for the one that it
-// relies on.
+// PackObserved returns what this router has observed of the upstreams itself since a time, for
+// the router whose reports it depends on.
 func (t *Tracker) PackObserved(now, after time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackObserved(now, after, members), Outcomes: t.outliers.Report(members), Speeds: t.speed.Report(members)}
 }
 
-// MergeKnown takes in what the router knows that this one relies on.
+// MergeKnown merges what PackKnown returned at the router whose reports this one depends on.
 func (t *Tracker) MergeKnown(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return stderrors.Join(t.loads.MergeKnown(now, members, s.Loads), t.outliers.MergeSummary(now, members, s.Outcomes), t.speed.MergeSummary(now, members, s.Speeds))
 }
 
-// MergeObserved takes in what a router has seen that relies on this one.
+// MergeObserved merges what PackObserved returned at a router that depends on this one's
+// reports.
 func (t *Tracker) MergeObserved(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -1,13 +1,13 @@
-// Package balance is what one router knows of the upstreams of a pool that it calls
-// itself, with no sidecar to decide for them, and the choice among them: their loads as
-// it counts and is told them, how fast they answer, how their requests go, and which
-// sessions ask the most.
+// Package balance holds what one router knows of the upstreams of a pool that it calls directly,
+// without a sidecar that limits their load, and chooses among them: their loads as counted and
+// reported, their response times, the outcomes of their requests, and the sessions with the most
+// requests.
 //
-// Package router feeds a Tracker with what its requests meet, asks it for each request
-// where it may go, and has routers tell each other what theirs know. Package model does
-// the same in virtual time. A Tracker knows no clock and no connection; it is safe for
-// concurrent use, and outlives the lists of upstreams that it is asked about. A Watch feeds
-// it with one attempt, by the clock of the machine.
+// Package router feeds a Tracker with the events of its requests, asks it where each request may
+// go, and exchanges its state with other routers. Package model does the same in virtual time. A
+// Tracker uses no clock and no connection of its own. It is safe for concurrent use and outlives
+// the lists of upstreams that it chooses from. A Watch feeds it the events of one attempt by the
+// system clock.
 package balance
 
 import (
@@ -21,13 +21,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// HangMultiple its objective is how long an attempt may wait for its first byte before
-// that speaks against its upstream. An answer that is merely late does not: at a
-// start, or where a session's long prompt has to be read, many are, and upstreams
-// that are well would be suspected by turns. Their sessions left them, had their
-// prompts read again elsewhere, and made others late. With 1 in its place, half as
-// much memory again goes between upstreams on days with faults, and in surges beside
-// slow upstreams a tenth more answers are late (five days and one, three seeds each).
+// HangMultiple is how many times its objective an attempt may wait for its first byte before
+// that counts as a failure of its upstream. An answer that is merely late does not: after a
+// start, or where the long prompt of a session has to be read, many answers are late, and
+// healthy upstreams would be suspected in turn. Their sessions would leave them, have their
+// prompts read again elsewhere, and make other requests late. With a multiple of 1, half as much
+// memory again is transferred between upstreams on days with faults, and in surges with slow
+// upstreams a tenth more answers are late (five days and one, three seeds each).
 const HangMultiple = 2.5
 
 // Tracker is what a router knows of the upstreams of one pool.
@@ -39,34 +39,35 @@
 	outliers        *outlier.Detector
 	speed           *load.Speed
 	urgencies       load.UrgencyMix
-	slots           int // of an engine; zero: they do not tell
+	slots           int // of an engine; zero: engines do not report them
 }
 
-// NewTracker returns a Tracker that knows nothing.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker {
 	return &Tracker{loads: load.NewPoolLoad(), demand: load.NewDemand(), relativeLatency: load.NewRelativeLatency(), outliers: outlier.New(), speed: load.NewSpeed()}
 }
 
-// Request is a request that looks for an upstream.
+// Request is a request that needs an upstream.
 type Request struct {
 	placement.Query
 	Profile         string
-	Urgency         int           // 0 is first
-	Objective       time.Duration // for the first byte; zero: none, it goes as it is
-	TimeLeft        time.Duration // of its caller's time; zero: not known
-	ObjectiveMissed bool          // it cannot be answered within its objective any more
-	// Unavailable reports whether upstream i of the pool may get no request now; nil: none is closed.
+	Urgency         int           // 0 is the most urgent
+	Objective       time.Duration // for the first byte; zero: none, the request is never deferred or rejected
+	TimeLeft        time.Duration // until the caller gives up; zero: unknown
+	ObjectiveMissed bool          // the request can no longer be answered within its objective
+	// Unavailable reports whether upstream i of the pool may get no request now; nil: all
+	// upstreams are available.
 	Unavailable func(i int) bool
 }
 
-// Choose writes the upstreams of p to which a request is offered to out, in order, and
-// returns how many there are, and what that rests on. The multiple of r is the bound on
-// load of the platform's operators; what the policy has off is taken out of r.
+// Choose writes the upstreams of p that a request is offered to into out, in order of
+// preference, and returns their number and the basis of the choice. r.LoadMultiple is the
+// configured load bound. Mechanisms that are switched off are removed from r.
 //
-// A request that cannot be answered in time waits behind all that can, if its caller has
-// time for that. It is served when a surge is over, and takes no place from those that come
-// meanwhile. Of 28456 callers in a surge of twice what the pool can do, 16593 get their
-// answer in time, 11608 without (TestSurgeBeyondThePoolIsServedInTime).
+// A request that cannot be answered in time is deferred behind all those that can, if its caller
+// has enough time left. It is served when the surge is over and takes no slot from requests that
+// arrive in the meantime. Of 28456 callers in a surge of twice the pool's capacity, 16593 get
+// their answer in time, and 11608 without deferral (TestSurgeBeyondThePoolIsServedInTime).
 func (t *Tracker) Choose(now time.Time, p *placement.Pool, mechanisms policy.Policy, r Request, out *[placement.MaxCandidates]placement.Choice) (int, placement.Basis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,92 +101,95 @@
 }
 
 const (
-	// deferredUrgencyStep is by how much less urgent a request is that cannot be answered in time
-	// any more: after all that can.
+	// deferredUrgencyStep is added to the urgency of deferred requests, so that they come after
+	// all requests that can still be answered in time.
 	deferredUrgencyStep = 5
-	// lastUrgency is the last one that upstreams tell apart.
+	// lastUrgency is the least urgent value that upstreams distinguish.
 	lastUrgency = 9
-	// deferredWaitShare of what is left of its caller's time is how long such a request may wait
-	// for the first byte of its answer: the rest is for the answer.
+	// deferredWaitShare is the share of the caller's remaining time that a deferred request may
+	// wait for the first byte; the rest is for the answer.
 	deferredWaitShare = 0.5
-	// deferredLoadPerSlot times its places is up to which load an engine gets such requests. Engines
-	// turn away whatever comes when their queue is full, the most urgent requests too.
+	// deferredLoadPerSlot times its slots is the load up to which an engine gets deferred
+	// requests. An engine whose queue is full rejects all requests, including the most urgent
+	// ones.
 	deferredLoadPerSlot = 2.0
 )
 
 const (
-	// minFillShare is the part of the platform's bound on the load of an upstream up to
-	// which routers fill it where they go by what they are told, which is a little
-	// old, and maxFillShare where they count nearly everything themselves. In between,
-	// ownFillShare times the part that a router counts is added. With 4 routers that
-	// makes 0.9: a fifth fewer tokens are moved than with 0.8.
+	// minFillShare is the share of the configured load bound up to which a router fills
+	// upstreams when it depends on reported loads, which are slightly old, and maxFillShare the
+	// share when it counts nearly all requests itself. In between, ownFillShare times the share
+	// of the requests that it counts itself is added. With 4 routers this makes 0.9: a fifth
+	// fewer tokens are moved than with 0.8.
 	minFillShare, ownFillShare, maxFillShare = 0.8, 0.4, 0.95
 )
 
-// fillShare returns the part of the platform's bound up to which a router fills an
-// upstream if it counts a part of all requests itself.
+// fillShare returns the share of the configured load bound up to which a router fills upstreams
+// if it counts ownShare of all requests itself.
 func fillShare(ownShare float64) float64 {
 	return min(minFillShare+ownFillShare*ownShare, maxFillShare)
 }
 
-// fixedBoundShare is the part of all requests from which on a router that counts it keeps to one
-// bound for all: what it does not count is too little for all routers to turn away at once.
+// fixedBoundShare is the share of all requests from which on a router that counts it applies the
+// same bound to all its requests: the requests that it does not count are too few for all
+// routers to leave an upstream at once.
 const fixedBoundShare = 0.25
 
-// boundJitter returns how far chance draws the bounds of requests of a router that counts a
-// part of all requests itself.
+// boundJitter returns how far the bounds of requests are randomised at a router that counts
+// ownShare of all requests itself, from 0 to 1.
 func boundJitter(ownShare float64) float64 {
 	return max(1-ownShare/fixedBoundShare, 0)
 }
 
 const (
-	// headroomShare is the part of the room between the mean and the bound that a router uses
-	// at least, up to maxHeadroomMultiple times the mean.
+	// headroomShare is the share of the headroom between the mean and the bound that a router
+	// uses at least, up to maxHeadroomMultiple times the mean.
 	headroomShare, maxHeadroomMultiple = 0.8, 1.5
 )
 
-// fillLimit returns up to which multiple of the mean a router fills an upstream.
+// fillLimit returns the multiple of the mean load up to which a router fills an upstream.
 //
-// A part of a tight bound is next to the mean, and what a router does not know of a load
-// is more than that. Most upstreams then seem to be over the bound, and routers that
-// were told the same send their sessions to the same few that seem to be below. Of 60
-// routers before 24 upstreams with a bound of 1.25, 800 of 1261 answers were late, and
-// none with this (model.TestManyRoutersDoNotRunToTheSameUpstreams).
+// A fixed share of a tight bound is close to the mean, and the unknown part of a load exceeds
+// the difference. Most upstreams then appear to be over the bound, and routers that received the
+// same reports send their sessions to the same few that appear to be below it. With 60 routers,
+// 24 upstreams and a bound of 1.25, 800 of 1261 answers were late, and none with the headroom
+// (model.TestManyRoutersDoNotRunToTheSameUpstreams).
 func fillLimit(multiple, ownShare float64) float64 {
 	return max(multiple*fillShare(ownShare), min(1+headroomShare*(multiple-1), maxHeadroomMultiple))
 }
 
-// RecordRequest counts a request of a session and returns its share of the pool's.
+// RecordRequest counts a request of a session and returns a lower estimate of the session's
+// share of the pool's requests.
 func (t *Tracker) RecordRequest(now time.Time, session uint64, profile string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.demand.RecordRequest(now, session, profile)
 }
 
-// RecordDuration takes in how long a request of a session was in flight.
+// RecordDuration records how long a request of a session was in flight.
 func (t *Tracker) RecordDuration(profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.demand.RecordDuration(profile, d)
 }
 
-// RecordLoad takes in that an upstream says how many requests it has, those of this router
-// among them.
+// RecordLoad records the number of requests that an upstream reports, including those of this
+// router.
 func (t *Tracker) RecordLoad(now time.Time, vm load.VM, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.Observe(now, vm, requests)
 }
 
-// SetSlots takes in how many requests an engine works on at a time. Those of a pool are
-// alike.
+// SetSlots sets how many requests an engine serves at a time. All engines of a pool have the
+// same number.
 func (t *Tracker) SetSlots(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.slots = n
 }
 
-// RecordObjective takes in within which objective the first byte of a request is wanted.
+// RecordObjective records the first-byte objective of a request.
 func (t *Tracker) RecordObjective(urgency int, objective time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,42 +203,43 @@
 	t.urgencies.AddWaiting(a.Urgency)
 }
 
-// EndWait counts the first byte of an attempt that Sent has counted, or its end without one.
+// EndWait ends the wait of an attempt that BeginWait has counted, at its first byte or at its
+// end without one.
 func (t *Tracker) EndWait(a Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.urgencies.RemoveWaiting(a.Urgency)
 }
 
-// RecordEvents takes in that n events of a stream came within a time after the one before.
+// RecordEvents records that n events of a stream arrived within a time after the previous one.
 func (t *Tracker) RecordEvents(now time.Time, vm load.VM, profile string, n int, within time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.speed.RecordEvents(now, vm, profile, n, within)
 }
 
-// RecordAnswerTime takes in how long an answer took from its first byte to its end.
+// RecordAnswerTime records the time from the first byte of an answer to its end.
 func (t *Tracker) RecordAnswerTime(now time.Time, vm load.VM, profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.speed.RecordAnswer(now, vm, profile, d)
 }
 
-// BeginAttempt counts an attempt that goes to an upstream.
+// BeginAttempt counts an attempt that is sent to an upstream.
 func (t *Tracker) BeginAttempt(vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.Begin(vm)
 }
 
-// EndAttempt counts the end of an attempt that Begin has counted.
+// EndAttempt counts the end of an attempt that BeginAttempt has counted.
 func (t *Tracker) EndAttempt(vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.loads.End(vm)
 }
 
-// Keep forgets every upstream that is not among members.
+// Keep removes every upstream that is not among members.
 func (t *Tracker) Keep(members []load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -248,12 +253,12 @@
 type Attempt struct {
 	VM       load.VM
 	Profile  string
-	Urgency  int     // 0 is first
-	Load     float64 // that was believed of the upstream when it was chosen
-	Deferred bool    // as of the choice's Basis
+	Urgency  int     // 0 is the most urgent
+	Load     float64 // estimated load of the upstream when it was chosen
+	Deferred bool    // from the Basis of the choice
 }
 
-// RecordOutcome takes in how an attempt went, and how long that took to show.
+// RecordOutcome records whether an attempt succeeded and how long it took to find out.
 func (t *Tracker) RecordOutcome(now time.Time, a Attempt, d time.Duration, succeeded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -269,21 +274,22 @@
 	}
 }
 
-// requestsAhead returns requestsAhead how many others a request of an urgency waits at an engine with
-// some load.
+// requestsAhead returns the number of queued requests that are served before a request of the
+// given urgency, at an engine that has so many requests in total.
 func (t *Tracker) requestsAhead(requests float64, urgency int) float64 {
 	return max(requests+1-float64(t.slots), 0) * t.urgencies.FractionAhead(urgency)
 }
 
-// RecordFailure takes in that an attempt failed at an upstream, beside what Went has said of it.
+// RecordFailure records a failure at an upstream in addition to what RecordOutcome has recorded
+// of the attempt.
 func (t *Tracker) RecordFailure(now time.Time, vm load.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outliers.Failed(now, vm)
 }
 
-// SuspicionChanges returns the upstreams of which the judgement has changed since it was called
-// last.
+// SuspicionChanges returns the upstreams that came to be suspected, or ceased to be, since the
+// last call.
 func (t *Tracker) SuspicionChanges() []outlier.Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -297,29 +303,29 @@
 	return t.outliers.IsSuspected(now, vm)
 }
 
-// Load returns the believed load of an upstream.
+// Load returns the estimated load of an upstream.
 func (t *Tracker) Load(now time.Time, vm load.VM) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loads.Load(now, vm)
 }
 
-// loadsAt is a Tracker at one moment, for n upstreams. It implements placement.Loads.
+// loadsAt is a Tracker at one moment. It implements placement.Loads.
 type loadsAt struct {
 	*Tracker
 	mechanisms policy.Policy
 	now        time.Time
 	upstreams  int
-	drained    int // of them, get nothing
+	drained    int // number of upstreams that are drained
 	request    Request
-	deferred   bool // the request waits behind those that can be answered in time
+	deferred   bool // the request waits behind all those that can still be answered in time
 }
 
 // Load implements placement.Loads.
 func (l loadsAt) Load(vm load.VM) float64 { return l.loads.Load(l.now, vm) }
 
-// Cost implements placement.Loads: the time of an answer grows with what waits before
-// it, of which this router knows its own requests.
+// Cost implements placement.Loads. The response time grows with the requests already at the
+// upstream.
 func (l loadsAt) Cost(vm load.VM) float64 {
 	cost := l.loads.Load(l.now, vm) + 1
 	if l.mechanisms.Pace {
@@ -351,9 +357,9 @@
 // UpperLoad implements placement.Loads.
 func (l loadsAt) UpperLoad(vm load.VM) float64 { return l.loads.UpperBound(l.now, vm) }
 
-// Mean implements placement.Loads. It is that of all upstreams, also while some are
-// suspected: measured against those that take their requests on, the bound would be far
-// above the operators', who count all.
+// Mean implements placement.Loads. The mean is that of all upstreams even while some are
+// suspected: relative to the mean of those that take over their requests, the bound would be far
+// above the configured load bound, which counts all upstreams.
 func (l loadsAt) Mean() float64 { return l.loads.Mean(l.upstreams, l.drained) }
 
 // Unavailable implements placement.Loads.
--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -11,35 +11,35 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// Four routers each count a quarter of the requests, and fill upstreams further than
-// one of many that goes by what it is told.
+// Each of four routers counts a quarter of the requests. It may fill upstreams further than one
+// of many routers, which depends mainly on reported loads.
 func TestFillShareGrowsWithOwnShare(t *testing.T) {
 	for _, c := range []struct{ ownShare, want float64 }{{0, 0.8}, {0.25, 0.9}, {1, 0.95}} {
 		if got := fillShare(c.ownShare); got != c.want {
-			t.Errorf("seen %v: %v, want %v", c.ownShare, got, c.want)
+			t.Errorf("own share %v: %v, want %v", c.ownShare, got, c.want)
 		}
 	}
 }
 
-// A bound of a quarter over the mean leaves room to choose, one of twice the mean is
-// what it was, and no router fills past the operators' bound.
+// A bound of a quarter over the mean leaves headroom to choose among upstreams, a bound of twice
+// the mean is limited by the fill share alone, and no router exceeds the configured load bound.
 func TestTightBoundLeavesHeadroom(t *testing.T) {
 	for _, c := range []struct{ multiple, ownShare, want float64 }{
 		{1.25, 0, 1.2}, {1.1, 0, 1.08}, {1.25, 1, 1.2}, {2, 0, 1.6}, {2, 0.25, 1.8}, {4, 0, 3.2},
 	} {
 		got := fillLimit(c.multiple, c.ownShare)
 		if math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("multiple %v, seen %v: filled to %v, want %v", c.multiple, c.ownShare, got, c.want)
+			t.Errorf("multiple %v, own share %v: filled to %v, want %v", c.multiple, c.ownShare, got, c.want)
 		}
 		if got > c.multiple {
-			t.Errorf("multiple %v: filled to %v", c.multiple, got)
+			t.Errorf("multiple %v: filled to %v, above the configured bound", c.multiple, got)
 		}
 	}
 }
 
-// An upstream fails its requests at one router. The router that relies on the same
-// reader has sent requests to the others only, and puts it last all the same. With outliers switched
-// off nobody does.
+// An upstream fails its requests at one router. A router that receives reports through the same
+// third router, and has sent requests to the other upstreams only, must put it last too, but not
+// with outlier detection switched off.
 func TestFailuresAtOneRouterCountAtAnother(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var ids []load.VM
@@ -77,13 +77,13 @@
 		t.Error("the home that fails at another router comes first")
 	}
 	if chosen(policy.Policy{}) != home {
-		t.Error("without outliers the home does not come first")
+		t.Error("without outlier detection the home does not come first")
 	}
 }
 
-// The operators drain a third of a pool. The engines that are left have half as much again
-// to do, and only they tell their loads; measured against those alone, the operators' bound
-// of twice the mean, which counts all, would be passed by a fifth before a router held back.
+// With a third of a pool drained, the remaining engines have half as much load again, and only
+// they report it. Relative to the mean of those alone, the configured load bound of twice the
+// mean, which counts all upstreams, would be exceeded by a fifth before a router held back.
 func TestDrainedUpstreamsCountInTheMean(t *testing.T) {
 	const upstreams, drained, each = 54, 18, 12
 	now := time.Unix(1000, 0)
@@ -101,14 +101,14 @@
 	q := placement.Query{Session: 7, LoadMultiple: 2, Now: now}
 	_, basis := tracker.Choose(now, placement.NewPool(members, placement.Locality{}), policy.All(), Request{Query: q}, &out)
 	if want := float64(each) * (upstreams - drained) / upstreams; math.Abs(basis.Mean-want) > 0.01 {
-		t.Errorf("a mean of %.2f, want %.2f", basis.Mean, want)
+		t.Errorf("mean load %.2f, want %.2f", basis.Mean, want)
 	}
 	if most := 2*basis.Mean + 3; basis.Bound > most {
-		t.Errorf("filled up to %.1f, where the operators' bound is %.1f", basis.Bound, most)
+		t.Errorf("filled up to %.1f, above the configured load bound of %.1f", basis.Bound, most)
 	}
 }
 
-// newMember is upstream i of a pool.
+// newMember returns upstream i of a pool.
 func newMember(i int) placement.Member {
 	name := fmt.Sprint("engine-", i)
 	return placement.Member{VM: load.Hash(name), Seed: placement.Seed(name)}
--- a/internal/balance/waits_test.go
+++ b/internal/balance/waits_test.go
@@ -14,8 +14,9 @@
 	objective = 400 * time.Millisecond
 )
 
-// newEnginePool returns a Tracker of a pool of six newEnginePool of 16 places, of which answers take a
-// second and begin after 80 ms, and at each of which so many requests run or wait.
+// newEnginePool returns a Tracker and a Pool of six engines with 16 slots each, whose answers
+// begin after 80 ms and take another second. Each engine has the given number of requests
+// running or queued.
 func newEnginePool(now time.Time, requests int) (*Tracker, *placement.Pool, []load.VM) {
 	t := NewTracker()
 	var ids []load.VM
@@ -35,6 +36,7 @@
 	return t, placement.NewPool(ms, placement.Locality{}), ids
 }
 
+// choose returns the first choice for a request of a session, and its basis.
 func choose(t *Tracker, now time.Time, p *placement.Pool, mechanisms policy.Policy, random uint64, left time.Duration) (placement.Choice, placement.Basis) {
 	var out [placement.MaxCandidates]placement.Choice
 	q := placement.Query{Session: 7, LoadMultiple: 4, Random: random, Now: now}
@@ -42,10 +44,10 @@
 	return out[0], basis
 }
 
-// A coach asks for a note while all engines have a queue of half a second. Sent as it is,
-// the note comes late, and those after it too. Behind all that can be answered in time it
-// is in nobody's way, and it is served when the queue is gone. Where the queues are nearly
-// full, or the coach has no time for that, it is turned away at once.
+// All engines have a queue of half a second. If a request were sent as it is, it would be late,
+// and so would those after it. Deferred behind all requests that can be answered in time, it
+// delays none of them and is served when the queue is gone. If the queues are nearly full, or
+// its caller has no time for that, it is rejected at once.
 func TestLateRequestsAreDeferredOrRejected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -54,16 +56,16 @@
 		left               time.Duration
 		deferred, rejected bool
 	}{
-		{"free places", 8, 10 * time.Second, false, false},
+		{"free slots", 8, 10 * time.Second, false, false},
 		{"a queue", 28, 10 * time.Second, true, false},
 		{"full queues", 40, 10 * time.Second, true, true},
-		{"no time", 30, time.Second, true, true},
+		{"no time left", 30, time.Second, true, true},
 	} {
 		tracker, pool, _ := newEnginePool(now, c.requests)
 		for random := range uint64(50) {
 			_, basis := choose(tracker, now, pool, policy.All(), random, c.left)
 			if basis.Deferred != c.deferred || basis.ShouldReject != c.rejected {
-				t.Errorf("%s: behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
+				t.Errorf("%s: deferred %v, rejected %v", c.name, basis.Deferred, basis.ShouldReject)
 			}
 			if want := map[bool]int{false: 0, true: deferredUrgencyStep}[c.deferred]; basis.Urgency != want {
 				t.Errorf("%s: urgency %d, want %d", c.name, basis.Urgency, want)
@@ -74,14 +76,14 @@
 			t.Fatal(err)
 		}
 		if _, basis := choose(tracker, now, pool, without, 1, c.left); basis.Deferred || basis.ShouldReject {
-			t.Errorf("%s: switched off, behind %v, turned away %v", c.name, basis.Deferred, basis.ShouldReject)
+			t.Errorf("%s: switched off, deferred %v, rejected %v", c.name, basis.Deferred, basis.ShouldReject)
 		}
 	}
 }
 
-// The home of a session has a queue, the others have none. The session waits at home,
-// where its prompt is: elsewhere that would have to be read, for longer than the queue
-// takes. It leaves a home that works five times slower than the others.
+// The home of a session has a queue and the other engines have none. The session waits at its
+// home, where its prompt is cached: reading the prompt elsewhere would take longer than the
+// queue. It leaves a home that works five times slower than the others.
 func TestSessionsLeaveSlowHomesAndNotBusyOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker, pool, ids := newEnginePool(now, 8)
@@ -107,23 +109,23 @@
 	}
 }
 
-// All engines have full queues, and all routers turn everything away. With no request there
-// is no answer that would tell a newer load. The queues are gone within seconds, and nobody
-// may be turned away for what they were.
+// All engines have full queues, and all routers reject all requests. Without requests there are
+// no answers that report a newer load. The queues are gone within seconds, and no request may be
+// rejected for the old reports.
 func TestNoRequestIsRejectedForAnOldQueueReport(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker, pool, _ := newEnginePool(now, 60)
 	if _, basis := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); !basis.ShouldReject {
-		t.Fatal("with full queues nobody is turned away")
+		t.Fatal("with full queues no request is rejected")
 	}
 	now = now.Add(4 * time.Second)
 	if _, basis := choose(tracker, now, pool, policy.All(), 1, 10*time.Second); basis.ShouldReject {
-		t.Error("a request is turned away for queues of which nothing was heard for 4 s")
+		t.Error("a request is rejected for queues last reported 4 s ago")
 	}
 }
 
-// Urgencies end at 9. A request of little urgency that waits behind others is sent with that,
-// and not with one that no engine knows.
+// Urgencies end at 9. A deferred request of low urgency must be sent with at most that, and not
+// with a value that engines do not support.
 func TestDeferredUrgencyStaysInRange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker, pool, _ := newEnginePool(now, 28)
@@ -134,14 +136,14 @@
 			Query: q, Profile: "chat", Urgency: urgency, Objective: objective, TimeLeft: 10 * time.Second,
 		}, &out)
 		if !basis.Deferred || basis.Urgency != want {
-			t.Errorf("urgency %d: sent with %d (behind %v), want %d", urgency, basis.Urgency, basis.Deferred, want)
+			t.Errorf("urgency %d: sent with %d (deferred %v), want %d", urgency, basis.Urgency, basis.Deferred, want)
 		}
 	}
 }
 
-// A stream breaks off in a surge and goes on at another engine. Its caller has the first half
-// of it, and gives up after a pause of two seconds: it must not wait behind others, nor be
-// turned away, also if its caller was turned away before.
+// A stream breaks off in a surge and continues at another engine. Its caller has received the
+// first half and gives up after a pause of two seconds, so the request must be neither deferred
+// nor rejected, even if the caller was rejected before.
 func TestResumedStreamsAreNotDeferred(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, requests := range []int{28, 40} {
@@ -150,7 +152,7 @@
 		q := placement.Query{Session: 7, LoadMultiple: 4, Now: now}
 		_, basis := tracker.Choose(now, pool, policy.All(), Request{Query: q, Profile: "chat", TimeLeft: 10 * time.Second, ObjectiveMissed: true}, &out)
 		if basis.Deferred || basis.ShouldReject || basis.Urgency != 0 {
-			t.Errorf("%d requests at each engine: behind %v, turned away %v, urgency %d", requests, basis.Deferred, basis.ShouldReject, basis.Urgency)
+			t.Errorf("%d requests at each engine: deferred %v, rejected %v, urgency %d", requests, basis.Deferred, basis.ShouldReject, basis.Urgency)
 		}
 	}
 }
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// abandonMultiple is HangTimes for an attempt that is given up before.
+// abandonMultiple is the counterpart of HangMultiple for attempts that are abandoned earlier.
 const abandonMultiple = HangMultiple / 2
 
-// Watch tells how one attempt at a direct upstream goes, for the choice of upstreams
-// for others: well with the first byte of its answer, badly if that does not come
-// for HangTimes the objective, is a failure, or is lost.
+// Watch observes one attempt at a direct upstream and records its outcome in a Tracker. The
+// attempt succeeds with the first byte of its answer. It fails if that does not arrive within
+// HangMultiple times the objective, or if the answer is an error or is lost.
 type Watch struct {
 	tracker   *Tracker
 	attempt   Attempt
@@ -20,15 +20,16 @@
 	sent      time.Time
 	hangTimer *time.Timer
 	recorded  bool
-	waiting   bool // for its first byte
+	waiting   bool // for the first byte
 }
 
-// NewWatch returns the Watch of an attempt with an objective for its first byte; zero: it has none.
+// NewWatch returns the Watch of an attempt with an objective for its first byte; zero: no
+// objective.
 func NewWatch(t *Tracker, a Attempt, objective time.Duration) *Watch {
 	return &Watch{tracker: t, attempt: a, objective: objective}
 }
 
-// Start starts the watch, as the attempt is sent.
+// Start begins the observation when the attempt is sent.
 func (w *Watch) Start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// EndWait says that the first byte is there, or will not come.
+// EndWait records that the first byte has arrived or will not arrive.
 func (w *Watch) EndWait() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// RecordOutcome says how the attempt went, unless that is known.
+// RecordOutcome records whether the attempt succeeded. Only the first call counts.
 func (w *Watch) RecordOutcome(succeeded bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,12 +63,14 @@
 	w.tracker.RecordOutcome(now, w.attempt, now.Sub(w.sent), succeeded)
 }
 
-// RecordFailure says that an answer broke off that had begun well.
+// RecordFailure records a failure in addition to the outcome, such as an answer that broke off
+// after it had begun well.
 func (w *Watch) RecordFailure() {
 	w.tracker.RecordFailure(time.Now(), w.attempt.VM)
 }
 
-// Abandon ends the watch of an attempt whose answer nobody waits for any more.
+// Abandon ends the observation of an attempt whose answer is no longer needed. The attempt
+// counts as failed if it took longer than abandonMultiple times the objective.
 func (w *Watch) Abandon() {
 	w.EndWait()
 	w.mu.Lock()
@@ -79,10 +82,12 @@
 	}
 }
 
+// scale returns factor times d.
 func scale(factor float64, d time.Duration) time.Duration {
 	return time.Duration(factor * float64(d))
 }
 
+// stop stops the timer for a missing first byte.
 func (w *Watch) stop() {
 	if w.hangTimer != nil {
 		w.hangTimer.Stop()
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -41,7 +41,7 @@
 	// takeoverMultiple times the mean plus takeoverSlack requests is the load up to which an
 	// upstream takes over requests of a suspected one. Without this limit, when three fifths of
 	// a pool lose answers, the others would stay at the load bound, and chance would put them
-	// over the operators' bound.
+	// over the configured load bound.
 	takeoverMultiple, takeoverSlack = 1.3, 1.0
 	// donorMinAge is the time since an upstream joined during which it is not preferred as a
 	// donor. When upstreams are replaced one after the other, this reduces the shared tokens
@@ -139,7 +139,7 @@
 // Routers receive the same loads, some tenths of a second old. With one bound for all requests,
 // an upstream reported over the bound loses the requests of all routers at the same moment, and
 // the next one with spare capacity gets all of them: with a third of the pool idle, one request
-// in twenty reached an upstream over the operators' bound. A bound drawn anew for each request
+// in twenty reached an upstream over the configured load bound. A bound drawn anew for each request
 // lets them move one after the other.
 func (q Query) bound(mean float64) float64 {
 	draw := toUnitInterval(mix(q.Random ^ boundSalt))
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -230,7 +230,7 @@
 
 // Most upstreams of a pool lose answers and are suspected. The few others are within the bound
 // by their reported loads, but the reports are slightly old and each upstream takes over the
-// sessions of all suspected ones, so that chance would put them over the operators' bound. A
+// sessions of all suspected ones, so that chance would put them over the configured load bound. A
 // suspected home must keep its sessions where the others have little headroom.
 func TestSuspectedHomeKeepsSessionsWhenOthersLackHeadroom(t *testing.T) {
 	ms := newMembers(8)
