--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -49,28 +49,28 @@
 		ms = append(ms, placement.Member{VM: load.Hash(name), Seed: placement.Seed(name)})
 	}
 	pool := placement.NewPool(ms, placement.Locality{})
-	first, reader, third := NewTracker(), NewTracker(), NewTracker()
+	reporter, collector, receiver := NewTracker(), NewTracker(), NewTracker()
 	const session = 7
 	home := pool.Home(session)
 	for i := range ids {
 		for range 4 {
-			first.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, i != home)
+			reporter.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, i != home)
 		}
 	}
 	for i := range ids {
 		if i != home {
-			third.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, true)
+			receiver.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, true)
 		}
 	}
-	if err := reader.MergeObserved(now, ids, first.PackObserved(now, time.Time{}, ids)); err != nil {
+	if err := collector.MergeObserved(now, ids, reporter.PackObserved(now, time.Time{}, ids)); err != nil {
 		t.Fatal(err)
 	}
-	if err := third.MergeKnown(now, ids, reader.PackKnown(now, ids)); err != nil {
+	if err := receiver.MergeKnown(now, ids, collector.PackKnown(now, ids)); err != nil {
 		t.Fatal(err)
 	}
 	chosen := func(mechanisms policy.Policy) int {
 		var out [placement.MaxCandidates]placement.Choice
-		third.Choose(now, pool, mechanisms, Request{Query: placement.Query{Session: session, Now: now}}, &out)
+		receiver.Choose(now, pool, mechanisms, Request{Query: placement.Query{Session: session, Now: now}}, &out)
 		return out[0].Index
 	}
 	if chosen(policy.All()) == home {
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -55,8 +55,8 @@
 
 // Share returns how many requests a router of a fleet of so many may send to a cold
 // upstream in any window. A router that does not know how many there are sends none.
-func Share(router, upstream string, l Limit, routers int) int {
-	total := l.MaxPerSecond()
+func Share(router, upstream string, limit Limit, routers int) int {
+	total := limit.MaxPerSecond()
 	if routers <= 0 || total <= 0 {
 		return 0
 	}
@@ -106,7 +106,7 @@
 	router string
 
 	mu     sync.Mutex
-	sent   map[string][]time.Time // in the last window, by upstream
+	sentAt map[string][]time.Time // in the last window, by upstream
 	shares map[shareKey]int       // as of Share
 }
 
@@ -119,20 +119,20 @@
 
 // NewLimiter returns the Gate of a router that has sent nothing.
 func NewLimiter(router string) *Limiter {
-	return &Limiter{router: router, sent: make(map[string][]time.Time), shares: make(map[shareKey]int)}
+	return &Limiter{router: router, sentAt: make(map[string][]time.Time), shares: make(map[shareKey]int)}
 }
 
 // HasCapacity reports whether a request more may be sent to a cold upstream now.
-func (g *Limiter) HasCapacity(now time.Time, upstream string, l Limit, routers int) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.hasCapacity(now, upstream, l, routers)
+func (l *Limiter) HasCapacity(now time.Time, upstream string, limit Limit, routers int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.hasCapacity(now, upstream, limit, routers)
 }
 
-func (g *Limiter) hasCapacity(now time.Time, upstream string, l Limit, routers int) bool {
-	share := g.share(shareKey{upstream: upstream, limit: l, routers: routers})
+func (l *Limiter) hasCapacity(now time.Time, upstream string, limit Limit, routers int) bool {
+	share := l.share(shareKey{upstream: upstream, limit: limit, routers: routers})
 	sent := 0
-	for _, at := range g.sent[upstream] {
+	for _, at := range l.sentAt[upstream] {
 		if now.Sub(at) < window {
 			sent++
 		}
@@ -143,14 +143,14 @@
 // maxCachedShares bounds the shares that are remembered. Upstreams come and go.
 const maxCachedShares = 4096
 
-func (g *Limiter) share(k shareKey) int {
-	share, ok := g.shares[k]
+func (l *Limiter) share(k shareKey) int {
+	share, ok := l.shares[k]
 	if !ok {
-		if len(g.shares) >= maxCachedShares {
-			clear(g.shares)
+		if len(l.shares) >= maxCachedShares {
+			clear(l.shares)
 		}
-		share = Share(g.router, k.upstream, k.limit, k.routers)
-		g.shares[k] = share
+		share = Share(l.router, k.upstream, k.limit, k.routers)
+		l.shares[k] = share
 	}
 	return share
 }
@@ -158,20 +158,20 @@
 // TryAcquire counts a request that is sent now, or reports that none may be. It is asked just
 // before the first byte: between the choice of an upstream and that, others may have taken
 // what there was.
-func (g *Limiter) TryAcquire(now time.Time, upstream string, l Limit, routers int) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.hasCapacity(now, upstream, l, routers) {
+func (l *Limiter) TryAcquire(now time.Time, upstream string, limit Limit, routers int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.hasCapacity(now, upstream, limit, routers) {
 		return false
 	}
-	g.sent[upstream] = append(g.recent(now, upstream), now)
+	l.sentAt[upstream] = append(l.recent(now, upstream), now)
 	return true
 }
 
 // recent returns what was sent to an upstream in the last window.
-func (g *Limiter) recent(now time.Time, upstream string) []time.Time {
+func (l *Limiter) recent(now time.Time, upstream string) []time.Time {
 	var out []time.Time
-	for _, at := range g.sent[upstream] {
+	for _, at := range l.sentAt[upstream] {
 		if now.Sub(at) < window {
 			out = append(out, at)
 		}
@@ -180,14 +180,14 @@
 }
 
 // Expire forgets what was sent longer ago than a window.
-func (g *Limiter) Expire(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for upstream := range g.sent {
-		if recent := g.recent(now, upstream); len(recent) > 0 {
-			g.sent[upstream] = recent
+func (l *Limiter) Expire(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for upstream := range l.sentAt {
+		if recent := l.recent(now, upstream); len(recent) > 0 {
+			l.sentAt[upstream] = recent
 		} else {
-			delete(g.sent, upstream)
+			delete(l.sentAt, upstream)
 		}
 	}
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -133,7 +133,7 @@
 		g.TryAcquire(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
 	}
 	g.Expire(start.Add(window))
-	if len(g.sent) != 0 {
-		t.Errorf("%d upstreams are remembered", len(g.sent))
+	if len(g.sentAt) != 0 {
+		t.Errorf("%d upstreams are remembered", len(g.sentAt))
 	}
 }
