--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// An upstream fails its requests at one router. A router that receives reports through the same
-// third router, and has sent requests to the other upstreams only, must put it last too, but not
-// with outlier detection switched off.
+// An upstream fails its requests at one router, which reports that to the collector. The
+// receiver has sent requests to the other upstreams only. With what the collector sends it, it
+// must put the failing upstream last too, unless outlier detection is switched off.
 func TestFailuresAtOneRouterCountAtAnother(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var ids []load.VM
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,9 +1,9 @@
-// Package drain decides which upstreams take no new work because operators have ordered
-// so: one of them by its VM, or all those of a failure domain.
+// Package drain determines which upstreams take no new requests by order of the operators:
+// single upstreams by their VM, or all upstreams of a failure domain.
 //
-// Routers and sidecars feed an Orders with the objects of the configuration that come
-// into force. It may assume that no object is followed by an older one of its name; the
-// configuration's Set sees to that, whichever stale source tells of it.
+// Routers and sidecars apply the configuration objects that come into force to an Orders. It
+// assumes that no object is followed by an older one of the same name, which the configuration's
+// Set ensures even if a source is out of date.
 package drain
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Order is what operators want of an upstream.
+// Order is the operators' order for an upstream.
 type Order struct {
-	Leave   bool         // take no new work; else stay after all
-	Version topo.Version // of the newest order that concerns it
+	Leave   bool         // take no new requests; otherwise the upstream stays
+	Version topo.Version // of the newest order that applies to the upstream
 }
 
-// Orders is the orders in force. Its zero value knows none.
+// Orders is the set of orders in force. Its zero value is empty.
 type Orders struct {
 	vms, domains map[string]Order
 }
 
-// Apply takes in an object, and reports whether it is an order.
+// Apply adds an object if it is an order, and reports whether it is.
 func (o *Orders) Apply(object topo.Object) bool {
 	order := Order{Leave: !object.Deleted, Version: object.Version}
 	switch object.Kind {
@@ -37,6 +37,7 @@
 	return true
 }
 
+// set stores an order by name and creates the map if it is nil.
 func set(orders *map[string]Order, name string, order Order) {
 	if *orders == nil {
 		*orders = make(map[string]Order)
@@ -44,16 +45,16 @@
 	(*orders)[name] = order
 }
 
-// Lookup returns what is wanted of the upstream on a VM of a failure domain; false: nobody
-// has said. It leaves while either is to leave: an order to the VM outlives the end of
-// its failure domain's.
+// Lookup returns the order for the upstream on a VM of a failure domain, and whether there is
+// one. The upstream leaves while either the VM or the failure domain has an order to leave: an
+// order for the VM outlives the end of that for its failure domain.
 func (o *Orders) Lookup(vm, domain string) (Order, bool) {
 	vmOrder, vmOrdered := o.vms[vm]
 	domainOrder, domainOrdered := o.domains[domain]
 	return Order{Leave: vmOrder.Leave || domainOrder.Leave, Version: max(vmOrder.Version, domainOrder.Version)}, vmOrdered || domainOrdered
 }
 
-// DrainedDomains returns the failure domains that are to leave, sorted.
+// DrainedDomains returns the failure domains that are ordered to leave, sorted.
 func (o *Orders) DrainedDomains() []string {
 	var out []string
 	for name, order := range o.domains {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -15,13 +15,14 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
+// newObject returns a configuration object.
 func newObject(kind topo.Kind, name string, version topo.Version, deleted bool) topo.Object {
 	return topo.Object{Ref: topo.Ref{Kind: kind, Name: name}, Version: version, Deleted: deleted}
 }
 
-// An operator empties a hall in which one engine is out of order and had been drained by
-// itself. The hall is taken back while that engine is still being repaired: it must not
-// get work with the others.
+// An operator drains a failure domain in which one engine is out of order and had been drained
+// by itself. The domain is put back into service while that engine is still being repaired: it
+// must not get requests with the others.
 func TestVMOrderOutlivesItsDomainOrder(t *testing.T) {
 	var o Orders
 	o.Apply(newObject(topo.KindDrain, "broken", 3, false))
@@ -34,23 +35,23 @@
 		t.Errorf("another engine's order is %+v, %v", got, ok)
 	}
 	if drained := o.DrainedDomains(); len(drained) != 0 {
-		t.Errorf("drained are %v", drained)
+		t.Errorf("drained domains are %v, want none", drained)
 	}
 }
 
-// Whatever else is in the configuration is no order, and nobody is drained by it.
+// Other objects of the configuration are not orders and must drain no upstream.
 func TestOtherObjectsAreNotOrders(t *testing.T) {
 	var o Orders
 	if o.Apply(newObject(topo.KindProfile, "hall", 1, false)) {
-		t.Error("a profile is taken for an order")
+		t.Error("a profile counts as an order")
 	}
 	if _, ok := o.Lookup("hall", "hall"); ok {
-		t.Error("somebody has an order")
+		t.Error("an upstream has an order")
 	}
 }
 
-// For any series of orders: an upstream leaves if and only if the newest order to it or to
-// its failure domain says so, versions never fall, and the list of domains agrees.
+// For any sequence of orders, an upstream leaves if and only if the newest order for it or for
+// its failure domain says so, versions never decrease, and the list of drained domains agrees.
 func TestNewestOrderApplies(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,12 +74,12 @@
 						t.Fatalf("vm %s in %s: %+v", vm, domain, got)
 					}
 					if got.Version < last[vm+domain] {
-						t.Fatalf("vm %s in %s went back from %d to %d", vm, domain, last[vm+domain], got.Version)
+						t.Fatalf("vm %s in %s: version decreased from %d to %d", vm, domain, last[vm+domain], got.Version)
 					}
 					last[vm+domain] = got.Version
 				}
 				if slices.Contains(o.DrainedDomains(), vm) != domains[vm] {
-					t.Fatalf("domains %v, %s: %v", o.DrainedDomains(), vm, domains[vm])
+					t.Fatalf("drained domains %v, want %s in it: %v", o.DrainedDomains(), vm, domains[vm])
 				}
 			}
 		}
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,8 +1,8 @@
-// Package residency decides in which regions a request may run: where its profile or its
-// organisation names regions, its content is to stay within them.
+// Package residency determines the regions in which a request may run: if its profile or its
+// organisation names regions, its content must stay within them.
 //
-// Package router asks it before it chooses an upstream, for each attempt, so that retries,
-// hedges and streams that go on elsewhere keep to the same regions as a first try.
+// Package router applies it before it chooses an upstream for an attempt, so that retries,
+// hedges and resumed streams stay in the same regions as the first attempt.
 package residency
 
 import (
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// Regions is a set of regions. Its zero value is all of them.
+// Regions is a set of regions. Its zero value holds all regions.
 type Regions struct {
-	restricted bool
+	restricted bool     // the set holds only the regions in names
 	names      []string // sorted
 }
 
-// NewRegions returns the regions of a list; all if it is empty.
+// NewRegions returns the set of the given regions, or of all regions if there are none.
 func NewRegions(names []string) Regions {
 	if len(names) == 0 {
 		return Regions{}
@@ -43,8 +43,8 @@
 	return both
 }
 
-// Unrestricted reports whether every region is in the set, those included that are not known by
-// name.
+// Unrestricted reports whether the set holds every region, including those whose names are
+// unknown.
 func (r Regions) Unrestricted() bool { return !r.restricted }
 
 // Has reports whether a region is in the set.
@@ -56,8 +56,8 @@
 	return found
 }
 
-// Key returns a text that is the same for sets of the same regions, and only for those.
-// No region's name holds the byte that separates them.
+// Key returns a string that is equal for sets of the same regions, and only for those. Region
+// names do not contain the separator, a zero byte.
 func (r Regions) Key() string {
 	if !r.restricted {
 		return ""
@@ -71,7 +71,7 @@
 	return key.String()
 }
 
-// String names the regions.
+// String returns the names of the regions.
 func (r Regions) String() string {
 	if !r.restricted {
 		return "all regions"
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -14,13 +14,13 @@
 
 var names = []string{"casablanca", "ktm", "caribe", ""}
 
+// drawRegions draws a list of up to five region names.
 func drawRegions(t *rapid.T, label string) []string {
 	return rapid.SliceOfN(rapid.SampledFrom(names), 0, 5).Draw(t, label)
 }
 
-// A club's chats may run in two regions and its reports in one. Whatever either list
-// holds, a request runs where both allow it and nowhere else, and a list that is left out
-// binds nothing.
+// A profile allows two regions and its organisation one. Whatever the two lists hold, a request
+// may run where both allow it and nowhere else, and an empty list restricts nothing.
 func TestIntersectionKeepsToBothLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRegions(t, "profile"), drawRegions(t, "organisation")
@@ -28,14 +28,14 @@
 		for _, name := range names {
 			want := NewRegions(a).Has(name) && NewRegions(b).Has(name)
 			if both.Has(name) != want {
-				t.Errorf("%v and %v: %q is %v", a, b, name, both.Has(name))
+				t.Errorf("%v and %v: Has(%q) is %v", a, b, name, both.Has(name))
 			}
 		}
 		if same := NewRegions(a).Key() == NewRegions(b).Key(); same != sameRegions(NewRegions(a), NewRegions(b)) {
-			t.Errorf("%v and %v: the same key is %v", a, b, same)
+			t.Errorf("%v and %v: equal keys is %v", a, b, same)
 		}
 		if both.Key() != reversed.Key() || both.Unrestricted() != (len(a)+len(b) == 0) {
-			t.Errorf("%v and %v: %q and %q, all %v", a, b, both.Key(), reversed.Key(), both.Unrestricted())
+			t.Errorf("%v and %v: keys %q and %q, unrestricted %v", a, b, both.Key(), reversed.Key(), both.Unrestricted())
 		}
 	})
 }
@@ -50,11 +50,11 @@
 	return true
 }
 
-// Two lists without a region in common leave none. Taken for no bound at all, they would
-// let a request run anywhere.
+// The intersection of two lists without a common region is empty. If it counted as unrestricted,
+// a request could run anywhere.
 func TestNoRegionInCommonIsNotAllRegions(t *testing.T) {
 	none := NewRegions([]string{"ktm"}).Intersect(NewRegions([]string{"caribe"}))
 	if none.Unrestricted() || none.Has("ktm") || none.Has("") || none.Key() == (Regions{}).Key() {
-		t.Errorf("%+v", none)
+		t.Errorf("the intersection is %+v, want no region", none)
 	}
 }
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,19 +1,19 @@
-// Package warmup bounds what one router sends to upstreams that have just started and are
-// still cold, so that all routers together keep to what such an upstream bears.
+// Package warmup limits the requests that one router sends to upstreams that have just started
+// and are still cold, so that all routers together stay within the limit of such an upstream.
 //
-// The load pattern that it answers: a failure domain's upstreams come back at the same
-// moment, and all their sessions want to go home to them; or one that has crashed comes
-// back in a surge. Requests above the rate crash it again, and a router sees too little of
-// the traffic to notice: of 30 routers each sends a thirtieth.
+// It guards against two load patterns: the upstreams of a failure domain return at the same
+// moment and all their sessions return to them, or a crashed upstream returns during a surge.
+// Requests above the limit crash the upstream again, and a single router sees too small a share
+// of the traffic to notice: each of 30 routers sends a thirtieth.
 //
-// No router asks another one, since an answer that is late or lost would hold up a request
-// or let it through. Each works its share out from the size of the fleet: in a small fleet
-// an equal part, in a large one all or nothing, by a hash of its own name and the
-// upstream's. Two routers that disagree on the size disagree a little on the odds, and
-// nothing else: no list of routers has to agree.
+// Routers do not coordinate, since a late or lost reply would delay a request or let it through.
+// Each router computes its share from the size of the fleet: in a small fleet an equal part, in
+// a large one all or nothing, by a hash of the names of router and upstream. Routers that
+// disagree on the fleet size differ slightly in the probability, and nothing else: they need not
+// agree on a list of routers.
 //
-// Package router feeds a Gate and asks it; it may assume no more of its clock than that it
-// does not run fast.
+// Package router feeds and queries a Limiter. The only assumption about a router's clock is that
+// it does not run fast.
 package warmup
 
 import (
@@ -24,15 +24,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Limit is how many requests a cold upstream bears from all routers. Its zero value is no
-// limit.
+// Limit is the number of requests that a cold upstream can take from all routers together. Its
+// zero value is no limit.
 type Limit struct {
-	PerSecond float64 // that its service states; zero: no limit
-	Overage   float64 // the multiple of it that is allowed; zero counts as one
-	Slack     float64 // requests on top
+	PerSecond float64 // stated by the service; zero: no limit
+	Overage   float64 // allowed multiple of PerSecond; zero counts as one
+	Slack     float64 // additional requests
 }
 
-// MaxPerSecond returns how many requests may reach a cold upstream within a second.
+// MaxPerSecond returns the number of requests that may reach a cold upstream within a second.
 func (l Limit) MaxPerSecond() int {
 	overage := l.Overage
 	if overage == 0 {
@@ -42,19 +42,19 @@
 }
 
 const (
-	// window is the time in which a router counts what it has sent. It is longer than the
-	// second of the limit by what a request's way to an upstream may differ from another's.
+	// window is the period over which a router counts its requests. It exceeds the second of the
+	// limit by the largest difference expected between the network delays of two requests.
 	window = 1100 * time.Millisecond
-	// equalShare is the part of the limit that routers of a small fleet share evenly. The
+	// equalShare is the part of the limit that the routers of a small fleet divide equally. The
 	// rest is for routers that have joined since they were counted.
 	equalShare = 0.75
-	// overshootProbability is how likely more routers than the limit allows may send to the same
-	// upstream, where chance decides which do.
+	// overshootProbability is the accepted probability that more routers than the limit allows
+	// send to the same upstream, in fleets where a hash decides which routers send.
 	overshootProbability = 1e-6
 )
 
-// Share returns how many requests a router of a fleet of so many may send to a cold
-// upstream in any window. A router that does not know how many there are sends none.
+// Share returns how many requests a router may send to a cold upstream in any window, in a fleet
+// of the given number of routers. It returns 0 if the number is unknown, which is zero.
 func Share(router, upstream string, limit Limit, routers int) int {
 	total := limit.MaxPerSecond()
 	if routers <= 0 || total <= 0 {
@@ -69,17 +69,17 @@
 	return 0
 }
 
-// uniformHash returns a number in [0, 1) for a router and an upstream, the same at all times.
+// uniformHash returns a number in [0, 1) that depends only on the router and the upstream.
 func uniformHash(router, upstream string) float64 {
 	return float64(xxh3.HashString(router+"\x00"+upstream)>>11) / (1 << 53)
 }
 
-// meanSenders returns how many routers may send on average, each one request at a time, if
-// chance picks them and more than most of them may be picked with the odds of overOdds
-// only. Of many routers picked by chance, the number has a Poisson distribution.
+// meanSenders returns the largest mean number of routers that may send one request at a time,
+// such that the probability of more than limit senders is at most overshootProbability. The
+// number of senders among many routers selected at random has a Poisson distribution.
 func meanSenders(limit int) float64 {
 	low, high := 0.0, float64(limit)
-	for range 40 { // halvings, well below any difference that matters
+	for range 40 { // bisection steps, far more precise than needed
 		mean := (low + high) / 2
 		if poissonTail(limit, mean) > overshootProbability {
 			high = mean
@@ -90,7 +90,7 @@
 	return low
 }
 
-// poissonTail returns the odds that a Poisson variable of a mean exceeds n.
+// poissonTail returns the probability that a Poisson variable with the given mean exceeds n.
 func poissonTail(n int, mean float64) float64 {
 	term := math.Exp(-mean)
 	sum := 0.0
@@ -106,29 +106,30 @@
 	router string
 
 	mu     sync.Mutex
-	sentAt map[string][]time.Time // in the last window, by upstream
-	shares map[shareKey]int       // as of Share
+	sentAt map[string][]time.Time // times of the requests in the last window, by upstream
+	shares map[shareKey]int       // cached results of Share
 }
 
-// shareKey is what a Share depends on beside the router.
+// shareKey holds the arguments of Share except the router.
 type shareKey struct {
 	upstream string
 	limit    Limit
 	routers  int
 }
 
-// NewLimiter returns the Gate of a router that has sent nothing.
+// NewLimiter returns the Limiter of a router that has sent nothing.
 func NewLimiter(router string) *Limiter {
 	return &Limiter{router: router, sentAt: make(map[string][]time.Time), shares: make(map[shareKey]int)}
 }
 
-// HasCapacity reports whether a request more may be sent to a cold upstream now.
+// HasCapacity reports whether one more request may be sent to a cold upstream now.
 func (l *Limiter) HasCapacity(now time.Time, upstream string, limit Limit, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hasCapacity(now, upstream, limit, routers)
 }
 
+// hasCapacity is HasCapacity for callers that hold the lock.
 func (l *Limiter) hasCapacity(now time.Time, upstream string, limit Limit, routers int) bool {
 	share := l.share(shareKey{upstream: upstream, limit: limit, routers: routers})
 	sent := 0
@@ -140,9 +141,10 @@
 	return sent < share
 }
 
-// maxCachedShares bounds the shares that are remembered. Upstreams come and go.
+// maxCachedShares limits the number of cached shares, since upstreams come and go.
 const maxCachedShares = 4096
 
+// share returns the result of Share for k from the cache, or computes and caches it.
 func (l *Limiter) share(k shareKey) int {
 	share, ok := l.shares[k]
 	if !ok {
@@ -155,9 +157,9 @@
 	return share
 }
 
-// TryAcquire counts a request that is sent now, or reports that none may be. It is asked just
-// before the first byte: between the choice of an upstream and that, others may have taken
-// what there was.
+// TryAcquire counts a request that is sent now and reports whether it may be sent. It must be
+// called immediately before the first byte: other requests may have used up the share since the
+// upstream was chosen.
 func (l *Limiter) TryAcquire(now time.Time, upstream string, limit Limit, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,7 +170,7 @@
 	return true
 }
 
-// recent returns what was sent to an upstream in the last window.
+// recent returns the times of the requests sent to an upstream in the last window.
 func (l *Limiter) recent(now time.Time, upstream string) []time.Time {
 	var out []time.Time
 	for _, at := range l.sentAt[upstream] {
@@ -179,7 +181,7 @@
 	return out
 }
 
-// Expire forgets what was sent longer ago than a window.
+// Expire removes the requests that were sent longer ago than a window.
 func (l *Limiter) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -17,17 +17,17 @@
 
 var start = time.Unix(1000, 0)
 
-// simRouter is a simRouter of a fleet, as the test plays it.
+// simRouter is a simulated router of a fleet.
 type simRouter struct {
 	limiter        *Limiter
-	fleetSize      int           // that it believes in
-	clockLag       time.Duration // by which its clock has fallen back in suspensions
+	fleetSize      int           // number of routers that it assumes
+	clockLag       time.Duration // time that its clock has lost in suspensions
 	suspendedUntil time.Time     // when it runs again
 }
 
-// sendAll lets all routers send as much as they may to one cold upstream, and returns when
-// each request went there. Routers are suspended now and then, and their clocks do not
-// count that.
+// sendAll lets all routers send as much as they may to one cold upstream and returns the times
+// at which the requests arrive. Routers are suspended now and then, and their clocks stand still
+// meanwhile.
 func sendAll(t *rapid.T, fleet []*simRouter, l Limit, span time.Duration) []time.Time {
 	var out []time.Time
 	for now := start; now.Before(start.Add(span)); now = now.Add(20 * time.Millisecond) {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// maxPerSecond returns the maxPerSecond of times within a second.
+// maxPerSecond returns the largest number of times within one second.
 func maxPerSecond(times []time.Time) int {
 	highest := 0
 	for i := range times {
@@ -60,10 +60,10 @@
 	return highest
 }
 
-// A hall's engines come back cold with all their chats waiting for them. All routers send
-// as fast as they may: an engine that got more than it bears would crash again, and its
-// chats would wait twice. Routers differ in how many they believe there are, by those that
-// have joined lately, and some are suspended meanwhile.
+// The engines of a failure domain return cold while all their sessions wait for them. All
+// routers send as fast as they may: an engine that got more than its limit would crash again and
+// delay its sessions twice. Routers that joined lately are not known to all, so that routers
+// assume different fleet sizes, and some routers are suspended meanwhile.
 func TestColdUpstreamsStayWithinTheirLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limit{
@@ -78,13 +78,13 @@
 			fleet = append(fleet, &simRouter{limiter: NewLimiter(fmt.Sprint("front-", i)), fleetSize: believed})
 		}
 		if got := maxPerSecond(sendAll(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
-			t.Fatalf("%d routers sent %d within a second to one that bears %d", n, got, l.MaxPerSecond())
+			t.Fatalf("%d routers sent %d requests within a second to an upstream with a limit of %d", n, got, l.MaxPerSecond())
 		}
 	})
 }
 
-// A limit that is no use protects nobody: where chats wait at all routers, a cold engine
-// gets a fifth at least of what it bears, on average, whatever the size of the fleet.
+// A limiter that is too strict keeps cold engines idle. When sessions wait at all routers, a
+// cold engine must get at least a fifth of its limit on average, whatever the size of the fleet.
 func TestColdUpstreamsGetAMinimumShareOfTheirLimit(t *testing.T) {
 	l := Limit{PerSecond: 11, Overage: 1.5, Slack: 5}
 	for _, n := range []int{1, 4, 15, 30, 68, 330} {
@@ -95,22 +95,22 @@
 			}
 		}
 		if share := float64(sum) / float64(upstreams*l.MaxPerSecond()); share < 0.2 || share > 0.8 {
-			t.Errorf("%d routers may use %.2f of what a cold upstream bears", n, share)
+			t.Errorf("%d routers may use %.2f of the limit of a cold upstream", n, share)
 		}
 	}
 }
 
-// A router that has just started knows of no other. It holds back: all those that start
-// together would each take the whole of the limit for itself.
+// A router that has just started knows no other router and must send nothing: if several start
+// together, each would use the whole limit.
 func TestRouterWithUnknownFleetSizeSendsNothing(t *testing.T) {
 	g := NewLimiter("front-1")
 	if g.TryAcquire(start, "cold", Limit{PerSecond: 100}, 0) {
-		t.Error("a request was sent")
+		t.Error("a request is sent with an unknown fleet size")
 	}
 }
 
-// Where operators tell no bound on top of what a service states, that is the limit; and one
-// that states nothing has none that could be shared.
+// If the operators allow nothing on top of the rate that a service states, that rate is the
+// limit. A service that states no rate has no limit to share.
 func TestLimitWithoutOperatorSettings(t *testing.T) {
 	for _, c := range []struct {
 		limit Limit
@@ -121,12 +121,13 @@
 		{Limit{}, 0},
 	} {
 		if got := c.limit.MaxPerSecond(); got != c.want {
-			t.Errorf("%+v: %d, want %d", c.limit, got, c.want)
+			t.Errorf("%+v: %d requests a second, want %d", c.limit, got, c.want)
 		}
 	}
 }
 
-// Upstreams come and go by the thousand. What was sent to them is forgotten.
+// Upstreams come and go by the thousand. The requests sent to them must be removed after a
+// window.
 func TestLimiterForgetsExpiredRequests(t *testing.T) {
 	g := NewLimiter("front-1")
 	for i := range 100 {
@@ -134,6 +135,6 @@
 	}
 	g.Expire(start.Add(window))
 	if len(g.sentAt) != 0 {
-		t.Errorf("%d upstreams are remembered", len(g.sentAt))
+		t.Errorf("%d upstreams are still stored", len(g.sentAt))
 	}
 }
