--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -103,8 +103,8 @@
 // A router that has just started knows no other router and must send nothing: if several start
 // together, each would use the whole limit.
 func TestRouterWithUnknownFleetSizeSendsNothing(t *testing.T) {
-	g := NewLimiter("front-1")
-	if g.TryAcquire(start, "cold", Limit{PerSecond: 100}, 0) {
+	l := NewLimiter("front-1")
+	if l.TryAcquire(start, "cold", Limit{PerSecond: 100}, 0) {
 		t.Error("a request is sent with an unknown fleet size")
 	}
 }
@@ -129,12 +129,12 @@
 // Upstreams come and go by the thousand. The requests sent to them must be removed after a
 // window.
 func TestLimiterForgetsExpiredRequests(t *testing.T) {
-	g := NewLimiter("front-1")
+	l := NewLimiter("front-1")
 	for i := range 100 {
-		g.TryAcquire(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
+		l.TryAcquire(start, fmt.Sprint("cold-", i), Limit{PerSecond: 100}, 1)
 	}
-	g.Expire(start.Add(window))
-	if len(g.sentAt) != 0 {
-		t.Errorf("%d upstreams are still stored", len(g.sentAt))
+	l.Expire(start.Add(window))
+	if len(l.sentAt) != 0 {
+		t.Errorf("%d upstreams are still stored", len(l.sentAt))
 	}
 }
