--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -235,8 +235,8 @@
 	weightedWait, speedSum float64 // sum of queue waits in seconds times speeds, and sum of the speeds
 }
 
-// adjust returns the next candidate of the ranking with its class lowered as far as the
-// higher-ranked ones require it.
+// adjust returns the next candidate of the ranking, moved to a later class if the higher-ranked
+// ones require it.
 func (s *rankingScan) adjust(c candidate) candidate {
 	s.hasSuspected = s.hasSuspected || c.class == suspected
 	switch {
@@ -277,22 +277,23 @@
 
 const (
 	eligible class = iota
+	// suspected upstreams fail more of their requests than others do.
 	suspected
-	// loaded ones would be eligible, but a suspected one ranks before them and they have little
-	// spare capacity for requests other than their own.
+	// loaded upstreams would be eligible, but a suspected one ranks before them and they have
+	// little spare capacity for requests other than their own.
 	loaded
-	// tooSlow ones have a free slot, but work too slowly for the answer to begin in time.
+	// tooSlow upstreams have a free slot, but work too slowly for the answer to begin in time.
 	tooSlow
-	// queued ones have a queue that keeps the answer from beginning in time.
+	// queued upstreams have a queue that keeps the answer from beginning in time.
 	queued
-	// lowerRanked ones would be eligible, but an upstream that ranks before them works at normal
+	// lowerRanked upstreams would be eligible, but one that ranks before them works at normal
 	// speed and has a queue: the session waits there. Reading a long prompt takes an engine as
 	// long as a hundred tokens of an answer, and in a surge all callers wait for that. When
 	// three upstreams of normal speed were considered instead of one, 1134 GB of prompts were
 	// moved instead of 960, and .583 of a day's worth was earned instead of .606 (one day, one
 	// seed).
 	lowerRanked
-	// overBound ones may exceed the load bound.
+	// overBound upstreams may exceed the load bound.
 	overBound
 )
 
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -136,7 +136,7 @@
 	for _, i := range order {
 		r, ok := c.table.Get(c.now, c.pool.members[i].VM)
 		// The mean is rounded up: otherwise, in a pool with few requests, a single request would
-		// send the next turn of its chat to another upstream.
+		// send the session's next turn to another upstream.
 		if !ok || r.Load <= int(math.Ceil(c.mean*float64(r.Weight))) {
 			c.addWithCapacity(i)
 		}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -28,7 +28,7 @@
 
 // Locality is where a router or sidecar runs.
 type Locality struct {
-	Domain string
+	Domain string // failure domain, as in Member
 }
 
 // Pool is an immutable list of upstreams as seen from one router or sidecar.
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -54,7 +54,8 @@
 )
 
 // Share returns how many requests a router may send to a cold upstream in any window, in a fleet
-// of the given number of routers. It returns 0 if the number is unknown, which is zero.
+// of the given number of routers. It returns 0 if routers is zero, which stands for an unknown
+// number.
 func Share(router, upstream string, limit Limit, routers int) int {
 	total := limit.MaxPerSecond()
 	if routers <= 0 || total <= 0 {
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -74,8 +74,8 @@
 		n := rapid.IntRange(1, 300).Draw(t, "routers")
 		var fleet []*simRouter
 		for i := range n {
-			believed := n - rapid.IntRange(0, n/10).Draw(t, "unknown")
-			fleet = append(fleet, &simRouter{limiter: NewLimiter(fmt.Sprint("front-", i)), fleetSize: believed})
+			assumed := n - rapid.IntRange(0, n/10).Draw(t, "unknown")
+			fleet = append(fleet, &simRouter{limiter: NewLimiter(fmt.Sprint("front-", i)), fleetSize: assumed})
 		}
 		if got := maxPerSecond(sendAll(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
 			t.Fatalf("%d routers sent %d requests within a second to an upstream with a limit of %d", n, got, l.MaxPerSecond())
