--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -24,10 +24,11 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Limit is the number of requests that a cold upstream can take from all routers together. Its
-// zero value is no limit.
+// Limit is the number of requests that a cold upstream can take from all routers together. It is
+// meant for services that state a rate. With its zero value, Share and Limiter allow no request,
+// so callers must not apply it to services that state none.
 type Limit struct {
-	PerSecond float64 // stated by the service; zero: no limit
+	PerSecond float64 // stated by the service; zero: none stated
 	Overage   float64 // allowed multiple of PerSecond; zero counts as one
 	Slack     float64 // additional requests
 }
