--- a/bench/speed/fleet_test.go
+++ b/bench/speed/fleet_test.go
@@ -126,7 +126,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		edit := change.Edit{Base: change.Current{Ref: topo.Ref{Kind: kind, Name: name}}, Spec: value, Author: "speed"}
+		edit := change.Edit{Base: change.StoredObject{Ref: topo.Ref{Kind: kind, Name: name}}, Spec: value, Author: "speed"}
 		if r := change.NewEditor(store).Commit(context.Background(), edit); r.Outcome != change.Applied {
 			b.Fatal(name, r.Outcome)
 		}
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -33,7 +33,7 @@
 	for i := range n {
 		all = append(all, organisation(i, topo.Version(i+1)))
 	}
-	s.Apply(Batch{Objects: all, Claim: &Claim{To: topo.Version(n)}, Known: topo.Version(n)})
+	s.Apply(Batch{Objects: all, Claim: &Claim{To: topo.Version(n)}, DeletionHorizon: topo.Version(n)})
 	return s
 }
 
@@ -74,7 +74,7 @@
 		})
 		b.Run(fmt.Sprintf("answer/objects=%d", n), func(b *testing.B) {
 			s := filled(n)
-			q := Query{Since: s.Version() - 1, Mark: s.Mark()}
+			q := Query{Since: s.Version() - 1, Summary: s.Summary()}
 			b.ReportAllocs()
 			var d Delta
 			for b.Loop() {
@@ -82,19 +82,19 @@
 			}
 			b.ReportMetric(encoded(q), "query-B")
 			b.ReportMetric(encoded(d), "delta-B")
-			b.ReportMetric(encoded(s.Answer(Query{Since: s.Version(), Mark: s.Mark()})), "no-news-B")
+			b.ReportMetric(encoded(s.Answer(Query{Since: s.Version(), Summary: s.Summary()})), "no-news-B")
 		})
 		b.Run(fmt.Sprintf("whole/objects=%d", n), func(b *testing.B) {
 			s := filled(n)
 			for b.Loop() {
 				size, pieces := 0.0, 0
-				to := NewFollower(1, DefaultPace())
+				to := NewFollower(1, DefaultTiming())
 				effects := to.ask(time.Unix(0, 0), "peer", 0)
 				for to.pull != nil {
-					d := s.Answer(effects[len(effects)-1].(Ask).Query)
+					d := s.Answer(effects[len(effects)-1].(SendQuery).Query)
 					size += encoded(d)
 					pieces++
-					effects = to.Step(Answered{Peer: "peer", Delta: d})
+					effects = to.Step(QueryAnswered{Peer: "peer", Delta: d})
 				}
 				b.ReportMetric(size/float64(n), "wire-B/object")
 				b.ReportMetric(float64(pieces), "pieces")
--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -30,8 +30,8 @@
 	Unknown Outcome = "unknown"
 )
 
-// Current is an object as it was read from the store.
-type Current struct {
+// StoredObject is an object as it was read from the store.
+type StoredObject struct {
 	Ref topo.Ref
 	// Version in the store; zero when the store has no such object.
 	Version  topo.Version
@@ -40,7 +40,7 @@
 
 // Exists reports whether the object exists: the store has it and its newest
 // revision is not a deletion.
-func (c Current) Exists() bool {
+func (c StoredObject) Exists() bool {
 	return c.Version != 0 && !c.Revision.Deleted()
 }
 
@@ -48,7 +48,7 @@
 type Edit struct {
 	// Base is what the operator has seen. The change applies only if the store
 	// still has it.
-	Base Current
+	Base StoredObject
 	// Spec is the new content; nil deletes the object.
 	Spec   json.RawMessage
 	Author string
@@ -74,9 +74,9 @@
 // Conflict is the three sides of a race: what both operators began from, what
 // this one wanted and what the store has now.
 type Conflict struct {
-	Base   Current
+	Base   StoredObject
 	Mine   config.Revision
-	Theirs Current // Version is zero when it could not be read
+	Theirs StoredObject // Version is zero when it could not be read
 }
 
 // Editor makes changes in a store.
@@ -97,28 +97,28 @@
 
 // Read returns an object as the store has it. An object that does not exist is
 // no error.
-func (e *Editor) Read(ctx context.Context, ref topo.Ref) (Current, error) {
+func (e *Editor) Read(ctx context.Context, ref topo.Ref) (StoredObject, error) {
 	o, err := e.store.Get(ctx, ref)
 	if errors.Is(err, topo.ErrNotFound) {
-		return Current{Ref: ref}, nil
+		return StoredObject{Ref: ref}, nil
 	}
 	if err != nil {
-		return Current{}, err
+		return StoredObject{}, err
 	}
 	return current(o)
 }
 
-func current(o topo.Object) (Current, error) {
+func current(o topo.Object) (StoredObject, error) {
 	r, err := config.Decode(o.Value)
 	if err != nil {
-		return Current{}, errors.Wrap(err, o.Ref.String())
+		return StoredObject{}, errors.Wrap(err, o.Ref.String())
 	}
-	return Current{Ref: o.Ref, Version: o.Version, Revision: r}, nil
+	return StoredObject{Ref: o.Ref, Version: o.Version, Revision: r}, nil
 }
 
 // List returns the objects of a kind that exist.
-func (e *Editor) List(ctx context.Context, kind topo.Kind) ([]Current, error) {
-	var out []Current
+func (e *Editor) List(ctx context.Context, kind topo.Kind) ([]StoredObject, error) {
+	var out []StoredObject
 	cont := ""
 	for {
 		page, err := e.store.List(ctx, kind, cont)
@@ -175,6 +175,6 @@
 }
 
 // Rollback makes a new revision with the spec of a former one.
-func (e *Editor) Rollback(ctx context.Context, base Current, to config.Revision, author, reason string) Result {
+func (e *Editor) Rollback(ctx context.Context, base StoredObject, to config.Revision, author, reason string) Result {
 	return e.Commit(ctx, Edit{Base: base, Spec: to.Spec, Author: author, Reason: reason})
 }
--- a/internal/config/change/change_test.go
+++ b/internal/config/change/change_test.go
@@ -21,7 +21,7 @@
 	ctx, store := context.Background(), standin.NewObjectAPI()
 	e := change.NewEditor(store)
 	ref := topo.Ref{Kind: topo.KindProfile, Name: "chat"}
-	read := func() change.Current {
+	read := func() change.StoredObject {
 		now, err := e.Read(ctx, ref)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/change/commit.go
+++ b/internal/config/change/commit.go
@@ -19,7 +19,7 @@
 // commit is the write of one change and the search for its fate.
 type commit struct {
 	editor *Editor
-	base   Current
+	base   StoredObject
 	mine   config.Revision
 	value  json.RawMessage
 	// sent says that a write may be under way: its answer was lost, so it may
@@ -90,7 +90,7 @@
 // means than a change: then nothing is left that tells what came before.
 func (c *commit) removed() Result {
 	if !c.sent {
-		return c.notApplied(&Conflict{Base: c.base, Mine: c.mine, Theirs: Current{Ref: c.base.Ref}}, nil)
+		return c.notApplied(&Conflict{Base: c.base, Mine: c.mine, Theirs: StoredObject{Ref: c.base.Ref}}, nil)
 	}
 	return c.unknown(errors.Errorf("change: %s has been removed from the store", c.base.Ref))
 }
@@ -98,7 +98,7 @@
 // fromHistory looks for this change among the ancestors of what is in force
 // now. Each of them was written on condition of the one before, so the
 // ancestor next to the base is the one that replaced it.
-func (c *commit) fromHistory(ctx context.Context, now Current) (Result, bool) {
+func (c *commit) fromHistory(ctx context.Context, now StoredObject) (Result, bool) {
 	conflict := &Conflict{Base: c.base, Mine: c.mine, Theirs: now}
 	if now.Revision.Change.Parent == c.base.Revision.Change.ID {
 		return c.notApplied(conflict, nil), true
@@ -113,7 +113,7 @@
 	if c.base.Version != 0 && slices.Contains(entry.Ancestors, c.base.Revision.Change.ID) {
 		return c.notApplied(conflict, nil), true
 	}
-	if c.base.Version == 0 && entry.Whole {
+	if c.base.Version == 0 && entry.Complete {
 		return c.notApplied(conflict, nil), true
 	}
 	return Result{}, false
--- a/internal/config/change/history.go
+++ b/internal/config/change/history.go
@@ -14,19 +14,19 @@
 // MaxHistory is how many former revisions of an object are kept.
 const MaxHistory = 20
 
-// Entry is a revision in an object's history.
-type Entry struct {
+// HistoryEntry is a revision in an object's history.
+type HistoryEntry struct {
 	config.Revision
 	// Ancestors are the changes before this one, the latest first, at most
 	// MaxHistory.
 	Ancestors []config.ChangeID `json:"ancestors,omitempty"`
-	// Whole says that the ancestors reach back to the object's first change.
-	Whole bool `json:"whole,omitempty"`
+	// Complete says that the ancestors reach back to the object's first change.
+	Complete bool `json:"whole,omitempty"`
 }
 
 // History returns the revisions of an object, the newest first. It follows the
 // links from the revision in force, so changes that lost a race do not show.
-func (e *Editor) History(ctx context.Context, now Current) ([]config.Revision, error) {
+func (e *Editor) History(ctx context.Context, now StoredObject) ([]config.Revision, error) {
 	if now.Version == 0 {
 		return nil, nil
 	}
@@ -52,32 +52,32 @@
 	return topo.Ref{Kind: topo.KindHistory, Name: fmt.Sprintf("%s.%s.%s", ref.Kind, ref.Name, id)}
 }
 
-func (e *Editor) readHistory(ctx context.Context, ref topo.Ref, id config.ChangeID) (Entry, error) {
+func (e *Editor) readHistory(ctx context.Context, ref topo.Ref, id config.ChangeID) (HistoryEntry, error) {
 	o, err := e.store.Get(ctx, historyRef(ref, id))
 	if err != nil {
-		return Entry{}, err
+		return HistoryEntry{}, err
 	}
-	var entry Entry
+	var entry HistoryEntry
 	err = json.Unmarshal(o.Value, &entry)
 	return entry, errors.Wrap(err, "change: malformed history")
 }
 
 // writeHistory writes the entry of a change that is about to be committed, and
 // returns its ancestors.
-func (e *Editor) writeHistory(ctx context.Context, base Current, r config.Revision) ([]config.ChangeID, error) {
-	entry := Entry{Revision: r, Whole: base.Version == 0}
+func (e *Editor) writeHistory(ctx context.Context, base StoredObject, r config.Revision) ([]config.ChangeID, error) {
+	entry := HistoryEntry{Revision: r, Complete: base.Version == 0}
 	if base.Version != 0 {
 		former, err := e.readHistory(ctx, base.Ref, base.Revision.Change.ID)
 		if err != nil && !errors.Is(err, topo.ErrNotFound) {
 			return nil, err
 		}
 		entry.Ancestors = append([]config.ChangeID{base.Revision.Change.ID}, former.Ancestors...)
-		entry.Whole = former.Whole
+		entry.Complete = former.Complete
 	}
 	all := entry.Ancestors
 	if len(all) > MaxHistory {
 		entry.Ancestors = all[:MaxHistory]
-		entry.Whole = false
+		entry.Complete = false
 	}
 	value, err := json.Marshal(entry)
 	if err != nil {
--- a/internal/config/copies.go
+++ b/internal/config/copies.go
@@ -12,10 +12,10 @@
 // take a third of what the routers may spend on control traffic.
 const maxCopies = 64
 
-// Copies returns which sidecars keep a copy of the configuration: the first by a
+// CopyHolders returns which sidecars keep a copy of the configuration: the first by a
 // hash of their names. Routers whose lists of VMs differ by a few VMs agree on
 // nearly all of them, and one more or less does no harm.
-func Copies(sidecars []Peer) []Peer {
+func CopyHolders(sidecars []Peer) []Peer {
 	out := slices.Clone(sidecars)
 	slices.SortFunc(out, func(x, y Peer) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(string(x)), xxh3.HashString(string(y))), cmp.Compare(x, y))
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -9,40 +9,40 @@
 // Summary is a node's summary of its Set, by which two nodes find that they
 // differ. A zero Digest says nothing.
 type Summary struct {
-	Version  topo.Version `json:"version"`
-	Complete topo.Version `json:"complete,omitempty"`
-	Digest   uint64       `json:"digest,omitempty"`
-	Edition  int64        `json:"edition,omitempty"` // of a configuration that is written as a whole
+	Version      topo.Version `json:"version"`
+	CompleteUpTo topo.Version `json:"complete,omitempty"`
+	Digest       uint64       `json:"digest,omitempty"`
+	Edition      int64        `json:"edition,omitempty"` // of a configuration that is written as a whole
 }
 
 // Query asks a node for the objects newer than Since. Mark is the asker's, so
 // that the node asked learns in passing when it is the one behind.
 type Query struct {
-	Since topo.Version `json:"since"`
-	After topo.Version `json:"after,omitempty"` // the last object of the former piece
-	Mark  Summary      `json:"mark"`
+	Since   topo.Version `json:"since"`
+	After   topo.Version `json:"after,omitempty"` // the last object of the former piece
+	Summary Summary      `json:"mark"`
 }
 
 // Delta is a piece of the answer to a Query. Objects are in order of version.
 type Delta struct {
 	Objects []topo.Object `json:"objects,omitempty"`
 	More    bool          `json:"more,omitempty"` // ask again, after the last of Objects
-	Mark    Summary       `json:"mark"`
-	// Known is the version up to which an object that the sender does not hold
+	Summary Summary       `json:"mark"`
+	// DeletionHorizon is the version up to which an object that the sender does not hold
 	// does not exist. Deletions up to there are not among Objects.
-	Known topo.Version `json:"known,omitempty"`
+	DeletionHorizon topo.Version `json:"known,omitempty"`
 }
 
-// HeardMark returns the mark of a node as it travels on the back of traffic: its
+// PiggybackedSummary returns the mark of a node as it travels on the back of traffic: its
 // version and digest. The node is complete at least up to its version.
-func HeardMark(v topo.Version, digest uint64) Summary {
-	return Summary{Version: v, Complete: v, Digest: digest}
+func PiggybackedSummary(v topo.Version, digest uint64) Summary {
+	return Summary{Version: v, CompleteUpTo: v, Digest: digest}
 }
 
-// Mark returns the Set's summary. The digest is left out while the Set holds
+// Summary returns the Set's summary. The digest is left out while the Set holds
 // objects beyond those up to which it is complete: equal sets would differ.
-func (s *Set) Mark() Summary {
-	m := Summary{Version: s.settled, Complete: s.complete, Edition: s.edition.Number}
+func (s *Set) Summary() Summary {
+	m := Summary{Version: s.settled, CompleteUpTo: s.complete, Edition: s.edition.Number}
 	if s.newest <= s.complete {
 		m.Digest = s.digest
 	}
@@ -53,7 +53,7 @@
 // one piece: the next piece begins behind a version, so that those of it that are
 // left would never be told.
 func (s *Set) Answer(q Query) Delta {
-	d := Delta{Mark: s.Mark(), Known: s.known()}
+	d := Delta{Summary: s.Summary(), DeletionHorizon: s.known()}
 	from := max(q.Since, q.After)
 	size := 0
 	start := sort.Search(len(s.order), func(i int) bool { return s.order[i].Version > from })
@@ -101,5 +101,5 @@
 // a node that has watched it, and unknown to one that has listed since.
 func (m Summary) comparable(other Summary) bool {
 	settled := m.Digest != 0 && other.Digest != 0
-	return settled && m.Complete >= other.Version && other.Complete >= m.Version
+	return settled && m.CompleteUpTo >= other.Version && other.CompleteUpTo >= m.Version
 }
--- a/internal/config/event.go
+++ b/internal/config/event.go
@@ -26,23 +26,23 @@
 	Peers []Peer
 }
 
-// Heard is a peer's mark, from a query or on the back of traffic. Traffic
+// SummaryReceived is a peer's mark, from a query or on the back of traffic. Traffic
 // carries the version only.
-type Heard struct {
-	Now  time.Time
-	Peer Peer
-	Mark Summary
+type SummaryReceived struct {
+	Now     time.Time
+	Peer    Peer
+	Summary Summary
 }
 
-// Answered is a peer's answer to an Ask.
-type Answered struct {
+// QueryAnswered is a peer's answer to an Ask.
+type QueryAnswered struct {
 	Now   time.Time
 	Peer  Peer
 	Delta Delta
 }
 
-// AskFailed is an Ask without an answer.
-type AskFailed struct {
+// QueryFailed is an Ask without an answer.
+type QueryFailed struct {
 	Now  time.Time
 	Peer Peer
 }
@@ -69,58 +69,58 @@
 	Silent    bool // no answer came in time
 }
 
-// PeersNear names the peers that a connection is open to. Routine comparisons
+// PeersConnected names the peers that a connection is open to. Routine comparisons
 // prefer them: a new connection costs more than what is compared.
-type PeersNear struct{ Peers []Peer }
+type PeersConnected struct{ Peers []Peer }
 
 // Hinted is word from an operator's command that the store has news. It ends
 // the pause before the next watch, or the watch that waits: that one may have
 // gone silent.
 type Hinted struct{ Now time.Time }
 
-// StoreWorks is word that another call of the same store has just been answered
+// StoreReachable is word that another call of the same store has just been answered
 // again. It ends the pause of a Follower that has lost it.
-type StoreWorks struct{ Now time.Time }
+type StoreReachable struct{ Now time.Time }
 
-// Duty starts or ends the reading of the store. While it is off, another router
+// StoreReadingSwitched starts or ends the reading of the store. While it is off, another router
 // reads it for this one, which asks its peers.
-type Duty struct {
+type StoreReadingSwitched struct {
 	Now time.Time
 	On  bool
 }
 
-// Unwatched is the end of a watch or listing that Unwatch has cut short.
-type Unwatched struct{ Now time.Time }
+// CallCancelled is the end of a watch or listing that Unwatch has cut short.
+type CallCancelled struct{ Now time.Time }
 
 // When implements Event.
 func (e Ticked) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e StoreWorks) When() time.Time { return e.Now }
+func (e StoreReachable) When() time.Time { return e.Now }
 
 // When implements Event.
 func (e Hinted) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e Duty) When() time.Time { return e.Now }
+func (e StoreReadingSwitched) When() time.Time { return e.Now }
 
 // When implements Event.
 func (e PeersChanged) When() time.Time { return e.Now }
 
 // When implements Event.
-func (PeersNear) When() time.Time { return time.Time{} }
+func (PeersConnected) When() time.Time { return time.Time{} }
 
 // When implements Event.
-func (e Unwatched) When() time.Time { return e.Now }
+func (e CallCancelled) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e Heard) When() time.Time { return e.Now }
+func (e SummaryReceived) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e Answered) When() time.Time { return e.Now }
+func (e QueryAnswered) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e AskFailed) When() time.Time { return e.Now }
+func (e QueryFailed) When() time.Time { return e.Now }
 
 // When implements Event.
 func (e Listed) When() time.Time { return e.Now }
@@ -144,29 +144,29 @@
 	Wait  time.Duration
 }
 
-// Unwatch cuts the present watch or listing short. Unwatched follows, unless it ends
+// CancelCall cuts the present watch or listing short. Unwatched follows, unless it ends
 // by itself before.
-type Unwatch struct{}
+type CancelCall struct{}
 
-// Ask sends a query to a peer. Answered or AskFailed follows.
-type Ask struct {
+// SendQuery sends a query to a peer. Answered or AskFailed follows.
+type SendQuery struct {
 	Peer  Peer
 	Query Query
 }
 
-// Differed tells that a peer that is as complete holds other objects: somewhere a
+// DifferenceFound tells that a peer that is as complete holds other objects: somewhere a
 // change went missing. Asks that settle it follow.
-type Differed struct{ Peer Peer }
+type DifferenceFound struct{ Peer Peer }
 
-// StoreLost tells that the store does not answer any more.
-type StoreLost struct{}
+// StoreUnavailable tells that the store does not answer any more.
+type StoreUnavailable struct{}
 
-// StoreRegained tells that the store answers again.
-type StoreRegained struct{ After time.Duration }
+// StoreRecovered tells that the store answers again.
+type StoreRecovered struct{ After time.Duration }
 
-// StoreBehind tells that the store answers, with what is older than what is known. It
+// StoreStale tells that the store answers, with what is older than what is known. It
 // is told once until the store is used again.
-type StoreBehind struct{ Told, Known topo.Version }
+type StoreStale struct{ Received, Known topo.Version }
 
 // StoreRestored tells that the store has come back from an older copy, in a new era. What
 // was written there since the copy is gone, the node's own objects too.
@@ -175,13 +175,13 @@
 // Changed tells the role which objects have changed. They are in force from now.
 type Changed struct{ Objects []topo.Object }
 
-func (List) isConfigEffect()          {}
-func (Watch) isConfigEffect()         {}
-func (Unwatch) isConfigEffect()       {}
-func (Ask) isConfigEffect()           {}
-func (Changed) isConfigEffect()       {}
-func (Differed) isConfigEffect()      {}
-func (StoreLost) isConfigEffect()     {}
-func (StoreRegained) isConfigEffect() {}
-func (StoreBehind) isConfigEffect()   {}
-func (StoreRestored) isConfigEffect() {}
+func (List) isConfigEffect()             {}
+func (Watch) isConfigEffect()            {}
+func (CancelCall) isConfigEffect()       {}
+func (SendQuery) isConfigEffect()        {}
+func (Changed) isConfigEffect()          {}
+func (DifferenceFound) isConfigEffect()  {}
+func (StoreUnavailable) isConfigEffect() {}
+func (StoreRecovered) isConfigEffect()   {}
+func (StoreStale) isConfigEffect()       {}
+func (StoreRestored) isConfigEffect()    {}
--- a/internal/config/follow/calls_test.go
+++ b/internal/config/follow/calls_test.go
@@ -47,14 +47,14 @@
 	ctx, stop := context.WithCancel(t.Context())
 	f := newFleet(t, ctx, 1, 1, routers)
 	e := change.NewEditor(f.store)
-	if r := e.Commit(ctx, change.Edit{Base: change.Current{Ref: f.refs[0]}, Spec: json.RawMessage(`1`)}); r.Outcome != change.Applied {
+	if r := e.Commit(ctx, change.Edit{Base: change.StoredObject{Ref: f.refs[0]}, Spec: json.RawMessage(`1`)}); r.Outcome != change.Applied {
 		t.Fatal(r.Cause)
 	}
 	time.Sleep(time.Minute)
 	before, asked := f.store.Counts(), f.asked.Load()
 	f.store.SetFaults(standin.ObjectFaults{Down: l.down})
 	for i := range l.changes {
-		base := change.Current{Ref: topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("new-", i)}}
+		base := change.StoredObject{Ref: topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("new-", i)}}
 		if r := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(`1`)}); r.Outcome != change.Applied {
 			t.Fatalf("%s: %v", r.Outcome, r.Cause)
 		}
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -70,7 +70,7 @@
 		f.refs = append(f.refs, topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("profile-", i)})
 	}
 	for range sidecarCount {
-		f.sidecars = append(f.sidecars, f.start(ctx, config.NewCopy(uint64(f.intN(1<<30))), nil))
+		f.sidecars = append(f.sidecars, f.start(ctx, config.NewSidecarFollower(uint64(f.intN(1<<30))), nil))
 	}
 	for range routers {
 		f.startRouter(ctx)
@@ -79,7 +79,7 @@
 }
 
 func (f *fleet) startRouter(ctx context.Context) {
-	n := f.start(ctx, config.NewFollower(uint64(f.intN(1<<30)), config.DefaultPace()), f.store)
+	n := f.start(ctx, config.NewFollower(uint64(f.intN(1<<30)), config.DefaultTiming()), f.store)
 	f.mu.Lock()
 	f.routers = append(f.routers, n)
 	f.mu.Unlock()
@@ -101,7 +101,7 @@
 		held:     make(map[topo.Ref]topo.Version),
 	}
 	n.ctx, n.stop = context.WithCancel(ctx)
-	n.runner = follow.Runner{Source: follow.FromStore(store), Ask: n.ask, Post: n.step}
+	n.runner = follow.Runner{Source: follow.FromStore(store), SendQuery: n.ask, Post: n.step}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nodes[n.name] = n
@@ -147,7 +147,7 @@
 // neverBack checks that no object is at a lower version than before.
 func (n *node) neverBack() {
 	for _, ref := range n.fleet.refs {
-		v := n.follower.Set().Held(ref)
+		v := n.follower.Set().HeldVersion(ref)
 		if v < n.held[ref] {
 			n.fleet.t.Errorf("%s: %s went back from %d to %d", n.name, ref, n.held[ref], v)
 		}
@@ -166,7 +166,7 @@
 	to.mu.Lock()
 	d := to.follower.Set().Answer(q)
 	to.mu.Unlock()
-	to.step(config.Heard{Now: time.Now(), Peer: n.name, Mark: q.Mark})
+	to.step(config.SummaryReceived{Now: time.Now(), Peer: n.name, Summary: q.Summary})
 	return d, nil
 }
 
@@ -175,16 +175,16 @@
 	for n.ctx.Err() == nil {
 		time.Sleep(trafficEvery)
 		s := n.fleet.sidecars[n.fleet.intN(sidecarCount)]
-		s.step(config.Heard{Now: time.Now(), Peer: n.name, Mark: n.mark()})
-		n.step(config.Heard{Now: time.Now(), Peer: s.name, Mark: s.mark()})
+		s.step(config.SummaryReceived{Now: time.Now(), Peer: n.name, Summary: n.mark()})
+		n.step(config.SummaryReceived{Now: time.Now(), Peer: s.name, Summary: s.mark()})
 	}
 }
 
 func (n *node) mark() config.Summary {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := n.follower.Set().Mark()
-	return config.HeardMark(m.Version, m.Digest)
+	m := n.follower.Set().Summary()
+	return config.PiggybackedSummary(m.Version, m.Digest)
 }
 
 // inForce returns the change in force of an object, which is none when it does
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -43,12 +43,12 @@
 type Runner struct {
 	// Source is nil for a sidecar.
 	Source Source
-	// Ask puts a query to a peer.
-	Ask func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error)
+	// SendQuery puts a query to a peer.
+	SendQuery func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error)
 	// Post gives an event to the goroutine that owns the Follower.
 	Post func(config.Event)
-	// Follows is what is followed, for the log; empty: the configuration.
-	Follows string
+	// Subject is what is followed, for the log; empty: the configuration.
+	Subject string
 
 	mu      sync.Mutex
 	unwatch context.CancelCauseFunc // of the present watch or listing
@@ -57,10 +57,10 @@
 }
 
 func (r *Runner) follows() string {
-	if r.Follows == "" {
+	if r.Subject == "" {
 		return "configuration"
 	}
-	return r.Follows
+	return r.Subject
 }
 
 func (r *Runner) lastError() string {
@@ -71,7 +71,7 @@
 
 // Run posts the passing of time until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
-	tick := time.NewTicker(config.TickEvery)
+	tick := time.NewTicker(config.TickInterval)
 	defer tick.Stop()
 	r.Post(config.Ticked{Now: time.Now()})
 	for {
@@ -95,36 +95,36 @@
 		ctx, cancel := context.WithCancelCause(ctx)
 		r.calling(cancel)
 		go r.watch(ctx, e)
-	case config.Unwatch:
+	case config.CancelCall:
 		r.calling(nil)
-	case config.Differed:
+	case config.DifferenceFound:
 		differences.Inc()
-	case config.StoreLost:
+	case config.StoreUnavailable:
 		slog.Warn("the platform's store does not answer", "follows", r.follows(), "error", r.lastError())
-	case config.StoreRegained:
+	case config.StoreRecovered:
 		slog.Info("the platform's store answers again", "follows", r.follows(), "after", e.After.Round(time.Millisecond))
-	case config.StoreBehind:
+	case config.StoreStale:
 		behind.Inc()
-		slog.Warn("the platform's store answers with what is older than what is known", "follows", r.follows(), "told", e.Told, "known", e.Known)
+		slog.Warn("the platform's store answers with what is older than what is known", "follows", r.follows(), "told", e.Received, "known", e.Known)
 	case config.StoreRestored:
 		slog.Warn("what is followed in the platform's store goes on in a new era", "follows", r.follows(), "era", e.Era)
-	case config.Ask:
+	case config.SendQuery:
 		go r.ask(ctx, e)
 	}
 }
 
-func (r *Runner) ask(ctx context.Context, e config.Ask) {
+func (r *Runner) ask(ctx context.Context, e config.SendQuery) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	questions.Inc()
-	d, err := r.Ask(ctx, e.Peer, e.Query)
+	d, err := r.SendQuery(ctx, e.Peer, e.Query)
 	r.answered(e.Peer, err)
 	if err != nil {
 		questionFailures.Inc()
-		r.Post(config.AskFailed{Now: time.Now(), Peer: e.Peer})
+		r.Post(config.QueryFailed{Now: time.Now(), Peer: e.Peer})
 		return
 	}
-	r.Post(config.Answered{Now: time.Now(), Peer: e.Peer, Delta: d})
+	r.Post(config.QueryAnswered{Now: time.Now(), Peer: e.Peer, Delta: d})
 }
 
 // answered tells when peers cease to answer, and when they do again.
@@ -165,7 +165,7 @@
 		storeHeard.Set(time.Now().Unix())
 		r.Post(config.Watched{Now: time.Now(), Since: e.Since, Page: page})
 	case errors.Is(context.Cause(ctx), errUnwatched):
-		r.Post(config.Unwatched{Now: time.Now()})
+		r.Post(config.CallCancelled{Now: time.Now()})
 	default:
 		r.failed(bounded, err)
 	}
@@ -193,7 +193,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(context.Cause(ctx), errUnwatched):
-		r.Post(config.Unwatched{Now: time.Now()})
+		r.Post(config.CallCancelled{Now: time.Now()})
 		return
 	default:
 		r.failed(ctx, err)
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -120,9 +120,9 @@
 		f.store.SetFaults(standin.ObjectFaults{})
 		f.put(ctx, "c")
 		n.step(config.Hinted{Now: time.Now()})
-		time.Sleep(config.TickEvery)
+		time.Sleep(config.TickInterval)
 		if id, _ := n.inForce(f.refs[0]); id != "c" {
-			t.Errorf("the change is not in force %s after the hint", config.TickEvery)
+			t.Errorf("the change is not in force %s after the hint", config.TickInterval)
 		}
 		n.mu.Lock()
 		failures := n.follower.Status().Failures
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -73,7 +73,7 @@
 	if f.pull != nil || len(f.peers) == 0 || now.Before(f.nextCheck) {
 		return nil
 	}
-	if f.phase == phaseNone && f.set.Complete() == 0 {
+	if f.phase == phaseNone && f.set.CompleteUpTo() == 0 {
 		return nil // no router wants this sidecar to keep a copy
 	}
 	f.nextCheck = now.Add(f.jitter(f.checkInterval()))
@@ -97,7 +97,7 @@
 func (f *Follower) checkInterval() time.Duration {
 	switch {
 	case !f.Ready():
-		return TickEvery
+		return TickInterval
 	case f.aloof():
 		return checkOfCopy
 	case f.failures > 0:
@@ -111,19 +111,19 @@
 // many peers say at once that there is news, and one of them is enough.
 func (f *Follower) ask(now time.Time, peer Peer, since topo.Version) []Effect {
 	f.behind = ""
-	f.nextPull = now.Add(f.pace.PullEvery)
+	f.nextPull = now.Add(f.pace.PullInterval)
 	f.pull = &pull{
 		peer:     peer,
-		query:    Query{Since: since, Mark: f.set.Mark()},
+		query:    Query{Since: since, Summary: f.set.Summary()},
 		seen:     make(map[topo.Ref]struct{}),
 		deadline: now.Add(askTimeout),
 	}
-	return []Effect{Ask{Peer: peer, Query: f.pull.query}}
+	return []Effect{SendQuery{Peer: peer, Query: f.pull.query}}
 }
 
 // compare decides what a peer's mark calls for.
 func (f *Follower) compare(now time.Time, peer Peer, m Summary) []Effect {
-	out := f.entered(now, m.Complete.Era())
+	out := f.entered(now, m.CompleteUpTo.Era())
 	if f.outdatedPeer(m) {
 		return out
 	}
@@ -138,7 +138,7 @@
 		}
 		return nil
 	}
-	mine := f.set.Mark()
+	mine := f.set.Summary()
 	switch {
 	case m.same(mine) && m.Version.Era() > mine.Version.Era():
 		return f.catchUp(now, peer, m.Version) // others may rely on this node's versions
@@ -182,7 +182,7 @@
 // complete. Without it, the store may have compacted the changes since what a
 // sidecar knows, and a router that starts from there must list everything.
 func (f *Follower) refresh(now time.Time, peer Peer, m Summary) []Effect {
-	if m.Complete <= f.set.Complete() || now.Before(f.nextRefresh) {
+	if m.CompleteUpTo <= f.set.CompleteUpTo() || now.Before(f.nextRefresh) {
 		return nil
 	}
 	f.nextRefresh = now.Add(refreshEvery)
@@ -206,7 +206,7 @@
 		return nil
 	}
 	f.repair.next = now.Add(repairEvery)
-	differed := []Effect{Differed{Peer: peer}}
+	differed := []Effect{DifferenceFound{Peer: peer}}
 	if f.repair.width < len(repairWidths) {
 		since := min(f.set.back(repairWidths[f.repair.width]), f.set.Version())
 		f.repair.width++
@@ -223,16 +223,16 @@
 	return differed
 }
 
-func (f *Follower) answered(e Answered) []Effect {
+func (f *Follower) answered(e QueryAnswered) []Effect {
 	p, d := f.pull, e.Delta
 	if p == nil || p.peer != e.Peer {
 		return nil // of a pull that was given up
 	}
-	if f.outdatedPeer(d.Mark) {
+	if f.outdatedPeer(d.Summary) {
 		f.pull = nil
 		return nil
 	}
-	if p.query.After > 0 && p.known != d.Known {
+	if p.query.After > 0 && p.known != d.DeletionHorizon {
 		// The peer has forgotten deletions since the first piece.
 		clear(p.seen)
 		return f.piece(e.Now, 0)
@@ -240,18 +240,18 @@
 	if p.query.After == 0 {
 		// Later pieces do not make up for what the peer has learnt meanwhile
 		// below the place that the pieces have reached.
-		p.known, p.complete = d.Known, d.Mark.Complete
+		p.known, p.complete = d.DeletionHorizon, d.Summary.CompleteUpTo
 	}
 	b := Batch{Objects: d.Objects}
 	if p.whole() {
-		b.Known = d.Known
+		b.DeletionHorizon = d.DeletionHorizon
 		for _, o := range d.Objects {
 			if !o.Deleted {
 				p.seen[o.Ref] = struct{}{}
 			}
 		}
 	}
-	out := append(f.entered(e.Now, d.Mark.Complete.Era()), f.changed(b)...)
+	out := append(f.entered(e.Now, d.Summary.CompleteUpTo.Era()), f.changed(b)...)
 	if d.More && len(d.Objects) > 0 {
 		return append(out, f.piece(e.Now, d.Objects[len(d.Objects)-1].Version)...)
 	}
@@ -263,39 +263,39 @@
 	p := f.pull
 	p.query.After = after
 	p.deadline = now.Add(askTimeout)
-	return []Effect{Ask{Peer: p.peer, Query: p.query}}
+	return []Effect{SendQuery{Peer: p.peer, Query: p.query}}
 }
 
 // pulled ends a pull.
-func (f *Follower) pulled(e Answered, p *pull) []Effect {
+func (f *Follower) pulled(e QueryAnswered, p *pull) []Effect {
 	f.pull = nil
 	if len(f.heard) < enoughPeers {
 		f.heard[e.Peer] = struct{}{}
 	}
 	out := f.conclude(e, p)
-	if f.pull == nil && e.Delta.Mark.Version > f.set.Version() {
-		f.futile = futile{version: e.Delta.Mark.Version, until: e.Now.Add(checkEvery)}
+	if f.pull == nil && e.Delta.Summary.Version > f.set.Version() {
+		f.futile = futile{version: e.Delta.Summary.Version, until: e.Now.Add(checkEvery)}
 	}
 	if f.pull == nil {
-		out = append(out, f.compare(e.Now, e.Peer, e.Delta.Mark)...)
+		out = append(out, f.compare(e.Now, e.Peer, e.Delta.Summary)...)
 	}
 	return out
 }
 
 // conclude takes over how far the peer is complete, if that follows.
-func (f *Follower) conclude(e Answered, p *pull) []Effect {
+func (f *Follower) conclude(e QueryAnswered, p *pull) []Effect {
 	d := e.Delta
 	var out []Effect
 	switch {
-	case p.query.Mark.Complete >= d.Known:
+	case p.query.Summary.CompleteUpTo >= d.DeletionHorizon:
 		// No deletion that the peer has forgotten is news to us.
 	case p.whole():
-		f.repair.known = d.Known
-		out = tell(f.set.Retain(p.seen, d.Known))
-	case f.set.Mark().same(d.Mark):
+		f.repair.known = d.DeletionHorizon
+		out = tell(f.set.Retain(p.seen, d.DeletionHorizon))
+	case f.set.Summary().same(d.Summary):
 		// None of the deletions mattered to us.
-		f.set.listed = max(f.set.listed, d.Known)
-	case e.Now.Before(f.repair.whole) && !(f.pace.Relayed && d.Known > f.repair.known):
+		f.set.listed = max(f.set.listed, d.DeletionHorizon)
+	case e.Now.Before(f.repair.whole) && !(f.pace.Relayed && d.DeletionHorizon > f.repair.known):
 		return nil
 	default:
 		f.repair.whole = e.Now.Add(wholeEvery)
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -12,7 +12,7 @@
 		return nil
 	}
 	if f.resume.IsZero() {
-		f.resume = f.started.Add(f.pace.PeersFirst)
+		f.resume = f.started.Add(f.pace.PeerWait)
 	}
 	if !f.confirmed && f.failures == 0 && f.pull == nil && f.compared() {
 		f.resume = now // the peers have said what they know
@@ -24,13 +24,13 @@
 		f.nextList = f.started.Add(f.jitter(listSoon))
 	}
 	f.relist = f.relist || (now.After(f.nextList) && f.failures == 0)
-	if f.relist || (f.set.Complete() == 0 && !f.confirmed) {
+	if f.relist || (f.set.CompleteUpTo() == 0 && !f.confirmed) {
 		f.phase = phaseListing
 		return []Effect{List{}}
 	}
 	f.phase = phaseWatching
 	if !f.confirmed {
-		f.told = f.set.Complete() // by a peer, at the start
+		f.told = f.set.CompleteUpTo() // by a peer, at the start
 	}
 	return []Effect{Watch{Since: f.told, Wait: f.watchWait(now)}}
 }
@@ -56,7 +56,7 @@
 // the store told last lies far back, and its history may be gone since. A listing that is
 // under way when it ends is cut short: a router that is relied on hands its objects on
 // in a twentieth of the bytes, which would share the link with it.
-func (f *Follower) setDuty(e Duty) []Effect {
+func (f *Follower) setDuty(e StoreReadingSwitched) []Effect {
 	if f.relieved == !e.On {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	}
 	f.lost = time.Time{}
 	if f.phase == phaseWatching || f.phase == phaseListing {
-		return []Effect{Unwatch{}}
+		return []Effect{CancelCall{}}
 	}
 	return nil
 }
@@ -103,12 +103,12 @@
 
 // fail makes the next call of the store wait longer after each failure.
 func (f *Follower) fail(now time.Time) {
-	d := f.pace.RetryMost
+	d := f.pace.RetryMax
 	if f.failures < 4 {
-		d = min(f.pace.RetryMost, f.pace.RetryFirst<<f.failures)
+		d = min(f.pace.RetryMax, f.pace.RetryInitial<<f.failures)
 	}
-	if !f.confirmed && f.set.Complete() == 0 {
-		d = min(d, firstRetryMost*f.pace.RetryFirst) // callers wait for this answer
+	if !f.confirmed && f.set.CompleteUpTo() == 0 {
+		d = min(d, firstRetryMost*f.pace.RetryInitial) // callers wait for this answer
 	}
 	f.failures++
 	f.pause(now, d)
@@ -118,7 +118,7 @@
 func (f *Follower) hinted(now time.Time) []Effect {
 	switch {
 	case f.phase == phaseWatching:
-		return []Effect{Unwatch{}}
+		return []Effect{CancelCall{}}
 	case f.phase == phaseWaiting && f.failures == 0:
 		f.resume = now
 		return f.tickStore(now)
@@ -133,7 +133,7 @@
 	switch {
 	case f.lost.IsZero():
 	case f.phase == phaseWatching:
-		return []Effect{Unwatch{}} // it may wait on a connection that has gone silent
+		return []Effect{CancelCall{}} // it may wait on a connection that has gone silent
 	case f.phase == phaseWaiting:
 		f.resume = now
 		return f.tickStore(now)
@@ -147,11 +147,11 @@
 		// The store's watches begin later than what we know. It shows as a watch
 		// that is refused however often it is tried; a listing starts anew.
 		f.relist = true
-		f.pause(e.Now, f.pace.RetryFirst)
+		f.pause(e.Now, f.pace.RetryInitial)
 	case e.Silent:
 		// The wait was pause enough: the next connection may work at once.
 		f.failures++
-		f.pause(e.Now, f.pace.RetryFirst)
+		f.pause(e.Now, f.pace.RetryInitial)
 	default:
 		f.fail(e.Now)
 	}
@@ -159,7 +159,7 @@
 		return nil
 	}
 	f.lost = e.Now
-	return []Effect{StoreLost{}}
+	return []Effect{StoreUnavailable{}}
 }
 
 func (f *Follower) listedStore(e Listed) []Effect {
@@ -171,9 +171,9 @@
 	}
 	f.tellStore(e.Version)
 	f.nextList = e.Now.Add(f.jitter(f.listInterval()))
-	stale := e.Version < f.set.Complete()
+	stale := e.Version < f.set.CompleteUpTo()
 	out := f.entered(e.Now, e.Version.Era())
-	out = append(out, f.changed(Batch{Objects: e.Objects, Claim: &Claim{To: e.Version}, Known: e.Version, Raw: true})...)
+	out = append(out, f.changed(Batch{Objects: e.Objects, Claim: &Claim{To: e.Version}, DeletionHorizon: e.Version, Raw: true})...)
 	seen := make(map[topo.Ref]struct{}, len(e.Objects))
 	for _, o := range e.Objects {
 		seen[o.Ref] = struct{}{}
@@ -193,7 +193,7 @@
 func (f *Follower) listed(now time.Time, first bool) []Effect {
 	f.phase, f.resume = phaseWaiting, now
 	if first {
-		f.resume = now.Add(f.pace.Settle)
+		f.resume = now.Add(f.pace.FirstWatchDelay)
 	}
 	return f.tickStore(now)
 }
@@ -210,7 +210,7 @@
 		return nil
 	}
 	f.outdated = true
-	return []Effect{StoreBehind{Told: told, Known: f.set.Complete()}}
+	return []Effect{StoreStale{Received: told, Known: f.set.CompleteUpTo()}}
 }
 
 func (f *Follower) storeAnswered(now time.Time) []Effect {
@@ -222,7 +222,7 @@
 	}
 	after := now.Sub(f.lost)
 	f.lost, f.back = time.Time{}, now
-	return []Effect{StoreRegained{After: after}}
+	return []Effect{StoreRecovered{After: after}}
 }
 
 func (f *Follower) watched(e Watched) []Effect {
@@ -249,7 +249,7 @@
 // replaced takes all objects that exist at a version, from a source that does not
 // know when each of them changed last. known is as in Batch.
 func (f *Follower) replaced(now time.Time, objects []topo.Object, version, known topo.Version) []Effect {
-	if version < f.set.Complete() {
+	if version < f.set.CompleteUpTo() {
 		return f.passOver(now, version) // a replica that lags
 	}
 	if len(objects) == 0 && f.set.Len() > 0 {
@@ -262,7 +262,7 @@
 	out := append(f.entered(now, version.Era()), f.storeAnswered(now)...)
 	f.tellStore(version)
 	f.nextList = now.Add(f.jitter(f.listInterval()))
-	out = append(out, f.changed(Batch{Objects: f.replacement(now, objects, version), Claim: &Claim{To: version}, Known: known})...)
+	out = append(out, f.changed(Batch{Objects: f.replacement(now, objects, version), Claim: &Claim{To: version}, DeletionHorizon: known})...)
 	f.set.listed = max(f.set.listed, known)
 	return append(out, f.listed(now, first)...)
 }
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -9,8 +9,8 @@
 
 // Times of a Follower.
 const (
-	// TickEvery is the pace of Ticked.
-	TickEvery = 100 * time.Millisecond
+	// TickInterval is the pace of Ticked.
+	TickInterval = 100 * time.Millisecond
 	// WatchGrace is how much later than its wait a watch may answer.
 	WatchGrace = time.Second
 
@@ -39,8 +39,8 @@
 	readyAfter = 2 * time.Second
 )
 
-// Pace is how a Follower calls the store.
-type Pace struct {
+// Timing is how a Follower calls the store.
+type Timing struct {
 	// WatchWait is how long a watch of the store waits for a change. It is what
 	// a router pays for in calls when nothing happens.
 	WatchWait time.Duration
@@ -55,43 +55,43 @@
 	// part of the watch that follows it, which costs a tenth more calls; and what a
 	// listing has shown to be gone is pulled at once, since few routers list.
 	Relayed bool
-	// RetryFirst and RetryMost bound the pause after a failed call of the store.
-	RetryFirst, RetryMost time.Duration
-	// PeersFirst is how long a new router waits for peers to give it a
+	// RetryInitial and RetryMax bound the pause after a failed call of the store.
+	RetryInitial, RetryMax time.Duration
+	// PeerWait is how long a new router waits for peers to give it a
 	// configuration, before it takes the listing of the store's many pages.
-	PeersFirst time.Duration
-	// Settle is how long after its first listing a router waits before it watches,
+	PeerWait time.Duration
+	// FirstWatchDelay is how long after its first listing a router waits before it watches,
 	// in case that another one reads the store for it.
-	Settle time.Duration
-	// PullEvery is the least time between the pulls of a node that does not read
+	FirstWatchDelay time.Duration
+	// PullInterval is the least time between the pulls of a node that does not read
 	// the store.
-	PullEvery time.Duration
+	PullInterval time.Duration
 }
 
-// DefaultPace keeps a change that the store has accepted within 7 s of being in
+// DefaultTiming keeps a change that the store has accepted within 7 s of being in
 // force: a watch that has gone silent is given up after WatchWait and
 // WatchGrace, and the next one answers at once.
-func DefaultPace() Pace {
-	return Pace{
+func DefaultTiming() Timing {
+	return Timing{
 		WatchWait:             2500 * time.Millisecond,
 		WatchWaitAfterFailure: 500 * time.Millisecond,
 		WatchPause:            600 * time.Millisecond,
-		RetryFirst:            250 * time.Millisecond,
-		RetryMost:             2 * time.Second,
-		PeersFirst:            500 * time.Millisecond,
-		PullEvery:             500 * time.Millisecond,
+		RetryInitial:          250 * time.Millisecond,
+		RetryMax:              2 * time.Second,
+		PeerWait:              500 * time.Millisecond,
+		PullInterval:          500 * time.Millisecond,
 	}
 }
 
 // Status is what a Follower knows about its own state.
 type Status struct {
-	Version    topo.Version `json:"version"`
-	Complete   topo.Version `json:"complete"`
-	Objects    int          `json:"objects"`
-	Bytes      int          `json:"bytes"`
-	StoreHeard time.Time    `json:"store_heard"`         // of the last answer that was not stale
-	Failures   int          `json:"failures"`            // of calls of the store, in a row
-	StoreBack  time.Time    `json:"store_back,omitzero"` // when it answered again after an outage
+	Version        topo.Version `json:"version"`
+	CompleteUpTo   topo.Version `json:"complete"`
+	Objects        int          `json:"objects"`
+	Bytes          int          `json:"bytes"`
+	StoreAnswered  time.Time    `json:"store_heard"`         // of the last answer that was not stale
+	Failures       int          `json:"failures"`            // of calls of the store, in a row
+	StoreRecovered time.Time    `json:"store_back,omitzero"` // when it answered again after an outage
 }
 
 // storePhase says what a Follower is doing at the store.
@@ -108,7 +108,7 @@
 // reducer: Step never blocks and takes the time from its events.
 type Follower struct {
 	set        *Set
-	pace       Pace
+	pace       Timing
 	rand       *rand.Rand
 	storeHeard time.Time
 
@@ -146,19 +146,19 @@
 
 // NewFollower returns the Follower of a router, which reads the store at a pace.
 // Seed sets its jitter.
-func NewFollower(seed uint64, pace Pace) *Follower {
-	f := NewCopy(seed)
+func NewFollower(seed uint64, pace Timing) *Follower {
+	f := NewSidecarFollower(seed)
 	f.phase = phaseWaiting
 	f.pace = pace
 	return f
 }
 
-// NewCopy returns the Follower of a sidecar, which only asks its peers. It keeps
+// NewSidecarFollower returns the Follower of a sidecar, which only asks its peers. It keeps
 // nothing until a router tells it of a version; see Copies.
-func NewCopy(seed uint64) *Follower {
+func NewSidecarFollower(seed uint64) *Follower {
 	return &Follower{
 		set:   NewSet(),
-		pace:  DefaultPace(),
+		pace:  DefaultTiming(),
 		rand:  rand.New(rand.NewPCG(seed, 0)),
 		heard: make(map[Peer]struct{}),
 	}
@@ -172,13 +172,13 @@
 // Status returns how far the Follower is.
 func (f *Follower) Status() Status {
 	return Status{
-		Version:    f.set.Version(),
-		Complete:   f.set.Complete(),
-		Objects:    f.set.Len(),
-		Bytes:      f.set.Bytes(),
-		StoreHeard: f.storeHeard,
-		Failures:   f.failures,
-		StoreBack:  f.back,
+		Version:        f.set.Version(),
+		CompleteUpTo:   f.set.CompleteUpTo(),
+		Objects:        f.set.Len(),
+		Bytes:          f.set.Bytes(),
+		StoreAnswered:  f.storeHeard,
+		Failures:       f.failures,
+		StoreRecovered: f.back,
 	}
 }
 
@@ -194,7 +194,7 @@
 }
 
 func (f *Follower) trusted() bool {
-	return f.set.Complete() > 0 && (f.compared() || f.waited)
+	return f.set.CompleteUpTo() > 0 && (f.compared() || f.waited)
 }
 
 func (f *Follower) compared() bool {
@@ -214,23 +214,23 @@
 		return f.ticked(e.Now)
 	case Hinted:
 		return f.hinted(e.Now)
-	case StoreWorks:
+	case StoreReachable:
 		return f.storeWorks(e.Now)
-	case Duty:
+	case StoreReadingSwitched:
 		return f.setDuty(e)
-	case Unwatched:
+	case CallCancelled:
 		f.phase, f.resume = phaseWaiting, e.Now
 		return f.ticked(e.Now)
-	case PeersNear:
+	case PeersConnected:
 		f.near = e.Peers
 	case PeersChanged:
 		f.peers = e.Peers
 		return f.ticked(e.Now)
-	case Heard:
-		return f.compare(e.Now, e.Peer, e.Mark)
-	case Answered:
+	case SummaryReceived:
+		return f.compare(e.Now, e.Peer, e.Summary)
+	case QueryAnswered:
 		return f.answered(e)
-	case AskFailed:
+	case QueryFailed:
 		if f.pull != nil && f.pull.peer == e.Peer {
 			f.pull = nil
 		}
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -19,14 +19,14 @@
 // of another one that reads for all. Until it has heard that one it would be ready no
 // more, and refuse them for some milliseconds.
 func TestReadyStaysWhenAnotherReads(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	if !f.Ready() {
 		t.Fatal("not ready after a listing")
 	}
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
-	f.Step(Duty{Now: now})
+	f.Step(StoreReadingSwitched{Now: now})
 	if !f.Ready() {
 		t.Error("not ready any more")
 	}
@@ -37,21 +37,21 @@
 // until the router happens to ask another. It is ready only when it has
 // compared a few.
 func TestReadyAfterComparingPeers(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	held := map[Peer]topo.Version{"cut": 3, "a": 9, "b": 9, "c": 9}
 	f.peers = []Peer{"cut", "a", "b", "c"}
 	f.ask(now, "cut", 0)
 	for !f.Ready() {
 		if f.pull == nil {
-			now = now.Add(TickEvery)
+			now = now.Add(TickInterval)
 			f.Step(Ticked{Now: now})
 			continue
 		}
 		v := held[f.pull.peer]
-		d := Delta{Objects: []topo.Object{at(v)}, Mark: Summary{Version: v, Complete: v}}
-		f.Step(Answered{Now: now, Peer: f.pull.peer, Delta: d})
+		d := Delta{Objects: []topo.Object{at(v)}, Summary: Summary{Version: v, CompleteUpTo: v}}
+		f.Step(QueryAnswered{Now: now, Peer: f.pull.peer, Delta: d})
 	}
-	if have := f.set.Held(object); have != 9 {
+	if have := f.set.HeldVersion(object); have != 9 {
 		t.Errorf("ready at version %d although peers have 9", have)
 	}
 }
@@ -60,11 +60,11 @@
 // peer that has seen the first deletion and a later listing sends the first
 // deletion. The profile that a router has read in between must not stay.
 func TestDeletionThatCameBackIsTaken(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
-	f.Step(Heard{Now: now, Peer: "a", Mark: Summary{Version: 1}})
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
+	f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 1}})
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	gone := topo.Object{Ref: object, Version: 1, Deleted: true}
-	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Objects: []topo.Object{gone}, Known: 3, Mark: Summary{Version: 1, Complete: 3}}})
+	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Objects: []topo.Object{gone}, DeletionHorizon: 3, Summary: Summary{Version: 1, CompleteUpTo: 3}}})
 	if o, ok := f.set.Get(object); ok {
 		t.Errorf("version %d is still in force", o.Version)
 	}
@@ -75,13 +75,13 @@
 // up to date, that there is nothing new. If it then watched from there, the
 // change would be in force nowhere.
 func TestPeersDoNotMoveTheWatch(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.peers = []Peer{"a"}
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 5})
 	f.ask(now, "a", 2)
-	f.Step(Answered{Now: now, Peer: "a", Delta: Delta{Mark: Summary{Version: 2, Complete: 9}}})
-	if f.set.Complete() != 9 {
-		t.Fatalf("complete up to %d, want what the peer claims", f.set.Complete())
+	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Summary: Summary{Version: 2, CompleteUpTo: 9}}})
+	if f.set.CompleteUpTo() != 9 {
+		t.Fatalf("complete up to %d, want what the peer claims", f.set.CompleteUpTo())
 	}
 	for _, e := range f.Step(Watched{Now: now, Since: 5, Page: topo.Page{Version: 5}}) {
 		if w, ok := e.(Watch); ok && w.Since != 5 {
@@ -96,7 +96,7 @@
 // the operators have taken back. What has not changed keeps its version, since
 // nodes compare by versions.
 func TestWholeSourceDropsWhatItDoesNotHold(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
 	ref := func(name string) topo.Ref { return topo.Ref{Kind: topo.KindProfile, Name: name} }
 	f.set.Apply(Batch{
@@ -109,15 +109,15 @@
 	if _, ok := f.set.Get(ref("goes")); ok {
 		t.Error("what the store does not hold is in force")
 	}
-	if v := f.set.Held(ref("stays")); v != 3 {
+	if v := f.set.HeldVersion(ref("stays")); v != 3 {
 		t.Errorf("what has not changed is at version %d", v)
 	}
-	if v := f.set.Held(ref("new")); v != 9 || f.set.Complete() != 9 {
-		t.Errorf("what is new is at version %d, complete up to %d", v, f.set.Complete())
+	if v := f.set.HeldVersion(ref("new")); v != 9 || f.set.CompleteUpTo() != 9 {
+		t.Errorf("what is new is at version %d, complete up to %d", v, f.set.CompleteUpTo())
 	}
 	f.phase = phaseWatching
 	f.Step(Watched{Now: now, Since: 9, Page: topo.Page{Version: 12, Whole: true}})
-	if _, ok := f.set.Get(ref("stays")); !ok || f.set.Complete() != 12 {
+	if _, ok := f.set.Get(ref("stays")); !ok || f.set.CompleteUpTo() != 12 {
 		t.Error("a watch without news took something away")
 	}
 }
@@ -128,7 +128,7 @@
 // lives.
 func TestManyObjectsOfOneVersionAreAllPulled(t *testing.T) {
 	const many = 500
-	from, to := NewFollower(1, DefaultPace()), NewFollower(2, DefaultPace())
+	from, to := NewFollower(1, DefaultTiming()), NewFollower(2, DefaultTiming())
 	b := Batch{Claim: &Claim{To: 7}}
 	for i := range many {
 		ref := topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint(i)}
@@ -137,13 +137,13 @@
 	from.set.Apply(b)
 	now := time.Unix(0, 0)
 	to.Step(Ticked{Now: now})
-	to.Step(Duty{Now: now})
+	to.Step(StoreReadingSwitched{Now: now})
 	asks := to.Step(PeersChanged{Now: now, Peers: []Peer{"from"}})
 	for range many {
 		var next []Effect
 		for _, e := range asks {
-			if ask, ok := e.(Ask); ok {
-				next = append(next, to.Step(Answered{Now: now, Peer: "from", Delta: from.set.Answer(ask.Query)})...)
+			if ask, ok := e.(SendQuery); ok {
+				next = append(next, to.Step(QueryAnswered{Now: now, Peer: "from", Delta: from.set.Answer(ask.Query)})...)
 			}
 		}
 		asks = next
@@ -165,8 +165,8 @@
 func answerOnce(to, from *Follower, now time.Time, asks []Effect) []Effect {
 	var next []Effect
 	for _, e := range asks {
-		if ask, ok := e.(Ask); ok {
-			next = append(next, to.Step(Answered{Now: now, Peer: ask.Peer, Delta: from.set.Answer(ask.Query)})...)
+		if ask, ok := e.(SendQuery); ok {
+			next = append(next, to.Step(QueryAnswered{Now: now, Peer: ask.Peer, Delta: from.set.Answer(ask.Query)})...)
 		}
 	}
 	return next
@@ -182,12 +182,12 @@
 	runner := func(i int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: "runners", Name: fmt.Sprint(i)}, Version: v, Value: value(i)}
 	}
-	pace := DefaultPace()
+	pace := DefaultTiming()
 	pace.Relayed = true
 	reader, to := NewFollower(1, pace), NewFollower(2, pace)
 	reader.Step(Listed{Now: now, Objects: []topo.Object{runner(1, 1), runner(2, 2), runner(3, 3), runner(4, 4)}, Version: 4})
 	to.Step(Ticked{Now: now})
-	to.Step(Duty{Now: now})
+	to.Step(StoreReadingSwitched{Now: now})
 	exchange(to, reader, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}}))
 	left := []topo.Object{runner(2, 2), runner(3, 3), runner(4, 4)}
 	for gone := 1; gone <= 3; gone++ {
@@ -196,12 +196,12 @@
 		reader.Step(Listed{Now: now, Objects: left, Version: version})
 		reader.set.Apply(Batch{Objects: []topo.Object{runner(4, version)}, Claim: &Claim{To: version}})
 		left = left[1:]
-		mark := reader.set.Mark()
-		first := to.Step(Heard{Now: now, Peer: "lost", Mark: mark})
+		mark := reader.set.Summary()
+		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: mark})
 		answerOnce(to, reader, now, first) // then it asks for everything, in vain
-		to.Step(AskFailed{Now: now, Peer: "lost"})
-		now = now.Add(pace.PullEvery)
-		exchange(to, reader, now, to.Step(Heard{Now: now, Peer: "reader", Mark: mark}))
+		to.Step(QueryFailed{Now: now, Peer: "lost"})
+		now = now.Add(pace.PullInterval)
+		exchange(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: mark}))
 		if _, listed := to.set.Get(runner(gone, 1).Ref); listed {
 			t.Errorf("runner %d is still listed", gone)
 		}
@@ -221,25 +221,25 @@
 	route := func(name string, n int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: topo.KindProfile, Name: name}, Version: v, Value: value(n)}
 	}
-	pace := DefaultPace()
+	pace := DefaultTiming()
 	pace.Relayed = true
 	before, after, to := NewFollower(1, pace), NewFollower(2, pace), NewFollower(3, pace)
 	before.Step(Listed{Now: now, Whole: true, Version: 223, Objects: []topo.Object{route("goes", 1, 220), route("stays", 2, 220)}})
 	after.Step(Listed{Now: now, Whole: true, Version: 225, Objects: []topo.Object{route("stays", 2, 224)}})
 	to.Step(Ticked{Now: now})
-	to.Step(Duty{Now: now})
+	to.Step(StoreReadingSwitched{Now: now})
 	exchange(to, before, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"before"}}))
 	if n := to.set.Len(); n != 2 {
 		t.Fatalf("%d routes from the first reader", n)
 	}
 	now = now.Add(time.Second)
-	exchange(to, after, now, to.Step(Heard{Now: now, Peer: "after", Mark: after.set.Mark()}))
+	exchange(to, after, now, to.Step(SummaryReceived{Now: now, Peer: "after", Summary: after.set.Summary()}))
 	if _, held := to.set.Get(route("goes", 0, 0).Ref); held {
 		t.Error("a route that was taken away is in force")
 	}
 	late := NewFollower(4, pace)
 	late.Step(Listed{Now: now, Whole: true, Version: 230, Objects: []topo.Object{route("stays", 2, 224)}})
-	if late.set.Mark().Digest != after.set.Mark().Digest {
+	if late.set.Summary().Digest != after.set.Summary().Digest {
 		t.Error("two readers of the same configuration take each other for different")
 	}
 }
@@ -248,7 +248,7 @@
 // answered meanwhile: it tries again at once, since a change may be in force that it
 // has not heard of.
 func TestStoreThatWorksIsCalledAtOnce(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	for range 5 {
 		f.phase = phaseWatching
@@ -258,11 +258,11 @@
 	if effects := f.Step(Ticked{Now: now}); len(effects) > 0 {
 		t.Fatalf("no pause after failures: %v", effects)
 	}
-	if effects := f.Step(StoreWorks{Now: now}); len(effects) != 1 {
+	if effects := f.Step(StoreReachable{Now: now}); len(effects) != 1 {
 		t.Errorf("effects %v, want a call", effects)
 	}
 	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 2}})
-	if effects := f.Step(StoreWorks{Now: now}); len(effects) > 0 {
+	if effects := f.Step(StoreReachable{Now: now}); len(effects) > 0 {
 		t.Errorf("a watch that works is disturbed: %v", effects)
 	}
 }
@@ -271,14 +271,14 @@
 // watch finds nothing new. It hears of the store no less often than without the
 // pause: the others would take it for cut off, and all read the store themselves.
 func TestPauseIsPartOfTheWatch(t *testing.T) {
-	pace := DefaultPace()
+	pace := DefaultTiming()
 	pace.Relayed = true
 	f, now := NewFollower(1, pace), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
 	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 3, Objects: []topo.Object{at(3)}}})
 	heard := now
 	for {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		effects := f.Step(Ticked{Now: now})
 		if len(effects) == 0 {
 			continue
@@ -299,12 +299,12 @@
 // the store answers, would leave a runner that is about to go in its list for two
 // seconds.
 func TestNewReaderPullsUntilTheStoreAnswers(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
-	f.Step(Duty{Now: now, On: false})
-	f.Step(Duty{Now: now, On: true})
-	for _, e := range f.Step(Heard{Now: now, Peer: "a", Mark: Summary{Version: 3, Complete: 3}}) {
-		if _, ok := e.(Ask); ok {
+	f.Step(StoreReadingSwitched{Now: now, On: false})
+	f.Step(StoreReadingSwitched{Now: now, On: true})
+	for _, e := range f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 3, CompleteUpTo: 3}}) {
+		if _, ok := e.(SendQuery); ok {
 			return
 		}
 	}
@@ -315,7 +315,7 @@
 // another fleet. What is in force stays in force: no operator takes everything back
 // at once, and callers would be told that nothing is served here.
 func TestEmptySourceTakesNothingAway(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Version: 1, Whole: true})
 	if !f.Ready() {
 		t.Error("a store without configuration keeps the router from following it")
@@ -332,23 +332,23 @@
 // hands them on in a twentieth. As long as its own listing goes on beside that, both
 // take the whole time, and its callers wait or are refused.
 func TestListingEndsWhenAnotherReads(t *testing.T) {
-	f, now := NewFollower(1, DefaultPace()), time.Unix(0, 0)
-	now = now.Add(DefaultPace().PeersFirst)
+	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
+	now = now.Add(DefaultTiming().PeerWait)
 	f.Step(Ticked{Now: time.Unix(0, 0)})
 	if got := f.Step(Ticked{Now: now}); !slices.Contains(got, Effect(List{})) {
 		t.Fatalf("no listing is begun: %v", got)
 	}
-	if got := f.Step(Duty{Now: now}); !slices.Contains(got, Effect(Unwatch{})) {
+	if got := f.Step(StoreReadingSwitched{Now: now}); !slices.Contains(got, Effect(CancelCall{})) {
 		t.Fatalf("the listing goes on: %v", got)
 	}
-	f.Step(Unwatched{Now: now})
+	f.Step(CallCancelled{Now: now})
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
-	f.Step(Heard{Now: now, Peer: "reader", Mark: Summary{Version: 2, Complete: 2}})
-	f.Step(Answered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{at(2)}, Mark: Summary{Version: 2, Complete: 2}}})
-	if f.Set().Held(object) != 2 || !f.Ready() {
-		t.Errorf("version %d is held, ready %v", f.Set().Held(object), f.Ready())
+	f.Step(SummaryReceived{Now: now, Peer: "reader", Summary: Summary{Version: 2, CompleteUpTo: 2}})
+	f.Step(QueryAnswered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{at(2)}, Summary: Summary{Version: 2, CompleteUpTo: 2}}})
+	if f.Set().HeldVersion(object) != 2 || !f.Ready() {
+		t.Errorf("version %d is held, ready %v", f.Set().HeldVersion(object), f.Ready())
 	}
-	if got := f.Step(Duty{Now: now, On: true}); !slices.Contains(got, Effect(List{})) {
+	if got := f.Step(StoreReadingSwitched{Now: now, On: true}); !slices.Contains(got, Effect(List{})) {
 		t.Errorf("it does not list the store when it is to read again: %v", got)
 	}
 }
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -65,11 +65,11 @@
 
 // Pack returns the delta that answers a query of a set.
 func (p *Packer) Pack(set relay.Set, q config.Query, d config.Delta) (Delta, error) {
-	q.Mark = config.Summary{}
+	q.Summary = config.Summary{}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, k := range p.kept {
-		if k.set == set && k.since == q && k.mark == d.Mark {
+		if k.set == set && k.since == q && k.mark == d.Summary {
 			return k.packed, nil
 		}
 	}
@@ -80,7 +80,7 @@
 	if len(p.kept) == keptDeltas {
 		p.kept = p.kept[1:]
 	}
-	p.kept = append(p.kept, keptDelta{set: set, since: q, mark: d.Mark, packed: packed})
+	p.kept = append(p.kept, keptDelta{set: set, since: q, mark: d.Summary, packed: packed})
 	return packed, nil
 }
 
--- a/internal/config/pack/pack_test.go
+++ b/internal/config/pack/pack_test.go
@@ -14,7 +14,7 @@
 
 // delta returns a Delta of n routes.
 func delta(n int) config.Delta {
-	d := config.Delta{Mark: config.Summary{Version: 7, Complete: 9, Digest: 1 << 63}, Known: 3, More: true}
+	d := config.Delta{Summary: config.Summary{Version: 7, CompleteUpTo: 9, Digest: 1 << 63}, DeletionHorizon: 3, More: true}
 	for i := range n {
 		d.Objects = append(d.Objects, topo.Object{
 			Ref:     topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("r-", i)},
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -34,7 +34,7 @@
 }
 
 func newRestored() *restored {
-	r := &restored{Follower: NewFollower(1, DefaultPace()), now: time.Unix(0, 0)}
+	r := &restored{Follower: NewFollower(1, DefaultTiming()), now: time.Unix(0, 0)}
 	r.Step(Ticked{Now: r.now})
 	return r
 }
@@ -85,14 +85,14 @@
 
 	fresh := newRestored()
 	fresh.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
-	mark := fresh.set.Mark()
-	r.Step(Heard{Now: r.now, Peer: "fresh", Mark: mark})
+	mark := fresh.set.Summary()
+	r.Step(SummaryReceived{Now: r.now, Peer: "fresh", Summary: mark})
 	if r.pull != nil {
 		t.Error("it pulls from a router with the older copy")
 	}
 	late := newRestored()
 	late.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	if late.Step(Heard{Now: late.now, Peer: "fresh", Mark: mark}); late.pull != nil {
+	if late.Step(SummaryReceived{Now: late.now, Peer: "fresh", Summary: mark}); late.pull != nil {
 		t.Error("one that has not heard of the new era pulls from it")
 	}
 
@@ -137,7 +137,7 @@
 // A new era tells all objects again. Only those that differ are news: a large configuration
 // would else be taken in anew by all routers at the same moment.
 func TestNewEraTellsOnlyWhatDiffers(t *testing.T) {
-	f := NewFollower(1, DefaultPace())
+	f := NewFollower(1, DefaultTiming())
 	now := time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
 	list := func(version topo.Version, objects ...topo.Object) (changed []topo.Object) {
@@ -172,16 +172,16 @@
 	for _, to := range []*restored{relying, fresh} {
 		for range 2 { // a reader waits a little for its own watch
 			to.now = to.now.Add(2 * watchPatience)
-			to.Step(Heard{Now: to.now, Peer: "r", Mark: r.set.Mark()})
+			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
 		if to.pull == nil {
 			t.Fatal("it does not pull")
 		}
 		for pulls := 0; to.pull != nil && pulls < 3; pulls++ {
-			to.Step(Answered{Now: to.now, Peer: "r", Delta: r.set.Answer(to.pull.query)})
+			to.Step(QueryAnswered{Now: to.now, Peer: "r", Delta: r.set.Answer(to.pull.query)})
 		}
 		to.check(t, confirmed.routes)
-		if got, want := to.set.Mark(), r.set.Mark(); got.Version != want.Version {
+		if got, want := to.set.Summary(), r.set.Summary(); got.Version != want.Version {
 			t.Errorf("at %s, want %s", got.Version, want.Version)
 		}
 	}
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -71,9 +71,9 @@
 	return s.settled
 }
 
-// Complete is the store's version up to which the Set is complete. It is at
+// CompleteUpTo is the store's version up to which the Set is complete. It is at
 // least Version, since most changes of the store are not configuration.
-func (s *Set) Complete() topo.Version {
+func (s *Set) CompleteUpTo() topo.Version {
 	return s.complete
 }
 
@@ -96,9 +96,9 @@
 	return *o, true
 }
 
-// Held returns the version in force of an object, deleted or not; zero when it
+// HeldVersion returns the version in force of an object, deleted or not; zero when it
 // is not known.
-func (s *Set) Held(ref topo.Ref) topo.Version {
+func (s *Set) HeldVersion(ref topo.Ref) topo.Version {
 	if o := s.objects[ref]; o != nil {
 		return o.Version
 	}
@@ -127,10 +127,10 @@
 	// Raw tells that Objects are as the store holds them, where a deletion may be a
 	// revision without a spec. Those of other nodes are past that.
 	Raw bool
-	// Known is the version up to which the source decides which objects exist:
+	// DeletionHorizon is the version up to which the source decides which objects exist:
 	// that of a listing of the store. Zero for sources that may have missed a
 	// deletion.
-	Known topo.Version
+	DeletionHorizon topo.Version
 }
 
 // Apply takes what is newer in b and returns the objects that have changed; what another
@@ -192,7 +192,7 @@
 	// or listed has been deleted, and comes from a source that has missed it. It
 	// shows as an organisation that works again after its deletion. Only one
 	// who has listed the store later knows better.
-	return o.Version > s.known() || (b.Known >= s.known() && !o.Deleted)
+	return o.Version > s.known() || (b.DeletionHorizon >= s.known() && !o.Deleted)
 }
 
 // repeats reports whether o is what is held, told anew in another era of the store.
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -37,15 +37,15 @@
 // question is an Ask on its way.
 type question struct {
 	from int
-	ask  Ask
+	ask  SendQuery
 }
 
 func newWorld(t *rapid.T, nodes int) *world {
 	w := &world{t: t, now: time.Unix(0, 0)}
 	for i := range nodes {
-		f := NewFollower(uint64(i), DefaultPace())
+		f := NewFollower(uint64(i), DefaultTiming())
 		if i == sidecar {
-			f = NewCopy(uint64(i))
+			f = NewSidecarFollower(uint64(i))
 		}
 		f.set.tombstones = 2
 		f.set.pieceBytes = 3 * objectOverhead
@@ -108,7 +108,7 @@
 }
 
 func (w *world) watch(i int, v topo.Version) {
-	since := w.nodes[i].set.Complete()
+	since := w.nodes[i].set.CompleteUpTo()
 	page := topo.Page{Version: v}
 	if v > since {
 		page.Objects = rapid.Permutation(w.log[since:v]).Draw(w.t, "events")
@@ -139,8 +139,8 @@
 }
 
 func (w *world) hear(i, from int) {
-	m := w.nodes[from].set.Mark()
-	w.step(i, Heard{Now: w.now, Peer: name(from), Mark: m})
+	m := w.nodes[from].set.Summary()
+	w.step(i, SummaryReceived{Now: w.now, Peer: name(from), Summary: m})
 }
 
 func name(i int) Peer { return Peer(fmt.Sprint(i)) }
@@ -154,7 +154,7 @@
 	q := w.asks[i]
 	w.asks = slices.Delete(w.asks, i, i+1)
 	if rapid.IntRange(0, 9).Draw(w.t, "lost") == 0 {
-		w.step(q.from, AskFailed{Now: w.now, Peer: q.ask.Peer})
+		w.step(q.from, QueryFailed{Now: w.now, Peer: q.ask.Peer})
 		return
 	}
 	w.deliver(q)
@@ -163,14 +163,14 @@
 func (w *world) deliver(q question) {
 	for i, f := range w.nodes {
 		if name(i) == q.ask.Peer {
-			w.step(q.from, Answered{Now: w.now, Peer: q.ask.Peer, Delta: f.set.Answer(q.ask.Query)})
+			w.step(q.from, QueryAnswered{Now: w.now, Peer: q.ask.Peer, Delta: f.set.Answer(q.ask.Query)})
 		}
 	}
 }
 
 func (w *world) step(i int, e Event) {
 	for _, effect := range w.nodes[i].Step(e) {
-		if ask, ok := effect.(Ask); ok {
+		if ask, ok := effect.(SendQuery); ok {
 			w.asks = append(w.asks, question{from: i, ask: ask})
 		}
 	}
@@ -190,16 +190,16 @@
 			continue
 		}
 		newest := make(map[topo.Ref]topo.Object)
-		for _, o := range w.log[:f.set.Complete()] {
+		for _, o := range w.log[:f.set.CompleteUpTo()] {
 			newest[o.Ref] = normal(o)
 		}
 		for ref, o := range newest {
 			_, ok := f.set.Get(ref)
-			if f.set.Held(ref) > f.set.Complete() {
+			if f.set.HeldVersion(ref) > f.set.CompleteUpTo() {
 				continue
 			}
-			if ok == o.Deleted || (ok && f.set.Held(ref) != o.Version) {
-				w.t.Fatalf("node %d claims to be complete up to %d but holds %s at %d instead of %d", i, f.set.Complete(), ref, f.set.Held(ref), o.Version)
+			if ok == o.Deleted || (ok && f.set.HeldVersion(ref) != o.Version) {
+				w.t.Fatalf("node %d claims to be complete up to %d but holds %s at %d instead of %d", i, f.set.CompleteUpTo(), ref, f.set.HeldVersion(ref), o.Version)
 			}
 		}
 	}
@@ -269,7 +269,7 @@
 			if i == sidecar {
 				continue
 			}
-			since := f.set.Complete()
+			since := f.set.CompleteUpTo()
 			w.step(i, Watched{Now: w.now, Since: since, Page: topo.Page{Version: end, Objects: w.log[since:]}})
 			if f.relist || since == 0 {
 				w.list(i, end)
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -96,7 +96,7 @@
 	if d.Change == "" || config.ChangeID(d.Change) == now || e.same() {
 		return nil
 	}
-	c := change.Conflict{Base: change.Current{Ref: e.base.Ref}, Mine: config.Revision{Spec: e.spec}, Theirs: e.base}
+	c := change.Conflict{Base: change.StoredObject{Ref: e.base.Ref}, Mine: config.Revision{Spec: e.spec}, Theirs: e.base}
 	history, err := a.editor.History(ctx, e.base)
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 }
 
 // existing reads an object that has to exist.
-func (a *app) existing(ctx context.Context, ref topo.Ref) (change.Current, error) {
+func (a *app) existing(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
 	now, err := a.editor.Read(ctx, ref)
 	if err == nil && !now.Exists() {
 		err = fail(ExitNotFound, fmt.Sprintf("see 'parsleyctl list %s'", ref.Kind), "%s does not exist", ref)
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -16,7 +16,7 @@
 
 // edit is a change to be made, with what the store has now.
 type edit struct {
-	base change.Current
+	base change.StoredObject
 	spec json.RawMessage // nil deletes
 	to   string          // what the new content is called in a diff
 }
@@ -31,7 +31,7 @@
 
 // equalSpecs compares after reading both, so that a field that an older release
 // left to its default is no difference by itself.
-func equalSpecs(base change.Current, spec json.RawMessage) bool {
+func equalSpecs(base change.StoredObject, spec json.RawMessage) bool {
 	stored, err := profile.Decode(base.Ref, base.Revision.Spec)
 	if err != nil {
 		return false
--- a/internal/ctl/get.go
+++ b/internal/ctl/get.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-func view(c change.Current) object {
+func view(c change.StoredObject) object {
 	return object{Kind: c.Ref.Kind, Name: c.Ref.Name, Version: c.Version, Change: &c.Revision.Change, Spec: c.Revision.Spec}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // revisions reads an object with its history. A deleted object has one too.
-func (a *app) revisions(ctx context.Context, ref topo.Ref) (change.Current, []config.Revision, error) {
+func (a *app) revisions(ctx context.Context, ref topo.Ref) (change.StoredObject, []config.Revision, error) {
 	now, err := a.editor.Read(ctx, ref)
 	if err != nil {
 		return now, nil, err
--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -81,12 +81,12 @@
 	return a.make(ctx, o.changeOptions, []edit{e})
 }
 
-func keysEdit(base change.Current, org *profile.Organisation) (edit, error) {
+func keysEdit(base change.StoredObject, org *profile.Organisation) (edit, error) {
 	spec, err := profile.Encode(org)
 	return edit{base: base, spec: spec, to: "with its keys changed"}, err
 }
 
-func (a *app) organisation(ctx context.Context, name string) (change.Current, *profile.Organisation, error) {
+func (a *app) organisation(ctx context.Context, name string) (change.StoredObject, *profile.Organisation, error) {
 	base, err := a.existing(ctx, topo.Ref{Kind: topo.KindOrganisation, Name: name})
 	if err != nil {
 		return base, nil, err
--- a/internal/ctl/neighbours.go
+++ b/internal/ctl/neighbours.go
@@ -15,12 +15,12 @@
 // snapshot is objects as the store had them, each read once.
 type snapshot struct {
 	app     *app
-	objects map[topo.Ref]change.Current
+	objects map[topo.Ref]change.StoredObject
 	listed  map[topo.Kind]bool
 }
 
 func (a *app) newSnapshot() *snapshot {
-	return &snapshot{app: a, objects: make(map[topo.Ref]change.Current), listed: make(map[topo.Kind]bool)}
+	return &snapshot{app: a, objects: make(map[topo.Ref]change.StoredObject), listed: make(map[topo.Kind]bool)}
 }
 
 // expect lists the kinds of which very many objects will be read.
@@ -38,7 +38,7 @@
 }
 
 // read returns an object; one that does not exist is no error.
-func (s *snapshot) read(ctx context.Context, ref topo.Ref) (change.Current, error) {
+func (s *snapshot) read(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
 	if now, ok := s.objects[ref]; ok {
 		return now, nil
 	}
@@ -104,7 +104,7 @@
 }
 
 // hasNewKey reports whether o has a key that the stored object has not.
-func hasNewKey(o *profile.Organisation, now change.Current) bool {
+func hasNewKey(o *profile.Organisation, now change.StoredObject) bool {
 	known := make(map[string]bool)
 	if stored, err := profile.Decode(now.Ref, now.Revision.Spec); err == nil {
 		for _, k := range stored.(*profile.Organisation).Keys {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	r := change.NewEditor(store).Commit(ctx, change.Edit{Base: change.Current{Ref: ref}, Spec: b, Author: "dev"})
+	r := change.NewEditor(store).Commit(ctx, change.Edit{Base: change.StoredObject{Ref: ref}, Spec: b, Author: "dev"})
 	if r.Outcome != change.Applied {
 		return errors.Errorf("writing %s: %s: %v", ref, r.Outcome, r.Cause)
 	}
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -194,14 +194,14 @@
 	store := topo.NewHTTPWithDialer(p.StoreURL, n.Store).WithDialect(platform.Store{}, topo.Timeouts{
 		Call: share(bound, callShare), WatchGrace: share(bound, graceShare), MaxRetryAfter: storeRetryMost,
 	})
-	pace := config.DefaultPace()
+	pace := config.DefaultTiming()
 	pace.WatchWait = share(bound, watchShare)
-	pace.PullEvery = pullPause
+	pace.PullInterval = pullPause
 	pace.WatchPause = share(bound, pauseShare)
-	pace.RetryFirst = storeRetryFirst
-	pace.RetryMost = storeRetryMost
-	pace.PeersFirst = 0
-	pace.Settle = settleTime
+	pace.RetryInitial = storeRetryFirst
+	pace.RetryMax = storeRetryMost
+	pace.PeerWait = 0
+	pace.FirstWatchDelay = settleTime
 	pace.Relayed = n.Packets != nil
 	return router.Config{
 		Store:  store,
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -45,7 +45,7 @@
 
 // benchState returns a state with a number of organisations and one pool of upstreams.
 func benchState(orgs, upstreams int) *State {
-	s := NewState("router", placement.Locality{}, config.DefaultPace(), 1)
+	s := NewState("router", placement.Locality{}, config.DefaultTiming(), 1)
 	p := profile.New(topo.KindProfile).(*profile.Profile)
 	p.Name, p.Model, p.Pool, p.Deadline = "chat", "m", "p", profile.Duration(time.Minute)
 	objects := []topo.Object{object(p, 1)}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -89,5 +89,5 @@
 	}
 	r.mu.Unlock()
 	slices.Sort(connected)
-	r.loop.Post(ConfigEvent{Event: config.PeersNear{Peers: connected}})
+	r.loop.Post(ConfigEvent{Event: config.PeersConnected{Peers: connected}})
 }
--- a/internal/router/ledger_test.go
+++ b/internal/router/ledger_test.go
@@ -18,7 +18,7 @@
 // that it does not exist; it ignores the profile silently, and apply --wait
 // reports it as in force.
 func TestInvalidObjectKeepsPreviousVersionInForce(t *testing.T) {
-	s, l := NewState("r", placement.Locality{}, config.DefaultPace(), 1), ledger.New()
+	s, l := NewState("r", placement.Locality{}, config.DefaultTiming(), 1), ledger.New()
 	step := func(v topo.Version, p profile.Profile) {
 		spec, err := json.Marshal(p)
 		if err != nil {
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -85,8 +85,8 @@
 	})
 	out.members = &follow.Runner{
 		Source:  follow.FromStore(r.config.Store, m.MemberDecoder.Kind()),
-		Follows: "upstreams",
-		Ask: func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
+		Subject: "upstreams",
+		SendQuery: func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 			return r.pull(ctx, peer, wire.MethodMembersSince, q)
 		},
 		Post: func(e config.Event) { r.loop.Post(MembersEvent{Event: e}) },
@@ -277,7 +277,7 @@
 // watchSuspend posts an event when the VM was suspended. The monotonic clock does not count
 // that time, so messages from before the suspension would seem to be recent.
 func (m *mesh) watchSuspend(ctx context.Context) {
-	tick := time.NewTicker(config.TickEvery)
+	tick := time.NewTicker(config.TickInterval)
 	defer tick.Stop()
 	suspended := m.SuspendedTime()
 	for {
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -34,7 +34,7 @@
 	now := time.Unix(1000, 0)
 	seekers := 0
 	for i := range routers {
-		s := NewState(fmt.Sprint("router-", i), placement.Locality{}, config.DefaultPace(), 1)
+		s := NewState(fmt.Sprint("router-", i), placement.Locality{}, config.DefaultTiming(), 1)
 		s.Step(VMsChanged{Now: now, VMs: list})
 		sent := tickNotices(s, now)
 		if len(sent) != 1 {
@@ -53,7 +53,7 @@
 // because the sidecar restarted after it had accepted the notice.
 func TestNoticeIsRepeatedUntilAccepted(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := NewState("r", placement.Locality{}, config.DefaultPace(), 1)
+	s := NewState("r", placement.Locality{}, config.DefaultTiming(), 1)
 	s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: []topo.VM{{ID: "engine", Role: topo.RoleUpstream, Leaving: true}}}})
 	first := tickNotices(s, now)
 	if len(first) != 1 || len(tickNotices(s, now)) != 0 {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -66,8 +66,8 @@
 
 // EnableRelay makes the State follow the entries of upstreams in the same way as the
 // configuration. The relay chooses the router that reads both from the store.
-func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Pace, seed uint64) {
-	pace.RetryMost *= membersRetryFactor
+func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Timing, seed uint64) {
+	pace.RetryMax *= membersRetryFactor
 	s.relayState = &relayState{
 		relay:    r,
 		members:  config.NewFollower(seed, pace),
@@ -83,8 +83,8 @@
 	for _, effect := range s.relayState.relay.Step(e) {
 		switch effect := effect.(type) {
 		case relay.Read:
-			out = append(out, s.stepConfig(config.Duty{Now: now, On: effect.On})...)
-			out = append(out, s.stepMembers(now, config.Duty{Now: now, On: effect.On})...)
+			out = append(out, s.stepConfig(config.StoreReadingSwitched{Now: now, On: effect.On})...)
+			out = append(out, s.stepMembers(now, config.StoreReadingSwitched{Now: now, On: effect.On})...)
 		case relay.Rely:
 			var peers []config.Peer
 			if effect.On.Name != "" {
@@ -111,12 +111,12 @@
 // onParentReport passes the parent's marks of both sets to the followers.
 func (s *State) onParentReport(now time.Time, e relay.Told) []Effect {
 	peer := config.Peer(e.Parent.Name)
-	out := s.stepConfig(config.Heard{Now: now, Peer: peer, Mark: e.Knowledge[relay.SetConfig].Mark})
+	out := s.stepConfig(config.SummaryReceived{Now: now, Peer: peer, Summary: e.Knowledge[relay.SetConfig].Mark})
 	members := e.Knowledge[relay.SetMembers]
 	if members.Back >= 0 {
 		s.relayState.entries.StoreRecovered(now.Add(-time.Duration(members.Back) * time.Millisecond))
 	}
-	return append(out, s.stepMembers(now, config.Heard{Now: now, Peer: peer, Mark: members.Mark})...)
+	return append(out, s.stepMembers(now, config.SummaryReceived{Now: now, Peer: peer, Summary: members.Mark})...)
 }
 
 // stepMembers passes an event to the follower of entries and applies what has changed.
@@ -136,7 +136,7 @@
 		case config.StoreRestored:
 			s.onStoreRestored(now)
 			out = append(out, MembersEffect{Effect: effect})
-		case config.StoreRegained:
+		case config.StoreRecovered:
 			// If this router relies on another one that could still read the store, there
 			// was no outage and no entry has expired. If entries were kept as after an
 			// outage, an upstream whose entry is removed now would get new work for longer
@@ -144,7 +144,7 @@
 			if !r.relay.Relies() {
 				r.entries.StoreRecovered(now)
 			}
-			out = append(out, s.stepConfig(config.StoreWorks{Now: now})...)
+			out = append(out, s.stepConfig(config.StoreReachable{Now: now})...)
 			out = append(out, MembersEffect{Effect: effect})
 		default:
 			out = append(out, MembersEffect{Effect: effect})
@@ -203,9 +203,9 @@
 	for set, f := range [...]*config.Follower{relay.SetConfig: s.follower, relay.SetMembers: s.relayState.members} {
 		status := f.Status()
 		failing = failing || status.Failures >= failingStoreCalls
-		k[set] = relay.Knowledge{Mark: f.Set().Mark(), Age: -1, Back: -1}
-		if !status.StoreHeard.IsZero() {
-			k[set].Age = now.Sub(status.StoreHeard).Milliseconds()
+		k[set] = relay.Knowledge{Mark: f.Set().Summary(), Age: -1, Back: -1}
+		if !status.StoreAnswered.IsZero() {
+			k[set].Age = now.Sub(status.StoreAnswered).Milliseconds()
 		}
 	}
 	if back := s.relayState.entries.StoreRecoveredAt(); !back.IsZero() {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -48,7 +48,7 @@
 	// Decode decodes the objects of Source; nil: they are in the format of parsleyctl.
 	Decode func(topo.Object) (profile.Object, error)
 	// Pace sets the rate of calls to the store; zero: config.DefaultPace.
-	Pace config.Pace
+	Pace config.Timing
 	// VMListInterval is the interval between two readings of the list of VMs; zero:
 	// defaultVMListInterval.
 	VMListInterval time.Duration
@@ -135,8 +135,8 @@
 	if c.Source == nil {
 		c.Source = follow.FromStore(c.Store)
 	}
-	if c.Pace == (config.Pace{}) {
-		c.Pace = config.DefaultPace()
+	if c.Pace == (config.Timing{}) {
+		c.Pace = config.DefaultTiming()
 	}
 	if c.VMListInterval == 0 {
 		c.VMListInterval = defaultVMListInterval
@@ -163,9 +163,9 @@
 	}
 	r.Tune(c.Tuning)
 	r.runner = &follow.Runner{
-		Source: c.Source,
-		Ask:    r.queryConfig,
-		Post:   func(e config.Event) { r.loop.Post(ConfigEvent{Event: e}) },
+		Source:    c.Source,
+		SendQuery: r.queryConfig,
+		Post:      func(e config.Event) { r.loop.Post(ConfigEvent{Event: e}) },
 	}
 	r.view.Store(r.state.View())
 	r.loop = loop.New(r.state, r.execute, r.publish)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -122,7 +122,7 @@
 
 // NewState returns the empty State of a router on a VM at a locality. pace sets the
 // rate of its calls to the store, and seed their jitter.
-func NewState(vm string, self placement.Locality, pace config.Pace, seed uint64) *State {
+func NewState(vm string, self placement.Locality, pace config.Timing, seed uint64) *State {
 	return &State{
 		vm:          vm,
 		self:        self,
@@ -203,7 +203,7 @@
 	}
 	var effects []Effect
 	if e.Peer != "" { // empty for routers, which learn each other's marks from beats
-		effects = s.stepConfig(config.Heard{Now: e.Now, Peer: e.Peer, Mark: e.Query.Mark})
+		effects = s.stepConfig(config.SummaryReceived{Now: e.Now, Peer: e.Peer, Summary: e.Query.Summary})
 	}
 	return append(effects, ConfigReply{Ticket: e.Ticket, Delta: s.follower.Set().Answer(e.Query)})
 }
@@ -217,7 +217,7 @@
 			out = append(out, config.Peer(vm.ID))
 		}
 	}
-	return config.Copies(out)
+	return config.CopyHolders(out)
 }
 
 // stepConfig passes an event to the follower of the configuration and applies the
@@ -233,9 +233,9 @@
 			}
 			effects = append(effects, s.recheckUndrained(e.When(), applied.Drained)...)
 			continue
-		case config.StoreRegained:
+		case config.StoreRecovered:
 			if s.relayState != nil {
-				effects = append(effects, s.stepMembers(e.When(), config.StoreWorks{Now: e.When()})...)
+				effects = append(effects, s.stepMembers(e.When(), config.StoreReachable{Now: e.When()})...)
 			}
 		case config.StoreRestored:
 			s.onStoreRestored(e.When())
@@ -243,8 +243,8 @@
 		effects = append(effects, ConfigEffect{Effect: effect})
 	}
 	status := s.follower.Status()
-	applied.Complete, applied.StoreHeard = status.Complete, status.StoreHeard
-	applied.Edition = s.follower.Set().Mark().Edition
+	applied.Complete, applied.StoreHeard = status.CompleteUpTo, status.StoreAnswered
+	applied.Edition = s.follower.Set().Summary().Edition
 	return append(effects, applied)
 }
 
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -54,7 +54,7 @@
 // View returns a view of the present state. It returns the previous one if nothing in
 // it has changed.
 func (s *State) View() *View {
-	mark, recent := s.follower.Set().Mark(), s.follower.Ready()
+	mark, recent := s.follower.Set().Summary(), s.follower.Ready()
 	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == recent
 	if s.stale == (staleParts{}) && same {
 		return s.view
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -41,7 +41,7 @@
 func (ReplyConfig) isEffect() {}
 
 func (s *State) configAsked(e ConfigAsked) []Effect {
-	heard := s.configured(Configured{Now: e.Now, Event: config.Heard{Now: e.Now, Peer: e.Peer, Mark: e.Query.Mark}})
+	heard := s.configured(Configured{Now: e.Now, Event: config.SummaryReceived{Now: e.Now, Peer: e.Peer, Summary: e.Query.Summary}})
 	return append(heard, ReplyConfig{Ticket: e.Ticket, Delta: s.config.Set().Answer(e.Query)})
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -85,7 +85,7 @@
 		s.rearm(state.Wake())
 	})
 	s.timer = time.AfterFunc(0, s.tick) // the first probe is due at once
-	s.follow = follow.Runner{Ask: s.askConfig, Post: func(e config.Event) { s.loop.Post(Configured{Now: time.Now(), Event: e}) }}
+	s.follow = follow.Runner{SendQuery: s.askConfig, Post: func(e config.Event) { s.loop.Post(Configured{Now: time.Now(), Event: e}) }}
 	s.desk = s.newDesk()
 	go s.loop.Run(s.ctx)
 	go s.follow.Run(s.ctx)
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -113,7 +113,7 @@
 		queue:    admission.NewQueue(c.Admission),
 		loads:    load.NewTable(),
 		book:     quarantine.New(c.VM, c.Incarnation),
-		config:   config.NewCopy(c.Incarnation),
+		config:   config.NewSidecarFollower(c.Incarnation),
 		requests: make(map[token.Nonce]*request),
 	}
 }
@@ -187,8 +187,8 @@
 func (s *State) hear(now time.Time, from config.Peer, c wire.Control) []Effect {
 	_ = s.loads.Merge(now, c.Samples)
 	_ = s.book.Merge(now, c.Suspects)
-	mark := config.HeardMark(c.Config, c.ConfigDigest)
-	return s.configured(Configured{Now: now, Event: config.Heard{Now: now, Peer: from, Mark: mark}})
+	mark := config.PiggybackedSummary(c.Config, c.ConfigDigest)
+	return s.configured(Configured{Now: now, Event: config.SummaryReceived{Now: now, Peer: from, Summary: mark}})
 }
 
 func (s *State) reported(e Reported) []Effect {
@@ -230,7 +230,7 @@
 		Samples:  s.loads.Pack(now, samplesTold, s.self),
 		Suspects: s.book.Gossip(now, suspectsTold),
 	}
-	if mark := s.config.Set().Mark(); mark.Version > 0 {
+	if mark := s.config.Set().Summary(); mark.Version > 0 {
 		c.Config, c.ConfigDigest = mark.Version, mark.Digest
 	}
 	return c
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -116,7 +116,7 @@
 	GinkgoHelper()
 	b, err := json.Marshal(v)
 	Expect(err).NotTo(HaveOccurred())
-	edit := change.Edit{Base: change.Current{Ref: ref}, Spec: b, Author: "test"}
+	edit := change.Edit{Base: change.StoredObject{Ref: ref}, Spec: b, Author: "test"}
 	result := change.NewEditor(f.store).Commit(context.Background(), edit)
 	Expect(result.Outcome).To(Equal(change.Applied))
 }
