--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// forgetAfter is how long what an upstream has said outlives its entry in the list. Entries
+	// retainUnlistedFor is how long what an upstream has said outlives its entry in the list. Entries
 	// lapse while the platform's store is away, and come back.
-	forgetAfter = 10 * time.Minute
+	retainUnlistedFor = 10 * time.Minute
 	// unreachableFor is how long an upstream is unreachable to which no connection could be
 	// opened. It is this router's own experience: the way of others may be whole.
 	unreachableFor = 2 * time.Second
@@ -27,12 +27,12 @@
 
 // record is what is noted of one upstream.
 type record struct {
-	leaving     time.Time // when it said so first in an answer to this router; zero: it has not
-	told        time.Time // when another router told first that it has said so; zero: none has
-	asked       time.Time // when it asked for rest first, of the present one
-	resting     time.Time // until when
-	unreachable time.Time // until when
-	listed      time.Time // when it was in the list last, or something was noted
+	leavingSince         time.Time // when it said so first in an answer to this router; zero: it has not
+	reportedLeavingSince time.Time // when another router told first that it has said so; zero: none has
+	restingSince         time.Time // when it asked for rest first, of the present one
+	restingUntil         time.Time // until when
+	unreachableUntil     time.Time // until when
+	lastListed           time.Time // when it was in the list last, or something was noted
 }
 
 // NewObservations returns a Book that has heard nothing.
@@ -45,45 +45,45 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(now, vm)
-	news := r.leaving.IsZero()
-	if news {
-		r.leaving = now
+	isNew := r.leavingSince.IsZero()
+	if isNew {
+		r.leavingSince = now
 	}
-	return news
+	return isNew
 }
 
 // RecordReportedLeaving notes that another router has heard an upstream say that it leaves.
 func (b *Observations) RecordReportedLeaving(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r := b.record(now, vm); r.told.IsZero() {
-		r.told = now
+	if r := b.record(now, vm); r.reportedLeavingSince.IsZero() {
+		r.reportedLeavingSince = now
 	}
 }
 
 // Leaving returns the upstreams that have said that they leave, the latest first: to this
 // router, or also to those that have told it.
-func (b *Observations) Leaving(told bool) []string {
+func (b *Observations) Leaving(includeReported bool) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
 	for vm, r := range b.records {
-		if !r.leaving.IsZero() || told && !r.told.IsZero() {
+		if !r.leavingSince.IsZero() || includeReported && !r.reportedLeavingSince.IsZero() {
 			out = append(out, vm)
 		}
 	}
 	slices.SortFunc(out, func(x, y string) int {
-		return cmp.Or(b.records[y].left().Compare(b.records[x].left()), cmp.Compare(x, y))
+		return cmp.Or(b.records[y].firstLeaving().Compare(b.records[x].firstLeaving()), cmp.Compare(x, y))
 	})
 	return out
 }
 
-// left returns when the upstream was first known to leave; zero: it is not.
-func (r *record) left() time.Time {
-	if r.leaving.IsZero() || !r.told.IsZero() && r.told.Before(r.leaving) {
-		return r.told
+// firstLeaving returns when the upstream was first known to leave; zero: it is not.
+func (r *record) firstLeaving() time.Time {
+	if r.leavingSince.IsZero() || !r.reportedLeavingSince.IsZero() && r.reportedLeavingSince.Before(r.leavingSince) {
+		return r.reportedLeavingSince
 	}
-	return r.leaving
+	return r.leavingSince
 }
 
 // RecordResting notes that an upstream wants nothing from this router for a time. Each wish holds to
@@ -92,17 +92,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(now, vm)
-	if !now.Before(r.resting) {
-		r.asked = now
+	if !now.Before(r.restingUntil) {
+		r.restingSince = now
 	}
-	r.resting = latest(r.resting, now.Add(d))
+	r.restingUntil = latest(r.restingUntil, now.Add(d))
 }
 
 // RecordUnreachable notes that no connection to an upstream could be opened.
 func (b *Observations) RecordUnreachable(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.record(now, vm).unreachable = now.Add(unreachableFor)
+	b.record(now, vm).unreachableUntil = now.Add(unreachableFor)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -118,7 +118,7 @@
 		r = &record{}
 		b.records[vm] = r
 	}
-	r.listed = now
+	r.lastListed = now
 	return r
 }
 
@@ -130,18 +130,18 @@
 	if r == nil {
 		return 0
 	}
-	return r.set(now)
+	return r.conditions(now)
 }
 
-func (r *record) set(now time.Time) Set {
+func (r *record) conditions(now time.Time) Set {
 	var s Set
-	if !r.left().IsZero() {
+	if !r.firstLeaving().IsZero() {
 		s |= Of(Leaving)
 	}
-	if now.Before(r.resting) {
+	if now.Before(r.restingUntil) {
 		s |= Of(Resting)
 	}
-	if now.Before(r.unreachable) {
+	if now.Before(r.unreachableUntil) {
 		s |= Of(Unreachable)
 	}
 	return s
@@ -159,10 +159,10 @@
 	switch {
 	case r == nil:
 		return 0
-	case !r.left().IsZero():
+	case !r.firstLeaving().IsZero():
 		return Forever
 	}
-	return max(r.resting.Sub(now), 0)
+	return max(r.restingUntil.Sub(now), 0)
 }
 
 // Empty reports whether nothing is noted of any upstream.
@@ -179,11 +179,11 @@
 	defer b.mu.Unlock()
 	for vm, r := range b.records {
 		switch {
-		case r.set(now) == 0:
+		case r.conditions(now) == 0:
 			delete(b.records, vm)
 		case listed(vm):
-			r.listed = now
-		case now.Sub(r.listed) >= forgetAfter:
+			r.lastListed = now
+		case now.Sub(r.lastListed) >= retainUnlistedFor:
 			delete(b.records, vm)
 		}
 	}
@@ -219,18 +219,18 @@
 		return nil
 	}
 	var out []Statement
-	s := r.set(now)
-	if !r.leaving.IsZero() {
-		out = append(out, Statement{Kind: Leaving, By: ByAnswers, Since: r.leaving})
+	s := r.conditions(now)
+	if !r.leavingSince.IsZero() {
+		out = append(out, Statement{Kind: Leaving, By: ByAnswers, Since: r.leavingSince})
 	}
-	if !r.told.IsZero() {
-		out = append(out, Statement{Kind: Leaving, By: ByRouters, Since: r.told})
+	if !r.reportedLeavingSince.IsZero() {
+		out = append(out, Statement{Kind: Leaving, By: ByRouters, Since: r.reportedLeavingSince})
 	}
 	if s.Has(Resting) {
-		out = append(out, Statement{Kind: Resting, By: ByAnswers, Since: r.asked, Until: r.resting})
+		out = append(out, Statement{Kind: Resting, By: ByAnswers, Since: r.restingSince, Until: r.restingUntil})
 	}
 	if s.Has(Unreachable) {
-		out = append(out, Statement{Kind: Unreachable, By: ByConnections, Since: r.unreachable.Add(-unreachableFor), Until: r.unreachable})
+		out = append(out, Statement{Kind: Unreachable, By: ByConnections, Since: r.unreachableUntil.Add(-unreachableFor), Until: r.unreachableUntil})
 	}
 	return out
 }
--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -10,7 +10,7 @@
 const engine = "engine-7"
 
 // Guards against a rest that is cut short by a shorter wish that comes after it.
-func TestEachWishForRestHoldsToItsEnd(t *testing.T) {
+func TestRestIsNotShortened(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	b.RecordResting(now, engine, 10*time.Second)
 	b.RecordResting(now.Add(time.Second), engine, time.Second)
@@ -24,7 +24,7 @@
 }
 
 // Guards against work for an upstream that leaves, after its entry has lapsed and come back.
-func TestWordOutlivesTheEntry(t *testing.T) {
+func TestLeavingOutlivesTheEntry(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	if !b.RecordLeaving(now, engine) || b.RecordLeaving(now, engine) {
 		t.Error("only the first word is news")
@@ -36,9 +36,9 @@
 		leaving bool
 	}{
 		{time.Hour, listed, true},
-		{time.Hour + forgetAfter/2, gone, true},
-		{time.Hour + forgetAfter, listed, true},
-		{time.Hour + 2*forgetAfter, gone, false},
+		{time.Hour + retainUnlistedFor/2, gone, true},
+		{time.Hour + retainUnlistedFor, listed, true},
+		{time.Hour + 2*retainUnlistedFor, gone, false},
 	} {
 		at := now.Add(step.after)
 		b.Prune(at, step.listed)
@@ -49,12 +49,12 @@
 }
 
 // Guards against callers that are told a wrong time to come back.
-func TestOpens(t *testing.T) {
+func TestAvailableIn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name string
-		note func(*Observations)
-		want time.Duration
+		name   string
+		record func(*Observations)
+		want   time.Duration
 	}{
 		{"nothing", func(*Observations) {}, 0},
 		{"a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second) }, time.Second},
@@ -63,7 +63,7 @@
 		{"leaving, in a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second); b.RecordLeaving(now, engine) }, Forever},
 	} {
 		b := NewObservations()
-		c.note(b)
+		c.record(b)
 		if got := b.AvailableIn(now, engine); got != c.want {
 			t.Errorf("%s: opens in %v, want %v", c.name, got, c.want)
 		}
@@ -71,7 +71,7 @@
 }
 
 // Guards against a memory that grows with each upstream that could not be reached once.
-func TestWhatIsOverIsForgotten(t *testing.T) {
+func TestExpiredRecordsArePruned(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	for i := range 100 {
 		vm := fmt.Sprint("engine-", i)
--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -77,13 +77,13 @@
 	Freely                   // like any other
 )
 
-var leaveNames = [...]string{"never", "last", "freely"}
+var permissionNames = [...]string{"never", "last", "freely"}
 
 // String returns the name of the degree.
-func (l Permission) String() string { return leaveNames[l] }
+func (p Permission) String() string { return permissionNames[p] }
 
-// leaves is what each kind allows by itself.
-var leaves = [useCount][kindCount]Permission{
+// permissions is what each kind allows by itself.
+var permissions = [useCount][kindCount]Permission{
 	Work: {
 		Gone: Never, OutOfRegion: Never, Drained: Never, Leaving: Never, Resting: Never, Cold: Never,
 		Unreachable: Last, Suspected: Last,
@@ -116,16 +116,16 @@
 // Allows returns how far the upstream may be used, and what says so: the kind that allows
 // least, the first of several.
 func (s Set) Allows(u Use) (Permission, Kind) {
-	least, by := Freely, kindCount
+	strictest, by := Freely, kindCount
 	if s == 0 {
-		return least, by
+		return strictest, by
 	}
-	for k, leave := range leaves[u] {
-		if s.Has(Kind(k)) && leave < least {
-			least, by = leave, Kind(k)
+	for k, permission := range permissions[u] {
+		if s.Has(Kind(k)) && permission < strictest {
+			strictest, by = permission, Kind(k)
 		}
 	}
-	return least, by
+	return strictest, by
 }
 
 // String names the kinds of the Set.
--- a/internal/condition/condition_test.go
+++ b/internal/condition/condition_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// page is where the table of what conditions allow stands for readers.
-const page = "../../docs/design/0016-conditions-of-upstreams.md"
+// conditionsPage is where the table of what conditions allow stands for readers.
+const conditionsPage = "../../docs/design/0016-conditions-of-upstreams.md"
 
-// rows returns the table of the page: cells by the name of their row.
-func rows(t *testing.T) map[string][]string {
-	text, err := os.ReadFile(page)
+// tableRows returns the table of the page: cells by the name of their row.
+func tableRows(t *testing.T) map[string][]string {
+	text, err := os.ReadFile(conditionsPage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,20 +29,20 @@
 }
 
 // Guards against a page that says otherwise than the code.
-func TestPageHasTheTable(t *testing.T) {
-	table := rows(t)
+func TestPageMatchesPermissions(t *testing.T) {
+	table := tableRows(t)
 	for _, k := range Kinds() {
 		for i, u := range Uses() {
-			leave, _ := Of(k).Allows(u)
-			if cells := table[k.String()]; len(cells) <= i || cells[i] != leave.String() {
-				t.Errorf("%s has %v for %q, want %s for %s", page, cells, k, leave, u)
+			permission, _ := Of(k).Allows(u)
+			if cells := table[k.String()]; len(cells) <= i || cells[i] != permission.String() {
+				t.Errorf("%s has %v for %q, want %s for %s", conditionsPage, cells, k, permission, u)
 			}
 		}
 	}
 }
 
 // Guards against a set that allows more than one of its kinds does, or names another reason.
-func TestSetsAllowTheLeast(t *testing.T) {
+func TestSetsAllowTheStrictestPermission(t *testing.T) {
 	for s := Set(0); s < 1<<kindCount; s++ {
 		for _, u := range Uses() {
 			want, by := Freely, kindCount
@@ -51,8 +51,8 @@
 					want, by = alone, k
 				}
 			}
-			if got, why := s.Allows(u); got != want || why != by {
-				t.Errorf("%q for %s: %s since %s, want %s since %s", s, u, got, why, want, by)
+			if got, gotBy := s.Allows(u); got != want || gotBy != by {
+				t.Errorf("%q for %s: %s since %s, want %s since %s", s, u, got, gotBy, want, by)
 			}
 		}
 	}
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// rebaseAfter is how many spans a Clock lets weights grow. They are e^4 then, far from
+// rebaseAfterSpans is how many spans a Clock lets weights grow. They are e^4 then, far from
 // where a float loses precision.
-const rebaseAfter = 4
+const rebaseAfterSpans = 4
 
 // Clock gives weights.
 type Clock struct {
 	span  time.Duration // in which a weight falls to 1/e
-	since time.Time     // when an event weighed one
+	epoch time.Time     // when an event weighed one
 }
 
 // NewClock returns a Clock by which an event's weight falls to 1/e in span.
@@ -29,16 +29,16 @@
 
 // Weight returns what an event at now weighs.
 func (c *Clock) Weight(now time.Time) float64 {
-	return math.Exp(now.Sub(c.since).Seconds() / c.span.Seconds())
+	return math.Exp(now.Sub(c.epoch).Seconds() / c.span.Seconds())
 }
 
 // Rebase returns by what all that was counted is to be divided first, and whether that
 // is due. From then on an event at now weighs one.
 func (c *Clock) Rebase(now time.Time) (weight float64, due bool) {
-	if now.Sub(c.since) <= rebaseAfter*c.span {
+	if now.Sub(c.epoch) <= rebaseAfterSpans*c.span {
 		return 1, false
 	}
 	weight = c.Weight(now)
-	c.since = now
+	c.epoch = now
 	return weight, true
 }
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -8,7 +8,7 @@
 
 // Events come every tenth of a second for a minute. Whatever the moment at which
 // weights are worked out anew, the sum stays what an exponential window holds.
-func TestSumIsThatOfAWindow(t *testing.T) {
+func TestSumIsThatOfExponentialWindow(t *testing.T) {
 	const span, gap = 2 * time.Second, 100 * time.Millisecond
 	c := NewClock(span)
 	now, sum := time.Unix(1_000_000, 0), 0.0
--- a/internal/load/pace_test.go
+++ b/internal/load/pace_test.go
@@ -9,18 +9,18 @@
 // One of two booking services becomes five times slower, and is well again later. The
 // router knows the first after a few answers and forgets it when it sends nothing more
 // there; a service that others use meanwhile is what it was.
-func TestPaceKnowsASlowUpstreamAndForgetsIt(t *testing.T) {
+func TestRelativeLatencyDetectsAndForgetsSlowUpstream(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
-	const usual = 60 * time.Millisecond
+	const typical = 60 * time.Millisecond
 	answer := func(vm VM, d time.Duration, n int) {
 		for range n {
 			now = now.Add(50 * time.Millisecond)
 			p.RecordAnswer(now, vm, "login", d)
 		}
 	}
-	answer(1, usual, 20)
-	answer(2, usual, 20)
-	answer(2, 5*usual, 4)
+	answer(1, typical, 20)
+	answer(2, typical, 20)
+	answer(2, 5*typical, 4)
 	if got := p.Factor(now, 2); got < 2.5 {
 		t.Errorf("after four slow answers it counts as %.2f times slower", got)
 	}
@@ -35,7 +35,7 @@
 
 // Kinds of request take different times. An upstream that happens to get the long ones
 // is no slower for that.
-func TestPaceComparesWithTheSameKind(t *testing.T) {
+func TestRelativeLatencyComparesSameKind(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	for range 40 {
 		now = now.Add(20 * time.Millisecond)
@@ -48,11 +48,11 @@
 }
 
 // Answers that come at once, and a single one that takes very long, say little.
-func TestPaceIsNotCarriedAwayByOneAnswer(t *testing.T) {
+func TestRelativeLatencyBoundsSingleAnswer(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	p.RecordAnswer(now, 1, "login", 0)
 	p.RecordAnswer(now, 1, "login", time.Hour)
-	if got := p.Factor(now, 1); got > 1+paceShare*paceMost {
+	if got := p.Factor(now, 1); got > 1+latencySmoothing*maxLatencyFactor {
 		t.Errorf("slowness %.2f", got)
 	}
 	p.Keep(nil)
@@ -63,7 +63,7 @@
 
 // A request that fails after its upstream hung for two seconds says that it is slow, one
 // that fails at once that it costs a second attempt, neither that it is fast.
-func TestPaceTakesNoFailureForAFastAnswer(t *testing.T) {
+func TestRelativeLatencyCountsFailuresAsSlow(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	p.RecordFailure(now, 3, "unknown", time.Second)
 	for range 20 {
@@ -71,7 +71,7 @@
 		p.RecordAnswer(now, 1, "login", 60*time.Millisecond)
 		p.RecordFailure(now, 2, "login", time.Millisecond)
 	}
-	if got := p.Factor(now, 2); got < 1.5 || got > failedCounts {
+	if got := p.Factor(now, 2); got < 1.5 || got > failureFactor {
 		t.Errorf("one that fails at once counts as %.2f times slower", got)
 	}
 	p.RecordFailure(now, 2, "login", 2*time.Second)
--- a/internal/load/pack.go
+++ b/internal/load/pack.go
@@ -81,24 +81,24 @@
 	}
 	ms := now.UnixMilli()
 	for b := packed; len(b) > 0; b = b[sampleSize:] {
-		if e := unpack(b, ms); !t.outdoes(&e) {
+		if e := unpack(b, ms); !t.hasHigherLoad(&e) {
 			t.put(e)
 		}
 	}
 	return nil
 }
 
-// outdoes reports whether a sample of the same moment is known that tells of more
+// hasHigherLoad reports whether a sample of the same moment is known that tells of more
 // load than e. In a burst, samples pass each other on the way, and their times do not
 // tell which is the later one. The one with less load was mostly taken before the
 // burst: in place of the other, it makes upstreams with room refuse.
-func (t *Table) outdoes(e *entry) bool {
+func (t *Table) hasHigherLoad(e *entry) bool {
 	i, ok := t.index[e.vm]
 	if !ok {
 		return false
 	}
-	known := &t.entries[i]
-	return known.at == e.at && known.state == e.state && known.load > e.load
+	held := &t.entries[i]
+	return held.at == e.at && held.state == e.state && held.load > e.load
 }
 
 func unpack(b []byte, ms int64) entry {
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -19,29 +19,29 @@
 
 // A router sends an upstream few of its requests and hears from it once in a while.
 // What the router that it relies on has heard meanwhile takes the place of the mean.
-func TestKnownLoadsReachThoseThatRely(t *testing.T) {
+func TestKnownLoadsReachSubscribers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := vms(rapid.IntRange(1, 2*sharedMost).Draw(t, "upstreams"))
+		members := vms(rapid.IntRange(1, 2*maxSharedEntries).Draw(t, "upstreams"))
 		reader, router := NewPoolLoad(), NewPoolLoad()
 		highest := 0
 		for _, vm := range members {
-			load := rapid.IntRange(0, loadMost).Draw(t, "load")
+			load := rapid.IntRange(0, maxSharedLoad).Draw(t, "load")
 			reader.Observe(start, vm, load)
 			highest = max(highest, load)
 		}
 		if err := router.MergeKnown(start, members, reader.PackKnown(start, members)); err != nil {
 			t.Fatal(err)
 		}
-		seen := 0.0
+		highestSeen := 0.0
 		for _, vm := range members {
 			got, want := router.Load(start, vm), reader.Load(start, vm)
-			seen = max(seen, got)
-			if len(members) <= sharedMost && got != want {
+			highestSeen = max(highestSeen, got)
+			if len(members) <= maxSharedEntries && got != want {
 				t.Errorf("load %v, want %v", got, want)
 			}
 		}
-		if seen != float64(highest) {
-			t.Errorf("the highest load is %v, want %d", seen, highest)
+		if highestSeen != float64(highest) {
+			t.Errorf("the highest load is %v, want %d", highestSeen, highest)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 // room: 81 of 2410 requests went to upstreams over the operators' bound beside a hot
 // session. One of 2,900 upstreams does not fit into a message, and is known within a round
 // of them.
-func TestLargePoolsAreToldInFull(t *testing.T) {
+func TestLargePoolsArePublishedInFull(t *testing.T) {
 	for _, c := range []struct{ upstreams, messages int }{{117, 1}, {160, 1}, {400, 4}, {2900, 23}} {
 		members := vms(c.upstreams)
 		reader, router := NewPoolLoad(), NewPoolLoad()
@@ -87,23 +87,23 @@
 	members := vms(1)
 	first, second, last := NewPoolLoad(), NewPoolLoad(), NewPoolLoad()
 	first.Observe(start, members[0], 20)
-	then := start.Add(500 * time.Millisecond)
-	if err := second.MergeObserved(then, members, first.PackObserved(then, time.Time{}, members)); err != nil {
+	afterHalfSecond := start.Add(500 * time.Millisecond)
+	if err := second.MergeObserved(afterHalfSecond, members, first.PackObserved(afterHalfSecond, time.Time{}, members)); err != nil {
 		t.Fatal(err)
 	}
-	last.Observe(then, members[0], 3)
+	last.Observe(afterHalfSecond, members[0], 3)
 	now := start.Add(900 * time.Millisecond)
 	if err := last.MergeKnown(now, members, second.PackKnown(now, members)); err != nil {
 		t.Fatal(err)
 	}
-	if got := last.Load(then, members[0]); got > 4 {
+	if got := last.Load(afterHalfSecond, members[0]); got > 4 {
 		t.Errorf("load %.1f, want the newer 3", got)
 	}
 }
 
 // Two routers tell each other loads. If each passed on what it has only from the
 // other, a load that was true once would go between them for good.
-func TestToldLoadsAreNotToldBack(t *testing.T) {
+func TestReceivedLoadsAreNotSentBack(t *testing.T) {
 	members := vms(3)
 	reader, router := NewPoolLoad(), NewPoolLoad()
 	reader.Observe(start, members[0], 9)
@@ -121,25 +121,25 @@
 	if got := reader.Load(start.Add(time.Millisecond), members[1]); got != 4 {
 		t.Errorf("the reader believes in %v, want what the router has heard, 4", got)
 	}
-	late := start.Add(time.Millisecond + sharedFor + 1)
+	late := start.Add(time.Millisecond + maxSharedAge + 1)
 	if b := reader.PackKnown(late, members); b != nil {
 		t.Errorf("the reader still tells %v when it is old", b)
 	}
 }
 
 // An upstream's own word is newer than what another router heard of it before.
-func TestOwnWordGoesBeforeAnothersForAMoment(t *testing.T) {
+func TestOwnReportBrieflyTakesPrecedence(t *testing.T) {
 	members := vms(1)
 	reader, router := NewPoolLoad(), NewPoolLoad()
 	reader.Observe(start, members[0], 20)
-	told := reader.PackKnown(start, members)
+	packed := reader.PackKnown(start, members)
 	router.Observe(start, members[0], 3)
 	for _, c := range []struct {
 		after time.Duration
 		want  float64
-	}{{ownWordFor - 1, 3}, {ownWordFor, 20}} {
+	}{{ownReportPrecedence - 1, 3}, {ownReportPrecedence, 20}} {
 		now := start.Add(c.after)
-		if err := router.MergeKnown(now, members, told); err != nil {
+		if err := router.MergeKnown(now, members, packed); err != nil {
 			t.Fatal(err)
 		}
 		if got := router.Load(now, members[0]); math.Abs(got-c.want) > 0.5 {
@@ -150,21 +150,21 @@
 
 // What is not known of an upstream's load counts against it, the more of it there
 // is and the longer ago the upstream has told.
-func TestUpperGrowsWithAge(t *testing.T) {
+func TestUpperBoundGrowsWithAge(t *testing.T) {
 	a := NewPoolLoad()
 	for _, vm := range vms(4) {
 		a.Observe(start, vm, 9)
 	}
-	vm, former := VM(1), 9.0
+	vm, previous := VM(1), 9.0
 	for _, age := range []time.Duration{0, time.Second, 4 * time.Second} {
 		upper := a.UpperBound(start.Add(age), vm)
-		if upper < former {
-			t.Errorf("upper bound %v after %v, want at least %v", upper, age, former)
+		if upper < previous {
+			t.Errorf("upper bound %v after %v, want at least %v", upper, age, previous)
 		}
-		former = upper
+		previous = upper
 	}
-	if limit := 9 + upperDeviations*3; former > limit {
-		t.Errorf("upper bound %v, want at most %v", former, limit)
+	if limit := 9 + upperDeviations*3; previous > limit {
+		t.Errorf("upper bound %v, want at most %v", previous, limit)
 	}
 }
 
@@ -179,11 +179,11 @@
 	f.Add([]byte{0, 1, 255, 255, 0, 1, 7, 0})
 	f.Add([]byte{9})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		tally := NewPoolLoad()
-		err := tally.MergeKnown(start, members, b)
+		loads := NewPoolLoad()
+		err := loads.MergeKnown(start, members, b)
 		for _, vm := range members {
-			l := tally.Load(start, vm)
-			if l < 0 || l > loadMost+1 || err != nil && l != 0 {
+			l := loads.Load(start, vm)
+			if l < 0 || l > maxSharedLoad+1 || err != nil && l != 0 {
 				t.Fatalf("load %v, error %v", l, err)
 			}
 		}
@@ -192,7 +192,7 @@
 
 // A router that sends everything itself knows all loads; one of many knows what it is
 // told.
-func TestSeenIsTheOwnPart(t *testing.T) {
+func TestOwnShare(t *testing.T) {
 	for _, c := range []struct {
 		own, told int
 		want      float64
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// stream has an engine make events of a stream for a second, with a pause between them.
-func stream(s *Speed, now time.Time, vm VM, pause time.Duration) {
-	for at := time.Duration(0); at < time.Second; at += pause {
-		s.RecordEvents(now.Add(at), vm, "chat", 1, pause)
+// recordStream has an engine make events of a recordStream for a second, with a pause between them.
+func recordStream(s *Speed, now time.Time, vm VM, interval time.Duration) {
+	for at := time.Duration(0); at < time.Second; at += interval {
+		s.RecordEvents(now.Add(at), vm, "chat", 1, interval)
 	}
 }
 
 // Two of five engines come to work five times slower. Their loads do not tell: they hold as
 // many requests as the others, and keep them five times as long. The pauses between the
 // events of their streams do, within a second, also to a router that has sent them nothing.
-func TestSlowEnginesAreKnownByTheirPauses(t *testing.T) {
+func TestSlowEnginesAreDetectedByEventIntervals(t *testing.T) {
 	members := vms(5)
 	router, reader, other := NewSpeed(), NewSpeed(), NewSpeed()
 	for _, vm := range members {
-		stream(router, start, vm, 40*time.Millisecond)
-		stream(other, start, vm, 40*time.Millisecond)
+		recordStream(router, start, vm, 40*time.Millisecond)
+		recordStream(other, start, vm, 40*time.Millisecond)
 	}
 	now := start.Add(time.Second)
 	if err := reader.MergeReport(now, members, router.Report(members)); err != nil {
 		t.Fatal(err)
 	}
 	for i, vm := range members {
-		pause := 40 * time.Millisecond
+		interval := 40 * time.Millisecond
 		if i < 2 {
-			pause *= 5
+			interval *= 5
 		}
-		stream(router, now, vm, pause)
+		recordStream(router, now, vm, interval)
 	}
 	now = now.Add(time.Second)
 	if err := reader.MergeReport(now, members, router.Report(members)); err != nil {
@@ -43,25 +43,25 @@
 	}
 	for _, s := range []*Speed{router, other} {
 		for i, vm := range members {
-			if slow := s.Slowdown(now, vm); (slow > slowTold) != (i < 2) {
-				t.Errorf("engine %d is taken to be %.2f times slower", i, slow)
+			if slowdown := s.Slowdown(now, vm); (slowdown > minSummarySlowdown) != (i < 2) {
+				t.Errorf("engine %d is taken to be %.2f times slower", i, slowdown)
 			}
 		}
 	}
 	// It is forgotten when the engine works as before.
 	for _, vm := range members {
-		stream(router, now, vm, 40*time.Millisecond)
-		stream(router, now.Add(time.Second), vm, 40*time.Millisecond)
+		recordStream(router, now, vm, 40*time.Millisecond)
+		recordStream(router, now.Add(time.Second), vm, 40*time.Millisecond)
 	}
-	if slow := router.Slowdown(now.Add(2*time.Second), members[0]); slow > slowTold {
-		t.Errorf("two seconds after the engine has recovered it is taken to be %.2f times slower", slow)
+	if slowdown := router.Slowdown(now.Add(2*time.Second), members[0]); slowdown > minSummarySlowdown {
+		t.Errorf("two seconds after the engine has recovered it is taken to be %.2f times slower", slowdown)
 	}
 }
 
 // An engine with 16 places serves answers of a second each, so that behind 8 requests that
 // wait another one waits for half a second. If prompts that have to be read make that
 // longer, the waits themselves tell.
-func TestWaitsAreExpectedFromAnswersAndThenFromWaits(t *testing.T) {
+func TestEstimateUsesAnswersThenObservedWaits(t *testing.T) {
 	s, now := NewSpeed(), start
 	for range 50 {
 		s.RecordAnswer(now, 1, "chat", time.Second)
@@ -79,22 +79,22 @@
 }
 
 // Of what a router awaits most is of little urgency: an urgent request goes before it.
-func TestUrgentRequestsWaitBehindFew(t *testing.T) {
-	var m UrgencyMix
+func TestUrgentRequestsHaveFewAhead(t *testing.T) {
+	var mix UrgencyMix
 	for range 9 {
-		m.AddWaiting(7)
+		mix.AddWaiting(7)
 	}
-	m.AddWaiting(0)
-	if got := m.FractionAhead(0); math.Abs(got-2.0/11) > 1e-9 {
+	mix.AddWaiting(0)
+	if got := mix.FractionAhead(0); math.Abs(got-2.0/11) > 1e-9 {
 		t.Errorf("%.3f of what waits goes before an urgent request", got)
 	}
-	if got := m.FractionAhead(7); got != 1 {
+	if got := mix.FractionAhead(7); got != 1 {
 		t.Errorf("%.3f goes before one of little urgency", got)
 	}
 	for range 9 {
-		m.RemoveWaiting(7)
+		mix.RemoveWaiting(7)
 	}
-	if got := m.FractionAhead(0); got != 1 {
+	if got := mix.FractionAhead(0); got != 1 {
 		t.Errorf("%.3f goes before an urgent one when only urgent ones wait", got)
 	}
 }
@@ -103,8 +103,8 @@
 func FuzzSpeeds(f *testing.F) {
 	members := vms(5)
 	known := NewSpeed()
-	stream(known, start, 3, 40*time.Millisecond)
-	stream(known, start, 3, 400*time.Millisecond)
+	recordStream(known, start, 3, 40*time.Millisecond)
+	recordStream(known, start, 3, 400*time.Millisecond)
 	f.Add(known.Summary(start, members))
 	f.Add(known.Report(members))
 	f.Add([]byte{0, 1, 0, 255, 0, 2, 255, 0})
@@ -114,8 +114,8 @@
 		_ = s.MergeReport(start, members, b)
 		_ = s.MergeSummary(start, members, b)
 		for _, vm := range members {
-			if slow := s.Slowdown(start, vm); !(slow > 0 && slow < 2*speedMost) {
-				t.Fatalf("slowness %v", slow)
+			if slowdown := s.Slowdown(start, vm); !(slowdown > 0 && slowdown < 2*maxIntervalFactor) {
+				t.Fatalf("slowness %v", slowdown)
 			}
 		}
 	})
@@ -124,17 +124,17 @@
 // A router has just started, or has served no stream for an hour. What it is told of slow
 // engines then must mean the same to it as to any other: weights that were worked out for
 // another time would make of it a number that is none, and all that follows from it.
-func TestQuietRoutersTakeInWhatTheyAreTold(t *testing.T) {
+func TestIdleRoutersMergeSummaries(t *testing.T) {
 	members := vms(2)
 	reader := NewSpeed()
-	stream(reader, start, members[1], 40*time.Millisecond)
-	stream(reader, start.Add(time.Second), members[0], 400*time.Millisecond)
+	recordStream(reader, start, members[1], 40*time.Millisecond)
+	recordStream(reader, start.Add(time.Second), members[0], 400*time.Millisecond)
 	now := start.Add(2 * time.Second)
-	told := reader.Summary(now, members)
-	started, quiet := NewSpeed(), NewSpeed()
-	stream(quiet, now.Add(-time.Hour), members[1], 40*time.Millisecond)
-	for name, s := range map[string]*Speed{"started": started, "quiet": quiet} {
-		if err := s.MergeSummary(now, members, told); err != nil {
+	summary := reader.Summary(now, members)
+	started, idle := NewSpeed(), NewSpeed()
+	recordStream(idle, now.Add(-time.Hour), members[1], 40*time.Millisecond)
+	for name, s := range map[string]*Speed{"started": started, "quiet": idle} {
+		if err := s.MergeSummary(now, members, summary); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := s.Slowdown(now, members[0]), reader.Slowdown(now, members[0]); !(math.Abs(got-want) < 0.3) {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -13,7 +13,7 @@
 type Table struct {
 	entries []entry
 	index   map[VM]int
-	serving sums
+	serving poolTotals
 	trend   trend
 	// expiry is when the first sample may be too old, in milliseconds.
 	expiry int64
@@ -28,21 +28,21 @@
 	at     int64 // when it was true, in milliseconds
 }
 
-// sums are kept over the upstreams that serve, so that the mean costs the same
+// poolTotals are kept over the upstreams that serve, so that the mean costs the same
 // in a pool of any size.
-type sums struct {
+type poolTotals struct {
 	known, loads, weights int64
-	times                 int64 // of the samples times weight, in milliseconds
+	weightedTimes         int64 // of the samples times weight, in milliseconds
 }
 
-func (s *sums) add(e *entry, sign int64) {
+func (s *poolTotals) add(e *entry, sign int64) {
 	if e.state != Serving {
 		return
 	}
 	s.known += sign
 	s.loads += sign * int64(e.load)
 	s.weights += sign * int64(e.weight)
-	s.times += sign * int64(e.weight) * e.at
+	s.weightedTimes += sign * int64(e.weight) * e.at
 }
 
 // NewTable returns an empty Table.
@@ -63,8 +63,8 @@
 
 // Keep forgets every upstream that is not among members.
 func (t *Table) Keep(members []VM) {
-	wanted := SetOf(members)
-	t.removeIf(func(e *entry) bool { return !wanted[e.vm] })
+	kept := SetOf(members)
+	t.removeIf(func(e *entry) bool { return !kept[e.vm] })
 }
 
 // Get returns the last report of an upstream, if it is not too old, with the
@@ -77,7 +77,7 @@
 	}
 	e := &t.entries[i]
 	age := float64(ms-e.at) / 1000
-	load := t.trend.ahead(float64(e.load), float64(e.weight), age)
+	load := t.trend.extrapolate(float64(e.load), float64(e.weight), age)
 	return Report{Load: int(math.Round(load)), Weight: int(e.weight), State: e.state}, true
 }
 
@@ -92,8 +92,8 @@
 		return 0, 0
 	}
 	mean = float64(s.loads) / float64(s.weights)
-	age := float64(ms-s.times/s.weights) / 1000
-	return t.trend.ahead(mean, 1, age), int(s.known)
+	age := float64(ms-s.weightedTimes/s.weights) / 1000
+	return t.trend.extrapolate(mean, 1, age), int(s.known)
 }
 
 // put records a sample unless a newer one is known.
@@ -103,11 +103,11 @@
 		return
 	}
 	if ok {
-		t.trend.learn(&t.entries[i], &e)
+		t.trend.observe(&t.entries[i], &e)
 		t.serving.add(&t.entries[i], -1)
 		t.entries[i] = e
 	} else {
-		t.makeRoom()
+		t.evictIfFull()
 		t.index[e.vm] = len(t.entries)
 		t.entries = append(t.entries, e)
 	}
@@ -115,8 +115,8 @@
 	t.expiry = min(t.expiry, e.at+maxAge.Milliseconds())
 }
 
-// makeRoom drops the oldest sample of a full table.
-func (t *Table) makeRoom() {
+// evictIfFull drops the oldest sample of a full table.
+func (t *Table) evictIfFull() {
 	if len(t.entries) < maxEntries {
 		return
 	}
@@ -141,9 +141,9 @@
 	}
 }
 
-func (t *Table) removeIf(unwanted func(*entry) bool) {
+func (t *Table) removeIf(matches func(*entry) bool) {
 	for i := len(t.entries) - 1; i >= 0; i-- {
-		if unwanted(&t.entries[i]) {
+		if matches(&t.entries[i]) {
 			t.remove(i)
 		}
 	}
--- a/internal/load/table_test.go
+++ b/internal/load/table_test.go
@@ -31,7 +31,7 @@
 
 // A sample that goes from node to node must grow old on its way: were it to
 // look newer, two nodes could keep a dead upstream's load alive between them.
-func TestSamplesGrowOldInCirculation(t *testing.T) {
+func TestSamplesAgeInCirculation(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(start, 1, Report{Load: 9})
 	now := start
@@ -50,8 +50,8 @@
 	}
 }
 
-// hear has table hear of each upstream i every(i) seconds, age seconds late.
-func hear(table *Table, upstreams, seconds, age int, every func(int) int, load func(i, second int) int) (now time.Time) {
+// receiveSamples has table receiveSamples of each upstream i every(i) seconds, age seconds late.
+func receiveSamples(table *Table, upstreams, seconds, age int, every func(int) int, load func(i, second int) int) (now time.Time) {
 	for s := range seconds {
 		now = start.Add(time.Duration(s+age) * time.Second)
 		for i := range upstreams {
@@ -72,10 +72,10 @@
 func TestMeanKeepsUpWithASurge(t *testing.T) {
 	table := NewTable()
 	every := func(int) int { return 4 }
-	now := hear(table, 40, 30, 8, every, func(_, second int) int { return 50 + second })
-	truth := 50 + now.Sub(start).Seconds()
-	if mean, _ := table.Mean(now); mean < truth-1 || mean > truth+1 {
-		t.Fatalf("mean %.1f, true mean %.1f", mean, truth)
+	now := receiveSamples(table, 40, 30, 8, every, func(_, second int) int { return 50 + second })
+	trueMean := 50 + now.Sub(start).Seconds()
+	if mean, _ := table.Mean(now); mean < trueMean-1 || mean > trueMean+1 {
+		t.Fatalf("mean %.1f, true mean %.1f", mean, trueMean)
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 		return 15
 	}
-	now := hear(table, 40, 30, 2, every, func(i, _ int) int {
+	now := receiveSamples(table, 40, 30, 2, every, func(i, _ int) int {
 		if busy(i) {
 			return 70
 		}
@@ -106,7 +106,7 @@
 // by way of another node, arrives last, with the same time. Taken for the later one,
 // it made the pool's mean too low, and upstreams with room refused the rest of the
 // burst.
-func TestLoadOfABurstHoldsWhicheverSampleComesLast(t *testing.T) {
+func TestHigherOfSimultaneousLoadsIsKept(t *testing.T) {
 	before, after := NewTable(), NewTable()
 	before.Observe(start, 1, Report{Load: 0})
 	after.Observe(start, 1, Report{Load: 3})
--- a/internal/load/trend.go
+++ b/internal/load/trend.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	// trendWindow is the time, in seconds, over which the trend forgets.
-	trendWindow = 10
-	// trendSpan is the longest time between two samples of an upstream, in
+	// trendDecaySeconds is the time, in seconds, over which the trend forgets.
+	trendDecaySeconds = 10
+	// maxTrendSpanSeconds is the longest time between two samples of an upstream, in
 	// seconds, from which the trend learns, and for which it is trusted ahead.
-	trendSpan = 20
-	// minEvidence is how many seconds of samples a trend needs.
-	minEvidence = 10
+	maxTrendSpanSeconds = 20
+	// minTrendSeconds is how many seconds of samples a trend needs.
+	minTrendSeconds = 10
 )
 
 // trend is how fast the loads of a pool rise or fall. Samples are seconds old
@@ -26,28 +26,28 @@
 	at      int64   // in milliseconds
 }
 
-// learn takes in that upstream's sample old was followed by new.
-func (t *trend) learn(old, new *entry) {
-	span := float64(new.at-old.at) / 1000
-	if old.state != Serving || new.state != Serving || span <= 0 || span > trendSpan {
+// observe takes in that upstream's sample old was followed by new.
+func (t *trend) observe(old, new *entry) {
+	spanSeconds := float64(new.at-old.at) / 1000
+	if old.state != Serving || new.state != Serving || spanSeconds <= 0 || spanSeconds > maxTrendSpanSeconds {
 		return
 	}
 	if new.at > t.at {
-		keep := math.Exp(-float64(new.at-t.at) / 1000 / trendWindow)
-		t.rise *= keep
-		t.seconds *= keep
+		decayFactor := math.Exp(-float64(new.at-t.at) / 1000 / trendDecaySeconds)
+		t.rise *= decayFactor
+		t.seconds *= decayFactor
 		t.at = new.at
 	}
 	t.rise += float64(new.load) - float64(old.load)
-	t.seconds += span * float64(new.weight)
+	t.seconds += spanSeconds * float64(new.weight)
 }
 
-// ahead brings a load that was true age seconds ago up to now. Whatever samples
+// extrapolate brings a load that was true age seconds ago up to now. Whatever samples
 // claim, the trend does not outweigh them.
-func (t *trend) ahead(load, weight, age float64) float64 {
-	if t.seconds < minEvidence {
+func (t *trend) extrapolate(load, weight, age float64) float64 {
+	if t.seconds < minTrendSeconds {
 		return load
 	}
-	change := t.rise / t.seconds * weight * min(max(age, 0), trendSpan)
+	change := t.rise / t.seconds * weight * min(max(age, 0), maxTrendSpanSeconds)
 	return load + min(max(change, -load/2), load/2)
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -29,7 +29,7 @@
 
 // One runner loses two of its answers in half a second, with its health check good.
 // It comes last, and is tried again some seconds later.
-func TestFailingUpstreamIsSuspectedForAWhile(t *testing.T) {
+func TestFailingUpstreamIsSuspectedTemporarily(t *testing.T) {
 	d := New()
 	vms := pool(6)
 	for _, vm := range vms {
@@ -46,14 +46,14 @@
 			t.Errorf("upstream %d suspected: %v", vm, d.IsSuspected(now, vm))
 		}
 	}
-	if d.IsSuspected(now.Add(3*memory), vms[0]) {
+	if d.IsSuspected(now.Add(3*outcomeDecay), vms[0]) {
 		t.Error("still suspected long after")
 	}
 }
 
 // A service answers every seventh request with an error, at each of its runners alike.
 // To turn from one runner to another helps nobody, and costs its sessions their cache.
-func TestNobodyIsSuspectedWhereAllFailAlike(t *testing.T) {
+func TestNoneIsSuspectedWhenAllFailAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
 		vms := pool(rapid.IntRange(1, 20).Draw(t, "upstreams"))
@@ -76,14 +76,14 @@
 }
 
 // Upstreams come and go by the thousand: those that have left are forgotten.
-func TestKeepForgets(t *testing.T) {
+func TestKeepDropsRemovedUpstreams(t *testing.T) {
 	d := New()
 	for _, vm := range pool(100) {
 		d.Failed(start, vm)
 	}
 	d.Keep(pool(3))
-	if len(d.counts) != 3 || len(d.news) != 3 {
-		t.Errorf("%d counts and %d to report are kept", len(d.counts), len(d.news))
+	if len(d.counts) != 3 || len(d.unreported) != 3 {
+		t.Errorf("%d counts and %d to report are kept", len(d.counts), len(d.unreported))
 	}
 }
 
@@ -104,7 +104,7 @@
 		}
 		began := now
 		for d.IsSuspected(now, vms[0]) {
-			now = now.Add(memory / 15)
+			now = now.Add(outcomeDecay / 15)
 		}
 		lasted = now.Sub(began)
 	}
@@ -114,7 +114,7 @@
 // After a surge twelve of eighteen runners are suspected, some for the fourth time, and
 // the other six have all the requests. One that fails alone may stay away for long; of
 // twelve each is needed soon.
-func TestSuspicionsAreShortWhereFewAreLeft(t *testing.T) {
+func TestSuspicionsAreShortWhenFewAreHealthy(t *testing.T) {
 	if alone := suspectedFor(1, 2); alone < 5*time.Second {
 		t.Errorf("one that fails alone is suspected for %v", alone)
 	}
@@ -126,7 +126,7 @@
 // In a surge each of twelve runners of eighteen has failed thirty requests. It is over,
 // and nobody asks them: what speaks against them has weight for five seconds yet. They
 // are tried again when their time is over, also by a router that is told of them.
-func TestMostOfAPoolIsNotHeldForOldFailures(t *testing.T) {
+func TestMajoritySuspicionsEndOnTime(t *testing.T) {
 	d, other, vms := New(), New(), pool(18)
 	for i, vm := range vms {
 		for range 30 {
@@ -144,7 +144,7 @@
 	if d.SuspectedCount(start) != 12 || other.SuspectedCount(start) != 12 {
 		t.Fatalf("%d and %d are suspected, want 12", d.SuspectedCount(start), other.SuspectedCount(start))
 	}
-	now := start.Add(suspectFor + 2*judgeEvery)
+	now := start.Add(minSuspicion + 2*evaluateInterval)
 	if n := d.SuspectedCount(now); n != 0 {
 		t.Errorf("%d are suspected after %v", n, now.Sub(start))
 	}
@@ -182,14 +182,14 @@
 
 // Guards against upstreams that are suspected by turns where all of them fail a few requests:
 // the others would get theirs, and stand over the bound on load.
-func TestAFewFailuresAtManyAreChance(t *testing.T) {
+func TestScatteredFailuresSuspectFew(t *testing.T) {
 	const (
 		upstreams = 18
 		perSecond = 8 // requests at each
 		length    = 30 * time.Second
 	)
 	for _, share := range []float64{0.03, 0.05, 0.1} {
-		worst := 0
+		maxSuspected := 0
 		for seed := range uint64(10) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			d, vms := New(), pool(upstreams)
@@ -200,11 +200,11 @@
 				} else {
 					d.Succeeded(now, vm)
 				}
-				worst = max(worst, d.SuspectedCount(now))
+				maxSuspected = max(maxSuspected, d.SuspectedCount(now))
 			}
 		}
-		if most := upstreams / 3; worst > most {
-			t.Errorf("a share of %.2f fails at each: %d of %d are suspected at a time, want %d at most", share, worst, upstreams, most)
+		if limit := upstreams / 3; maxSuspected > limit {
+			t.Errorf("a share of %.2f fails at each: %d of %d are suspected at a time, want %d at most", share, maxSuspected, upstreams, limit)
 		}
 	}
 }
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -17,13 +17,13 @@
 // counts, a byte each.
 const (
 	entrySize = 4
-	// reported is how many upstreams a report names, those with most failures.
-	reported = 96
-	// toldMost is how many are told to all, and toldLeast the weight of failures from
+	// maxReported is how many upstreams a report names, those with most failures.
+	maxReported = 96
+	// maxSummarized is how many are told to all, and minSummarizedFailures the weight of failures from
 	// which one is.
-	toldMost, toldLeast = 32, 0.5
-	// scale is how many steps of a told count make one; the largest is 31.
-	scale = 8
+	maxSummarized, minSummarizedFailures = 32, 0.5
+	// summaryScale is how many steps of a told count make one; the largest is 31.
+	summaryScale = 8
 )
 
 // ErrMalformed is a message that makes no sense.
@@ -32,28 +32,28 @@
 // Report returns what was seen since the last report, for the router that this one
 // relies on; nil: nothing.
 func (d *Detector) Report(members []load.VM) []byte {
-	b := pack(members, d.news, 1, reported)
-	clear(d.news)
+	b := pack(members, d.unreported, 1, maxReported)
+	clear(d.unreported)
 	return b
 }
 
 // MergeReport takes in what another router reports. It goes on with the next Report.
 func (d *Detector) MergeReport(now time.Time, members []load.VM, b []byte) error {
-	return each(b, members, 1, func(vm load.VM, c count) { d.add(now, vm, c) })
+	return forEachEntry(b, members, 1, func(vm load.VM, c outcomeCount) { d.add(now, vm, c) })
 }
 
 // Summary returns what the routers that rely on this one are to know; nil: nothing.
 func (d *Detector) Summary(now time.Time, members []load.VM) []byte {
-	if !d.failing {
+	if !d.hasFailures {
 		return nil
 	}
-	known := d.known(now)
-	for vm, c := range known {
-		if c.failed < toldLeast {
-			delete(known, vm)
+	counts := d.currentCounts(now)
+	for vm, c := range counts {
+		if c.failed < minSummarizedFailures {
+			delete(counts, vm)
 		}
 	}
-	return pack(members, known, scale, toldMost)
+	return pack(members, counts, summaryScale, maxSummarized)
 }
 
 // MergeSummary takes in what the router tells that this one relies on. It takes the place
@@ -61,18 +61,18 @@
 func (d *Detector) MergeSummary(now time.Time, members []load.VM, b []byte) error {
 	d.rebase(now)
 	weight := d.clock.Weight(now)
-	told := make(map[load.VM]count)
-	err := each(b, members, scale, func(vm load.VM, c count) { told[vm] = c.times(weight) })
+	fleet := make(map[load.VM]outcomeCount)
+	err := forEachEntry(b, members, summaryScale, func(vm load.VM, c outcomeCount) { fleet[vm] = c.scaled(weight) })
 	if err != nil {
 		return err
 	}
-	d.told = told
-	d.failing = d.failing || len(told) > 0
+	d.fleet = fleet
+	d.hasFailures = d.hasFailures || len(fleet) > 0
 	return nil
 }
 
 // pack returns counts as entries, at most some, those with most failures.
-func pack(members []load.VM, counts map[load.VM]count, scale float64, most int) []byte {
+func pack(members []load.VM, counts map[load.VM]outcomeCount, scale float64, limit int) []byte {
 	counted := make([]load.VM, 0, len(counts))
 	for _, vm := range members {
 		if counts[vm].all > 0 {
@@ -83,7 +83,7 @@
 		return cmp.Compare(counts[b].failed, counts[a].failed)
 	})
 	var out []byte
-	for _, vm := range counted[:min(len(counted), most)] {
+	for _, vm := range counted[:min(len(counted), limit)] {
 		c := counts[vm]
 		out = binary.BigEndian.AppendUint16(out, vm.ShortName())
 		out = append(out, load.ToByte(c.failed*scale), load.ToByte(c.all*scale))
@@ -91,16 +91,16 @@
 	return out
 }
 
-// each calls f for each entry.
-func each(b []byte, members []load.VM, scale float64, f func(load.VM, count)) error {
+// forEachEntry calls f for forEachEntry entry.
+func forEachEntry(b []byte, members []load.VM, scale float64, f func(load.VM, outcomeCount)) error {
 	if len(b)%entrySize != 0 {
 		return ErrMalformed
 	}
-	named := load.ShortNames(members)
+	byName := load.ShortNames(members)
 	for ; len(b) > 0; b = b[entrySize:] {
 		failed, all := float64(b[2])/scale, float64(b[3])/scale
-		if vm, ok := named[binary.BigEndian.Uint16(b)]; ok {
-			f(vm, count{failed: failed, all: max(all, failed)})
+		if vm, ok := byName[binary.BigEndian.Uint16(b)]; ok {
+			f(vm, outcomeCount{failed: failed, all: max(all, failed)})
 		}
 	}
 	return nil
--- a/internal/outlier/share_test.go
+++ b/internal/outlier/share_test.go
@@ -29,9 +29,9 @@
 			t.Error("what was reported is reported again")
 		}
 	}
-	told := reader.Summary(start, vms)
+	summary := reader.Summary(start, vms)
 	for i, r := range routers {
-		if err := r.MergeSummary(start, vms, told); err != nil {
+		if err := r.MergeSummary(start, vms, summary); err != nil {
 			t.Fatal(err)
 		}
 		if !r.IsSuspected(start, vms[4]) || r.SuspectedCount(start) != 1 {
@@ -40,7 +40,7 @@
 		if err := r.MergeSummary(start, vms, nil); err != nil {
 			t.Fatal(err)
 		}
-		if i == 2 && r.SuspectedCount(start.Add(suspectFor)) > 0 {
+		if i == 2 && r.SuspectedCount(start.Add(minSuspicion)) > 0 {
 			t.Error("suspected although nobody is told of any more")
 		}
 	}
@@ -48,7 +48,7 @@
 
 // What one router passes on is not told back to it as news: else a failure would go
 // round between two routers and never fade.
-func TestToldIsNotReported(t *testing.T) {
+func TestSummaryIsNotReportedBack(t *testing.T) {
 	vms := pool(2)
 	reader, router := New(), New()
 	reader.Failed(start, vms[0])
@@ -64,17 +64,17 @@
 // their answers for four seconds. 5 routers before 18 runners send 105 requests a
 // second, each of a session with a ranking of its own.
 const (
-	lostRouters, lostRunners = 5, 18
-	lostPerSecond            = 105
-	lostSessions             = 600
-	lostRunnersShare         = 0.6
-	lostAnswersShare         = 0.4
-	lostFor                  = 4 * time.Second
-	calmBefore               = 3 * time.Second
+	replayRouters, replayUpstreams = 5, 18
+	replayRequestsPerSecond        = 105
+	replaySessions                 = 600
+	faultyUpstreamsShare           = 0.6
+	lostAnswersShare               = 0.4
+	faultDuration                  = 4 * time.Second
+	faultDelay                     = 3 * time.Second
 	// shareEvery is how often routers tell each other, seen is how long an outcome
 	// takes to be known.
-	shareEvery = 250 * time.Millisecond
-	seen       = 80 * time.Millisecond
+	shareEvery   = 250 * time.Millisecond
+	outcomeDelay = 80 * time.Millisecond
 )
 
 // pending is an outcome that is not known yet.
@@ -86,37 +86,37 @@
 
 // replay returns which part of the requests fails during the trouble. Without suspicion,
 // routers go by the rankings alone; without sharing, each knows what it has seen.
-func replay(t *testing.T, suspicion, sharing bool, runnersShare float64) float64 {
+func replay(t *testing.T, suspicion, sharing bool, faultyShare float64) float64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 4))
-	vms := pool(lostRunners)
-	var routers [lostRouters]*Detector
+	vms := pool(replayUpstreams)
+	var routers [replayRouters]*Detector
 	for i := range routers {
 		routers[i] = New()
 	}
-	var open []pending
+	var outstanding []pending
 	failed, all := 0, 0
-	trouble, shared := start.Add(calmBefore), start
-	for now := start; now.Before(trouble.Add(lostFor)); {
-		now = now.Add(time.Duration(random.ExpFloat64() / lostPerSecond * float64(time.Second)))
-		for len(open) > 0 && !open[0].at.After(now) {
-			o := open[0]
-			open = open[1:]
+	faultStart, sharedAt := start.Add(faultDelay), start
+	for now := start; now.Before(faultStart.Add(faultDuration)); {
+		now = now.Add(time.Duration(random.ExpFloat64() / replayRequestsPerSecond * float64(time.Second)))
+		for len(outstanding) > 0 && !outstanding[0].at.After(now) {
+			o := outstanding[0]
+			outstanding = outstanding[1:]
 			if o.failed {
 				routers[o.router].Failed(o.at, vms[o.vm])
 			} else {
 				routers[o.router].Succeeded(o.at, vms[o.vm])
 			}
 		}
-		if sharing && now.Sub(shared) > shareEvery {
-			shared = now
+		if sharing && now.Sub(sharedAt) > shareEvery {
+			sharedAt = now
 			share(t, now, vms, routers[:])
 		}
-		router, session := random.IntN(lostRouters), random.IntN(lostSessions)
+		router, session := random.IntN(replayRouters), random.IntN(replaySessions)
 		vm := choose(routers[router], now, vms, session, suspicion)
-		fails := now.After(trouble) && float64(vm) < runnersShare*lostRunners && random.Float64() < lostAnswersShare
-		open = append(open, pending{at: now.Add(seen), router: router, vm: vm, failed: fails})
-		if now.After(trouble) {
+		fails := now.After(faultStart) && float64(vm) < faultyShare*replayUpstreams && random.Float64() < lostAnswersShare
+		outstanding = append(outstanding, pending{at: now.Add(outcomeDelay), router: router, vm: vm, failed: fails})
+		if now.After(faultStart) {
 			all++
 			if fails {
 				failed++
@@ -134,9 +134,9 @@
 			t.Fatal(err)
 		}
 	}
-	told := routers[0].Summary(now, vms)
+	summary := routers[0].Summary(now, vms)
 	for _, r := range routers[1:] {
-		if err := r.MergeSummary(now, vms, told); err != nil {
+		if err := r.MergeSummary(now, vms, summary); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -156,13 +156,13 @@
 // A quarter of the coaches' requests is lost for four seconds, though two fifths of the
 // runners are well. Each router alone sees a runner once a second and learns slowly;
 // together they turn away from the bad ones after two failures each.
-func TestRequestsTurnFromUpstreamsThatLoseAnswers(t *testing.T) {
-	none := replay(t, false, false, lostRunnersShare)
-	alone := replay(t, true, false, lostRunnersShare)
-	together := replay(t, true, true, lostRunnersShare)
-	t.Logf("lost: %.3f going by the rankings, %.3f by what each router sees, %.3f by what all see", none, alone, together)
-	if together > 0.6*none {
-		t.Errorf("%.3f of the requests are lost, %.3f without", together, none)
+func TestRequestsAvoidUpstreamsThatLoseAnswers(t *testing.T) {
+	without := replay(t, false, false, faultyUpstreamsShare)
+	alone := replay(t, true, false, faultyUpstreamsShare)
+	together := replay(t, true, true, faultyUpstreamsShare)
+	t.Logf("lost: %.3f going by the rankings, %.3f by what each router sees, %.3f by what all see", without, alone, together)
+	if together > 0.6*without {
+		t.Errorf("%.3f of the requests are lost, %.3f without", together, without)
 	}
 	if together > alone {
 		t.Errorf("%.3f are lost when routers tell each other, %.3f when they do not", together, alone)
--- a/internal/retry/pools.go
+++ b/internal/retry/pools.go
@@ -10,18 +10,18 @@
 // the Returns of callers that were turned away. It is safe for concurrent use.
 type PoolBudgets struct {
 	mu    sync.Mutex
-	pools map[string]*pool
+	pools map[string]*poolState
 	rule  Rule
 }
 
-type pool struct {
-	window  Window
-	returns ReturnScheduler
+type poolState struct {
+	window    Window
+	scheduler ReturnScheduler
 }
 
 // NewPoolBudgets returns Pools of which no request is known.
 func NewPoolBudgets() *PoolBudgets {
-	return &PoolBudgets{pools: make(map[string]*pool)}
+	return &PoolBudgets{pools: make(map[string]*poolState)}
 }
 
 // SetRule replaces the rule of the windows.
@@ -35,37 +35,37 @@
 func (p *PoolBudgets) Request(now time.Time, name string) PoolBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of := p.pools[name]
-	if of == nil {
-		of = &pool{}
-		p.pools[name] = of
+	state := p.pools[name]
+	if state == nil {
+		state = &poolState{}
+		p.pools[name] = state
 	}
-	of.window.Request(now, p.rule)
-	of.returns.Arrived(now)
-	return PoolBudget{pools: p, pool: of}
+	state.window.Request(now, p.rule)
+	state.scheduler.Arrived(now)
+	return PoolBudget{pools: p, pool: state}
 }
 
 // AwaitsCallers reports whether callers that a pool has turned away may still come back.
 func (p *PoolBudgets) AwaitsCallers(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	of := p.pools[name]
-	return of != nil && of.returns.Pending(now)
+	state := p.pools[name]
+	return state != nil && state.scheduler.Pending(now)
 }
 
 // Answered counts an answer of a pool.
 func (p *PoolBudgets) Answered(now time.Time, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if of := p.pools[name]; of != nil {
-		of.returns.Answered(now)
+	if state := p.pools[name]; state != nil {
+		state.scheduler.Answered(now)
 	}
 }
 
 // PoolBudget is what one request draws on, by the clock of the machine.
 type PoolBudget struct {
 	pools *PoolBudgets
-	pool  *pool
+	pool  *poolState
 }
 
 // Withdraw pays for one more attempt or reports false.
@@ -79,5 +79,5 @@
 func (b PoolBudget) RetryAfter(left time.Duration) time.Duration {
 	b.pools.mu.Lock()
 	defer b.pools.mu.Unlock()
-	return b.pool.returns.Schedule(time.Now(), left, rand.Float64())
+	return b.pool.scheduler.Schedule(time.Now(), left, rand.Float64())
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -52,7 +52,7 @@
 // differently, and the caller would get the head of one answer with the tail
 // of another.
 func Decide(f Failure, c Conditions) Decision {
-	if c.AnswerStarted || f.Final || !elsewhere(f.Err.Reason) {
+	if c.AnswerStarted || f.Final || !mayDifferElsewhere(f.Err.Reason) {
 		return Stop
 	}
 	notRun := f.Err.Verdict == verdict.NotRun
@@ -68,9 +68,9 @@
 	}
 }
 
-// elsewhere reports whether a reason may not hold at another upstream. A reason
+// mayDifferElsewhere reports whether a reason may not hold at another upstream. A reason
 // that is not listed, such as one of a newer peer, counts as final.
-func elsewhere(r verdict.Reason) bool {
+func mayDifferElsewhere(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamFailed, verdict.ReasonIncarnationGone, verdict.ReasonUnknownRequest,
 		verdict.ReasonAnswerGone, verdict.ReasonEvicted, verdict.ReasonDeadline:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -18,7 +18,7 @@
 // is tried again, the upstreams see a multiple of the traffic, and they stay
 // down under it. The cause is a budget that starts with credit, or that rounds
 // in favour of the retry.
-func TestAttemptsStayUnderTheRatioAtEveryMoment(t *testing.T) {
+func TestAttemptsNeverExceedTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
 		requests, extra := 0, 0
@@ -54,7 +54,7 @@
 
 // A coach tags a clip once and finds two tags: the first attempt's connection
 // broke after the service had begun, and the request was sent elsewhere.
-func TestWhatMayHaveRunIsRepeatedOnlyIfIdempotentAndUnsent(t *testing.T) {
+func TestMayHaveRunIsRetriedOnlyIfIdempotentAndUnanswered(t *testing.T) {
 	reasons := []verdict.Reason{
 		verdict.ReasonBadRequest, verdict.ReasonOverBound, verdict.ReasonDraining, verdict.ReasonUpstreamFailed,
 		verdict.ReasonIncarnationGone, verdict.ReasonConnection, verdict.ReasonDeadline, verdict.ReasonQuarantined,
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// returnSlots are the moments to which callers are told to come back, each
+	// returnSlotCount are the moments to which callers are told to come back, each
 	// returnSlot long: as far ahead as it is worth waiting for an answer.
-	returnSlots = 20
-	returnSlot  = 250 * time.Millisecond
-	// soonestReturn is the shortest time after which a caller is told to come back:
+	returnSlotCount  = 20
+	returnSlotLength = 250 * time.Millisecond
+	// minReturnDelay is the shortest time after which a caller is told to come back:
 	// less, and it meets the same queues.
-	soonestReturn = 500 * time.Millisecond
-	// ratesFor is the time over which the rates are averaged.
-	ratesFor = 2 * time.Second
-	// leastRoom is the part of what a pool answers that is left to callers that come
+	minReturnDelay = 500 * time.Millisecond
+	// rateDecay is the time over which the rates are averaged.
+	rateDecay = 2 * time.Second
+	// minReturnShare is the part of what a pool answers that is left to callers that come
 	// back, however many new ones come: they have waited longest.
-	leastRoom = 0.2
+	minReturnShare = 0.2
 	// MaxDelayShare is the part of the time that it has left for which a caller stays away, at
 	// most, when it is told to come back: it wants time for two more tries.
 	MaxDelayShare = 1.0 / 3
@@ -36,17 +36,17 @@
 //
 // The zero value is ready to use. A ReturnScheduler is not safe for concurrent use.
 type ReturnScheduler struct {
-	booked  [returnSlots]float64 // callers by the slot to which they come back
-	slots   slots
-	arrived float64   // requests of callers, their weight lowered by age
-	answers float64   // likewise
-	last    time.Time // when the weights were right
-	until   time.Time // when the last of the callers that were told will have come back
+	scheduled  [returnSlotCount]float64 // callers by the slot to which they come back
+	slots      slotClock
+	arrived    float64   // requests of callers, their weight lowered by age
+	answers    float64   // likewise
+	updatedAt  time.Time // when the weights were right
+	lastReturn time.Time // when the last of the callers that were told will have come back
 }
 
 // Pending reports whether callers that were told to come back may still do so.
 func (r *ReturnScheduler) Pending(now time.Time) bool {
-	return now.Before(r.until)
+	return now.Before(r.lastReturn)
 }
 
 // Arrived counts a request of a caller, also of one that comes back.
@@ -66,46 +66,46 @@
 // would stay away, or the emptiest. spread, from 0 to 1, is where in the slot.
 func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, spread float64) time.Duration {
 	r.advance(now)
-	room := r.room()
-	first, end := int64(soonestReturn/returnSlot), int64(returnSlots)
+	capacity := r.slotCapacity()
+	first, end := int64(minReturnDelay/returnSlotLength), int64(returnSlotCount)
 	if left > 0 {
-		most := time.Duration(MaxDelayShare * float64(left))
-		end = min(max(int64(most/returnSlot), first+1), end)
+		maxDelay := time.Duration(MaxDelayShare * float64(left))
+		end = min(max(int64(maxDelay/returnSlotLength), first+1), end)
 	}
-	best := first
-	for i := first; i < end && r.booked[r.slot(best)]+1 > room; i++ {
-		if r.booked[r.slot(i)] < r.booked[r.slot(best)] {
-			best = i
+	chosen := first
+	for i := first; i < end && r.scheduled[r.slot(chosen)]+1 > capacity; i++ {
+		if r.scheduled[r.slot(i)] < r.scheduled[r.slot(chosen)] {
+			chosen = i
 		}
 	}
-	r.booked[r.slot(best)]++
-	back := time.Duration((float64(best) + spread) * float64(returnSlot))
-	if until := now.Add(back + returnSlot); until.After(r.until) {
-		r.until = until
+	r.scheduled[r.slot(chosen)]++
+	delay := time.Duration((float64(chosen) + spread) * float64(returnSlotLength))
+	if until := now.Add(delay + returnSlotLength); until.After(r.lastReturn) {
+		r.lastReturn = until
 	}
-	return back
+	return delay
 }
 
-// room returns for how many callers that come back a slot has room.
-func (r *ReturnScheduler) room() float64 {
-	seconds := ratesFor.Seconds()
-	perSlot := returnSlot.Seconds() / seconds
-	fresh := math.Max(0, r.arrived-r.booked[r.slot(0)]/perSlot)
-	return math.Max(r.answers-fresh, leastRoom*r.answers) * perSlot
+// slotCapacity returns for how many callers that come back a slot has slotCapacity.
+func (r *ReturnScheduler) slotCapacity() float64 {
+	seconds := rateDecay.Seconds()
+	perSlot := returnSlotLength.Seconds() / seconds
+	firstArrivals := math.Max(0, r.arrived-r.scheduled[r.slot(0)]/perSlot)
+	return math.Max(r.answers-firstArrivals, minReturnShare*r.answers) * perSlot
 }
 
 func (r *ReturnScheduler) slot(ahead int64) int {
-	return r.slots.index(ahead, returnSlots)
+	return r.slots.index(ahead, returnSlotCount)
 }
 
 // advance makes the slot of now the present one, and lowers the weights.
 func (r *ReturnScheduler) advance(now time.Time) {
-	if r.last.IsZero() {
-		r.last = now
+	if r.updatedAt.IsZero() {
+		r.updatedAt = now
 	}
-	weight := math.Exp(-now.Sub(r.last).Seconds() / ratesFor.Seconds())
-	r.arrived, r.answers, r.last = r.arrived*weight, r.answers*weight, now
-	for back := range r.slots.advance(now, returnSlot, returnSlots) {
-		r.booked[r.slot(-1-back)] = 0 // it is past
+	weight := math.Exp(-now.Sub(r.updatedAt).Seconds() / rateDecay.Seconds())
+	r.arrived, r.answers, r.updatedAt = r.arrived*weight, r.answers*weight, now
+	for age := range r.slots.advance(now, returnSlotLength, returnSlotCount) {
+		r.scheduled[r.slot(-1-age)] = 0 // it is past
 	}
 }
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -23,7 +23,7 @@
 	// One bucket more than the window is kept of retries and one less of requests,
 	// so that a window that begins within a bucket is covered.
 	buckets [windowBuckets + 1]windowBucket
-	slots   slots
+	slots   slotClock
 }
 
 type windowBucket struct {
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -15,14 +15,14 @@
 // multiple of its traffic. At each retry of a router the window that ends there
 // must hold no more of its retries than its requests allow. All routers together
 // may be at different points of that: their requests count twice as long.
-func TestRoutersTogetherKeepTheRule(t *testing.T) {
+func TestRoutersTogetherObeyTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := Rule{
 			Ratio:  rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
 			Slack:  float64(rapid.IntRange(0, 3).Draw(t, "slack")),
 			Window: 10 * time.Second,
 		}
-		routers := make([]history, rapid.IntRange(1, 5).Draw(t, "routers"))
+		routers := make([]routerHistory, rapid.IntRange(1, 5).Draw(t, "routers"))
 		now := windowStart.Add(time.Hour)
 		for range rapid.IntRange(50, 600).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
@@ -37,30 +37,30 @@
 			}
 			r.retries = append(r.retries, now)
 			from := now.Add(-rule.Window)
-			check(t, rule.Ratio*float64(since(r.requests, from))+rule.Slack, since(r.retries, from))
+			checkRetries(t, rule.Ratio*float64(countSince(r.requests, from))+rule.Slack, countSince(r.retries, from))
 			requests, retries := 0, 0
 			for _, r := range routers {
-				requests += since(r.requests, from.Add(-rule.Window))
-				retries += since(r.retries, from)
+				requests += countSince(r.requests, from.Add(-rule.Window))
+				retries += countSince(r.retries, from)
 			}
-			check(t, rule.Ratio*float64(requests)+rule.Slack*float64(len(routers)), retries)
+			checkRetries(t, rule.Ratio*float64(requests)+rule.Slack*float64(len(routers)), retries)
 		}
 	})
 }
 
-// history is one router's Window with what it was asked.
-type history struct {
+// routerHistory is one router's Window with what it was asked.
+type routerHistory struct {
 	window            Window
 	requests, retries []time.Time
 }
 
-func check(t *rapid.T, allowed float64, have int) {
+func checkRetries(t *rapid.T, allowed float64, have int) {
 	if float64(have) > allowed {
 		t.Fatalf("%d retries in a window, %.1f allowed", have, allowed)
 	}
 }
 
-func since(times []time.Time, from time.Time) int {
+func countSince(times []time.Time, from time.Time) int {
 	n := 0
 	for _, at := range times {
 		if !at.Before(from) {
