--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -9,38 +9,40 @@
 )
 
 const (
-	// retainUnlistedFor is how long what an upstream has said outlives its entry in the list. Entries
-	// lapse while the platform's store is away, and come back.
+	// retainUnlistedFor is how long observations of an upstream are kept after it has left the
+	// list. Entries expire while the platform's store is unavailable, and return afterwards.
 	retainUnlistedFor = 10 * time.Minute
-	// unreachableFor is how long an upstream is unreachable to which no connection could be
-	// opened. It is this router's own experience: the way of others may be whole.
+	// unreachableFor is how long an upstream counts as unreachable after a connection to it could
+	// not be opened. It applies only to this router: others may still reach the upstream.
 	unreachableFor = 2 * time.Second
 )
 
-// Observations is what a router notes of upstreams on the path of its requests: what their answers say
-// of them, and whether they can be reached. An upstream's own word is newer than what the
-// platform's store says of it, and no entry takes it back. A Observations is safe for concurrent use.
+// Observations holds what a router observes about upstreams while it forwards requests: what
+// their answers state, and whether they can be reached. A statement of the upstream itself is
+// newer than its entry in the platform's store, so no entry revokes it. Observations is safe for
+// concurrent use.
 type Observations struct {
 	mu      sync.Mutex
 	records map[string]*record // by the id of the upstream
 }
 
-// record is what is noted of one upstream.
+// record holds the observations of one upstream.
 type record struct {
-	leavingSince         time.Time // when it said so first in an answer to this router; zero: it has not
-	reportedLeavingSince time.Time // when another router told first that it has said so; zero: none has
-	restingSince         time.Time // when it asked for rest first, of the present one
-	restingUntil         time.Time // until when
-	unreachableUntil     time.Time // until when
-	lastListed           time.Time // when it was in the list last, or something was noted
+	leavingSince         time.Time // when its answer to this router first said that it leaves; zero: never
+	reportedLeavingSince time.Time // when another router first reported that it leaves; zero: never
+	restingSince         time.Time // start of the current rest
+	restingUntil         time.Time // end of the current rest
+	unreachableUntil     time.Time // end of the current unreachable period
+	lastListed           time.Time // when it was last listed or observed
 }
 
-// NewObservations returns a Book that has heard nothing.
+// NewObservations returns Observations without records.
 func NewObservations() *Observations {
 	return &Observations{records: make(map[string]*record)}
 }
 
-// RecordLeaving notes that an upstream has said that it leaves, and reports whether that is new.
+// RecordLeaving records that an upstream has announced that it leaves, and reports whether that
+// is new.
 func (b *Observations) RecordLeaving(now time.Time, vm string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +54,8 @@
 	return isNew
 }
 
-// RecordReportedLeaving notes that another router has heard an upstream say that it leaves.
+// RecordReportedLeaving records that another router has received the announcement that an
+// upstream leaves.
 func (b *Observations) RecordReportedLeaving(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,8 +64,8 @@
 	}
 }
 
-// Leaving returns the upstreams that have said that they leave, the latest first: to this
-// router, or also to those that have told it.
+// Leaving returns the upstreams that have announced that they leave, most recent first. With
+// includeReported, it includes announcements that only other routers have received.
 func (b *Observations) Leaving(includeReported bool) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,7 +81,7 @@
 	return out
 }
 
-// firstLeaving returns when the upstream was first known to leave; zero: it is not.
+// firstLeaving returns when the upstream was first known to leave, or zero if it is not.
 func (r *record) firstLeaving() time.Time {
 	if r.leavingSince.IsZero() || !r.reportedLeavingSince.IsZero() && r.reportedLeavingSince.Before(r.leavingSince) {
 		return r.reportedLeavingSince
@@ -86,8 +89,8 @@
 	return r.leavingSince
 }
 
-// RecordResting notes that an upstream wants nothing from this router for a time. Each wish holds to
-// its own end.
+// RecordResting records that an upstream requests a rest of d from this router. A shorter rest
+// never ends an earlier one sooner.
 func (b *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +101,7 @@
 	r.restingUntil = latest(r.restingUntil, now.Add(d))
 }
 
-// RecordUnreachable notes that no connection to an upstream could be opened.
+// RecordUnreachable records that no connection to an upstream could be opened.
 func (b *Observations) RecordUnreachable(now time.Time, vm string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,11 +150,11 @@
 	return s
 }
 
-// Forever is how long what has no end lasts.
+// Forever is the duration of a condition without an end.
 const Forever = time.Duration(math.MaxInt64)
 
-// AvailableIn returns after what time an upstream may get work, as far as the Book knows: zero if it
-// may now, Forever if it leaves.
+// AvailableIn returns the time until an upstream may receive work, according to its leaving and
+// resting conditions: zero if it may now, and Forever if it leaves.
 func (b *Observations) AvailableIn(now time.Time, vm string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,15 +168,15 @@
 	return max(r.restingUntil.Sub(now), 0)
 }
 
-// Empty reports whether nothing is noted of any upstream.
+// Empty reports whether there are no records.
 func (b *Observations) Empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.records) == 0
 }
 
-// Prune takes in which upstreams are listed now. It forgets what is over, and what was said by
-// those that have not been listed for long.
+// Prune removes records without conditions, and those of upstreams that have not been listed for
+// retainUnlistedFor. listed reports whether an upstream is listed now.
 func (b *Observations) Prune(now time.Time, listed func(vm string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -189,15 +192,15 @@
 	}
 }
 
-// Statement is a condition of an upstream with where it comes from.
+// Statement describes a condition of an upstream with its source and duration.
 type Statement struct {
 	Kind  Kind
 	By    Source
-	Since time.Time // zero: not known
-	Until time.Time // zero: no end is known
+	Since time.Time // zero: unknown
+	Until time.Time // zero: no known end
 }
 
-// Source is who says of a condition that it holds.
+// Source is the origin of a condition.
 type Source string
 
 // Sources of conditions.
@@ -210,7 +213,7 @@
 	ByOutcomes    Source = "outcomes of all routers"
 )
 
-// Statements returns what is noted of an upstream.
+// Statements returns the recorded conditions of an upstream.
 func (b *Observations) Statements(now time.Time, vm string) []Statement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -9,7 +9,7 @@
 
 const engine = "engine-7"
 
-// Guards against a rest that is cut short by a shorter wish that comes after it.
+// Guards against a rest that is shortened by a later and shorter one.
 func TestRestIsNotShortened(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	b.RecordResting(now, engine, 10*time.Second)
@@ -23,11 +23,11 @@
 	}
 }
 
-// Guards against work for an upstream that leaves, after its entry has lapsed and come back.
+// Guards against work sent to a leaving upstream after its entry has expired and returned.
 func TestLeavingOutlivesTheEntry(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	if !b.RecordLeaving(now, engine) || b.RecordLeaving(now, engine) {
-		t.Error("only the first word is news")
+		t.Error("the first announcement must be new and the second one not")
 	}
 	listed, gone := func(string) bool { return true }, func(string) bool { return false }
 	for _, step := range []struct {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against callers that are told a wrong time to come back.
+// Guards against a wrong retry delay for rejected callers.
 func TestAvailableIn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -58,19 +58,19 @@
 	}{
 		{"nothing", func(*Observations) {}, 0},
 		{"a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second) }, time.Second},
-		{"a rest that is over", func(b *Observations) { b.RecordResting(now.Add(-time.Second), engine, time.Second) }, 0},
+		{"a rest that has ended", func(b *Observations) { b.RecordResting(now.Add(-time.Second), engine, time.Second) }, 0},
 		{"no connection", func(b *Observations) { b.RecordUnreachable(now, engine) }, 0},
 		{"leaving, in a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second); b.RecordLeaving(now, engine) }, Forever},
 	} {
 		b := NewObservations()
 		c.record(b)
 		if got := b.AvailableIn(now, engine); got != c.want {
-			t.Errorf("%s: opens in %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: available in %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Guards against a memory that grows with each upstream that could not be reached once.
+// Guards against unbounded growth with upstreams that could not be reached once.
 func TestExpiredRecordsArePruned(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	for i := range 100 {
@@ -81,11 +81,11 @@
 	b.RecordLeaving(now, engine)
 	b.Prune(now.Add(unreachableFor), func(string) bool { return true })
 	if len(b.records) != 1 || b.Empty() {
-		t.Errorf("%d are remembered, want the one that leaves", len(b.records))
+		t.Errorf("%d records are kept, want only the leaving upstream", len(b.records))
 	}
 }
 
-// Guards against a page for operators that lacks who says what, since when and until when.
+// Guards against a status page for operators without source, start and end of a condition.
 func TestStatements(t *testing.T) {
 	b, now := NewObservations(), time.Unix(1000, 0)
 	b.RecordLeaving(now, engine)
@@ -101,6 +101,6 @@
 		t.Errorf("%+v", got)
 	}
 	if got := b.Statements(now, "another"); got != nil {
-		t.Errorf("of an upstream that nothing is noted of: %+v", got)
+		t.Errorf("statements of an unknown upstream: %+v", got)
 	}
 }
--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -1,28 +1,28 @@
-// Package condition is the account of what speaks against sending to an upstream: each kind of
-// condition, what a set of them allows, and a Book of those that a router notes on the path of
-// its requests.
+// Package condition defines the conditions that restrict the use of an upstream: the kinds of
+// conditions, what a set of them permits, and the Observations of conditions that a router makes
+// while it forwards requests.
 //
 // Package router collects the conditions of an upstream from the list of upstreams, operators'
-// orders, outcomes and its Book, and asks a Set before each choice and each first byte. Nothing
-// here knows a clock or a connection. It may be assumed that an id names one incarnation of an
-// upstream: nothing that holds for a former life holds for the next one.
+// orders, outcomes and its Observations, and checks a Set before each choice and each first byte.
+// Nothing in this package uses a clock or a connection. An id names one incarnation of an
+// upstream, so no condition of a former incarnation applies to the next one.
 package condition
 
 import "strings"
 
-// Kind is something that speaks against sending to an upstream.
+// Kind is a reason not to use an upstream, or to use it last.
 type Kind uint8
 
-// Kinds of conditions. Of several, the first is named as the reason.
+// Kinds of conditions, in order of precedence when one of several is named as the reason.
 const (
-	Gone        Kind = iota // it is not listed any more
-	OutOfRegion             // the request may not run where it is
-	Drained                 // operators have ordered that it takes nothing new
-	Leaving                 // it has said that it leaves, in an answer or in its entry
-	Resting                 // it wants nothing from this router for a time
-	Cold                    // it has started lately, and has got what it bears
-	Unreachable             // no connection to it could be opened a moment ago
-	Suspected               // it fails more of its requests than others do
+	Gone        Kind = iota // not listed any more
+	OutOfRegion             // the request may not run in its region
+	Drained                 // operators have ordered that it receives no new work
+	Leaving                 // it has announced that it leaves, in an answer or in its entry
+	Resting                 // it has requested a rest from this router
+	Cold                    // it has started recently and is at its warm-up limit
+	Unreachable             // no connection to it could be opened recently
+	Suspected               // it fails more of its requests than the others
 	kindCount
 )
 
@@ -30,7 +30,7 @@
 	"gone", "out of region", "drained", "leaving", "resting", "cold", "unreachable", "suspected",
 }
 
-// String returns the name of the kind, as in lines and tables.
+// String returns the name of the kind, as in log lines and tables.
 func (k Kind) String() string {
 	if k >= kindCount {
 		return "none"
@@ -47,14 +47,14 @@
 	return out
 }
 
-// Use is what an upstream is wanted for.
+// Use is a way of using an upstream.
 type Use uint8
 
 // Uses of an upstream.
 const (
-	// Work is a request: a first try, a retry, a hedge, or a stream that goes on.
+	// Work is a request: a first attempt, a retry, a hedge, or a stream that is resumed.
 	Work Use = iota
-	// Prompt is a cached prompt that another upstream gets from it.
+	// Prompt is the transfer of a cached prompt to another upstream.
 	Prompt
 	useCount
 )
@@ -67,38 +67,38 @@
 // Uses returns all uses.
 func Uses() []Use { return []Use{Work, Prompt} }
 
-// Permission is how far an upstream may be used, the least first.
+// Permission is how freely an upstream may be used, from the strictest to the least strict.
 type Permission uint8
 
-// Degrees of Leave.
+// Permissions.
 const (
 	Never  Permission = iota // not at all
-	Last                     // after all others
+	Last                     // only after all others
 	Freely                   // like any other
 )
 
 var permissionNames = [...]string{"never", "last", "freely"}
 
-// String returns the name of the degree.
+// String returns the name of the permission.
 func (p Permission) String() string { return permissionNames[p] }
 
-// permissions is what each kind allows by itself.
+// permissions is the permission for each use with a single condition.
 var permissions = [useCount][kindCount]Permission{
 	Work: {
 		Gone: Never, OutOfRegion: Never, Drained: Never, Leaving: Never, Resting: Never, Cold: Never,
 		Unreachable: Last, Suspected: Last,
 	},
-	// A transfer takes nothing of what an upstream wants to be spared: no place and no token.
+	// A transfer needs neither a slot nor any tokens of the upstream.
 	Prompt: {
 		Gone: Never, OutOfRegion: Never, Drained: Freely, Leaving: Freely, Resting: Freely, Cold: Freely,
 		Unreachable: Never, Suspected: Freely,
 	},
 }
 
-// Set is the conditions of an upstream at a moment. Its zero value is none.
+// Set is a set of conditions of an upstream. The zero value is empty.
 type Set uint16
 
-// Of returns the Set of some kinds.
+// Of returns the Set of the given kinds.
 func Of(kinds ...Kind) Set {
 	var s Set
 	for _, k := range kinds {
@@ -107,14 +107,14 @@
 	return s
 }
 
-// Union returns the conditions of both.
+// Union returns the conditions in either set.
 func (s Set) Union(other Set) Set { return s | other }
 
 // Has reports whether a kind is in the Set.
 func (s Set) Has(k Kind) bool { return s&(1<<k) != 0 }
 
-// Allows returns how far the upstream may be used, and what says so: the kind that allows
-// least, the first of several.
+// Allows returns the permission for a use and the kind that determines it: the kind with the
+// strictest permission, the first of several.
 func (s Set) Allows(u Use) (Permission, Kind) {
 	strictest, by := Freely, kindCount
 	if s == 0 {
@@ -128,7 +128,7 @@
 	return strictest, by
 }
 
-// String names the kinds of the Set.
+// String returns the names of the kinds, separated by commas.
 func (s Set) String() string {
 	var names []string
 	for _, k := range Kinds() {
--- a/internal/condition/condition_test.go
+++ b/internal/condition/condition_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// conditionsPage is where the table of what conditions allow stands for readers.
+// conditionsPage documents the permissions for each condition.
 const conditionsPage = "../../docs/design/0016-conditions-of-upstreams.md"
 
-// tableRows returns the table of the page: cells by the name of their row.
+// tableRows returns the cells of the table on the page, by the name of their row.
 func tableRows(t *testing.T) map[string][]string {
 	text, err := os.ReadFile(conditionsPage)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Guards against a page that says otherwise than the code.
+// Guards against documentation that differs from the code.
 func TestPageMatchesPermissions(t *testing.T) {
 	table := tableRows(t)
 	for _, k := range Kinds() {
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against a set that allows more than one of its kinds does, or names another reason.
+// Guards against a set that permits more than one of its kinds does, or names another reason.
 func TestSetsAllowTheStrictestPermission(t *testing.T) {
 	for s := Set(0); s < 1<<kindCount; s++ {
 		for _, u := range Uses() {
@@ -52,7 +52,7 @@
 				}
 			}
 			if got, gotBy := s.Allows(u); got != want || gotBy != by {
-				t.Errorf("%q for %s: %s since %s, want %s since %s", s, u, got, gotBy, want, by)
+				t.Errorf("%q for %s: %s by %s, want %s by %s", s, u, got, gotBy, want, by)
 			}
 		}
 	}
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,10 +1,10 @@
-// Package decay counts with exponential decay: what has happened lately weighs more, and each
-// event loses its weight exponentially. What is counted is not touched as time goes
-// by; instead each new event weighs more than those before it, so that counting costs
-// the same however many counts there are.
+// Package decay implements counters with exponential decay: the weight of an event falls
+// exponentially with its age. Counters are not updated as time passes. Instead, each new event
+// has a larger weight than those before it, so the cost of counting does not depend on the number
+// of counters.
 //
-// Package load uses it for what callers ask for, package outlier for what upstreams
-// answer.
+// Package load uses it for the requests of callers, and package outlier for the outcomes at
+// upstreams.
 package decay
 
 import (
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// rebaseAfterSpans is how many spans a Clock lets weights grow. They are e^4 then, far from
-// where a float loses precision.
+// rebaseAfterSpans is the number of spans after which a Clock rescales weights. Weights then
+// reach e^4, well within the precision of a float64.
 const rebaseAfterSpans = 4
 
-// Clock gives weights.
+// Clock computes the weights of events.
 type Clock struct {
-	span  time.Duration // in which a weight falls to 1/e
-	epoch time.Time     // when an event weighed one
+	span  time.Duration // time in which a weight falls to 1/e
+	epoch time.Time     // when an event had weight one
 }
 
-// NewClock returns a Clock by which an event's weight falls to 1/e in span.
+// NewClock returns a Clock whose weights fall to 1/e within span.
 func NewClock(span time.Duration) Clock {
 	return Clock{span: span}
 }
 
-// Weight returns what an event at now weighs.
+// Weight returns the weight of an event at now.
 func (c *Clock) Weight(now time.Time) float64 {
 	return math.Exp(now.Sub(c.epoch).Seconds() / c.span.Seconds())
 }
 
-// Rebase returns by what all that was counted is to be divided first, and whether that
-// is due. From then on an event at now weighs one.
+// Rebase returns whether all counters have to be rescaled, and by what weight they have to be
+// divided. Afterwards an event at now has weight one.
 func (c *Clock) Rebase(now time.Time) (weight float64, due bool) {
 	if now.Sub(c.epoch) <= rebaseAfterSpans*c.span {
 		return 1, false
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Events come every tenth of a second for a minute. Whatever the moment at which
-// weights are worked out anew, the sum stays what an exponential window holds.
+// Events occur ten times per second for a minute. The sum must stay that of an exponential
+// window, regardless of when weights are rescaled.
 func TestSumIsThatOfExponentialWindow(t *testing.T) {
 	const span, gap = 2 * time.Second, 100 * time.Millisecond
 	c := NewClock(span)
--- a/internal/load/demand.go
+++ b/internal/load/demand.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// demandDecay is the time in which a request loses its weight in a Demand. Within
-	// it a router of a large fleet sees a hundred requests, so that a session with a
-	// tenth of them stands out.
+	// demandDecay is the time in which the weight of a request falls to 1/e. Within it a router
+	// of a large fleet receives about a hundred requests, so a session with a tenth of them
+	// stands out.
 	demandDecay = 4 * time.Second
-	// minDemandWeight is the weight below which a session is forgotten.
+	// minDemandWeight is the weight below which a session is dropped.
 	minDemandWeight = 0.05
-	// defaultDuration is how long a request of a kind takes that has not been seen yet.
+	// defaultDuration is the assumed duration of requests of a kind not seen before.
 	defaultDuration = time.Second
-	// durationSmoothing is the weight of a request's time among those of its kind before it.
+	// durationSmoothing is the weight of a new duration in the moving average of its kind.
 	durationSmoothing = 0.1
-	// shareDeviations is by how many standard deviations a session's count is taken to exceed
-	// its share. With a whole one, a surge with a third of the traffic is spread over
-	// too few: half as many requests again find an upstream over the bound.
+	// shareDeviations is the number of standard deviations subtracted from a session's count.
+	// With 1.0, a surge with a third of the traffic is spread over too few upstreams, and half as
+	// many requests again find an upstream over the load bound.
 	shareDeviations = 0.5
 )
 
-// Demand counts for which sessions requests come to a router, the latest most. A
-// router sees a sliver of the traffic, but a session's share of it is the same as
-// everywhere. It is not safe for concurrent use.
+// Demand estimates the share of each session in a router's requests, with recent requests
+// weighted most. A router has only a partial view of the traffic, but a session's share is the
+// same at every router. A Demand is not safe for concurrent use.
 type Demand struct {
 	clock        decay.Clock
 	counts       map[uint64]float64
-	totalSeconds float64                  // of the requests' times, in seconds
-	durations    map[string]time.Duration // by kind of request, on average
+	totalSeconds float64                  // weighted sum of the requests' durations
+	durations    map[string]time.Duration // moving average by kind of request
 }
 
 // NewDemand returns an empty Demand.
@@ -39,7 +39,7 @@
 	return &Demand{clock: decay.NewClock(demandDecay), counts: make(map[uint64]float64), durations: make(map[string]time.Duration)}
 }
 
-// RecordDuration takes in how long a request of a kind was in flight.
+// RecordDuration records how long a request of the given kind was in flight.
 func (d *Demand) RecordDuration(kind string, duration time.Duration) {
 	mean, ok := d.durations[kind]
 	if !ok {
@@ -48,10 +48,10 @@
 	d.durations[kind] = mean + time.Duration(durationSmoothing*float64(duration-mean))
 }
 
-// RecordRequest counts a request of a session, and returns which part of all requests in flight
-// its session has at least. The estimate is one request and half a standard deviation
-// below what was counted: of a session that comes by chance twice in a row it says
-// next to nothing.
+// RecordRequest counts a request of a session and returns a lower bound of the session's share of
+// all requests in flight, from 0 to 1. The bound is computed from the session's count less one
+// request and half a standard deviation, so a session that happens to send two requests in a row
+// gets a share near zero.
 func (d *Demand) RecordRequest(now time.Time, session uint64, kind string) float64 {
 	duration, ok := d.durations[kind]
 	if !ok {
@@ -68,7 +68,7 @@
 	return inFlight * weight / max(d.totalSeconds, math.SmallestNonzeroFloat64)
 }
 
-// rescale makes all counts smaller, and forgets the sessions with next to nothing.
+// rescale divides all weights by weight and drops sessions below minDemandWeight.
 func (d *Demand) rescale(weight float64) {
 	d.totalSeconds /= weight
 	for session, count := range d.counts {
--- a/internal/load/demand_test.go
+++ b/internal/load/demand_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Of a hundred requests that a router sees in a few seconds, thirty are of one chat,
-// and the others of a hundred chats. The hot one is told from those that come twice
-// by chance, and forgotten when its surge is over.
+// A third of the requests that a router receives within a few seconds belong to one session, the
+// others to about a hundred sessions. The hot session must be distinguished from those that
+// repeat by chance, and be forgotten after its surge.
 func TestDemandDistinguishesHotSessions(t *testing.T) {
 	d := NewDemand()
 	now := start
@@ -24,14 +24,14 @@
 		t.Errorf("share %.2f of a session with a third of the requests", share)
 	}
 	if highestOther > 0.01 {
-		t.Errorf("share %.2f of a session that came by chance", highestOther)
+		t.Errorf("share %.2f of a session that repeated by chance", highestOther)
 	}
 	if share := d.RecordRequest(now.Add(5*demandDecay), 1, "chat"); share != 0 {
 		t.Errorf("share %.2f long after the surge", share)
 	}
 }
 
-// A day of sessions that never come back does not grow the table.
+// Guards against unbounded growth of the table through sessions that never return.
 func TestDemandDropsOldSessions(t *testing.T) {
 	d := NewDemand()
 	now := start
@@ -40,12 +40,13 @@
 		d.RecordRequest(now, uint64(i), "chat")
 	}
 	if n := len(d.counts); n > 2000 {
-		t.Errorf("%d sessions are kept", n)
+		t.Errorf("%d sessions are kept, want 2000 at most", n)
 	}
 }
 
-// Tags and reports come equally often, and a report takes nine times as long: a chat
-// with a third of the reports has more in flight than one with a third of the tags.
+// Tags and reports are equally frequent, but a report takes nine times as long. A session with a
+// third of the reports therefore has a larger share of the requests in flight than one with a
+// third of the tags.
 func TestDemandWeighsByDuration(t *testing.T) {
 	d := NewDemand()
 	now := start
@@ -67,6 +68,6 @@
 		}
 	}
 	if ratio := shares["report"] / shares["tag"]; ratio < 6 || ratio > 12 {
-		t.Errorf("shares %v, want nine times as much of the reports", shares)
+		t.Errorf("shares %v, want the share of the reports to be about nine times as large", shares)
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,10 +1,9 @@
-// Package load is what one node knows of the loads of a pool's upstreams. A
-// sidecar learns the pool's mean from it, by which it bounds its own load; a
-// router learns which upstreams have room.
+// Package load tracks what one node knows about the loads of a pool's upstreams. A sidecar uses
+// the pool's mean load to bound its own load. A router uses the loads to choose upstreams with
+// spare capacity.
 //
-// Nothing is polled. Each request and each reply carries a few samples of
-// loads that the sender knows, with their ages, so what one node hears reaches
-// the others on the back of traffic (design note 0002).
+// Nothing is polled. Each request and each reply carries a few load samples that the sender has,
+// with their ages, so samples spread to other nodes with the traffic (design note 0002).
 package load
 
 import (
@@ -14,16 +13,16 @@
 	"github.com/zeebo/xxh3"
 )
 
-// VM names an upstream's VM in samples.
+// VM identifies an upstream's VM in samples: a hash of its id.
 type VM uint32
 
-// Hash returns the VM of a VM's id. Two ids of one pool rarely have the same
-// hash; if so, they share an entry, which costs accuracy and nothing else.
+// Hash returns the VM for an id. Two ids in a pool rarely have the same hash. If they do, they
+// share an entry, which only reduces accuracy.
 func Hash(id string) VM {
 	return VM(xxh3.HashString(id))
 }
 
-// SetOf returns the set of some VMs, for those that forget all others.
+// SetOf returns the given VMs as a set.
 func SetOf(vms []VM) map[VM]bool {
 	set := make(map[VM]bool, len(vms))
 	for _, vm := range vms {
@@ -32,29 +31,29 @@
 	return set
 }
 
-// State is whether an upstream takes new work.
+// State reports whether an upstream accepts new work.
 type State byte
 
 // States of an upstream.
 const (
 	Serving  State = iota
-	Draining       // its sidecar takes no new work
-	Down           // it does not answer its sidecar
+	Draining       // its sidecar accepts no new work
+	Down           // it does not respond to its sidecar
 )
 
-// Report is what an upstream's sidecar says of it.
+// Report is the load that an upstream's sidecar reports.
 type Report struct {
-	Load   int // requests admitted and not yet ended
+	Load   int // requests admitted and not yet finished
 	Weight int // relative capacity; zero means one
 	State  State
 }
 
-// Bound returns the load up to which an upstream may admit requests, the one
-// to be admitted included. mean is the pool's mean load for each unit of
-// weight among known upstreams; a multiple of zero is no bound.
+// Bound returns the load up to which an upstream may admit requests, including the request to be
+// admitted. mean is the pool's mean load per unit of weight over the known upstreams. A multiple
+// of zero means no bound.
 //
-// The mean counts the arriving request as well. Thus the bounds of a pool add
-// up to more than its load, and at a true mean some upstream has room.
+// The mean also counts the arriving request. The bounds of a pool therefore add up to more than
+// its load, and if the mean is accurate, at least one upstream has spare capacity.
 func Bound(mean float64, known int, multiple float64, weight int) int {
 	if multiple <= 0 {
 		return math.MaxInt
@@ -63,6 +62,6 @@
 	return int(math.Ceil(multiple * (mean + arriving) * float64(max(weight, 1))))
 }
 
-// maxAge is how long a sample counts. An upstream that has not been heard of
-// for so long has left or is cut off.
+// maxAge is how long a sample is valid. An upstream without a newer sample has left or is
+// unreachable.
 const maxAge = 60 * time.Second
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// urgencyLevels are told apart, from 0 on.
+// urgencyLevels is the number of urgency levels, numbered from 0, the most urgent.
 const urgencyLevels = 10
 
-// UrgencyMix is how urgent the requests are of which one router awaits the first byte. Each
-// router's are a sample of those that wait at the engines of the pool, which take what is
-// more urgent first: of what waits at one, only that part goes before a request. The zero
-// value is ready to use. A UrgencyMix is not safe for concurrent use.
+// UrgencyMix counts the requests by urgency for which a router awaits the first byte. They are a
+// sample of the requests that wait at the pool's engines. Engines serve more urgent requests
+// first, so only a fraction of the requests that wait at an engine are ahead of a new one. The
+// zero value is ready to use. A UrgencyMix is not safe for concurrent use.
 type UrgencyMix struct {
 	waiting    [urgencyLevels]int
 	objectives [urgencyLevels]time.Duration
 }
 
-// SetObjective takes in within which objective the first byte of a request is wanted.
+// SetObjective records the objective for the time to the first byte of requests of an urgency.
 func (m *UrgencyMix) SetObjective(urgency int, objective time.Duration) {
 	m.objectives[clampUrgency(urgency)] = objective
 }
@@ -22,12 +22,13 @@
 // AddWaiting counts a request that waits for its first byte.
 func (m *UrgencyMix) AddWaiting(urgency int) { m.waiting[clampUrgency(urgency)]++ }
 
-// RemoveWaiting counts the first byte of a request that Sent has counted, or its end without one.
+// RemoveWaiting removes a request counted by AddWaiting once its first byte has arrived or it has
+// ended without one.
 func (m *UrgencyMix) RemoveWaiting(urgency int) { m.waiting[clampUrgency(urgency)]-- }
 
 func clampUrgency(urgency int) int { return min(max(urgency, 0), urgencyLevels-1) }
 
-// ShortestObjective returns the shortest objective of the pool's requests; zero: none has one.
+// ShortestObjective returns the shortest objective of all urgencies, or zero if none has one.
 func (m *UrgencyMix) ShortestObjective() time.Duration {
 	shortest := time.Duration(0)
 	for _, d := range m.objectives {
@@ -38,8 +39,8 @@
 	return shortest
 }
 
-// FractionAhead returns the part of the requests that wait which are as urgent as one of an
-// urgency, or more.
+// FractionAhead returns the fraction of the waiting requests that are at least as urgent as the
+// given urgency. Both counts include the new request itself.
 func (m *UrgencyMix) FractionAhead(urgency int) float64 {
 	ahead, all := 0, 0
 	for i, n := range m.waiting {
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -7,44 +7,45 @@
 )
 
 const (
-	// latencySmoothing is the weight of one answer's time among those before it: four answers
-	// tell that an upstream has become slow.
+	// latencySmoothing is the weight of a new answer in the moving average of an upstream: four
+	// answers are enough to detect that it has become slow.
 	latencySmoothing = 0.25
-	// latencyDecaySeconds is the time, in seconds, in which what was seen of an upstream loses its
-	// weight. One that was slow is tried again after about as long.
+	// latencyDecaySeconds is the time in which the weight of an upstream's average falls to 1/e.
+	// A slow upstream is tried again after about this time.
 	latencyDecaySeconds = 3.0
-	// maxLatencyFactor bounds how much slower than usual a single answer counts: one request in
-	// a hundred takes many times as long as the others, wherever it runs.
+	// maxLatencyFactor limits the factor of a single answer. One request in a hundred takes many
+	// times as long as the others on any upstream.
 	maxLatencyFactor = 8.0
-	// failureFactor is how many usual answers an attempt without one costs at least: its
-	// own time, and that of the next.
+	// failureFactor is the minimum factor recorded for a failed attempt, which costs its own time
+	// and that of the next attempt.
 	failureFactor = 2.0
-	// minLatency is the shortest time that tells one answer from another: what the way
-	// there and back varies by.
+	// minLatency is the shortest latency that is distinguished: the variation of the network
+	// round trip.
 	minLatency = time.Millisecond
-	// typicalLatencySmoothing is the weight of one answer's time in what is usual of its kind.
+	// typicalLatencySmoothing is the weight of a new answer in the typical latency of its kind.
 	typicalLatencySmoothing = 0.02
 )
 
-// RelativeLatency is how fast upstreams answer next to each other, as one router sees it. Of
-// upstreams that do not tell their load, it is the only sign that requests of other
-// routers wait there, or that one has become slow. It is not safe for concurrent use.
+// RelativeLatency tracks the time to the first byte of each upstream relative to the typical time
+// of the pool, as one router observes it. For upstreams that do not report their load, it is the
+// only sign that requests of other routers wait there or that the upstream has become slow. It is
+// not safe for concurrent use.
 type RelativeLatency struct {
 	typical map[string]float64 // seconds, by kind of request
 	factors map[VM]latencyFactor
 }
 
 type latencyFactor struct {
-	factor float64 // time of an answer, times that which is usual of its kind
+	factor float64 // latency relative to the typical latency of its kind
 	at     time.Time
 }
 
-// NewRelativeLatency returns a Pace that has seen nothing.
+// NewRelativeLatency returns a RelativeLatency without observations.
 func NewRelativeLatency() *RelativeLatency {
 	return &RelativeLatency{typical: make(map[string]float64), factors: make(map[VM]latencyFactor)}
 }
 
-// RecordAnswer takes in how long an upstream took to begin the answer to a request of a kind.
+// RecordAnswer records how long an upstream took to begin its answer to a request of a kind.
 func (r *RelativeLatency) RecordAnswer(now time.Time, vm VM, kind string, d time.Duration) {
 	typical := r.typical[kind]
 	if typical <= 0 {
@@ -56,11 +57,10 @@
 	r.factors[vm] = latencyFactor{factor: factor + latencySmoothing*(ratio-factor), at: now}
 }
 
-// RecordFailure takes in that an attempt ended without a proper answer after a time. Its request
-// has to be made again, and an answer would have taken at least as long. An upstream that
-// fails its requests at once is not fast: taken for that, it is sent .83 of the requests
-// of a pool of three, until it is suspected, in place of .30
-// (TestAnUpstreamThatFailsAtOnceIsNotFast).
+// RecordFailure records that an attempt ended after d without a proper answer. The request has to
+// be sent again, and an answer would have taken at least d. An upstream that fails requests
+// immediately must not count as fast: in a simulated pool of three (see package placement) it
+// would be sent .83 of the requests until it is suspected, in place of .30.
 func (r *RelativeLatency) RecordFailure(now time.Time, vm VM, kind string, d time.Duration) {
 	typical := r.typical[kind]
 	if typical <= 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Factor returns how many times longer than usual an upstream is believed to take.
+// Factor returns the estimated latency of an upstream as a multiple of the typical latency.
 func (r *RelativeLatency) Factor(now time.Time, vm VM) float64 {
 	f, known := r.factors[vm]
 	if !known {
@@ -82,7 +82,7 @@
 	return weight*f.factor + 1 - weight
 }
 
-// Keep forgets every upstream that is not among members.
+// Keep drops all upstreams that are not in members.
 func (r *RelativeLatency) Keep(members []VM) {
 	kept := SetOf(members)
 	maps.DeleteFunc(r.factors, func(vm VM, _ latencyFactor) bool { return !kept[vm] })
--- a/internal/load/pace_test.go
+++ b/internal/load/pace_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// One of two booking services becomes five times slower, and is well again later. The
-// router knows the first after a few answers and forgets it when it sends nothing more
-// there; a service that others use meanwhile is what it was.
+// One of two upstreams becomes five times slower. The router detects it after a few answers and
+// forgets it when it sends no more requests there. The factor of the other upstream does not
+// change.
 func TestRelativeLatencyDetectsAndForgetsSlowUpstream(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	const typical = 60 * time.Millisecond
@@ -22,19 +22,19 @@
 	answer(2, typical, 20)
 	answer(2, 5*typical, 4)
 	if got := p.Factor(now, 2); got < 2.5 {
-		t.Errorf("after four slow answers it counts as %.2f times slower", got)
+		t.Errorf("factor %.2f after four slow answers, want 2.5 at least", got)
 	}
 	if got := p.Factor(now, 1); math.Abs(got-1) > 0.2 {
-		t.Errorf("the other counts as %.2f times slower", got)
+		t.Errorf("factor %.2f of the other upstream, want about 1", got)
 	}
 	now = now.Add(10 * time.Second)
 	if got := p.Factor(now, 2); got > 1.2 {
-		t.Errorf("10 s later it still counts as %.2f times slower", got)
+		t.Errorf("factor %.2f of the slow upstream 10 s later, want 1.2 at most", got)
 	}
 }
 
-// Kinds of request take different times. An upstream that happens to get the long ones
-// is no slower for that.
+// Guards against an upstream that counts as slow because it gets requests of a kind that takes
+// longer.
 func TestRelativeLatencyComparesSameKind(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	for range 40 {
@@ -43,26 +43,26 @@
 		p.RecordAnswer(now, 2, "long", 2*time.Second)
 	}
 	if a, b := p.Factor(now, 1), p.Factor(now, 2); math.Abs(a-b) > 0.01 {
-		t.Errorf("slowness %.2f and %.2f", a, b)
+		t.Errorf("factors %.2f and %.2f, want them equal", a, b)
 	}
 }
 
-// Answers that come at once, and a single one that takes very long, say little.
+// A zero latency and a single very long one must not dominate the average.
 func TestRelativeLatencyBoundsSingleAnswer(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	p.RecordAnswer(now, 1, "login", 0)
 	p.RecordAnswer(now, 1, "login", time.Hour)
 	if got := p.Factor(now, 1); got > 1+latencySmoothing*maxLatencyFactor {
-		t.Errorf("slowness %.2f", got)
+		t.Errorf("factor %.2f after a single very long answer", got)
 	}
 	p.Keep(nil)
 	if got := p.Factor(now, 1); got != 1 {
-		t.Errorf("slowness %.2f of one that is forgotten", got)
+		t.Errorf("factor %.2f of a forgotten upstream, want 1", got)
 	}
 }
 
-// A request that fails after its upstream hung for two seconds says that it is slow, one
-// that fails at once that it costs a second attempt, neither that it is fast.
+// A request that fails after its upstream hung for two seconds shows that the upstream is slow. A
+// request that fails immediately costs a second attempt. Neither must count as a fast answer.
 func TestRelativeLatencyCountsFailuresAsSlow(t *testing.T) {
 	p, now := NewRelativeLatency(), time.Unix(1000, 0)
 	p.RecordFailure(now, 3, "unknown", time.Second)
@@ -72,13 +72,13 @@
 		p.RecordFailure(now, 2, "login", time.Millisecond)
 	}
 	if got := p.Factor(now, 2); got < 1.5 || got > failureFactor {
-		t.Errorf("one that fails at once counts as %.2f times slower", got)
+		t.Errorf("factor %.2f of an upstream that fails immediately", got)
 	}
 	p.RecordFailure(now, 2, "login", 2*time.Second)
 	if got := p.Factor(now, 2); got < 3 {
-		t.Errorf("one that hangs counts as %.2f times slower", got)
+		t.Errorf("factor %.2f of an upstream that hangs, want 3 at least", got)
 	}
 	if got := p.Factor(now, 3); got != 1 {
-		t.Errorf("one of whose kind nothing is known counts as %.2f times slower", got)
+		t.Errorf("factor %.2f of an upstream without answers of that kind, want 1", got)
 	}
 }
--- a/internal/load/pack.go
+++ b/internal/load/pack.go
@@ -8,28 +8,28 @@
 	"github.com/pkg/errors"
 )
 
-// A packed sample is VM (4 bytes), load or state (2), weight (1) and age (1),
+// A packed sample consists of VM (4 bytes), load or state (2), weight (1) and age (1),
 // big-endian.
 const (
 	sampleSize = 8
 	maxWeight  = 255
 
-	// Loads from maxLoad up stand for states.
+	// Loads above maxLoad encode states.
 	maxLoad      = 0xfffd
 	loadDown     = 0xfffe
 	loadDraining = 0xffff
 
-	// ageUnit is the unit of a packed age. Ages are rounded up, so that a
-	// sample never looks newer for having been passed on.
+	// ageUnit is the unit of a packed age. Ages are rounded up, so that forwarding never makes a
+	// sample look newer.
 	ageUnit   = 250 * time.Millisecond
-	maxPacked = 64 // samples that are read from one message
+	maxPacked = 64 // maximum number of samples in a message
 )
 
-// ErrMalformed is a list of samples that cannot be read.
+// ErrMalformed is returned for a message that cannot be decoded.
 var ErrMalformed = errors.New("load: malformed samples")
 
-// Pack returns the n freshest samples for another node, other than those of the
-// upstreams in except, which the receiver knows better.
+// Pack returns the n newest samples for another node, without those of the upstreams in except,
+// for which the receiver has newer data.
 func (t *Table) Pack(now time.Time, n int, except ...VM) []byte {
 	ms := now.UnixMilli()
 	var best [maxPacked]int
@@ -73,8 +73,7 @@
 	return append(b, e.weight, byte(age))
 }
 
-// Merge takes in samples that another node has packed. What it knows better
-// already, it keeps.
+// Merge records samples packed by another node, except those for which a newer sample is known.
 func (t *Table) Merge(now time.Time, packed []byte) error {
 	if len(packed)%sampleSize != 0 || len(packed) > maxPacked*sampleSize {
 		return ErrMalformed
@@ -88,10 +87,10 @@
 	return nil
 }
 
-// hasHigherLoad reports whether a sample of the same moment is known that tells of more
-// load than e. In a burst, samples pass each other on the way, and their times do not
-// tell which is the later one. The one with less load was mostly taken before the
-// burst: in place of the other, it makes upstreams with room refuse.
+// hasHigherLoad reports whether the table has a sample with the same time and state as e and a
+// higher load. In a burst, samples overtake each other on the way, and their times do not show
+// which one is newer. The one with the lower load was usually taken before the burst; replacing
+// the other with it makes upstreams with spare capacity refuse requests.
 func (t *Table) hasHigherLoad(e *entry) bool {
 	i, ok := t.index[e.vm]
 	if !ok {
--- a/internal/load/share.go
+++ b/internal/load/share.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Routers that call upstreams themselves tell each other loads through the router
-// that they rely on: each tells that one what it has heard, and is told what that
-// one knows. An entry is the short name of its upstream (2 bytes, big-endian), its load
-// (1) and the age of that (1).
+// Routers that call upstreams directly exchange loads through their parent, the router that they
+// subscribe to: each reports the loads that it has observed, and the parent publishes all that it
+// knows. An entry is the short name of the upstream (2 bytes, big-endian), its load (1) and the
+// age of the load (1).
 //
-// Upstreams are named, not numbered by a list that both sides must hold: where they are
-// replaced one after the other, routers hold different lists much of the time.
+// Entries name upstreams instead of numbering them by a list that both sides must have: during a
+// rolling replacement of upstreams, routers have different lists much of the time.
 const (
-	// maxSharedEntries is how many loads one message holds. Of a larger pool the highest are
-	// told, which are those that a bound is about, and the others by turns.
+	// maxSharedEntries is the maximum number of loads in a message. For a larger pool, a message
+	// contains the highest loads, which the load bound is about, and the others in turn.
 	maxSharedEntries = 160
-	// sharedHighestLoads is how many of the highest loads each message about such a pool holds.
+	// sharedHighestLoads is the number of highest loads in each message about such a pool.
 	sharedHighestLoads = 32
-	// maxSharedAge is how long after it was heard a load is told.
+	// maxSharedAge is the age up to which a load is published.
 	maxSharedAge = time.Second
-	// ownReportPrecedence is how long a router's own word from an upstream counts more than
-	// another's: about as long as that one took.
+	// ownReportPrecedence is how long a load that an upstream reported to this router takes
+	// precedence over one from another router: about as long as that one took to arrive.
 	ownReportPrecedence = 100 * time.Millisecond
-	// sharedAgeUnit is the unit of the age of a load.
+	// sharedAgeUnit is the unit of the age of a load in messages.
 	sharedAgeUnit = 10 * time.Millisecond
 
 	sharedEntrySize   = 4
@@ -33,12 +33,12 @@
 	maxSharedAgeUnits = 255
 )
 
-// ShortName returns the name of an upstream in messages between routers. Two upstreams of
-// a pool seldom have the same; if so, neither is told of.
+// ShortName returns the name of an upstream in messages between routers. Two upstreams of a pool
+// rarely have the same short name. If they do, neither is included.
 func (vm VM) ShortName() uint16 { return uint16(vm) }
 
-// ShortNames returns the upstreams of a pool by their short names, without those of which
-// two have the same.
+// ShortNames returns the upstreams of a pool by short name, without those whose short name is not
+// unique.
 func ShortNames(members []VM) map[uint16]VM {
 	byName := make(map[uint16]VM, len(members))
 	var duplicates []uint16
@@ -54,8 +54,8 @@
 	return byName
 }
 
-// PackObserved returns what this router, or one that tells it, has heard of members
-// after a time; nil: nothing.
+// PackObserved returns the loads of members observed after the given time by this router or by
+// its subscribers, or nil if there are none.
 func (t *PoolLoad) PackObserved(now, after time.Time, members []VM) []byte {
 	var observed []VM
 	for _, vm := range members {
@@ -67,9 +67,9 @@
 	return t.pack(now, observed[:min(len(observed), maxSharedEntries)])
 }
 
-// PackKnown returns what this router knows of members; nil: nothing. Of a pool that does
-// not fit into a message, it returns the highest loads, and of the others those that were
-// not told for longest.
+// PackKnown returns the known loads of members, or nil if there are none. If the pool does not
+// fit into a message, it returns the highest loads, and of the others those that were sent least
+// recently.
 func (t *PoolLoad) PackKnown(now time.Time, members []VM) []byte {
 	var known []VM
 	for _, vm := range members {
@@ -105,18 +105,18 @@
 	return b
 }
 
-// sharedLoad returns a load as a byte: what it was when it was heard, since it goes with its
-// age, and who is told lets it fade by that.
+// sharedLoad returns the load as a byte, as it was when it was reported. The message contains its
+// age, by which the receiver decays it.
 func (e *upstreamLoad) sharedLoad() byte {
 	return byte(min(max(e.own+e.others, 0), maxSharedLoad))
 }
 
-// MergeObserved takes in what a router has heard that tells this one. It is passed on.
+// MergeObserved records loads observed by a subscriber. They are included in PackObserved.
 func (t *PoolLoad) MergeObserved(now time.Time, members []VM, packed []byte) error {
 	return t.mergeEntries(now, members, packed, false)
 }
 
-// MergeKnown takes in what the router knows that this one relies on.
+// MergeKnown records loads published by the parent.
 func (t *PoolLoad) MergeKnown(now time.Time, members []VM, packed []byte) error {
 	return t.mergeEntries(now, members, packed, true)
 }
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// merge takes in a load of an earlier moment, unless what is known is as new. Without its
-// age, what comes through three routers would take the place of newer knowledge.
+// merge records a load observed at an earlier time, unless the known load is at least as new.
+// Without the age, a load forwarded by three routers would replace a newer one.
 func (t *PoolLoad) merge(at time.Time, vm VM, load int, fromParent bool) {
 	e := t.entry(vm)
 	if at.Sub(e.reportedAt) <= 0 || !e.fromParent && at.Sub(e.reportedAt) < ownReportPrecedence {
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// A router sends an upstream few of its requests and hears from it once in a while.
-// What the router that it relies on has heard meanwhile takes the place of the mean.
+// A router sends few requests to each upstream and rarely receives a report of its load. It must
+// use the loads published by its parent instead of the mean.
 func TestKnownLoadsReachSubscribers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := vms(rapid.IntRange(1, 2*maxSharedEntries).Draw(t, "upstreams"))
@@ -46,11 +46,11 @@
 	})
 }
 
-// A pool of 117 upstreams behind 68 routers, one of which knows all loads. Told the 32
-// highest only, the others take the mean for the rest, and do not see which upstreams have
-// room: 81 of 2410 requests went to upstreams over the operators' bound beside a hot
-// session. One of 2,900 upstreams does not fit into a message, and is known within a round
-// of them.
+// A pool of 117 upstreams behind 68 routers, one of which knows all loads. When it published only
+// the 32 highest, the others used the mean for the rest and did not know which upstreams had
+// spare capacity: beside a hot session, 81 of 2410 requests went to upstreams over the load
+// bound. A pool of 2,900 upstreams does not fit into one message and must be known after one
+// round of messages.
 func TestLargePoolsArePublishedInFull(t *testing.T) {
 	for _, c := range []struct{ upstreams, messages int }{{117, 1}, {160, 1}, {400, 4}, {2900, 23}} {
 		members := vms(c.upstreams)
@@ -62,7 +62,7 @@
 			}
 			b := reader.PackKnown(now, members)
 			if limit := 4 * 160; len(b) > limit {
-				t.Errorf("%d upstreams: a message of %d bytes, want %d at most", c.upstreams, len(b), limit)
+				t.Errorf("%d upstreams: message of %d bytes, want %d at most", c.upstreams, len(b), limit)
 			}
 			if err := router.MergeKnown(now, members, b); err != nil {
 				t.Fatal(err)
@@ -76,13 +76,13 @@
 			}
 		}
 		if unknown > 0 {
-			t.Errorf("%d upstreams: after %d messages the loads of %d are not known", c.upstreams, c.messages, unknown)
+			t.Errorf("%d upstreams: after %d messages the loads of %d are unknown", c.upstreams, c.messages, unknown)
 		}
 	}
 }
 
-// A load goes through three routers, which takes a second. By then a fourth router has
-// heard a newer one from the upstream's own answer, and must keep it.
+// A load takes a second to pass through three routers. By then the last router has received a
+// newer one with an answer of the upstream, and must keep it.
 func TestOldLoadsDoNotReplaceNewerOnes(t *testing.T) {
 	members := vms(1)
 	first, second, last := NewPoolLoad(), NewPoolLoad(), NewPoolLoad()
@@ -101,8 +101,8 @@
 	}
 }
 
-// Two routers tell each other loads. If each passed on what it has only from the
-// other, a load that was true once would go between them for good.
+// Two routers exchange loads. If each forwarded loads that it has only from the other, an
+// outdated load would circulate between them forever.
 func TestReceivedLoadsAreNotSentBack(t *testing.T) {
 	members := vms(3)
 	reader, router := NewPoolLoad(), NewPoolLoad()
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if b := router.PackObserved(start, start.Add(-time.Second), members); b != nil {
-		t.Errorf("the router tells %v of what it was told", b)
+		t.Errorf("the router reports %v, which it received from its parent", b)
 	}
 	router.Observe(start.Add(time.Millisecond), members[1], 4)
 	b := router.PackObserved(start.Add(time.Millisecond), start, members)
@@ -119,15 +119,16 @@
 		t.Fatal(err)
 	}
 	if got := reader.Load(start.Add(time.Millisecond), members[1]); got != 4 {
-		t.Errorf("the reader believes in %v, want what the router has heard, 4", got)
+		t.Errorf("the reader has load %v, want 4, as reported by the router", got)
 	}
 	late := start.Add(time.Millisecond + maxSharedAge + 1)
 	if b := reader.PackKnown(late, members); b != nil {
-		t.Errorf("the reader still tells %v when it is old", b)
+		t.Errorf("the reader still publishes %v after it has expired", b)
 	}
 }
 
-// An upstream's own word is newer than what another router heard of it before.
+// A load that an upstream reported to the router itself takes precedence over one that another
+// router received shortly before.
 func TestOwnReportBrieflyTakesPrecedence(t *testing.T) {
 	members := vms(1)
 	reader, router := NewPoolLoad(), NewPoolLoad()
@@ -148,8 +149,8 @@
 	}
 }
 
-// What is not known of an upstream's load counts against it, the more of it there
-// is and the longer ago the upstream has told.
+// The uncertainty of an upstream's load increases its upper bound, and grows with the age of the
+// last report.
 func TestUpperBoundGrowsWithAge(t *testing.T) {
 	a := NewPoolLoad()
 	for _, vm := range vms(4) {
@@ -168,7 +169,7 @@
 	}
 }
 
-// FuzzShared feeds a tally with what a router of any release may send.
+// FuzzShared merges arbitrary messages, as routers of any release may send them.
 func FuzzShared(f *testing.F) {
 	members := vms(5)
 	known := NewPoolLoad()
@@ -190,8 +191,8 @@
 	})
 }
 
-// A router that sends everything itself knows all loads; one of many knows what it is
-// told.
+// A router that sends all requests itself knows all loads. One of many routers counts only its
+// own share.
 func TestOwnShare(t *testing.T) {
 	for _, c := range []struct {
 		own, told int
@@ -203,7 +204,7 @@
 		}
 		a.Observe(start, 1, c.own+c.told)
 		if got := a.OwnShare(1, 0); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%d of its own and %d told: seen %v, want %v", c.own, c.told, got, c.want)
+			t.Errorf("%d own and %d reported requests: own share %v, want %v", c.own, c.told, got, c.want)
 		}
 	}
 }
--- a/internal/load/speed.go
+++ b/internal/load/speed.go
@@ -8,48 +8,50 @@
 )
 
 const (
-	// speedDecay is the time in which what was seen of an engine's speed loses its weight.
-	// An engine makes some events of each stream a second, so that a second tells.
+	// speedDecay is the time in which the weight of an observed event falls to 1/e. An engine
+	// emits several events of each stream per second, so one second of observations is enough.
 	speedDecay = time.Second
-	// priorEvents is how many events of the usual pace each engine is taken to have made: a
-	// pause for another request's prompt says little.
+	// priorEvents is the number of events at the typical interval that each engine is assumed to
+	// have produced. A pause for the prompt of another request thus has little effect.
 	priorEvents = 4.0
-	// maxIntervalFactor bounds how much slower than usual a single event counts.
+	// maxIntervalFactor limits the relative interval of a single event.
 	maxIntervalFactor = 16.0
-	// minTypicalInterval is the shortest usual pause, in seconds.
+	// minTypicalInterval is the shortest typical interval between events, in seconds.
 	minTypicalInterval = 0.001
-	// typicalIntervalSmoothing is the weight of one event in what is usual of its kind of request.
+	// typicalIntervalSmoothing is the weight of one event in the typical interval of its kind of
+	// request.
 	typicalIntervalSmoothing = 0.005
-	// answerSmoothing is the weight of one answer in how long answers take: ten tell that batches
-	// have filled, which a router of many sees in a second of a surge.
+	// answerSmoothing is the weight of one answer in the average duration of answers. Ten answers
+	// are enough to detect that batches have filled up; a router of a large fleet receives as
+	// many within a second of a surge.
 	answerSmoothing = 0.1
-	// waitDecay is the time in which a wait loses its weight in how long requests wait.
+	// waitDecay is the time in which the weight of an observed wait falls to 1/e.
 	waitDecay = 2 * time.Second
-	// priorWaits is how many requests are taken to have waited as long as answers and
-	// places let expect.
+	// priorWaits is the number of requests that are assumed to have waited for the time computed
+	// from the duration of answers and the number of slots.
 	priorWaits = 20.0
-	// firstByteSmoothing is the weight of one answer in how long its first byte takes.
+	// firstByteSmoothing is the weight of one answer in the average time to the first byte.
 	firstByteSmoothing = 0.02
 )
 
-// Speed is how fast the engines of a pool work next to each other, and how long their
-// answers take, as one router sees it in the pauses between the events of streams. These
-// do not depend on what waits before an engine, nor on which prompts it keeps. It is not
+// Speed estimates, from the view of one router, how fast the engines of a pool run relative to
+// each other, and how long their answers take. It measures the intervals between the events of
+// streams, which depend neither on the queue of an engine nor on its cached prompts. It is not
 // safe for concurrent use.
 type Speed struct {
 	clock        decay.Clock
-	typical      map[string]float64 // seconds from event to event, by kind of request
-	counts       map[VM]eventTotals // of this router and those that report to it
-	fleet        map[VM]eventTotals // of the whole fleet, by the router that this one relies on
-	unreported   map[VM]eventTotals // since they were reported last, each of weight one
-	firstByte    map[string]float64 // seconds until the first byte where nothing waits, by kind
+	typical      map[string]float64 // seconds between events, by kind of request
+	counts       map[VM]eventTotals // of this router and its subscribers
+	fleet        map[VM]eventTotals // of the whole fleet, published by the parent
+	unreported   map[VM]eventTotals // since the last report, each of weight one
+	firstByte    map[string]float64 // seconds to the first byte with no request ahead, by kind
 	meanDuration float64            // seconds from the first byte to the end of an answer
-	durations    map[string]float64 // the same by kind of request
+	durations    map[string]float64 // the same, by kind of request
 	waits        waitTotals
 }
 
-// waitTotals is for how many seconds requests waited in all, and behind how many others, by
-// weight.
+// waitTotals holds the weighted sums of the seconds that requests waited and of the number of
+// requests ahead of them.
 type waitTotals struct {
 	clock          decay.Clock
 	seconds, ahead float64
@@ -64,14 +66,15 @@
 	w.ahead += ahead * weight
 }
 
-// perRequest returns for how many seconds a request waits for perRequest before it, if usual is what
-// else speaks for.
+// perRequest returns the estimated wait in seconds for each request ahead. prior is the estimate
+// without any observed wait.
 func (w *waitTotals) perRequest(now time.Time, prior float64) float64 {
 	weight := w.clock.Weight(now)
 	return (w.seconds/weight + priorWaits*prior) / (w.ahead/weight + priorWaits)
 }
 
-// eventTotals is eventTotals by weight, and their pauses in usual ones.
+// eventTotals holds the weighted number of events and the sum of the intervals before them, as
+// multiples of the typical interval.
 type eventTotals struct{ count, intervals float64 }
 
 func (e eventTotals) plus(other eventTotals) eventTotals {
@@ -82,7 +85,7 @@
 	return eventTotals{count: e.count * factor, intervals: e.intervals * factor}
 }
 
-// NewSpeed returns a Speed that has seen nothing.
+// NewSpeed returns a Speed without observations.
 func NewSpeed() *Speed {
 	return &Speed{
 		clock: decay.NewClock(speedDecay), typical: make(map[string]float64), firstByte: make(map[string]float64),
@@ -92,7 +95,8 @@
 	}
 }
 
-// RecordEvents takes in that n events of a stream came within a time after the one before.
+// RecordEvents records that n events of a stream arrived within the given time after the previous
+// one.
 func (s *Speed) RecordEvents(now time.Time, vm VM, kind string, n int, within time.Duration) {
 	interval := within.Seconds() / float64(n)
 	typical, known := s.typical[kind]
@@ -104,7 +108,8 @@
 	s.add(now, vm, eventTotals{count: float64(n), intervals: float64(n) * factor})
 }
 
-// rebase makes an event of now weigh one where weights have grown too far.
+// rebase rescales all weights so that an event at now has weight one, if the weights have grown
+// too large.
 func (s *Speed) rebase(now time.Time) {
 	weight, due := s.clock.Rebase(now)
 	if !due {
@@ -123,7 +128,8 @@
 	s.unreported[vm] = s.unreported[vm].plus(e)
 }
 
-// RecordFirstByte takes in how long the first byte of an answer took behind so many requests.
+// RecordFirstByte records the time to the first byte of an answer and how many requests were
+// ahead of it.
 func (s *Speed) RecordFirstByte(now time.Time, vm VM, kind string, d time.Duration, ahead float64) {
 	seconds := d.Seconds() / s.Slowdown(now, vm)
 	if ahead > 0 {
@@ -137,7 +143,7 @@
 	s.firstByte[kind] = mean + firstByteSmoothing*(min(seconds, 4*mean)-mean)
 }
 
-// RecordAnswer takes in how long an answer took from its first byte to its end.
+// RecordAnswer records the time from the first byte of an answer to its end.
 func (s *Speed) RecordAnswer(now time.Time, vm VM, kind string, d time.Duration) {
 	seconds := d.Seconds() / s.Slowdown(now, vm)
 	if s.durations[kind] == 0 {
@@ -150,12 +156,12 @@
 	s.meanDuration += answerSmoothing * (seconds - s.meanDuration)
 }
 
-// minDurationFactor bounds by how much sooner long answers wait behind others.
+// minDurationFactor is the lower limit of DurationFactor.
 const minDurationFactor = 0.4
 
-// DurationFactor returns 1 for a kind of request of which the answers take less than others,
-// and less the longer they take. Each long one that waits lets several short ones begin in
-// time.
+// DurationFactor returns the factor by which the allowed wait for a kind of request is reduced: 1
+// if its answers take no longer than average, less the longer they take. Each long request that
+// waits lets several short ones start in time.
 func (s *Speed) DurationFactor(kind string) float64 {
 	duration := s.durations[kind]
 	if duration <= s.meanDuration {
@@ -164,14 +170,14 @@
 	return max(s.meanDuration/duration, minDurationFactor)
 }
 
-// Slowdown returns how many times longer than usual an engine takes for each event.
+// Slowdown returns the interval between the events of an engine as a multiple of the typical one.
 func (s *Speed) Slowdown(now time.Time, vm VM) float64 {
 	e := s.totals(vm)
 	weight := s.clock.Weight(now)
 	return (e.intervals/weight + priorEvents) / (e.count/weight + priorEvents)
 }
 
-// totals returns what rests on more events: what was counted here, or what was told.
+// totals returns the fleet's totals or those counted by this router, whichever cover more events.
 func (s *Speed) totals(vm VM) eventTotals {
 	e := s.counts[vm]
 	if fleet := s.fleet[vm]; fleet.count > e.count {
@@ -180,10 +186,10 @@
 	return e
 }
 
-// EstimateFirstByte returns in how many seconds the first byte of an answer is to be expected from an
-// engine that works on so many requests at a time, behind so many that wait. Where the
-// answers of each place take as long as usual that is worked out from it; how long
-// requests did wait lately tells what else there is, such as prompts to be read.
+// EstimateFirstByte returns the estimated time in seconds to the first byte of an answer from an
+// engine with the given number of slots and of waiting requests ahead. The prior estimate of the
+// wait is computed from the average duration of answers per slot. Waits observed recently correct
+// it for other delays, such as reading prompts.
 func (s *Speed) EstimateFirstByte(now time.Time, vm VM, kind string, ahead float64, slots int) float64 {
 	seconds := s.firstByte[kind]
 	if ahead > 0 && slots > 0 {
@@ -192,7 +198,7 @@
 	return seconds * s.Slowdown(now, vm)
 }
 
-// Keep forgets every engine that is not among members.
+// Keep drops all engines that are not in members.
 func (s *Speed) Keep(members []VM) {
 	kept := SetOf(members)
 	for _, m := range []map[VM]eventTotals{s.counts, s.fleet, s.unreported} {
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// recordStream has an engine make events of a recordStream for a second, with a pause between them.
+// recordStream records the events of a stream of an engine for one second.
 func recordStream(s *Speed, now time.Time, vm VM, interval time.Duration) {
 	for at := time.Duration(0); at < time.Second; at += interval {
 		s.RecordEvents(now.Add(at), vm, "chat", 1, interval)
 	}
 }
 
-// Two of five engines come to work five times slower. Their loads do not tell: they hold as
-// many requests as the others, and keep them five times as long. The pauses between the
-// events of their streams do, within a second, also to a router that has sent them nothing.
+// Two of five engines become five times slower. Their loads do not show it: they run as many
+// requests as the others, and each takes five times as long. The intervals between stream events
+// must show it within a second, also to a router that has sent no requests to these engines.
 func TestSlowEnginesAreDetectedByEventIntervals(t *testing.T) {
 	members := vms(5)
 	router, reader, other := NewSpeed(), NewSpeed(), NewSpeed()
@@ -44,23 +44,23 @@
 	for _, s := range []*Speed{router, other} {
 		for i, vm := range members {
 			if slowdown := s.Slowdown(now, vm); (slowdown > minSummarySlowdown) != (i < 2) {
-				t.Errorf("engine %d is taken to be %.2f times slower", i, slowdown)
+				t.Errorf("engine %d has a slowdown of %.2f", i, slowdown)
 			}
 		}
 	}
-	// It is forgotten when the engine works as before.
+	// The slowdown must be forgotten once the engine runs normally again.
 	for _, vm := range members {
 		recordStream(router, now, vm, 40*time.Millisecond)
 		recordStream(router, now.Add(time.Second), vm, 40*time.Millisecond)
 	}
 	if slowdown := router.Slowdown(now.Add(2*time.Second), members[0]); slowdown > minSummarySlowdown {
-		t.Errorf("two seconds after the engine has recovered it is taken to be %.2f times slower", slowdown)
+		t.Errorf("slowdown %.2f two seconds after the engine has recovered", slowdown)
 	}
 }
 
-// An engine with 16 places serves answers of a second each, so that behind 8 requests that
-// wait another one waits for half a second. If prompts that have to be read make that
-// longer, the waits themselves tell.
+// An engine has 16 slots, and its answers take a second each, so a request with 8 requests ahead
+// waits for half a second. If waits are longer, for example because prompts have to be read, the
+// observed waits must correct the estimate.
 func TestEstimateUsesAnswersThenObservedWaits(t *testing.T) {
 	s, now := NewSpeed(), start
 	for range 50 {
@@ -68,17 +68,18 @@
 		s.RecordFirstByte(now, 1, "chat", 80*time.Millisecond, 0)
 	}
 	if got, want := s.EstimateFirstByte(now, 1, "chat", 8, 16), 0.58; math.Abs(got-want) > 0.02 {
-		t.Errorf("a first byte is expected after %.2f s, want %.2f", got, want)
+		t.Errorf("first byte estimated after %.2f s, want %.2f", got, want)
 	}
 	for range 50 {
 		s.RecordFirstByte(now, 1, "chat", 1080*time.Millisecond, 8)
 	}
 	if got, want := s.EstimateFirstByte(now, 1, "chat", 8, 16), 1.08; math.Abs(got-want) > 0.06 {
-		t.Errorf("after waits of a second a first byte is expected after %.2f s, want %.2f", got, want)
+		t.Errorf("after waits of a second, first byte estimated after %.2f s, want %.2f", got, want)
 	}
 }
 
-// Of what a router awaits most is of little urgency: an urgent request goes before it.
+// Most requests that a router awaits are of low urgency. An urgent request must be estimated to
+// overtake them.
 func TestUrgentRequestsHaveFewAhead(t *testing.T) {
 	var mix UrgencyMix
 	for range 9 {
@@ -86,20 +87,20 @@
 	}
 	mix.AddWaiting(0)
 	if got := mix.FractionAhead(0); math.Abs(got-2.0/11) > 1e-9 {
-		t.Errorf("%.3f of what waits goes before an urgent request", got)
+		t.Errorf("fraction %.3f ahead of an urgent request", got)
 	}
 	if got := mix.FractionAhead(7); got != 1 {
-		t.Errorf("%.3f goes before one of little urgency", got)
+		t.Errorf("fraction %.3f ahead of a request of low urgency, want 1", got)
 	}
 	for range 9 {
 		mix.RemoveWaiting(7)
 	}
 	if got := mix.FractionAhead(0); got != 1 {
-		t.Errorf("%.3f goes before an urgent one when only urgent ones wait", got)
+		t.Errorf("fraction %.3f ahead of an urgent request when only urgent ones wait, want 1", got)
 	}
 }
 
-// FuzzSpeeds feeds a Speed with what a router of any release may send.
+// FuzzSpeeds merges arbitrary messages, as routers of any release may send them.
 func FuzzSpeeds(f *testing.F) {
 	members := vms(5)
 	known := NewSpeed()
@@ -115,15 +116,15 @@
 		_ = s.MergeSummary(start, members, b)
 		for _, vm := range members {
 			if slowdown := s.Slowdown(start, vm); !(slowdown > 0 && slowdown < 2*maxIntervalFactor) {
-				t.Fatalf("slowness %v", slowdown)
+				t.Fatalf("slowdown %v", slowdown)
 			}
 		}
 	})
 }
 
-// A router has just started, or has served no stream for an hour. What it is told of slow
-// engines then must mean the same to it as to any other: weights that were worked out for
-// another time would make of it a number that is none, and all that follows from it.
+// A router that has just started, or has served no stream for an hour, receives a summary of slow
+// engines. Merging it without rebasing the weights first turned the slowdown into NaN, and
+// everything computed from it.
 func TestIdleRoutersMergeSummaries(t *testing.T) {
 	members := vms(2)
 	reader := NewSpeed()
@@ -133,12 +134,12 @@
 	summary := reader.Summary(now, members)
 	started, idle := NewSpeed(), NewSpeed()
 	recordStream(idle, now.Add(-time.Hour), members[1], 40*time.Millisecond)
-	for name, s := range map[string]*Speed{"started": started, "quiet": idle} {
+	for name, s := range map[string]*Speed{"started": started, "idle": idle} {
 		if err := s.MergeSummary(now, members, summary); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := s.Slowdown(now, members[0]), reader.Slowdown(now, members[0]); !(math.Abs(got-want) < 0.3) {
-			t.Errorf("%s: the engine is taken to be %.2f times slower, want %.2f", name, got, want)
+			t.Errorf("%s: slowdown %.2f, want %.2f", name, got, want)
 		}
 	}
 }
--- a/internal/load/speedshare.go
+++ b/internal/load/speedshare.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Routers tell each other how fast engines work as they tell loads. An entry is the short
-// name of an engine (2 bytes, big-endian), events (1) and how long their pauses were, in
-// parts of the usual one (1).
+// Routers exchange the speed of engines as they exchange loads. An entry is the short name of the
+// engine (2 bytes, big-endian), the number of events (1) and their mean interval as a multiple of
+// the typical one, in units of 1/intervalScale (1).
 const (
 	speedEntrySize = 4
-	// maxReportedSpeeds is how many engines a report names, those with most events.
+	// maxReportedSpeeds is the maximum number of engines in a report: those with the most events.
 	maxReportedSpeeds = 96
-	// maxSummarySpeeds is how many engines are told to all, the slowest, and slowTold from how
-	// many times the usual pause on one is told.
+	// maxSummarySpeeds is the maximum number of engines in a summary: the slowest.
+	// minSummarySlowdown is the slowdown above which an engine is included.
 	maxSummarySpeeds   = 48
 	minSummarySlowdown = 1.5
-	// intervalScale is how many steps of a told pause make the usual one.
+	// intervalScale is the encoded value of the typical interval.
 	intervalScale = 15
 )
 
-// Report returns what was seen since the last report, for the router that this one
-// relies on; nil: nothing.
+// Report returns the events recorded since the last report, to be sent to the parent, or nil if
+// there are none.
 func (s *Speed) Report(members []VM) []byte {
 	var seen []VM
 	for _, vm := range members {
@@ -40,13 +40,12 @@
 	return b
 }
 
-// MergeReport takes in what another router reports. It goes on with the next Report.
+// MergeReport adds the events reported by a subscriber. They are included in the next Report.
 func (s *Speed) MergeReport(now time.Time, members []VM, packed []byte) error {
 	return forEachEntry(packed, members, func(vm VM, e eventTotals) { s.add(now, vm, e) })
 }
 
-// Summary returns what the routers that rely on this one are to know: the engines that are
-// slow; nil: none.
+// Summary returns the slow engines, to be published to subscribers, or nil if there are none.
 func (s *Speed) Summary(now time.Time, members []VM) []byte {
 	slowdown := make(map[VM]float64)
 	var slow []VM
@@ -65,8 +64,7 @@
 	return b
 }
 
-// MergeSummary takes in what the router tells that this one relies on. It takes the place
-// of what was told before.
+// MergeSummary replaces the fleet's totals with a summary published by the parent.
 func (s *Speed) MergeSummary(now time.Time, members []VM, packed []byte) error {
 	s.rebase(now)
 	weight := s.clock.Weight(now)
@@ -83,7 +81,7 @@
 	return append(b, ToByte(e.count), ToByte(intervalScale*e.intervals/e.count))
 }
 
-// ToByte returns the number nearest to x that a byte holds.
+// ToByte returns x rounded to the nearest integer and limited to the range of a byte.
 func ToByte(x float64) byte {
 	return byte(min(max(x+0.5, 0), 255))
 }
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// maxEntries bounds a Table whatever samples claim: the size of a whole fleet.
+// maxEntries limits the size of a Table regardless of received samples: the size of a whole
+// fleet.
 const maxEntries = 4096
 
-// Table holds the newest sample of each upstream of one pool. It is not safe
-// for concurrent use.
+// Table holds the newest sample of each upstream of one pool. It is not safe for concurrent use.
 type Table struct {
 	entries []entry
 	index   map[VM]int
 	serving poolTotals
 	trend   trend
-	// expiry is when the first sample may be too old, in milliseconds.
+	// expiry is the earliest time at which a sample may expire, in Unix milliseconds.
 	expiry int64
 }
 
@@ -25,14 +25,14 @@
 	load   uint16
 	weight uint8
 	state  State
-	at     int64 // when it was true, in milliseconds
+	at     int64 // time of the sample, in Unix milliseconds
 }
 
-// poolTotals are kept over the upstreams that serve, so that the mean costs the same
-// in a pool of any size.
+// poolTotals are sums over the serving upstreams. With them, computing the mean costs the same in
+// a pool of any size.
 type poolTotals struct {
 	known, loads, weights int64
-	weightedTimes         int64 // of the samples times weight, in milliseconds
+	weightedTimes         int64 // sum of sample times multiplied by weight, in milliseconds
 }
 
 func (s *poolTotals) add(e *entry, sign int64) {
@@ -50,7 +50,7 @@
 	return &Table{index: make(map[VM]int), expiry: math.MaxInt64}
 }
 
-// Observe records what an upstream's own sidecar says now.
+// Observe records a report that an upstream's own sidecar sent at now.
 func (t *Table) Observe(now time.Time, vm VM, r Report) {
 	t.put(entry{
 		vm:     vm,
@@ -61,14 +61,14 @@
 	})
 }
 
-// Keep forgets every upstream that is not among members.
+// Keep drops all upstreams that are not in members.
 func (t *Table) Keep(members []VM) {
 	kept := SetOf(members)
 	t.removeIf(func(e *entry) bool { return !kept[e.vm] })
 }
 
-// Get returns the last report of an upstream, if it is not too old, with the
-// load brought up to now by the pool's trend, as the mean is.
+// Get returns the last report of an upstream, and whether it is known and has not expired. The
+// load is extrapolated to now by the pool's trend, like the mean.
 func (t *Table) Get(now time.Time, vm VM) (Report, bool) {
 	ms := now.UnixMilli()
 	i, ok := t.index[vm]
@@ -81,9 +81,8 @@
 	return Report{Load: int(math.Round(load)), Weight: int(e.weight), State: e.state}, true
 }
 
-// Mean returns the mean load for each unit of weight over the known upstreams
-// that serve, and how many these are. Samples are brought up to now by the
-// pool's trend.
+// Mean returns the mean load per unit of weight of the known serving upstreams, and the number of
+// these. Samples are extrapolated to now by the pool's trend.
 func (t *Table) Mean(now time.Time) (mean float64, known int) {
 	ms := now.UnixMilli()
 	t.expire(ms)
@@ -115,7 +114,7 @@
 	t.expiry = min(t.expiry, e.at+maxAge.Milliseconds())
 }
 
-// evictIfFull drops the oldest sample of a full table.
+// evictIfFull removes the oldest sample of a full table.
 func (t *Table) evictIfFull() {
 	if len(t.entries) < maxEntries {
 		return
@@ -129,7 +128,7 @@
 	t.remove(oldest)
 }
 
-// expire drops the samples that are too old.
+// expire removes expired samples.
 func (t *Table) expire(ms int64) {
 	if ms <= t.expiry {
 		return
--- a/internal/load/table_test.go
+++ b/internal/load/table_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// FuzzMerge feeds a table with what any peer may send.
+// FuzzMerge merges arbitrary messages into a table, as any peer may send them.
 func FuzzMerge(f *testing.F) {
 	known := NewTable()
 	known.Observe(start, 1, Report{Load: 7, Weight: 2})
@@ -29,8 +29,8 @@
 	})
 }
 
-// A sample that goes from node to node must grow old on its way: were it to
-// look newer, two nodes could keep a dead upstream's load alive between them.
+// The age of a sample must grow while it passes from node to node. Otherwise two nodes could keep
+// the load of a dead upstream alive between them.
 func TestSamplesAgeInCirculation(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(start, 1, Report{Load: 9})
@@ -43,14 +43,15 @@
 		now = now.Add(10 * time.Millisecond)
 	}
 	if _, ok := a.Get(now, 1); ok {
-		t.Fatal("the sample still counts after its time")
+		t.Fatal("the sample is still valid after it has expired")
 	}
 	if len(a.Pack(now, 1)) != 0 {
-		t.Fatal("the sample is still passed on after its time")
+		t.Fatal("the sample is still sent after it has expired")
 	}
 }
 
-// receiveSamples has table receiveSamples of each upstream i every(i) seconds, age seconds late.
+// receiveSamples merges a sample of each upstream i every(i) seconds into table, each age seconds
+// old.
 func receiveSamples(table *Table, upstreams, seconds, age int, every func(int) int, load func(i, second int) int) (now time.Time) {
 	for s := range seconds {
 		now = start.Add(time.Duration(s+age) * time.Second)
@@ -66,9 +67,9 @@
 	return now
 }
 
-// An organisation surges: every upstream's load grows by one a second. All
-// that a sidecar has heard is eight seconds old or more, so it takes the mean
-// for lower than it is and refuses requests for which there is room.
+// During a surge the load of every upstream grows by one per second. All samples that a sidecar
+// has are at least eight seconds old. Without extrapolation it underestimates the mean and
+// refuses requests despite spare capacity.
 func TestMeanKeepsUpWithASurge(t *testing.T) {
 	table := NewTable()
 	every := func(int) int { return 4 }
@@ -79,9 +80,8 @@
 	}
 }
 
-// Busy upstreams are heard of more often than idle ones. With loads that do
-// not change, that must not look like a rise: upstreams would go over their
-// bounds for as long as the imbalance lasts.
+// Busy upstreams are sampled more often than idle ones. With constant loads, this must not look
+// like a rise, or upstreams would exceed their bounds for as long as the imbalance lasts.
 func TestBusyUpstreamsDoNotLookLikeASurge(t *testing.T) {
 	table := NewTable()
 	busy := func(i int) bool { return i%2 == 0 }
@@ -102,10 +102,9 @@
 	}
 }
 
-// Three requests reach an upstream in one burst. A sample from before them, which went
-// by way of another node, arrives last, with the same time. Taken for the later one,
-// it made the pool's mean too low, and upstreams with room refused the rest of the
-// burst.
+// Three requests reach an upstream in one burst. A sample taken before them arrives last, through
+// another node, with the same time. When it replaced the newer one, the pool's mean was too low,
+// and upstreams with spare capacity refused the rest of the burst.
 func TestHigherOfSimultaneousLoadsIsKept(t *testing.T) {
 	before, after := NewTable(), NewTable()
 	before.Observe(start, 1, Report{Load: 0})
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -7,37 +7,38 @@
 	"github.com/parsleyfront/parsleyfront/internal/decay"
 )
 
-// othersDecay is the time in which what an upstream said of its load loses its
-// weight to the mean. Requests last about as long, so by then others have taken their
+// othersDecay is the time in which the weight of a load reported by an upstream falls to 1/e, in
+// favour of the mean. Requests last about as long, so by then other requests have taken their
 // place.
 const othersDecay = 2 * time.Second
 
-// meanDecay is the time in which it loses its weight in the mean of the pool. Shorter than
-// othersFor: of one upstream nothing newer may be known, but of a pool there always is.
+// meanDecay is the time in which the weight of a reported load in the mean of the pool falls to
+// 1/e. It is shorter than othersDecay because a pool always has newer reports, while a single
+// upstream may have none.
 const meanDecay = 500 * time.Millisecond
 
-// PoolLoad is what one router knows of the loads of upstreams that it calls itself,
-// with no sidecar to decide for them: its own requests, which it counts, and
-// those of other routers, as far as upstreams tell their load with answers. It is
-// not safe for concurrent use.
+// PoolLoad estimates the loads of upstreams that a router calls directly, without a sidecar that
+// admits requests. It combines the router's own requests, which it counts, with the requests of
+// other routers, as far as upstreams report their load with answers. It is not safe for
+// concurrent use.
 type PoolLoad struct {
 	entries        map[VM]*upstreamLoad
-	ownTotal       int // sum of the router's requests
+	ownTotal       int // requests of this router at all upstreams
 	clock          decay.Clock
-	weightedOthers float64 // sum of others' requests, as they were told, by the clock's weights
+	weightedOthers float64 // sum of the reported requests of other routers, weighted by the clock
 	weightTotal    float64 // sum of those weights
 }
 
-// upstreamLoad is what is known of one upstream.
+// upstreamLoad holds the known load of one upstream.
 type upstreamLoad struct {
 	own        int
-	others     int       // requests of other routers when the upstream told its load
-	reportedAt time.Time // when that was; zero: never
-	fromParent bool      // by the router that this one relies on, not by the upstream
-	sentAt     time.Time // when it was told to other routers last; zero: never
+	others     int       // requests of other routers at the last report
+	reportedAt time.Time // time of the last report; zero: never
+	fromParent bool      // received from the parent, not from the upstream
+	sentAt     time.Time // when it was last sent to other routers; zero: never
 }
 
-// NewPoolLoad returns an empty Tally.
+// NewPoolLoad returns an empty PoolLoad.
 func NewPoolLoad() *PoolLoad {
 	return &PoolLoad{clock: decay.NewClock(meanDecay), entries: make(map[VM]*upstreamLoad)}
 }
@@ -51,13 +52,13 @@
 	return e
 }
 
-// Begin counts a request that goes to an upstream.
+// Begin counts a request that is sent to an upstream.
 func (t *PoolLoad) Begin(vm VM) {
 	t.entry(vm).own++
 	t.ownTotal++
 }
 
-// End counts the end of a request that Begin has counted.
+// End counts the end of a request counted by Begin.
 func (t *PoolLoad) End(vm VM) {
 	if e := t.entries[vm]; e != nil && e.own > 0 {
 		e.own--
@@ -65,8 +66,8 @@
 	}
 }
 
-// Observe takes in that an upstream works on load requests, or has them wait. The
-// router's own are among them.
+// Observe records that an upstream has load requests running or waiting, including those of this
+// router.
 func (t *PoolLoad) Observe(now time.Time, vm VM, load int) {
 	e := t.entry(vm)
 	t.subtractFromTotals(e)
@@ -78,7 +79,8 @@
 	t.addToTotals(e)
 }
 
-// recomputeTotals works the sums out anew, which also takes out what rounding has left.
+// recomputeTotals computes the totals from all entries, which also removes accumulated rounding
+// errors.
 func (t *PoolLoad) recomputeTotals() {
 	t.weightedOthers, t.weightTotal = 0, 0
 	for _, e := range t.entries {
@@ -95,7 +97,7 @@
 	t.weightTotal += weight
 }
 
-// subtractFromTotals takes what an upstream has told out of the sums.
+// subtractFromTotals removes the reported load of an upstream from the totals.
 func (t *PoolLoad) subtractFromTotals(e *upstreamLoad) {
 	if e.reportedAt.IsZero() {
 		return
@@ -105,7 +107,7 @@
 	t.weightTotal -= weight
 }
 
-// Keep forgets every upstream that is not among members.
+// Keep drops all upstreams that are not in members.
 func (t *PoolLoad) Keep(members []VM) {
 	kept := SetOf(members)
 	for vm, e := range t.entries {
@@ -117,12 +119,12 @@
 	t.recomputeTotals()
 }
 
-// fullConfidenceFor is for how long what an upstream has told counts in full. It comes through
-// other routers, and a mean in its place would hide who has most.
+// fullConfidenceFor is how long a reported load is used without decay. Reports arrive through
+// other routers, and using the mean instead would hide the upstream with the highest load.
 const fullConfidenceFor = 500 * time.Millisecond
 
-// confidence returns how much what the upstream has told last counts against the mean: from 1,
-// as it tells, to 0.
+// confidence returns the weight of the last reported load against the mean, from 0, the mean
+// only, to 1, the reported load only.
 func (e *upstreamLoad) confidence(now time.Time) float64 {
 	if e == nil || e.reportedAt.IsZero() {
 		return 0
@@ -131,7 +133,7 @@
 	return math.Exp(-excessAge.Seconds() / othersDecay.Seconds())
 }
 
-// Load returns the believed load of an upstream.
+// Load returns the estimated load of an upstream.
 func (t *PoolLoad) Load(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	return t.estimate(e, e.confidence(now))
@@ -144,13 +146,14 @@
 	return float64(e.own) + confidence*float64(e.others) + (1-confidence)*t.meanOthers()
 }
 
-// recentLoadDecay is for how long what an upstream has told of its queue is believed in full, and
-// in which time it fades to an e-th part then. Requests are turned away for a queue, and
-// those that are not sent bring no news of it: without this, nothing would be sent for good.
+// recentLoadDecay is how long a reported load is used in full for estimating the wait, and the
+// time in which it falls to 1/e afterwards. Requests are rejected because of the reported queue,
+// and requests that are not sent bring no newer report. Without the decay, an upstream would be
+// excluded forever.
 const recentLoadDecay = time.Second
 
-// RecentLoad returns the load of an upstream as it has told it lately, from which the wait
-// there is worked out.
+// RecentLoad returns the last reported load of an upstream, decayed by age, from which its wait
+// is estimated.
 func (t *PoolLoad) RecentLoad(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	if e == nil {
@@ -160,31 +163,32 @@
 	return float64(e.own) + float64(e.others)*math.Exp(-excessAge.Seconds()/recentLoadDecay.Seconds())
 }
 
-// upperDeviations is how many standard deviations of what is not known of an upstream's load
-// Upper adds.
+// upperDeviations is the number of standard deviations of the unknown part of an upstream's load
+// that UpperBound adds.
 const upperDeviations = 1.0
 
-// UpperBound returns a load that an upstream seldom exceeds: what is believed of it, and
-// some deviations of the part that was not heard of lately. Requests of others come
-// by chance, so that their number varies by its root.
+// UpperBound returns a load that an upstream rarely exceeds: the estimated load plus some
+// standard deviations of the part without a recent report. The requests of other routers arrive
+// at random, so the standard deviation of their number is its square root.
 func (t *PoolLoad) UpperBound(now time.Time, vm VM) float64 {
 	e := t.entries[vm]
 	confidence := e.confidence(now)
 	return t.estimate(e, confidence) + upperDeviations*(1-confidence)*math.Sqrt(t.meanOthers())
 }
 
-// Mean returns the believed mean load of n upstreams, of which some are idle: they are
-// there, and get nothing. They tell nothing either, so that what the others tell would
-// pass for the mean of all, and a bound that counts all would be broken: with a third of
-// a pool drained, the others would be filled half as much again.
+// Mean returns the estimated mean load of n upstreams, including idle ones, which receive no
+// requests. Idle upstreams report no load. If the mean of the reports counted for all n, a bound
+// based on it would be too high: with a third of a pool drained, the others would receive half as
+// much load again.
 func (t *PoolLoad) Mean(n, idle int) float64 {
 	all := float64(max(n, 1))
 	working := float64(n-idle) / all
 	return float64(t.ownTotal)/all + working*t.meanOthers()
 }
 
-// OwnShare returns which part of the load of n upstreams, of which some are idle, is the
-// router's own, which it counts and need not be told.
+// OwnShare returns the share of the load of n upstreams, idle ones included, that consists of
+// this router's own requests, from 0 to 1. The router counts these itself and needs no reports of
+// them.
 func (t *PoolLoad) OwnShare(n, idle int) float64 {
 	mean := t.Mean(n, idle)
 	if mean <= 0 {
@@ -193,12 +197,11 @@
 	return float64(t.ownTotal) / float64(max(n, 1)) / mean
 }
 
-// meanOthers returns the mean of others' requests at an upstream. The later an upstream
-// has told its load, the more it counts: one that gets nothing any more, since it is
-// suspected, tells nothing either. With the same weight for all, the loads that upstreams
-// had in a surge stay in the mean for seconds after it, and no bound holds: of 653
-// requests in five calm seconds, 63 found their upstream over the operators' bound, and
-// 31 with this (four runs of a day).
+// meanOthers returns the mean number of other routers' requests at an upstream. Newer reports
+// have more weight, because an upstream that receives no requests, for example while it is
+// suspected, reports nothing. With equal weights, the loads reported during a surge stay in the
+// mean for seconds after it, and no bound holds: of 653 requests in five calm seconds, 63 found
+// their upstream over the load bound, and 31 with the weights (four runs of a day).
 func (t *PoolLoad) meanOthers() float64 {
 	if t.weightTotal <= 0 {
 		return 0
--- a/internal/load/tally_test.go
+++ b/internal/load/tally_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A surge leaves twelve of eighteen upstreams suspected: they get nothing, and so tell
-// nothing any more. The loads that they told in the surge stayed in the mean for as long,
-// no upstream seemed to be over the bound, and sessions piled up at the other six.
+// After a surge, twelve of eighteen upstreams are suspected and receive no requests, so they
+// report no load. Their loads during the surge stayed in the mean, no upstream appeared to be
+// over the bound, and sessions accumulated at the other six.
 func TestMeanForgetsLoadsNoLongerReported(t *testing.T) {
 	loads, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(18) {
@@ -21,12 +21,12 @@
 		}
 	}
 	if got := loads.Mean(18, 0); got > 25 {
-		t.Errorf("6 s after the surge the mean is believed to be %.1f", got)
+		t.Errorf("estimated mean %.1f 6 s after the surge", got)
 	}
 }
 
-// An upstream that is asked once in a while tells its load as seldom. With nothing newer,
-// that is what is known.
+// An upstream that rarely receives requests rarely reports its load. Without newer reports, the
+// mean of the old ones is the best estimate.
 func TestMeanOfOldLoadsIsTheirMean(t *testing.T) {
 	loads, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(4) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// A surge is over. Two thirds of the upstreams have worked off what waited there and tell
-// so ten times a second; the others are asked nothing, and so tell nothing. Three seconds
-// later what they told in the surge made up half of the mean, and with it of the bound.
+// After a surge, two thirds of the upstreams have worked off their queues and report their load
+// ten times per second. The others receive no requests and report nothing. Three seconds later,
+// their loads during the surge made up half of the mean, and of the bound derived from it.
 func TestMeanFollowsReportingUpstreams(t *testing.T) {
 	loads, now := NewPoolLoad(), time.Unix(1000, 0)
 	for vm := range VM(46) {
@@ -54,6 +54,6 @@
 		}
 	}
 	if got := loads.Mean(46, 0); got > 12 {
-		t.Errorf("3 s after the surge the mean is believed to be %.1f", got)
+		t.Errorf("estimated mean %.1f 3 s after the surge", got)
 	}
 }
--- a/internal/load/trend.go
+++ b/internal/load/trend.go
@@ -3,30 +3,30 @@
 import "math"
 
 const (
-	// trendDecaySeconds is the time, in seconds, over which the trend forgets.
+	// trendDecaySeconds is the time in which the weight of past samples falls to 1/e.
 	trendDecaySeconds = 10
-	// maxTrendSpanSeconds is the longest time between two samples of an upstream, in
-	// seconds, from which the trend learns, and for which it is trusted ahead.
+	// maxTrendSpanSeconds is the longest time between two samples of an upstream from which the
+	// trend is computed, and the longest time over which it is extrapolated.
 	maxTrendSpanSeconds = 20
-	// minTrendSeconds is how many seconds of samples a trend needs.
+	// minTrendSeconds is the weighted time between samples below which no trend is applied.
 	minTrendSeconds = 10
 )
 
-// trend is how fast the loads of a pool rise or fall. Samples are seconds old
-// when they arrive. When the pool's load grows by a few percent a second, at
-// the start of a surge, a mean of old samples is too low, and upstreams refuse
-// what they should take; when it falls, the mean is too high.
+// trend estimates how fast the loads of a pool rise or fall. Samples are seconds old when they
+// arrive. When the pool's load grows by a few percent per second, at the start of a surge, a mean
+// of old samples is too low, and upstreams refuse requests that they should accept. When the load
+// falls, the mean is too high.
 //
-// The trend is taken from successive samples of the same upstream. The age of
-// samples alone would not do: busy upstreams are heard of more often, so their
-// samples are the youngest, and the load would seem to rise all the time.
+// The trend is computed from successive samples of the same upstream. Comparing samples of
+// different age is not enough: busy upstreams are sampled more often, so their samples are the
+// newest, and the load would always seem to rise.
 type trend struct {
-	rise    float64 // of load, over the pairs of samples in the window
-	seconds float64 // between them, times weight
-	at      int64   // in milliseconds
+	rise    float64 // weighted sum of the load changes between successive samples
+	seconds float64 // weighted sum of the time between them, multiplied by the upstreams' weights
+	at      int64   // time of the newest sample, in Unix milliseconds
 }
 
-// observe takes in that upstream's sample old was followed by new.
+// observe adds the change between two successive samples of an upstream.
 func (t *trend) observe(old, new *entry) {
 	spanSeconds := float64(new.at-old.at) / 1000
 	if old.state != Serving || new.state != Serving || spanSeconds <= 0 || spanSeconds > maxTrendSpanSeconds {
@@ -42,8 +42,8 @@
 	t.seconds += spanSeconds * float64(new.weight)
 }
 
-// extrapolate brings a load that was true age seconds ago up to now. Whatever samples
-// claim, the trend does not outweigh them.
+// extrapolate adjusts a load sampled age seconds ago to now. The change is limited to half the
+// load, whatever samples claim.
 func (t *trend) extrapolate(load, weight, age float64) float64 {
 	if t.seconds < minTrendSeconds {
 		return load
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier finds the upstreams of a pool that fail more of their requests than
-// the others, from their answers alone: those that answer with errors, lose answers,
-// hang or break off while their health checks pass.
+// Package outlier detects the upstreams of a pool that fail more of their requests than the
+// others, based only on their answers: upstreams that answer with errors, lose answers, hang or
+// break off while their health checks pass.
 //
-// A router's requests report how they went; placement asks whom to put last. What may
-// be assumed: an upstream is suspected only next to others that do better. Where all of
-// them fail alike, nobody is, since to turn from one to the other helps nobody.
+// Requests of a router record their outcomes, and placement ranks suspected upstreams last. An
+// upstream is suspected only relative to others that fail less. If all upstreams fail alike, none
+// is suspected, because moving requests between them does not help.
 package outlier
 
 import (
@@ -19,87 +19,88 @@
 )
 
 const (
-	// outcomeDecay is the time in which an outcome loses its weight. An upstream that is well
-	// again gets requests after about as long. With 3 s, a fifth more of cached prompts
+	// outcomeDecay is the time in which the weight of an outcome falls to 1/e. A recovered
+	// upstream gets requests again after about this time. With 3 s, a fifth more cached prompts
 	// are moved, and no fewer requests are lost.
 	outcomeDecay = 1500 * time.Millisecond
-	// referenceShare is the part of a pool, those that do best, by which the others are
-	// measured: with most of a pool failing, its mean would excuse them.
+	// referenceShare is the part of a pool with the fewest failures that the other upstreams are
+	// compared with. With the mean of the pool as the reference, upstreams would not be suspected
+	// when most of the pool fails.
 	referenceShare = 1.0 / 3
-	// minReference is the share of failures that the others are taken to have at least.
+	// minReference is the smallest failure share assumed for the reference.
 	minReference = 0.05
-	// suspectFactor the others' share and suspectMargin more, suspectLeast at least and
-	// suspectMost at most, is the share that an upstream has which is to be suspected.
+	// An upstream is suspected if its failure share is likely to be suspectFactor times the
+	// reference share plus suspectMargin, limited to minSuspectShare and maxSuspectShare.
 	suspectFactor, suspectMargin     = 2.0, 0.1
 	minSuspectShare, maxSuspectShare = 0.4, 0.95
-	// minLikelihoodRatio is how many times likelier its outcomes are to be those of such an upstream
-	// than of one like the others, from which on one is suspected. Where many fail a few
-	// requests, some have two failures among few by chance.
+	// minLikelihoodRatio is the ratio above which an upstream is suspected: the likelihood of its
+	// outcomes at the suspect share to that at the reference share. If many upstreams fail a few
+	// requests, some have two failures among few requests by chance.
 	minLikelihoodRatio = 9.0
-	// priorSuccesses is how many requests without a failure each upstream is taken to have had, where
-	// those that do best are looked for.
+	// priorSuccesses is the number of successful requests that each upstream is assumed to have
+	// had when the reference is selected.
 	priorSuccesses = 1.0
-	// minFailures is the weight of failures below which an upstream is not suspected:
-	// the second one in a few seconds, whichever router it met. Suspected from the first
-	// one on, sessions leave upstreams that are well, and two fifths more of cached
-	// prompts are moved.
+	// minFailures is the weight of failures below which an upstream is not suspected: it takes a
+	// second failure within a few seconds, at any router. If the first one sufficed, sessions
+	// would leave healthy upstreams, and two fifths more cached prompts would be moved.
 	minFailures = 1.2
-	// maxFailures is up to which weight failures count. Together with the share that failed
-	// it says enough; more of it only takes longer to fade. After a surge in which hundreds
-	// fail at each upstream, those that do not recover first came to be suspected for five
-	// seconds when all was well, a third of the pool at a time.
+	// maxFailures limits the weight of an upstream's failures. More failures only take longer to
+	// decay and add nothing to the failure share. After a surge in which hundreds of requests
+	// fail at each upstream, those that recovered last were suspected for five seconds although
+	// all were healthy, a third of the pool at a time.
 	maxFailures = 4.0
-	// negligibleFailures is the weight of failures below which an upstream need not be judged.
+	// negligibleFailures is the weight of failures at or below which an upstream need not be
+	// evaluated.
 	negligibleFailures = 0.01
-	// minSuspicion is how long an upstream is suspected at least, times how often it has been
-	// lately, up to repeatsMost, and times the part of the pool that is trusted: the fewer
-	// are left to take the others' requests, the sooner those are tried again. forgiveAfter
-	// is how long an upstream must have been trusted for the repeats to begin anew. One that goes on failing costs two requests each time that it
-	// is tried: with this, 5 of 80 are lost to one of four upstreams that loses all
-	// answers, and 8 without.
+	// minSuspicion is the minimum duration of a suspicion. It is multiplied by the number of
+	// recent suspicions, up to maxRepeats, and by the healthy share of the pool: the fewer
+	// upstreams remain for the requests, the sooner the suspected ones are tried again.
+	// resetRepeatsAfter is the time without suspicion after which the number starts again at
+	// zero. An upstream that keeps failing costs two requests each time it is tried: with the
+	// repeats, 5 of 80 are lost to one of four upstreams that loses all answers, and 8 without.
 	minSuspicion      = 1500 * time.Millisecond
 	maxRepeats        = 4
 	resetRepeatsAfter = 10 * time.Second
-	// minHealthyShare is the part of a pool below which a suspicion ends with its time, and
-	// with it what spoke against the upstream. After a surge that has weight for seconds,
-	// while nothing new is known of an upstream that gets no requests: with two thirds of
-	// a pool suspected, the others' loads go over the operators' bound (65 to 141 of some
-	// 600 requests in five calm seconds, none with this). With clean slates for all, a
-	// fifth more requests fail where two fifths of the pool hang.
+	// minHealthyShare is the share of a pool below which a suspicion ends after its minimum
+	// duration and the failures of the upstream are cleared. After a surge these failures have
+	// weight for seconds, while an upstream without requests produces no new outcomes. With two
+	// thirds of a pool suspected, the loads of the others exceed the load bound (65 to 141 of
+	// some 600 requests in five calm seconds, none with this rule). If the failures were cleared
+	// for all upstreams, a fifth more requests would fail when two fifths of the pool hang.
 	minHealthyShare = 0.5
-	// ignoreFleetFor is for how long after that what others tell is left out: until they have
-	// forgotten it too.
+	// ignoreFleetFor is how long the fleet's counts of an upstream are ignored after its failures
+	// were cleared, until the other routers have cleared them too.
 	ignoreFleetFor = 750 * time.Millisecond
-	// evaluateInterval is how old a judgement may be.
+	// evaluateInterval is the maximum age of an evaluation.
 	evaluateInterval = 100 * time.Millisecond
 )
 
-// outcomeCount is the outcomes of one upstream's requests, by weight.
+// outcomeCount holds the weighted outcomes of one upstream's requests.
 type outcomeCount struct{ failed, all float64 }
 
-// Detector judges the upstreams of one pool. It is not safe for concurrent use.
+// Detector detects the outliers of one pool. It is not safe for concurrent use.
 type Detector struct {
 	clock       decay.Clock
-	counts      map[load.VM]outcomeCount // of this router and those that report to it
-	fleet       map[load.VM]outcomeCount // of the whole fleet, by the router that this one relies on
-	unreported  map[load.VM]outcomeCount // since they were reported last, each of weight one
-	hasFailures bool                     // any upstream has failures that count
+	counts      map[load.VM]outcomeCount // of this router and its subscribers
+	fleet       map[load.VM]outcomeCount // of the whole fleet, published by the parent
+	unreported  map[load.VM]outcomeCount // since the last report, each of weight one
+	hasFailures bool                     // any upstream has failures that are not negligible
 	suspicions  map[load.VM]suspicion
 	evaluatedAt time.Time
 	changes     []Change
 }
 
-// suspicion is an upstream that is suspected, or was so lately.
+// suspicion is the state of an upstream that is or recently was suspected.
 type suspicion struct {
 	active  bool
-	minEnd  time.Time // it lasts so long at least
-	ended   time.Time // when it ended last
-	cleared time.Time // when what spoke against the upstream was forgotten last
+	minEnd  time.Time // earliest end
+	ended   time.Time // end of the last one
+	cleared time.Time // when the failures of the upstream were last cleared
 	repeats int
 }
 
-// renewed returns the suspicion of an upstream that is suspected from now on.
-// trusted is the part of the pool that is not suspected.
+// renewed returns the state of an upstream that is suspected from now on. healthyShare is the
+// share of the pool that is not failing.
 func (s suspicion) renewed(now time.Time, healthyShare float64) suspicion {
 	if now.Sub(s.ended) > resetRepeatsAfter {
 		s.repeats = 0
@@ -110,7 +111,7 @@
 	return s
 }
 
-// Change is an upstream of which the judgement has changed.
+// Change is the start or end of the suspicion of an upstream.
 type Change struct {
 	VM        load.VM
 	Suspected bool
@@ -118,24 +119,24 @@
 	Failed, All float64
 }
 
-// Changes returns what has changed since it was called last.
+// Changes returns the changes since the last call.
 func (d *Detector) Changes() []Change {
 	out := d.changes
 	d.changes = nil
 	return out
 }
 
-// New returns a Detector that has seen nothing.
+// New returns a Detector without outcomes.
 func New() *Detector {
 	return &Detector{clock: decay.NewClock(outcomeDecay), counts: make(map[load.VM]outcomeCount), unreported: make(map[load.VM]outcomeCount), suspicions: make(map[load.VM]suspicion)}
 }
 
-// Succeeded takes in that an upstream has answered a request.
+// Succeeded records that an upstream has answered a request.
 func (d *Detector) Succeeded(now time.Time, vm load.VM) {
 	d.add(now, vm, outcomeCount{all: 1})
 }
 
-// Failed takes in that an upstream has failed a request.
+// Failed records that an upstream has failed a request.
 func (d *Detector) Failed(now time.Time, vm load.VM) {
 	d.add(now, vm, outcomeCount{failed: 1, all: 1})
 }
@@ -158,7 +159,8 @@
 	return outcomeCount{failed: c.failed * factor, all: c.all * factor}
 }
 
-// limitFailures returns c with the same share of failures, but no more of them than most.
+// limitFailures scales c down so that its failures weigh at most limit. The failure share does
+// not change.
 func (c outcomeCount) limitFailures(limit float64) outcomeCount {
 	if c.failed <= limit {
 		return c
@@ -166,7 +168,7 @@
 	return c.scaled(limit / c.failed)
 }
 
-// maxOf returns the larger of each.
+// maxOf returns the larger of each count.
 func (c outcomeCount) maxOf(other outcomeCount) outcomeCount {
 	return outcomeCount{failed: max(c.failed, other.failed), all: max(c.all, other.all)}
 }
@@ -183,7 +185,7 @@
 	}
 }
 
-// Keep forgets every upstream that is not among members.
+// Keep drops all upstreams that are not in members.
 func (d *Detector) Keep(members []load.VM) {
 	kept := load.SetOf(members)
 	for _, counts := range []map[load.VM]outcomeCount{d.counts, d.fleet, d.unreported} {
@@ -193,8 +195,8 @@
 	d.evaluatedAt = time.Time{}
 }
 
-// currentCounts returns what is currentCounts of each upstream, as of now: the larger of what was
-// counted here and what was told, which holds most of that too.
+// currentCounts returns the weights of each upstream's outcomes as of now: the larger of those
+// counted by this router and those published for the fleet, which include most of the former.
 func (d *Detector) currentCounts(now time.Time) map[load.VM]outcomeCount {
 	d.rebase(now)
 	weight := d.clock.Weight(now)
@@ -234,14 +236,14 @@
 	}
 }
 
-// evaluate works out who is suspected now.
+// evaluate updates the suspicions of all upstreams.
 func (d *Detector) evaluate(now time.Time) {
 	counts := d.currentCounts(now)
 	d.evaluatedAt, d.hasFailures = now, false
 	reference := referenceFailureShare(counts)
 	for vm := range d.suspicions {
 		if _, ok := counts[vm]; !ok {
-			counts[vm] = outcomeCount{} // those of which nothing is known any more are settled as well
+			counts[vm] = outcomeCount{} // so that suspicions without recent outcomes end as well
 		}
 	}
 	failing := make(map[load.VM]bool)
@@ -257,16 +259,16 @@
 	}
 }
 
-// likelihoodRatio returns how many times likelier the outcomes are those of an upstream that is to be
-// suspected than of one that fails as the reference does.
+// likelihoodRatio returns the likelihood of the outcomes for an upstream that is to be suspected,
+// divided by that for one with the reference share of failures.
 func (c outcomeCount) likelihoodRatio(reference float64) float64 {
 	normalShare := max(reference, minReference)
 	suspectShare := min(max(suspectFactor*normalShare+suspectMargin, minSuspectShare), maxSuspectShare)
 	return math.Pow(suspectShare/normalShare, c.failed) * math.Pow((1-suspectShare)/(1-normalShare), c.all-c.failed)
 }
 
-// updateSuspicion takes in whether an upstream fails more than others now. trusted is the part of
-// the pool that does not.
+// updateSuspicion starts or ends the suspicion of an upstream. failing reports whether it fails
+// more than the others, and healthyShare is the share of the pool that does not.
 func (d *Detector) updateSuspicion(now time.Time, vm load.VM, c outcomeCount, failing bool, healthyShare float64) {
 	s := d.suspicions[vm]
 	switch {
@@ -285,7 +287,7 @@
 	d.changes = append(d.changes, Change{VM: vm, Suspected: s.active, Failed: c.failed, All: c.all})
 }
 
-// referenceFailureShare returns the share of failures of the upstreams that do best.
+// referenceFailureShare returns the failure share of the upstreams with the fewest failures.
 func referenceFailureShare(known map[load.VM]outcomeCount) float64 {
 	counts := slices.Collect(maps.Values(known))
 	slices.SortFunc(counts, func(a, b outcomeCount) int {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -27,8 +27,8 @@
 	return out
 }
 
-// One runner loses two of its answers in half a second, with its health check good.
-// It comes last, and is tried again some seconds later.
+// An upstream loses two answers within half a second while its health check passes. It must be
+// suspected, and be tried again some seconds later.
 func TestFailingUpstreamIsSuspectedTemporarily(t *testing.T) {
 	d := New()
 	vms := pool(6)
@@ -47,12 +47,12 @@
 		}
 	}
 	if d.IsSuspected(now.Add(3*outcomeDecay), vms[0]) {
-		t.Error("still suspected long after")
+		t.Error("still suspected after three times the outcome decay")
 	}
 }
 
-// A service answers every seventh request with an error, at each of its runners alike.
-// To turn from one runner to another helps nobody, and costs its sessions their cache.
+// A service answers every seventh request with an error at all of its upstreams alike. Moving
+// requests between them does not help, and sessions would lose their caches.
 func TestNoneIsSuspectedWhenAllFailAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
@@ -75,7 +75,7 @@
 	})
 }
 
-// Upstreams come and go by the thousand: those that have left are forgotten.
+// Guards against unbounded growth while upstreams come and go by the thousand.
 func TestKeepDropsRemovedUpstreams(t *testing.T) {
 	d := New()
 	for _, vm := range pool(100) {
@@ -83,12 +83,13 @@
 	}
 	d.Keep(pool(3))
 	if len(d.counts) != 3 || len(d.unreported) != 3 {
-		t.Errorf("%d counts and %d to report are kept", len(d.counts), len(d.unreported))
+		t.Errorf("%d counts and %d unreported counts are kept, want 3", len(d.counts), len(d.unreported))
 	}
 }
 
-// suspectedFor returns for how long the first of a pool of 18 is suspected the fourth time
-// in a row, when some of the pool fail so many requests at a time and the others none.
+// suspectedFor returns how long the first upstream of a pool of 18 is suspected for the fourth
+// time in a row, if failing of them fail the given number of requests each time and the others
+// none.
 func suspectedFor(failing, failures int) time.Duration {
 	d, vms, now := New(), pool(18), start
 	var lasted time.Duration
@@ -111,21 +112,22 @@
 	return lasted
 }
 
-// After a surge twelve of eighteen runners are suspected, some for the fourth time, and
-// the other six have all the requests. One that fails alone may stay away for long; of
-// twelve each is needed soon.
+// After a surge, twelve of eighteen upstreams are suspected, some for the fourth time, and the
+// other six receive all requests. A single failing upstream may be avoided for long, but each of
+// twelve is needed again soon.
 func TestSuspicionsAreShortWhenFewAreHealthy(t *testing.T) {
 	if alone := suspectedFor(1, 2); alone < 5*time.Second {
-		t.Errorf("one that fails alone is suspected for %v", alone)
+		t.Errorf("a single failing upstream is suspected for %v, want 5s at least", alone)
 	}
 	if many := suspectedFor(12, 2); many > 3*time.Second {
-		t.Errorf("one of twelve that fail is suspected for %v", many)
+		t.Errorf("one of twelve failing upstreams is suspected for %v, want 3s at most", many)
 	}
 }
 
-// In a surge each of twelve runners of eighteen has failed thirty requests. It is over,
-// and nobody asks them: what speaks against them has weight for five seconds yet. They
-// are tried again when their time is over, also by a router that is told of them.
+// In a surge, each of twelve of eighteen upstreams has failed thirty requests. After it they
+// receive no requests, and their failures keep their weight for five more seconds. They must be
+// tried again after the minimum suspicion, also by a router that has received the failures in a
+// summary.
 func TestMajoritySuspicionsEndOnTime(t *testing.T) {
 	d, other, vms := New(), New(), pool(18)
 	for i, vm := range vms {
@@ -149,15 +151,15 @@
 		t.Errorf("%d are suspected after %v", n, now.Sub(start))
 	}
 	if n := other.SuspectedCount(now); n != 0 {
-		t.Errorf("%d are suspected after %v by a router that is told", n, now.Sub(start))
+		t.Errorf("%d are suspected after %v by a router that received a summary", n, now.Sub(start))
 	}
 }
 
-// In a surge all upstreams fail for seven seconds, some twenty requests a second each. When
-// it is over two thirds of them answer well again, and the others are asked next to nothing.
-// What spoke against those weighed as much as all that had failed, and took five seconds to
-// fade: a third of the pool came to be suspected when all was well, and the others' loads
-// went over the operators' bound.
+// In a surge all upstreams fail about twenty requests per second each for seven seconds. After it
+// two thirds of them answer without errors, and the others receive almost no requests. Without a
+// limit, the failures of these weighed as much as all that had failed, and took five seconds to
+// decay: a third of the pool was suspected although all were healthy, and the loads of the others
+// exceeded the load bound.
 func TestSuspicionsEndSoonAfterASurge(t *testing.T) {
 	const upstreams, perSecond = 46, 20
 	d, now := New(), start
@@ -180,8 +182,8 @@
 	}
 }
 
-// Guards against upstreams that are suspected by turns where all of them fail a few requests:
-// the others would get theirs, and stand over the bound on load.
+// Guards against upstreams being suspected in turn when all of them fail a few requests: the
+// others would receive their requests and exceed the load bound.
 func TestScatteredFailuresSuspectFew(t *testing.T) {
 	const (
 		upstreams = 18
@@ -204,7 +206,7 @@
 			}
 		}
 		if limit := upstreams / 3; maxSuspected > limit {
-			t.Errorf("a share of %.2f fails at each: %d of %d are suspected at a time, want %d at most", share, maxSuspected, upstreams, limit)
+			t.Errorf("failure share %.2f at each upstream: %d of %d suspected at a time, want %d at most", share, maxSuspected, upstreams, limit)
 		}
 	}
 }
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -11,38 +11,39 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// A router of many sees an upstream every few seconds, and a failure of it less often.
-// So each reports what it has seen to the router that it relies on, which tells all
-// what comes of it. An entry is the short name of an upstream, in two bytes, and the two
-// counts, a byte each.
+// In a large fleet, a router sends a request to each upstream only every few seconds, and sees
+// failures even less often. Each router therefore reports its outcomes to its parent, the router
+// that it subscribes to, which publishes the combined counts. An entry is the short name of an
+// upstream (2 bytes, big-endian) and the two counts (1 byte each).
 const (
 	entrySize = 4
-	// maxReported is how many upstreams a report names, those with most failures.
+	// maxReported is the maximum number of upstreams in a report: those with the most failures.
 	maxReported = 96
-	// maxSummarized is how many are told to all, and minSummarizedFailures the weight of failures from
-	// which one is.
+	// maxSummarized is the maximum number of upstreams in a summary, and minSummarizedFailures
+	// the weight of failures from which an upstream is included.
 	maxSummarized, minSummarizedFailures = 32, 0.5
-	// summaryScale is how many steps of a told count make one; the largest is 31.
+	// summaryScale is the encoded value of a count of one; the largest encodable count is 31.
 	summaryScale = 8
 )
 
-// ErrMalformed is a message that makes no sense.
+// ErrMalformed is returned for a message that cannot be decoded.
 var ErrMalformed = errors.New("outlier: malformed message")
 
-// Report returns what was seen since the last report, for the router that this one
-// relies on; nil: nothing.
+// Report returns the outcomes recorded since the last report, to be sent to the parent, or nil if
+// there are none.
 func (d *Detector) Report(members []load.VM) []byte {
 	b := pack(members, d.unreported, 1, maxReported)
 	clear(d.unreported)
 	return b
 }
 
-// MergeReport takes in what another router reports. It goes on with the next Report.
+// MergeReport adds the outcomes reported by a subscriber. They are included in the next Report.
 func (d *Detector) MergeReport(now time.Time, members []load.VM, b []byte) error {
 	return forEachEntry(b, members, 1, func(vm load.VM, c outcomeCount) { d.add(now, vm, c) })
 }
 
-// Summary returns what the routers that rely on this one are to know; nil: nothing.
+// Summary returns the counts of upstreams with failures, to be published to subscribers, or nil
+// if there are none.
 func (d *Detector) Summary(now time.Time, members []load.VM) []byte {
 	if !d.hasFailures {
 		return nil
@@ -56,8 +57,7 @@
 	return pack(members, counts, summaryScale, maxSummarized)
 }
 
-// MergeSummary takes in what the router tells that this one relies on. It takes the place
-// of what was told before.
+// MergeSummary replaces the fleet's counts with a summary published by the parent.
 func (d *Detector) MergeSummary(now time.Time, members []load.VM, b []byte) error {
 	d.rebase(now)
 	weight := d.clock.Weight(now)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// pack returns counts as entries, at most some, those with most failures.
+// pack encodes the counts of at most limit members: those with the most failures.
 func pack(members []load.VM, counts map[load.VM]outcomeCount, scale float64, limit int) []byte {
 	counted := make([]load.VM, 0, len(counts))
 	for _, vm := range members {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// forEachEntry calls f for forEachEntry entry.
+// forEachEntry decodes b and calls f for each entry of a member.
 func forEachEntry(b []byte, members []load.VM, scale float64, f func(load.VM, outcomeCount)) error {
 	if len(b)%entrySize != 0 {
 		return ErrMalformed
--- a/internal/outlier/share_test.go
+++ b/internal/outlier/share_test.go
@@ -8,8 +8,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// Each of two routers meets one failure of a runner, and a third none. The router that
-// they rely on puts the two together, and all three turn away from the runner.
+// Two of three routers each see one failure of an upstream. Their parent combines the two, and
+// all three routers must suspect the upstream.
 func TestFailuresOfManyRoutersCount(t *testing.T) {
 	vms := pool(8)
 	reader := New()
@@ -41,13 +41,13 @@
 			t.Fatal(err)
 		}
 		if i == 2 && r.SuspectedCount(start.Add(minSuspicion)) > 0 {
-			t.Error("suspected although nobody is told of any more")
+			t.Error("still suspected after an empty summary")
 		}
 	}
 }
 
-// What one router passes on is not told back to it as news: else a failure would go
-// round between two routers and never fade.
+// A router must not report back what it received in a summary. Otherwise a failure would
+// circulate between two routers and never decay.
 func TestSummaryIsNotReportedBack(t *testing.T) {
 	vms := pool(2)
 	reader, router := New(), New()
@@ -60,9 +60,9 @@
 	}
 }
 
-// The trouble that the detector answers: three fifths of the runners lose two fifths of
-// their answers for four seconds. 5 routers before 18 runners send 105 requests a
-// second, each of a session with a ranking of its own.
+// The failure that the detector addresses: three fifths of the upstreams lose two fifths of their
+// answers for four seconds. 5 routers send 105 requests per second to 18 upstreams, and each
+// session ranks the upstreams differently.
 const (
 	replayRouters, replayUpstreams = 5, 18
 	replayRequestsPerSecond        = 105
@@ -71,21 +71,21 @@
 	lostAnswersShare               = 0.4
 	faultDuration                  = 4 * time.Second
 	faultDelay                     = 3 * time.Second
-	// shareEvery is how often routers tell each other, seen is how long an outcome
-	// takes to be known.
+	// shareEvery is the interval of reports and summaries. outcomeDelay is the time until the
+	// outcome of a request is known.
 	shareEvery   = 250 * time.Millisecond
 	outcomeDelay = 80 * time.Millisecond
 )
 
-// pending is an outcome that is not known yet.
+// pending is an outcome that is not yet known.
 type pending struct {
 	at         time.Time
 	router, vm int
 	failed     bool
 }
 
-// replay returns which part of the requests fails during the trouble. Without suspicion,
-// routers go by the rankings alone; without sharing, each knows what it has seen.
+// replay returns the share of requests that fail during the fault. Without suspicion, routers use
+// the rankings alone. Without sharing, each router uses only its own outcomes.
 func replay(t *testing.T, suspicion, sharing bool, faultyShare float64) float64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 4))
@@ -126,7 +126,7 @@
 	return float64(failed) / float64(all)
 }
 
-// share has the first router hear from the others and tell them.
+// share merges the reports of all routers into the first one and its summary into the others.
 func share(t *testing.T, now time.Time, vms []load.VM, routers []*Detector) {
 	t.Helper()
 	for _, r := range routers[1:] {
@@ -142,7 +142,7 @@
 	}
 }
 
-// choose returns the first of a session's ranking that is not suspected.
+// choose returns the first upstream of a session's ranking that is not suspected.
 func choose(d *Detector, now time.Time, vms []load.VM, session int, suspicion bool) int {
 	ranking := rand.New(rand.NewPCG(uint64(session), 9)).Perm(len(vms))
 	for _, vm := range ranking {
@@ -153,23 +153,23 @@
 	return ranking[0]
 }
 
-// A quarter of the coaches' requests is lost for four seconds, though two fifths of the
-// runners are well. Each router alone sees a runner once a second and learns slowly;
-// together they turn away from the bad ones after two failures each.
+// A quarter of the requests are lost for four seconds, although two fifths of the upstreams are
+// healthy. A single router sends one request per second to each upstream and detects the faulty
+// ones slowly. Together the routers avoid them after two failures each.
 func TestRequestsAvoidUpstreamsThatLoseAnswers(t *testing.T) {
 	without := replay(t, false, false, faultyUpstreamsShare)
 	alone := replay(t, true, false, faultyUpstreamsShare)
 	together := replay(t, true, true, faultyUpstreamsShare)
-	t.Logf("lost: %.3f going by the rankings, %.3f by what each router sees, %.3f by what all see", without, alone, together)
+	t.Logf("lost: %.3f with rankings only, %.3f with the outcomes of each router, %.3f with those of all routers", without, alone, together)
 	if together > 0.6*without {
-		t.Errorf("%.3f of the requests are lost, %.3f without", together, without)
+		t.Errorf("%.3f of the requests are lost, %.3f without suspicion", together, without)
 	}
 	if together > alone {
-		t.Errorf("%.3f are lost when routers tell each other, %.3f when they do not", together, alone)
+		t.Errorf("%.3f are lost with shared outcomes, %.3f without", together, alone)
 	}
 }
 
-// FuzzMerge feeds a detector with what a router of any release may send.
+// FuzzMerge merges arbitrary messages into a detector, as routers of any release may send them.
 func FuzzMerge(f *testing.F) {
 	vms := pool(5)
 	d := New()
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,43 +1,42 @@
-// Package retry decides whether a request whose attempt has failed may be
-// tried again, and keeps what is tried again to a share of the traffic.
+// Package retry decides whether a request may be retried after a failed attempt, and limits
+// retries to a share of the traffic.
 package retry
 
 import "time"
 
 const (
-	// MaxRatio is the largest share of requests that may cost another attempt.
-	// It holds whatever a profile asks for, so that upstreams never see 1.1
-	// times what callers send.
+	// MaxRatio is the largest share of requests that may cost another attempt. It applies
+	// whatever ratio a profile requests, so upstreams always receive less than 1.1 times the
+	// requests of callers.
 	MaxRatio = 0.1
 
-	// attemptCost is what one more attempt costs, in units of credit.
+	// attemptCost is the cost of one more attempt, in units of credit.
 	attemptCost = 1000
 
-	// maxCredit bounds the retries that a long time without failures saves up,
-	// in units of credit.
+	// maxCredit limits the retries that accumulate during a long time without failures, in units
+	// of credit.
 	maxCredit = 50 * attemptCost
 )
 
-// Budget limits retries and hedges to a share of the requests. Each request
-// adds its share of one attempt; each further attempt takes a whole one. It
-// starts empty: a router that has just started has seen no request to retry on
-// the strength of, and credit given at the start would be multiplied by the
-// number of routers.
+// Budget limits retries and hedges to a share of the requests. Each request adds its share of the
+// cost of an attempt, and each further attempt takes the whole cost. The budget starts empty: a
+// router that has just started has no requests to justify a retry, and initial credit would be
+// multiplied by the number of routers.
 //
 // The zero value is ready to use. A Budget is not safe for concurrent use.
 type Budget struct {
 	credit int64
 }
 
-// Deposit records a caller's request, of which ratio may be tried again.
+// Deposit records a request of a caller, of which the given share may be retried.
 func (b *Budget) Deposit(ratio float64) {
 	share := int64(min(max(ratio, 0), MaxRatio) * attemptCost)
 	b.credit = min(b.credit+share, maxCredit)
 }
 
-// Withdraw takes the cost of one more attempt, or reports false when there is
-// not more than that. Something always stays, so the attempts of any number of
-// requests are strictly under 1+MaxRatio times their number.
+// Withdraw takes the cost of one more attempt and reports whether the credit exceeds it. Some
+// credit always remains, so the number of attempts is always strictly less than 1+MaxRatio times
+// the number of requests.
 func (b *Budget) Withdraw() bool {
 	if b.credit <= attemptCost {
 		return false
@@ -46,6 +45,6 @@
 	return true
 }
 
-// RetryAfter returns zero: a Budget knows no time at which callers had better come back.
-// Upstreams with sidecars say themselves when they have room.
+// RetryAfter returns zero: a Budget has no estimate of when callers should retry. Upstreams with
+// sidecars report themselves when they have spare capacity.
 func (b *Budget) RetryAfter(time.Duration) time.Duration { return 0 }
--- a/internal/retry/pools.go
+++ b/internal/retry/pools.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PoolBudgets is what the requests of one router to each pool share: the Window of their retries, and
-// the Returns of callers that were turned away. It is safe for concurrent use.
+// PoolBudgets holds the retry state of one router for each pool: the Window that limits retries
+// and the ReturnScheduler for rejected callers. It is safe for concurrent use.
 type PoolBudgets struct {
 	mu    sync.Mutex
 	pools map[string]*poolState
@@ -19,19 +19,19 @@
 	scheduler ReturnScheduler
 }
 
-// NewPoolBudgets returns Pools of which no request is known.
+// NewPoolBudgets returns PoolBudgets without any requests.
 func NewPoolBudgets() *PoolBudgets {
 	return &PoolBudgets{pools: make(map[string]*poolState)}
 }
 
-// SetRule replaces the rule of the windows.
+// SetRule replaces the rule of all windows.
 func (p *PoolBudgets) SetRule(rule Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rule = rule
 }
 
-// Request counts a request of a caller to a pool, and returns the PoolBudget that it draws on.
+// Request counts a request of a caller to a pool and returns the budget for its retries.
 func (p *PoolBudgets) Request(now time.Time, name string) PoolBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	return PoolBudget{pools: p, pool: state}
 }
 
-// AwaitsCallers reports whether callers that a pool has turned away may still come back.
+// AwaitsCallers reports whether callers rejected by a pool may still return.
 func (p *PoolBudgets) AwaitsCallers(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,20 +62,21 @@
 	}
 }
 
-// PoolBudget is what one request draws on, by the clock of the machine.
+// PoolBudget is the retry budget of one request. It uses the system clock.
 type PoolBudget struct {
 	pools *PoolBudgets
 	pool  *poolState
 }
 
-// Withdraw pays for one more attempt or reports false.
+// Withdraw counts one more attempt and reports whether the rule allows it.
 func (b PoolBudget) Withdraw() bool {
 	b.pools.mu.Lock()
 	defer b.pools.mu.Unlock()
 	return b.pool.window.Withdraw(time.Now(), b.pools.rule)
 }
 
-// RetryAfter returns when a caller that has some time left, zero if any, is to come back.
+// RetryAfter returns the delay after which a rejected caller should retry. left is the time that
+// the caller has left, or zero if unlimited.
 func (b PoolBudget) RetryAfter(left time.Duration) time.Duration {
 	b.pools.mu.Lock()
 	defer b.pools.mu.Unlock()
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -6,31 +6,30 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// Decision is what may follow a failed attempt.
+// Decision is how to proceed after a failed attempt.
 type Decision uint8
 
 const (
 	// Stop means that the failure is final.
 	Stop Decision = iota
-	// Reroute means that the request may be offered to another upstream. The
-	// failed attempt reached none, so this costs no budget.
+	// Reroute means that the request may be offered to another upstream. The failed attempt did
+	// not reach any, so this takes nothing from the budget.
 	Reroute
-	// Retry means that the request may run again, if the budget allows.
+	// Retry means that the request may run again if the budget allows it.
 	Retry
 )
 
-// Failure is how an attempt has failed.
+// Failure describes a failed attempt.
 type Failure struct {
 	Err *verdict.Error
-	// Reached reports that the upstream was asked, even if it took nothing.
+	// Reached reports whether the request reached the upstream, even if it was not accepted.
 	Reached bool
-	// Final reports that no other upstream would take the request.
+	// Final reports whether no other upstream would accept the request.
 	Final bool
 }
 
-// ReachedUpstream reports whether a request that its sidecar had admitted got as far as
-// the upstream before it failed. One that only waited there has cost the
-// upstream nothing.
+// ReachedUpstream reports whether a request admitted by a sidecar reached the upstream before it
+// failed. A request that only waited at the sidecar has cost the upstream nothing.
 func ReachedUpstream(err *verdict.Error) bool {
 	switch err.Reason {
 	case verdict.ReasonDraining, verdict.ReasonDeadline, verdict.ReasonSuspect:
@@ -39,18 +38,17 @@
 	return true
 }
 
-// Conditions are the properties of a request on which a retry depends.
+// Conditions are the properties of a request that determine whether it may be retried.
 type Conditions struct {
 	Idempotent    bool // the profile allows the request to run more than once
-	ReadOnly      bool // the method is safe: it changes nothing
-	AnswerStarted bool // the caller has been sent a part of the answer
+	ReadOnly      bool // the method is safe in the HTTP sense
+	AnswerStarted bool // part of the answer has been sent to the caller
 }
 
-// Decide returns what may follow a failure.
+// Decide returns how to proceed after a failure.
 //
-// Once a part of the answer has gone out, nothing may: a second run may answer
-// differently, and the caller would get the head of one answer with the tail
-// of another.
+// Once part of the answer has been sent, the request must not run again: a second run may answer
+// differently, and the caller would receive the beginning of one answer with the end of another.
 func Decide(f Failure, c Conditions) Decision {
 	if c.AnswerStarted || f.Final || !mayDifferElsewhere(f.Err.Reason) {
 		return Stop
@@ -68,8 +66,8 @@
 	}
 }
 
-// mayDifferElsewhere reports whether a reason may not hold at another upstream. A reason
-// that is not listed, such as one of a newer peer, counts as final.
+// mayDifferElsewhere reports whether another upstream may not fail for the same reason. A reason
+// that is not listed, such as one of a newer peer, is treated as final.
 func mayDifferElsewhere(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamFailed, verdict.ReasonIncarnationGone, verdict.ReasonUnknownRequest,
@@ -79,7 +77,7 @@
 	return Transient(r)
 }
 
-// Transient reports whether a refusal may not be repeated a little later.
+// Transient reports whether the same request may be accepted a short time later.
 func Transient(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonOverBound, verdict.ReasonQueueFull, verdict.ReasonDraining,
@@ -90,9 +88,9 @@
 	return false
 }
 
-// MayHedge reports whether a second attempt may start while the first is still
-// out. Only for reads: of a write that is called idempotent, two runs at the
-// same time are still more than one run after the other.
+// MayHedge reports whether a second attempt may start while the first is still running. This is
+// limited to reads: for a write declared idempotent, two concurrent runs are riskier than two
+// runs in sequence.
 func MayHedge(c Conditions) bool {
 	return c.Idempotent && c.ReadOnly && !c.AnswerStarted
 }
@@ -102,10 +100,9 @@
 	maxBackoff   = 800 * time.Millisecond
 )
 
-// Backoff returns how long to wait before reconnecting for the nth time, from
-// 1 on. The first time is at once: most lost connections were only forgotten
-// by something in between. jitter, from 0 to 1, spreads the routers that lost
-// the same upstream.
+// Backoff returns the delay before the nth attempt to reconnect, with n starting at 1. The first
+// attempt is immediate, because most lost connections were only dropped by an intermediary.
+// jitter, from 0 to 1, spreads the attempts of routers that lost the same upstream.
 func Backoff(n int, jitter float64) time.Duration {
 	if n <= 1 {
 		return 0
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -14,10 +14,9 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// Every upstream fails just after a router has started. Each caller's request
-// is tried again, the upstreams see a multiple of the traffic, and they stay
-// down under it. The cause is a budget that starts with credit, or that rounds
-// in favour of the retry.
+// All upstreams fail just after a router has started. If every request were retried, the
+// upstreams would receive a multiple of the traffic and stay overloaded. This happens if a budget
+// starts with credit, or rounds in favour of retries.
 func TestAttemptsNeverExceedTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b Budget
@@ -52,8 +51,8 @@
 	}
 }
 
-// A coach tags a clip once and finds two tags: the first attempt's connection
-// broke after the service had begun, and the request was sent elsewhere.
+// Guards against a request that runs twice: the connection of the first attempt breaks after the
+// service has started to run the request, and it is sent to another upstream.
 func TestMayHaveRunIsRetriedOnlyIfIdempotentAndUnanswered(t *testing.T) {
 	reasons := []verdict.Reason{
 		verdict.ReasonBadRequest, verdict.ReasonOverBound, verdict.ReasonDraining, verdict.ReasonUpstreamFailed,
@@ -70,16 +69,16 @@
 		r := rapid.SampledFrom(reasons).Draw(t, "reason")
 		next := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "asked")}, c)
 		if next != Stop && c.AnswerStarted {
-			t.Fatal("a second run after a part of the answer was sent")
+			t.Fatal("the request may run again although part of the answer was sent")
 		}
 		if next != Stop && v != verdict.NotRun && !c.Idempotent {
-			t.Fatal("a second run of what may have run")
+			t.Fatal("a request that may have run may run again")
 		}
 		if next == Reroute && v != verdict.NotRun {
-			t.Fatal("a free second run of what may have run")
+			t.Fatal("a request that may have run is rerouted without using the budget")
 		}
 		if MayHedge(c) && !(c.Idempotent && c.ReadOnly && !c.AnswerStarted) {
-			t.Fatal("hedged what is no idempotent read")
+			t.Fatal("a request that is not an idempotent read may be hedged")
 		}
 	})
 }
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// returnSlotCount are the moments to which callers are told to come back, each
-	// returnSlot long: as far ahead as it is worth waiting for an answer.
+	// returnSlotCount is the number of slots of returnSlotLength each to which returning callers
+	// are assigned. Together they cover the time for which waiting for an answer is worthwhile.
 	returnSlotCount  = 20
 	returnSlotLength = 250 * time.Millisecond
-	// minReturnDelay is the shortest time after which a caller is told to come back:
-	// less, and it meets the same queues.
+	// minReturnDelay is the minimum delay until a caller returns. After less time it would find
+	// the same queues.
 	minReturnDelay = 500 * time.Millisecond
-	// rateDecay is the time over which the rates are averaged.
+	// rateDecay is the time constant of the averaged rates.
 	rateDecay = 2 * time.Second
-	// minReturnShare is the part of what a pool answers that is left to callers that come
-	// back, however many new ones come: they have waited longest.
+	// minReturnShare is the minimum share of a pool's answers that is reserved for returning
+	// callers, however many new ones arrive, because they have waited longest.
 	minReturnShare = 0.2
-	// MaxDelayShare is the part of the time that it has left for which a caller stays away, at
-	// most, when it is told to come back: it wants time for two more tries.
+	// MaxDelayShare is the largest share of a caller's remaining time that it may be delayed, so
+	// that time for two more attempts remains.
 	MaxDelayShare = 1.0 / 3
 )
 
-// ReturnScheduler tells callers that a pool has turned away when to come back. It spreads
-// them over the next seconds so that the pool has room for them beside those who
-// come for the first time, and counts in those whom it has told before. Each router
-// sees the same part of the pool's arrivals and of its answers, so that none needs to
-// know of the others.
+// ReturnScheduler determines when callers rejected by a pool should return. It spreads them over
+// the next seconds so that the pool has capacity for them in addition to new callers, and
+// accounts for those already scheduled. Every router receives the same share of the pool's
+// arrivals and answers, so routers need no information about each other.
 //
-// Told to come back after one second each, callers meet the same surge again. Of 11958
-// with 15 s each, in ten surges of twice what the pool can take for 4 s, those who came
-// back were turned away 15453 times, and 1799 with this; with 8 s, 15890 and 7371
-// (TestCallersComeBackWhenThereIsRoom). Callers with 4 s have no time to let it pass.
+// If all rejected callers return after one second, they meet the same surge again. Of 11958
+// callers with 15 s each, in ten surges of twice the pool's capacity for 4 s, returning callers
+// were rejected 15453 times, and 1799 times with this scheduler; with 8 s, 15890 and 7371
+// (TestCallersReturnWhenThereIsCapacity). Callers with 4 s have too little time to wait for the
+// end of the surge.
 //
 // The zero value is ready to use. A ReturnScheduler is not safe for concurrent use.
 type ReturnScheduler struct {
-	scheduled  [returnSlotCount]float64 // callers by the slot to which they come back
+	scheduled  [returnSlotCount]float64 // callers by the slot in which they return
 	slots      slotClock
-	arrived    float64   // requests of callers, their weight lowered by age
-	answers    float64   // likewise
-	updatedAt  time.Time // when the weights were right
-	lastReturn time.Time // when the last of the callers that were told will have come back
+	arrived    float64   // decayed number of requests of callers
+	answers    float64   // decayed number of answers
+	updatedAt  time.Time // time of the last decay
+	lastReturn time.Time // when the last scheduled caller will have returned
 }
 
-// Pending reports whether callers that were told to come back may still do so.
+// Pending reports whether callers told to return may still do so.
 func (r *ReturnScheduler) Pending(now time.Time) bool {
 	return now.Before(r.lastReturn)
 }
 
-// Arrived counts a request of a caller, also of one that comes back.
+// Arrived counts a request of a caller, including one that returns.
 func (r *ReturnScheduler) Arrived(now time.Time) {
 	r.advance(now)
 	r.arrived++
@@ -61,9 +61,10 @@
 	r.answers++
 }
 
-// Schedule returns when a caller that is turned away now is to come back, if it has some time
-// left, or zero if it has any: in the first slot that has room, of those up to which it
-// would stay away, or the emptiest. spread, from 0 to 1, is where in the slot.
+// Schedule returns the delay after which a caller rejected at now should return: in the first
+// slot with spare capacity, or in the emptiest one. left is the time that the caller has left,
+// which limits the slots by MaxDelayShare; zero means unlimited. spread, from 0 to 1, is the
+// position within the slot.
 func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, spread float64) time.Duration {
 	r.advance(now)
 	capacity := r.slotCapacity()
@@ -86,7 +87,7 @@
 	return delay
 }
 
-// slotCapacity returns for how many callers that come back a slot has slotCapacity.
+// slotCapacity returns the number of returning callers that the pool can serve in one slot.
 func (r *ReturnScheduler) slotCapacity() float64 {
 	seconds := rateDecay.Seconds()
 	perSlot := returnSlotLength.Seconds() / seconds
@@ -98,7 +99,7 @@
 	return r.slots.index(ahead, returnSlotCount)
 }
 
-// advance makes the slot of now the present one, and lowers the weights.
+// advance moves the clock to now and decays the weights.
 func (r *ReturnScheduler) advance(now time.Time) {
 	if r.updatedAt.IsZero() {
 		r.updatedAt = now
@@ -106,6 +107,6 @@
 	weight := math.Exp(-now.Sub(r.updatedAt).Seconds() / rateDecay.Seconds())
 	r.arrived, r.answers, r.updatedAt = r.arrived*weight, r.answers*weight, now
 	for age := range r.slots.advance(now, returnSlotLength, returnSlotCount) {
-		r.scheduled[r.slot(-1-age)] = 0 // it is past
+		r.scheduled[r.slot(-1-age)] = 0 // this slot has passed
 	}
 }
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -9,23 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// A pool of a plain service in a surge: it answers a hundred requests a second, lets
-// few wait, and gets twice as many for some seconds, through several routers.
+// A pool of a plain service is in a surge: it answers a hundred requests per second, queues only
+// a few, and receives twice as many for some seconds through several routers.
 const (
 	surgeRouters  = 4
-	surgeAnswers  = 100 // a second
+	surgeAnswers  = 100 // per second
 	surgeWaiting  = 30
-	surgeArrivals = 200 // a second
-	usualArrivals = 50  // a second
+	surgeArrivals = 200 // per second
+	usualArrivals = 50  // per second
 	surgeFor      = 4 * time.Second
 	surgeSpan     = 12 * time.Second
 	surgeSeeds    = 10
 )
 
-// attempt is one time that a caller asks.
+// attempt is a request of a caller, the first one or a retry.
 type attempt struct {
 	at        time.Time
-	first     time.Time // when the caller asked first
+	first     time.Time // time of the caller's first attempt
 	returning bool
 }
 
@@ -42,17 +42,18 @@
 	return last
 }
 
-// surgeOutcome is what callers of a surge have got.
+// surgeOutcome counts what happened to the callers of a surge.
 type surgeOutcome struct {
 	callers, unserved int
-	rejectedAgain     int // refusals of those who came back
+	rejectedAgain     int // rejections of callers that returned
 }
 
 func (o surgeOutcome) plus(p surgeOutcome) surgeOutcome {
 	return surgeOutcome{callers: o.callers + p.callers, unserved: o.unserved + p.unserved, rejectedAgain: o.rejectedAgain + p.rejectedAgain}
 }
 
-// simulateSurge plays it for callers that have some time each, with what routers advise.
+// simulateSurge simulates a surge in which each caller gives up after patience and returns after
+// the delay that its router determines.
 func simulateSurge(seed uint64, patience time.Duration, delayFor func(router int, now time.Time, left time.Duration) time.Duration, schedulers [surgeRouters]*ReturnScheduler) surgeOutcome {
 	random := rand.New(rand.NewPCG(seed, 6))
 	var next attemptQueue
@@ -66,7 +67,7 @@
 		heap.Push(&next, attempt{at: now, first: now})
 	}
 	var out surgeOutcome
-	idleAt := start // when the pool has answered all that wait
+	idleAt := start // when the pool has answered all waiting requests
 	for next.Len() > 0 {
 		v := heap.Pop(&next).(attempt)
 		router := random.IntN(surgeRouters)
@@ -108,14 +109,14 @@
 	return schedulers
 }
 
-// Twice as many guests as a booking service can take ask for four seconds. Told to come
-// back after one second each, they meet the surge again, all of them, and are turned
-// away beside new ones. Told to come back when there is room, most are turned away
-// once. Guests with little time cannot wait until it is over; they fare alike.
+// Twice as many callers as a service can serve arrive for four seconds. If all are told to return
+// after one second, they meet the surge again and are rejected along with new callers. If they
+// are told to return when there is capacity, most are rejected only once. Callers with little
+// time cannot wait for the end of the surge and must not fare worse than with the fixed delay.
 func TestCallersReturnWhenThereIsCapacity(t *testing.T) {
 	for _, c := range []struct {
 		patience                      time.Duration
-		maxRejectedAgain, maxUnserved float64 // in place of one with a fixed second, at most
+		maxRejectedAgain, maxUnserved float64 // limits relative to a fixed delay of one second
 	}{
 		{patience: 15 * time.Second, maxRejectedAgain: 0.2, maxUnserved: 1},
 		{patience: 8 * time.Second, maxRejectedAgain: 0.6, maxUnserved: 1},
@@ -130,16 +131,16 @@
 				return schedulers[router].Schedule(now, left, random.Float64())
 			}, schedulers))
 		}
-		t.Logf("of %d callers with %v, turned away after they came back: %d with a fixed second, %d as advised; unserved: %d, %d",
+		t.Logf("of %d callers with %v, rejections of returning callers: %d with a fixed second, %d as scheduled; unserved: %d, %d",
 			fixed.callers, c.patience, fixed.rejectedAgain, planned.rejectedAgain, fixed.unserved, planned.unserved)
 		if float64(planned.rejectedAgain) > c.maxRejectedAgain*float64(fixed.rejectedAgain) || float64(planned.unserved) > c.maxUnserved*float64(fixed.unserved) {
-			t.Errorf("with %v: turned away again %d, %d with a fixed second; unserved %d, %d",
+			t.Errorf("with %v: %d rejections of returning callers, %d with a fixed second; unserved %d, %d",
 				c.patience, planned.rejectedAgain, fixed.rejectedAgain, planned.unserved, fixed.unserved)
 		}
 	}
 }
 
-// Whatever has happened, the advice lies between the soonest and the farthest slot.
+// Whatever has happened, the delay must lie between the minimum and the end of the last slot.
 func TestReturnDelayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r ReturnScheduler
@@ -154,15 +155,15 @@
 			default:
 				d := r.Schedule(now, time.Hour, rapid.Float64Range(0, 1).Draw(t, "spread"))
 				if d < minReturnDelay || d > returnSlotCount*returnSlotLength {
-					t.Fatalf("advised %v", d)
+					t.Fatalf("delay %v is out of range", d)
 				}
 			}
 		}
 	})
 }
 
-// A router that has turned away one caller of a pool that is otherwise quiet tells it
-// to come back soon; one whose pool answers nothing spreads its callers evenly.
+// A router that has rejected one caller of an otherwise idle pool must schedule it soon. If the
+// pool answers nothing, the callers must be spread evenly over the slots.
 func TestReturnDelayFollowsCapacity(t *testing.T) {
 	var idle ReturnScheduler
 	now := time.Unix(1000, 0)
@@ -173,7 +174,7 @@
 		idle.Answered(now)
 	}
 	if got := idle.Schedule(now, time.Hour, 0); got != minReturnDelay {
-		t.Errorf("with room at once: %v, want %v", got, minReturnDelay)
+		t.Errorf("delay %v although there is capacity, want %v", got, minReturnDelay)
 	}
 	var unanswered ReturnScheduler
 	seen := make(map[time.Duration]int)
@@ -181,23 +182,23 @@
 		seen[unanswered.Schedule(now, time.Hour, 0)]++
 	}
 	if len(seen) != returnSlotCount-int(minReturnDelay/returnSlotLength) {
-		t.Errorf("%d moments for callers of a pool that answers nothing: %v", len(seen), seen)
+		t.Errorf("%d distinct delays for callers of a pool that answers nothing: %v", len(seen), seen)
 	}
 }
 
-// Callers that were told to come back are awaited until the last of them may have come, and
-// nobody is before.
+// Callers told to return must be pending until the last of them may have returned, and none may
+// be pending before the first rejection.
 func TestReturnsArePendingUntilTheLastIsDue(t *testing.T) {
 	var r ReturnScheduler
 	now := time.Unix(1000, 0)
 	if r.Pending(now) {
-		t.Error("callers are awaited before any was turned away")
+		t.Error("returns are pending before any caller was rejected")
 	}
 	delay := r.Schedule(now, 9*time.Second, 0.5)
 	if !r.Pending(now.Add(delay)) {
-		t.Errorf("a caller that was told to come back after %v is not awaited then", delay)
+		t.Errorf("after %v, a caller told to return then is not pending", delay)
 	}
 	if overdue := now.Add(delay + returnSlotCount*returnSlotLength); r.Pending(overdue) {
-		t.Errorf("it is still awaited %v later", overdue.Sub(now))
+		t.Errorf("returns are still pending %v later", overdue.Sub(now))
 	}
 }
--- a/internal/retry/slots.go
+++ b/internal/retry/slots.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// slotClock numbers moments of equal length, from the first event on. Differences of times
-// are taken on the monotonic clock: the time of day may jump.
+// slotClock numbers time slots of equal length, starting with the first event. Time differences
+// use the monotonic clock, because the wall clock may jump.
 type slotClock struct {
-	current int64     // number of the present one
-	since   time.Time // when the first one began; zero: no event yet
+	current int64     // number of the current slot
+	since   time.Time // start of the first slot; zero: no event yet
 }
 
-// advance makes the slot of now the present one, and returns by how many it has moved on,
-// at most some. Time does not go back.
+// advance makes the slot at now the current one and returns how many slots it has moved on, limit
+// at most. It never moves back.
 func (s *slotClock) advance(now time.Time, length time.Duration, limit int64) (moved int64) {
 	if s.since.IsZero() {
 		s.since = now
@@ -21,8 +21,8 @@
 	return moved
 }
 
-// index returns where in a ring of n the slot lies that is ahead of the present one, or
-// behind it where ahead is negative.
+// index returns the index of the slot in a ring of n that is ahead slots after the current one,
+// or before it if ahead is negative.
 func (s *slotClock) index(ahead int64, n int) int {
 	return int(((s.current+ahead)%int64(n) + int64(n)) % int64(n))
 }
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Rule bounds what routers send again to one pool of upstreams: at each retry, the
-// Window that ends there holds at most Ratio of the requests that callers sent to
-// it in that time, and Slack on top.
+// Rule limits the retries that routers send to one pool of upstreams: in the Window that ends at
+// any retry, the number of retries is at most Ratio times the number of requests sent by callers,
+// plus Slack.
 type Rule struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// windowBuckets is into how many parts a window is divided.
+// windowBuckets is the number of buckets into which a window is divided.
 const windowBuckets = 10
 
-// Window keeps one router within its part of a Rule. Summed over all routers the
-// Rule holds if each keeps Ratio of its own requests, and their slacks add up to
-// the Rule's; no router needs to know of another's retries for that.
+// Window keeps one router within its part of a Rule. The Rule holds for all routers together if
+// each keeps to Ratio of its own requests and their slacks add up to the slack of the Rule.
+// Routers therefore need no information about each other's retries.
 //
 // The zero value is ready to use. A Window is not safe for concurrent use.
 type Window struct {
-	// One bucket more than the window is kept of retries and one less of requests,
-	// so that a window that begins within a bucket is covered.
+	// Retries are summed over one bucket more than the window, and requests over one bucket less
+	// than retries, so a window that begins within a bucket is covered.
 	buckets [windowBuckets + 1]windowBucket
 	slots   slotClock
 }
@@ -36,8 +36,8 @@
 	w.buckets[w.index(0)].requests++
 }
 
-// Withdraw counts one more attempt, or reports false when that would be more than
-// the rule allows this router.
+// Withdraw counts one more attempt, or returns false if the rule does not allow it for this
+// router.
 func (w *Window) Withdraw(now time.Time, r Rule) bool {
 	w.advance(now, r)
 	requests, retries := 0, 0
@@ -55,12 +55,12 @@
 	return true
 }
 
-// index returns where the bucket lies that is back buckets before the newest.
+// index returns the index of the bucket that is back buckets before the newest.
 func (w *Window) index(back int) int {
 	return w.slots.index(-int64(back), len(w.buckets))
 }
 
-// advance makes the bucket of now the newest one.
+// advance makes the bucket at now the newest one.
 func (w *Window) advance(now time.Time, r Rule) {
 	length := max(r.Window/windowBuckets, time.Millisecond)
 	for back := range w.slots.advance(now, length, int64(len(w.buckets))) {
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// windowStart is when the tests begin.
+// windowStart is the base time of the tests.
 var windowStart = time.Unix(1000, 0)
 
-// Half of the runners fail for ten seconds. Each router tries its callers'
-// requests again, and together they send a service that is already failing a
-// multiple of its traffic. At each retry of a router the window that ends there
-// must hold no more of its retries than its requests allow. All routers together
-// may be at different points of that: their requests count twice as long.
+// Half of the upstreams fail for ten seconds. Without a limit, routers would together send a
+// service that is already failing a multiple of its traffic. At each retry of a router, the
+// window that ends there must contain no more of its retries than its requests allow. For all
+// routers together, requests count over twice the window, because their windows may end at
+// different times.
 func TestRoutersTogetherObeyTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := Rule{
@@ -48,7 +48,7 @@
 	})
 }
 
-// routerHistory is one router's Window with what it was asked.
+// routerHistory is the Window of a router and the times of its requests and retries.
 type routerHistory struct {
 	window            Window
 	requests, retries []time.Time
@@ -70,8 +70,7 @@
 	return n
 }
 
-// Clips fail now and then, one fetch in seven. A router that has served them for
-// a while can try each of these again: the budget is for that.
+// Guards against a budget that denies retries for occasional failures, one request in seven.
 func TestWindowAllowsNearlyItsRatio(t *testing.T) {
 	rule := Rule{Ratio: 0.2, Window: 10 * time.Second}
 	var w Window
