--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -43,10 +43,10 @@
 
 // RecordLeaving records that an upstream has announced that it leaves, and reports whether that
 // is new.
-func (b *Observations) RecordLeaving(now time.Time, vm string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.record(now, vm)
+func (o *Observations) RecordLeaving(now time.Time, vm string) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.record(now, vm)
 	isNew := r.leavingSince.IsZero()
 	if isNew {
 		r.leavingSince = now
@@ -56,27 +56,27 @@
 
 // RecordReportedLeaving records that another router has received the announcement that an
 // upstream leaves.
-func (b *Observations) RecordReportedLeaving(now time.Time, vm string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.record(now, vm); r.reportedLeavingSince.IsZero() {
+func (o *Observations) RecordReportedLeaving(now time.Time, vm string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if r := o.record(now, vm); r.reportedLeavingSince.IsZero() {
 		r.reportedLeavingSince = now
 	}
 }
 
 // Leaving returns the upstreams that have announced that they leave, most recent first. With
 // includeReported, it includes announcements that only other routers have received.
-func (b *Observations) Leaving(includeReported bool) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (o *Observations) Leaving(includeReported bool) []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	var out []string
-	for vm, r := range b.records {
+	for vm, r := range o.records {
 		if !r.leavingSince.IsZero() || includeReported && !r.reportedLeavingSince.IsZero() {
 			out = append(out, vm)
 		}
 	}
 	slices.SortFunc(out, func(x, y string) int {
-		return cmp.Or(b.records[y].firstLeaving().Compare(b.records[x].firstLeaving()), cmp.Compare(x, y))
+		return cmp.Or(o.records[y].firstLeaving().Compare(o.records[x].firstLeaving()), cmp.Compare(x, y))
 	})
 	return out
 }
@@ -91,10 +91,10 @@
 
 // RecordResting records that an upstream requests a rest of d from this router. A shorter rest
 // never ends an earlier one sooner.
-func (b *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.record(now, vm)
+func (o *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.record(now, vm)
 	if !now.Before(r.restingUntil) {
 		r.restingSince = now
 	}
@@ -102,10 +102,10 @@
 }
 
 // RecordUnreachable records that no connection to an upstream could be opened.
-func (b *Observations) RecordUnreachable(now time.Time, vm string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.record(now, vm).unreachableUntil = now.Add(unreachableFor)
+func (o *Observations) RecordUnreachable(now time.Time, vm string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.record(now, vm).unreachableUntil = now.Add(unreachableFor)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -115,21 +115,21 @@
 	return a
 }
 
-func (b *Observations) record(now time.Time, vm string) *record {
-	r := b.records[vm]
+func (o *Observations) record(now time.Time, vm string) *record {
+	r := o.records[vm]
 	if r == nil {
 		r = &record{}
-		b.records[vm] = r
+		o.records[vm] = r
 	}
 	r.lastListed = now
 	return r
 }
 
 // Conditions returns the conditions of an upstream.
-func (b *Observations) Conditions(now time.Time, vm string) Set {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[vm]
+func (o *Observations) Conditions(now time.Time, vm string) Set {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.records[vm]
 	if r == nil {
 		return 0
 	}
@@ -155,10 +155,10 @@
 
 // AvailableIn returns the time until an upstream may receive work, according to its leaving and
 // resting conditions: zero if it may now, and Forever if it leaves.
-func (b *Observations) AvailableIn(now time.Time, vm string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[vm]
+func (o *Observations) AvailableIn(now time.Time, vm string) time.Duration {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.records[vm]
 	switch {
 	case r == nil:
 		return 0
@@ -169,25 +169,25 @@
 }
 
 // Empty reports whether there are no records.
-func (b *Observations) Empty() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.records) == 0
+func (o *Observations) Empty() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.records) == 0
 }
 
 // Prune removes records without conditions, and those of upstreams that have not been listed for
 // retainUnlistedFor. listed reports whether an upstream is listed now.
-func (b *Observations) Prune(now time.Time, listed func(vm string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for vm, r := range b.records {
+func (o *Observations) Prune(now time.Time, listed func(vm string) bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for vm, r := range o.records {
 		switch {
 		case r.conditions(now) == 0:
-			delete(b.records, vm)
+			delete(o.records, vm)
 		case listed(vm):
 			r.lastListed = now
 		case now.Sub(r.lastListed) >= retainUnlistedFor:
-			delete(b.records, vm)
+			delete(o.records, vm)
 		}
 	}
 }
@@ -214,10 +214,10 @@
 )
 
 // Statements returns the recorded conditions of an upstream.
-func (b *Observations) Statements(now time.Time, vm string) []Statement {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[vm]
+func (o *Observations) Statements(now time.Time, vm string) []Statement {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	r := o.records[vm]
 	if r == nil {
 		return nil
 	}
--- a/internal/load/share.go
+++ b/internal/load/share.go
@@ -56,48 +56,48 @@
 
 // PackObserved returns the loads of members observed after the given time by this router or by
 // its subscribers, or nil if there are none.
-func (t *PoolLoad) PackObserved(now, after time.Time, members []VM) []byte {
+func (p *PoolLoad) PackObserved(now, after time.Time, members []VM) []byte {
 	var observed []VM
 	for _, vm := range members {
-		if e := t.entries[vm]; e != nil && !e.fromParent && e.reportedAt.After(after) {
+		if e := p.entries[vm]; e != nil && !e.fromParent && e.reportedAt.After(after) {
 			observed = append(observed, vm)
 		}
 	}
-	t.sortByLoad(now, observed)
-	return t.pack(now, observed[:min(len(observed), maxSharedEntries)])
+	p.sortByLoad(now, observed)
+	return p.pack(now, observed[:min(len(observed), maxSharedEntries)])
 }
 
 // PackKnown returns the known loads of members, or nil if there are none. If the pool does not
 // fit into a message, it returns the highest loads, and of the others those that were sent least
 // recently.
-func (t *PoolLoad) PackKnown(now time.Time, members []VM) []byte {
+func (p *PoolLoad) PackKnown(now time.Time, members []VM) []byte {
 	var known []VM
 	for _, vm := range members {
-		if e := t.entries[vm]; e != nil && !e.reportedAt.IsZero() && now.Sub(e.reportedAt) <= maxSharedAge {
+		if e := p.entries[vm]; e != nil && !e.reportedAt.IsZero() && now.Sub(e.reportedAt) <= maxSharedAge {
 			known = append(known, vm)
 		}
 	}
 	if len(known) > maxSharedEntries {
-		t.sortByLoad(now, known)
+		p.sortByLoad(now, known)
 		slices.SortStableFunc(known[sharedHighestLoads:], func(a, b VM) int {
-			return t.entries[a].sentAt.Compare(t.entries[b].sentAt)
+			return p.entries[a].sentAt.Compare(p.entries[b].sentAt)
 		})
 		known = known[:maxSharedEntries]
 	}
 	for _, vm := range known {
-		t.entries[vm].sentAt = now
+		p.entries[vm].sentAt = now
 	}
-	return t.pack(now, known)
+	return p.pack(now, known)
 }
 
-func (t *PoolLoad) sortByLoad(now time.Time, vms []VM) {
-	slices.SortStableFunc(vms, func(a, b VM) int { return cmp.Compare(t.Load(now, b), t.Load(now, a)) })
+func (p *PoolLoad) sortByLoad(now time.Time, vms []VM) {
+	slices.SortStableFunc(vms, func(a, b VM) int { return cmp.Compare(p.Load(now, b), p.Load(now, a)) })
 }
 
-func (t *PoolLoad) pack(now time.Time, vms []VM) []byte {
+func (p *PoolLoad) pack(now time.Time, vms []VM) []byte {
 	var b []byte
 	for _, vm := range vms {
-		e := t.entries[vm]
+		e := p.entries[vm]
 		age := min(max(now.Sub(e.reportedAt), 0)/sharedAgeUnit, maxSharedAgeUnits)
 		b = binary.BigEndian.AppendUint16(b, vm.ShortName())
 		b = append(b, e.sharedLoad(), byte(age))
@@ -112,23 +112,23 @@
 }
 
 // MergeObserved records loads observed by a subscriber. They are included in PackObserved.
-func (t *PoolLoad) MergeObserved(now time.Time, members []VM, packed []byte) error {
-	return t.mergeEntries(now, members, packed, false)
+func (p *PoolLoad) MergeObserved(now time.Time, members []VM, packed []byte) error {
+	return p.mergeEntries(now, members, packed, false)
 }
 
 // MergeKnown records loads published by the parent.
-func (t *PoolLoad) MergeKnown(now time.Time, members []VM, packed []byte) error {
-	return t.mergeEntries(now, members, packed, true)
+func (p *PoolLoad) MergeKnown(now time.Time, members []VM, packed []byte) error {
+	return p.mergeEntries(now, members, packed, true)
 }
 
-func (t *PoolLoad) mergeEntries(now time.Time, members []VM, packed []byte, fromParent bool) error {
+func (p *PoolLoad) mergeEntries(now time.Time, members []VM, packed []byte, fromParent bool) error {
 	if len(packed)%sharedEntrySize != 0 {
 		return ErrMalformed
 	}
 	byName := ShortNames(members)
 	for b := packed; len(b) > 0; b = b[sharedEntrySize:] {
 		if vm, ok := byName[binary.BigEndian.Uint16(b)]; ok {
-			t.merge(now.Add(-time.Duration(b[3])*sharedAgeUnit), vm, int(b[2]), fromParent)
+			p.merge(now.Add(-time.Duration(b[3])*sharedAgeUnit), vm, int(b[2]), fromParent)
 		}
 	}
 	return nil
@@ -136,11 +136,11 @@
 
 // merge records a load observed at an earlier time, unless the known load is at least as new.
 // Without the age, a load forwarded by three routers would replace a newer one.
-func (t *PoolLoad) merge(at time.Time, vm VM, load int, fromParent bool) {
-	e := t.entry(vm)
+func (p *PoolLoad) merge(at time.Time, vm VM, load int, fromParent bool) {
+	e := p.entry(vm)
 	if at.Sub(e.reportedAt) <= 0 || !e.fromParent && at.Sub(e.reportedAt) < ownReportPrecedence {
 		return
 	}
-	t.Observe(at, vm, load)
+	p.Observe(at, vm, load)
 	e.fromParent = fromParent
 }
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -195,16 +195,16 @@
 // own share.
 func TestOwnShare(t *testing.T) {
 	for _, c := range []struct {
-		own, told int
-		want      float64
+		own, reported int
+		want          float64
 	}{{0, 0, 1}, {3, 0, 1}, {1, 3, 0.25}, {0, 4, 0}} {
 		a := NewPoolLoad()
 		for range c.own {
 			a.Begin(1)
 		}
-		a.Observe(start, 1, c.own+c.told)
+		a.Observe(start, 1, c.own+c.reported)
 		if got := a.OwnShare(1, 0); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%d own and %d reported requests: own share %v, want %v", c.own, c.told, got, c.want)
+			t.Errorf("%d own and %d reported requests: own share %v, want %v", c.own, c.reported, got, c.want)
 		}
 	}
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -43,80 +43,80 @@
 	return &PoolLoad{clock: decay.NewClock(meanDecay), entries: make(map[VM]*upstreamLoad)}
 }
 
-func (t *PoolLoad) entry(vm VM) *upstreamLoad {
-	e := t.entries[vm]
+func (p *PoolLoad) entry(vm VM) *upstreamLoad {
+	e := p.entries[vm]
 	if e == nil {
 		e = &upstreamLoad{}
-		t.entries[vm] = e
+		p.entries[vm] = e
 	}
 	return e
 }
 
 // Begin counts a request that is sent to an upstream.
-func (t *PoolLoad) Begin(vm VM) {
-	t.entry(vm).own++
-	t.ownTotal++
+func (p *PoolLoad) Begin(vm VM) {
+	p.entry(vm).own++
+	p.ownTotal++
 }
 
 // End counts the end of a request counted by Begin.
-func (t *PoolLoad) End(vm VM) {
-	if e := t.entries[vm]; e != nil && e.own > 0 {
+func (p *PoolLoad) End(vm VM) {
+	if e := p.entries[vm]; e != nil && e.own > 0 {
 		e.own--
-		t.ownTotal--
+		p.ownTotal--
 	}
 }
 
 // Observe records that an upstream has load requests running or waiting, including those of this
 // router.
-func (t *PoolLoad) Observe(now time.Time, vm VM, load int) {
-	e := t.entry(vm)
-	t.subtractFromTotals(e)
+func (p *PoolLoad) Observe(now time.Time, vm VM, load int) {
+	e := p.entry(vm)
+	p.subtractFromTotals(e)
 	e.others, e.reportedAt, e.fromParent = max(load-e.own, 0), now, false
-	if _, due := t.clock.Rebase(now); due {
-		t.recomputeTotals()
+	if _, due := p.clock.Rebase(now); due {
+		p.recomputeTotals()
 		return
 	}
-	t.addToTotals(e)
+	p.addToTotals(e)
 }
 
 // recomputeTotals computes the totals from all entries, which also removes accumulated rounding
 // errors.
-func (t *PoolLoad) recomputeTotals() {
-	t.weightedOthers, t.weightTotal = 0, 0
-	for _, e := range t.entries {
-		t.addToTotals(e)
+func (p *PoolLoad) recomputeTotals() {
+	p.weightedOthers, p.weightTotal = 0, 0
+	for _, e := range p.entries {
+		p.addToTotals(e)
 	}
 }
 
-func (t *PoolLoad) addToTotals(e *upstreamLoad) {
+func (p *PoolLoad) addToTotals(e *upstreamLoad) {
 	if e.reportedAt.IsZero() {
 		return
 	}
-	weight := t.clock.Weight(e.reportedAt)
-	t.weightedOthers += weight * float64(e.others)
-	t.weightTotal += weight
+	weight := p.clock.Weight(e.reportedAt)
+	p.weightedOthers += weight * float64(e.others)
+	p.weightTotal += weight
 }
 
 // subtractFromTotals removes the reported load of an upstream from the totals.
-func (t *PoolLoad) subtractFromTotals(e *upstreamLoad) {
+func (p *PoolLoad) subtractFromTotals(e *upstreamLoad) {
 	if e.reportedAt.IsZero() {
 		return
 	}
-	weight := t.clock.Weight(e.reportedAt)
-	t.weightedOthers -= weight * float64(e.others)
-	t.weightTotal -= weight
+	weight := p.clock.Weight(e.reportedAt)
+	p.weightedOthers -= weight * float64(e.others)
+	p.weightTotal -= weight
 }
 
 // Keep drops all upstreams that are not in members.
-func (t *PoolLoad) Keep(members []VM) {
+func (p *PoolLoad) Keep(members []VM) {
 	kept := SetOf(members)
-	for vm, e := range t.entries {
+	for vm, e := range p.entries {
 		if !kept[vm] {
-			t.ownTotal -= e.own
-			delete(t.entries, vm)
+			p.ownTotal -= e.own
+			delete(p.entries, vm)
 		}
 	}
-	t.recomputeTotals()
+	p.recomputeTotals()
 }
 
 // fullConfidenceFor is how long a reported load is used without decay. Reports arrive through
@@ -134,16 +134,16 @@
 }
 
 // Load returns the estimated load of an upstream.
-func (t *PoolLoad) Load(now time.Time, vm VM) float64 {
-	e := t.entries[vm]
-	return t.estimate(e, e.confidence(now))
+func (p *PoolLoad) Load(now time.Time, vm VM) float64 {
+	e := p.entries[vm]
+	return p.estimate(e, e.confidence(now))
 }
 
-func (t *PoolLoad) estimate(e *upstreamLoad, confidence float64) float64 {
+func (p *PoolLoad) estimate(e *upstreamLoad, confidence float64) float64 {
 	if e == nil {
-		return t.meanOthers()
+		return p.meanOthers()
 	}
-	return float64(e.own) + confidence*float64(e.others) + (1-confidence)*t.meanOthers()
+	return float64(e.own) + confidence*float64(e.others) + (1-confidence)*p.meanOthers()
 }
 
 // recentLoadDecay is how long a reported load is used in full for estimating the wait, and the
@@ -154,8 +154,8 @@
 
 // RecentLoad returns the last reported load of an upstream, decayed by age, from which its wait
 // is estimated.
-func (t *PoolLoad) RecentLoad(now time.Time, vm VM) float64 {
-	e := t.entries[vm]
+func (p *PoolLoad) RecentLoad(now time.Time, vm VM) float64 {
+	e := p.entries[vm]
 	if e == nil {
 		return 0
 	}
@@ -170,31 +170,31 @@
 // UpperBound returns a load that an upstream rarely exceeds: the estimated load plus some
 // standard deviations of the part without a recent report. The requests of other routers arrive
 // at random, so the standard deviation of their number is its square root.
-func (t *PoolLoad) UpperBound(now time.Time, vm VM) float64 {
-	e := t.entries[vm]
+func (p *PoolLoad) UpperBound(now time.Time, vm VM) float64 {
+	e := p.entries[vm]
 	confidence := e.confidence(now)
-	return t.estimate(e, confidence) + upperDeviations*(1-confidence)*math.Sqrt(t.meanOthers())
+	return p.estimate(e, confidence) + upperDeviations*(1-confidence)*math.Sqrt(p.meanOthers())
 }
 
 // Mean returns the estimated mean load of n upstreams, including idle ones, which receive no
 // requests. Idle upstreams report no load. If the mean of the reports counted for all n, a bound
 // based on it would be too high: with a third of a pool drained, the others would receive half as
 // much load again.
-func (t *PoolLoad) Mean(n, idle int) float64 {
+func (p *PoolLoad) Mean(n, idle int) float64 {
 	all := float64(max(n, 1))
 	working := float64(n-idle) / all
-	return float64(t.ownTotal)/all + working*t.meanOthers()
+	return float64(p.ownTotal)/all + working*p.meanOthers()
 }
 
 // OwnShare returns the share of the load of n upstreams, idle ones included, that consists of
 // this router's own requests, from 0 to 1. The router counts these itself and needs no reports of
 // them.
-func (t *PoolLoad) OwnShare(n, idle int) float64 {
-	mean := t.Mean(n, idle)
+func (p *PoolLoad) OwnShare(n, idle int) float64 {
+	mean := p.Mean(n, idle)
 	if mean <= 0 {
 		return 1
 	}
-	return float64(t.ownTotal) / float64(max(n, 1)) / mean
+	return float64(p.ownTotal) / float64(max(n, 1)) / mean
 }
 
 // meanOthers returns the mean number of other routers' requests at an upstream. Newer reports
@@ -202,9 +202,9 @@
 // suspected, reports nothing. With equal weights, the loads reported during a surge stay in the
 // mean for seconds after it, and no bound holds: of 653 requests in five calm seconds, 63 found
 // their upstream over the load bound, and 31 with the weights (four runs of a day).
-func (t *PoolLoad) meanOthers() float64 {
-	if t.weightTotal <= 0 {
+func (p *PoolLoad) meanOthers() float64 {
+	if p.weightTotal <= 0 {
 		return 0
 	}
-	return max(0, t.weightedOthers/t.weightTotal)
+	return max(0, p.weightedOthers/p.weightTotal)
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -288,8 +288,8 @@
 }
 
 // referenceFailureShare returns the failure share of the upstreams with the fewest failures.
-func referenceFailureShare(known map[load.VM]outcomeCount) float64 {
-	counts := slices.Collect(maps.Values(known))
+func referenceFailureShare(outcomes map[load.VM]outcomeCount) float64 {
+	counts := slices.Collect(maps.Values(outcomes))
 	slices.SortFunc(counts, func(a, b outcomeCount) int {
 		return cmp.Or(cmp.Compare(a.failed/(a.all+priorSuccesses), b.failed/(b.all+priorSuccesses)), cmp.Compare(b.all, a.all))
 	})
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -12,14 +12,14 @@
 // A pool of a plain service is in a surge: it answers a hundred requests per second, queues only
 // a few, and receives twice as many for some seconds through several routers.
 const (
-	surgeRouters  = 4
-	surgeAnswers  = 100 // per second
-	surgeWaiting  = 30
-	surgeArrivals = 200 // per second
-	usualArrivals = 50  // per second
-	surgeFor      = 4 * time.Second
-	surgeSpan     = 12 * time.Second
-	surgeSeeds    = 10
+	surgeRouters            = 4
+	surgeAnswersPerSecond   = 100 // per second
+	surgeMaxWaiting         = 30
+	surgeArrivalsPerSecond  = 200 // per second
+	normalArrivalsPerSecond = 50  // per second
+	surgeDuration           = 4 * time.Second
+	simulatedDuration       = 12 * time.Second
+	surgeSeeds              = 10
 )
 
 // attempt is a request of a caller, the first one or a retry.
@@ -58,10 +58,10 @@
 	random := rand.New(rand.NewPCG(seed, 6))
 	var next attemptQueue
 	start := time.Unix(1000, 0)
-	for now := start; now.Before(start.Add(surgeSpan)); {
-		rate := float64(usualArrivals)
-		if now.Before(start.Add(surgeFor)) {
-			rate = surgeArrivals
+	for now := start; now.Before(start.Add(simulatedDuration)); {
+		rate := float64(normalArrivalsPerSecond)
+		if now.Before(start.Add(surgeDuration)) {
+			rate = surgeArrivalsPerSecond
 		}
 		now = now.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		heap.Push(&next, attempt{at: now, first: now})
@@ -75,9 +75,9 @@
 			out.callers++
 		}
 		schedulers[router].Arrived(v.at)
-		waiting := max(0, idleAt.Sub(v.at)) * surgeAnswers / time.Second
-		if waiting < surgeWaiting {
-			idleAt = later(idleAt, v.at).Add(time.Second / surgeAnswers)
+		waiting := max(0, idleAt.Sub(v.at)) * surgeAnswersPerSecond / time.Second
+		if waiting < surgeMaxWaiting {
+			idleAt = later(idleAt, v.at).Add(time.Second / surgeAnswersPerSecond)
 			schedulers[router].Answered(v.at)
 			continue
 		}
