--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -89,8 +89,8 @@
 	return r.leavingSince
 }
 
-// RecordResting records that an upstream requests a rest of d from this router. A shorter rest
-// never ends an earlier one sooner.
+// RecordResting records that an upstream has asked this router to send it no requests for d. A
+// shorter rest never ends an earlier one sooner.
 func (o *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -14,7 +14,7 @@
 	return t
 }
 
-// BenchmarkTable measures the cost of a message for a node.
+// BenchmarkTable measures the cost of a message for a router or sidecar.
 func BenchmarkTable(b *testing.B) {
 	now := start.Add(20 * time.Second)
 	for _, n := range []int{130, 1000, 2900} {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,10 @@
-// Package load tracks what one node knows about the loads of a pool's upstreams. A sidecar uses
-// the pool's mean load to bound its own load. A router uses the loads to choose upstreams with
-// spare capacity.
+// Package load tracks what one router or sidecar knows about the loads of a pool's upstreams. A
+// sidecar uses the pool's mean load to bound its own load. A router uses the loads to choose
+// upstreams with spare capacity.
 //
 // Nothing is polled. Each request and each reply carries a few load samples that the sender has,
-// with their ages, so samples spread to other nodes with the traffic (design note 0002).
+// with their ages, so samples spread to all routers and sidecars with the traffic (design note
+// 0002).
 package load
 
 import (
--- a/internal/load/pack.go
+++ b/internal/load/pack.go
@@ -28,7 +28,7 @@
 // ErrMalformed is returned for a message that cannot be decoded.
 var ErrMalformed = errors.New("load: malformed samples")
 
-// Pack returns the n newest samples for another node, without those of the upstreams in except,
+// Pack returns the n newest samples for a peer, without those of the upstreams in except,
 // for which the receiver has newer data.
 func (t *Table) Pack(now time.Time, n int, except ...VM) []byte {
 	ms := now.UnixMilli()
@@ -73,7 +73,7 @@
 	return append(b, e.weight, byte(age))
 }
 
-// Merge records samples packed by another node, except those for which a newer sample is known.
+// Merge records samples packed by a peer, except those for which a newer sample is known.
 func (t *Table) Merge(now time.Time, packed []byte) error {
 	if len(packed)%sampleSize != 0 || len(packed) > maxPacked*sampleSize {
 		return ErrMalformed
--- a/internal/load/share.go
+++ b/internal/load/share.go
@@ -16,7 +16,7 @@
 // rolling replacement of upstreams, routers have different lists much of the time.
 const (
 	// maxSharedEntries is the maximum number of loads in a message. For a larger pool, a message
-	// contains the highest loads, which the load bound is about, and the others in turn.
+	// contains the highest loads, which matter for the load bound, and the others in turn.
 	maxSharedEntries = 160
 	// sharedHighestLoads is the number of highest loads in each message about such a pool.
 	sharedHighestLoads = 32
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -134,7 +134,7 @@
 	summary := reader.Summary(now, members)
 	started, idle := NewSpeed(), NewSpeed()
 	recordStream(idle, now.Add(-time.Hour), members[1], 40*time.Millisecond)
-	for name, s := range map[string]*Speed{"started": started, "idle": idle} {
+	for name, s := range map[string]*Speed{"started": started, "quiet": idle} {
 		if err := s.MergeSummary(now, members, summary); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/load/table_test.go
+++ b/internal/load/table_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// The age of a sample must grow while it passes from node to node. Otherwise two nodes could keep
+// The age of a sample must grow while it passes from peer to peer. Otherwise two peers could keep
 // the load of a dead upstream alive between them.
 func TestSamplesAgeInCirculation(t *testing.T) {
 	a, b := NewTable(), NewTable()
@@ -103,7 +103,7 @@
 }
 
 // Three requests reach an upstream in one burst. A sample taken before them arrives last, through
-// another node, with the same time. When it replaced the newer one, the pool's mean was too low,
+// another peer, with the same time. When it replaced the newer one, the pool's mean was too low,
 // and upstreams with spare capacity refused the rest of the burst.
 func TestHigherOfSimultaneousLoadsIsKept(t *testing.T) {
 	before, after := NewTable(), NewTable()
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -13,10 +13,10 @@
 // a few, and receives twice as many for some seconds through several routers.
 const (
 	surgeRouters            = 4
-	surgeAnswersPerSecond   = 100 // per second
+	surgeAnswersPerSecond   = 100
 	surgeMaxWaiting         = 30
-	surgeArrivalsPerSecond  = 200 // per second
-	normalArrivalsPerSecond = 50  // per second
+	surgeArrivalsPerSecond  = 200
+	normalArrivalsPerSecond = 50
 	surgeDuration           = 4 * time.Second
 	simulatedDuration       = 12 * time.Second
 	surgeSeeds              = 10
@@ -112,7 +112,8 @@
 // Twice as many callers as a service can serve arrive for four seconds. If all are told to return
 // after one second, they meet the surge again and are rejected along with new callers. If they
 // are told to return when there is capacity, most are rejected only once. Callers with little
-// time cannot wait for the end of the surge and must not fare worse than with the fixed delay.
+// time cannot wait for the end of the surge and must get about the same results as with the fixed
+// delay.
 func TestCallersReturnWhenThereIsCapacity(t *testing.T) {
 	for _, c := range []struct {
 		patience                      time.Duration
