--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -11,13 +11,13 @@
 
 // Guards against a rest that is shortened by a later and shorter one.
 func TestRestIsNotShortened(t *testing.T) {
-	b, now := NewObservations(), time.Unix(1000, 0)
-	b.RecordResting(now, engine, 10*time.Second)
-	b.RecordResting(now.Add(time.Second), engine, time.Second)
+	o, now := NewObservations(), time.Unix(1000, 0)
+	o.RecordResting(now, engine, 10*time.Second)
+	o.RecordResting(now.Add(time.Second), engine, time.Second)
 	for after, want := range map[time.Duration]Set{
 		0: Of(Resting), 9 * time.Second: Of(Resting), 10 * time.Second: 0, time.Hour: 0,
 	} {
-		if got := b.Conditions(now.Add(after), engine); got != want {
+		if got := o.Conditions(now.Add(after), engine); got != want {
 			t.Errorf("after %v: %q", after, got)
 		}
 	}
@@ -25,8 +25,8 @@
 
 // Guards against work sent to a leaving upstream after its entry has expired and returned.
 func TestLeavingOutlivesTheEntry(t *testing.T) {
-	b, now := NewObservations(), time.Unix(1000, 0)
-	if !b.RecordLeaving(now, engine) || b.RecordLeaving(now, engine) {
+	o, now := NewObservations(), time.Unix(1000, 0)
+	if !o.RecordLeaving(now, engine) || o.RecordLeaving(now, engine) {
 		t.Error("the first announcement must be new and the second one not")
 	}
 	listed, gone := func(string) bool { return true }, func(string) bool { return false }
@@ -41,8 +41,8 @@
 		{time.Hour + 2*retainUnlistedFor, gone, false},
 	} {
 		at := now.Add(step.after)
-		b.Prune(at, step.listed)
-		if got := b.Conditions(at, engine).Has(Leaving); got != step.leaving {
+		o.Prune(at, step.listed)
+		if got := o.Conditions(at, engine).Has(Leaving); got != step.leaving {
 			t.Errorf("after %v: leaving %v", step.after, got)
 		}
 	}
@@ -57,14 +57,14 @@
 		want   time.Duration
 	}{
 		{"nothing", func(*Observations) {}, 0},
-		{"a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second) }, time.Second},
-		{"a rest that has ended", func(b *Observations) { b.RecordResting(now.Add(-time.Second), engine, time.Second) }, 0},
-		{"no connection", func(b *Observations) { b.RecordUnreachable(now, engine) }, 0},
-		{"leaving, in a rest", func(b *Observations) { b.RecordResting(now, engine, time.Second); b.RecordLeaving(now, engine) }, Forever},
+		{"a rest", func(o *Observations) { o.RecordResting(now, engine, time.Second) }, time.Second},
+		{"a rest that has ended", func(o *Observations) { o.RecordResting(now.Add(-time.Second), engine, time.Second) }, 0},
+		{"no connection", func(o *Observations) { o.RecordUnreachable(now, engine) }, 0},
+		{"leaving, in a rest", func(o *Observations) { o.RecordResting(now, engine, time.Second); o.RecordLeaving(now, engine) }, Forever},
 	} {
-		b := NewObservations()
-		c.record(b)
-		if got := b.AvailableIn(now, engine); got != c.want {
+		o := NewObservations()
+		c.record(o)
+		if got := o.AvailableIn(now, engine); got != c.want {
 			t.Errorf("%s: available in %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -72,35 +72,35 @@
 
 // Guards against unbounded growth with upstreams that could not be reached once.
 func TestExpiredRecordsArePruned(t *testing.T) {
-	b, now := NewObservations(), time.Unix(1000, 0)
+	o, now := NewObservations(), time.Unix(1000, 0)
 	for i := range 100 {
 		vm := fmt.Sprint("engine-", i)
-		b.RecordUnreachable(now, vm)
-		b.RecordResting(now, vm, time.Second)
+		o.RecordUnreachable(now, vm)
+		o.RecordResting(now, vm, time.Second)
 	}
-	b.RecordLeaving(now, engine)
-	b.Prune(now.Add(unreachableFor), func(string) bool { return true })
-	if len(b.records) != 1 || b.Empty() {
-		t.Errorf("%d records are kept, want only the leaving upstream", len(b.records))
+	o.RecordLeaving(now, engine)
+	o.Prune(now.Add(unreachableFor), func(string) bool { return true })
+	if len(o.records) != 1 || o.Empty() {
+		t.Errorf("%d records are kept, want only the leaving upstream", len(o.records))
 	}
 }
 
 // Guards against a status page for operators without source, start and end of a condition.
 func TestStatements(t *testing.T) {
-	b, now := NewObservations(), time.Unix(1000, 0)
-	b.RecordLeaving(now, engine)
-	b.RecordResting(now, engine, 3*time.Second)
-	b.RecordResting(now.Add(time.Second), engine, 4*time.Second)
-	b.RecordUnreachable(now.Add(time.Second), engine)
+	o, now := NewObservations(), time.Unix(1000, 0)
+	o.RecordLeaving(now, engine)
+	o.RecordResting(now, engine, 3*time.Second)
+	o.RecordResting(now.Add(time.Second), engine, 4*time.Second)
+	o.RecordUnreachable(now.Add(time.Second), engine)
 	want := []Statement{
 		{Kind: Leaving, By: ByAnswers, Since: now},
 		{Kind: Resting, By: ByAnswers, Since: now, Until: now.Add(5 * time.Second)},
 		{Kind: Unreachable, By: ByConnections, Since: now.Add(time.Second), Until: now.Add(time.Second + unreachableFor)},
 	}
-	if got := b.Statements(now.Add(2*time.Second), engine); !slices.Equal(got, want) {
+	if got := o.Statements(now.Add(2*time.Second), engine); !slices.Equal(got, want) {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Statements(now, "another"); got != nil {
+	if got := o.Statements(now, "another"); got != nil {
 		t.Errorf("statements of an unknown upstream: %+v", got)
 	}
 }
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -152,13 +152,13 @@
 // The uncertainty of an upstream's load increases its upper bound, and grows with the age of the
 // last report.
 func TestUpperBoundGrowsWithAge(t *testing.T) {
-	a := NewPoolLoad()
+	loads := NewPoolLoad()
 	for _, vm := range vms(4) {
-		a.Observe(start, vm, 9)
+		loads.Observe(start, vm, 9)
 	}
 	vm, previous := VM(1), 9.0
 	for _, age := range []time.Duration{0, time.Second, 4 * time.Second} {
-		upper := a.UpperBound(start.Add(age), vm)
+		upper := loads.UpperBound(start.Add(age), vm)
 		if upper < previous {
 			t.Errorf("upper bound %v after %v, want at least %v", upper, age, previous)
 		}
@@ -198,12 +198,12 @@
 		own, reported int
 		want          float64
 	}{{0, 0, 1}, {3, 0, 1}, {1, 3, 0.25}, {0, 4, 0}} {
-		a := NewPoolLoad()
+		loads := NewPoolLoad()
 		for range c.own {
-			a.Begin(1)
+			loads.Begin(1)
 		}
-		a.Observe(start, 1, c.own+c.reported)
-		if got := a.OwnShare(1, 0); math.Abs(got-c.want) > 1e-9 {
+		loads.Observe(start, 1, c.own+c.reported)
+		if got := loads.OwnShare(1, 0); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%d own and %d reported requests: own share %v, want %v", c.own, c.reported, got, c.want)
 		}
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -92,7 +92,7 @@
 // none.
 func suspectedFor(failing, failures int) time.Duration {
 	d, vms, now := New(), pool(18), start
-	var lasted time.Duration
+	var duration time.Duration
 	for range 4 {
 		for i, vm := range vms {
 			for range failures {
@@ -103,13 +103,13 @@
 				}
 			}
 		}
-		began := now
+		suspectedAt := now
 		for d.IsSuspected(now, vms[0]) {
 			now = now.Add(outcomeDecay / 15)
 		}
-		lasted = now.Sub(began)
+		duration = now.Sub(suspectedAt)
 	}
-	return lasted
+	return duration
 }
 
 // After a surge, twelve of eighteen upstreams are suspected, some for the fourth time, and the
@@ -169,8 +169,8 @@
 			d.Failed(now, vm)
 		}
 	}
-	over := now
-	for now.Sub(over) < 3*time.Second {
+	surgeEnd := now
+	for now.Sub(surgeEnd) < 3*time.Second {
 		now = now.Add(time.Second / perSecond)
 		for vm := range load.VM(upstreams * 2 / 3) {
 			d.Succeeded(now, vm)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -67,14 +67,14 @@
 		}
 		v := rapid.SampledFrom([]verdict.Verdict{verdict.MayHaveRun, verdict.NotRun, verdict.Ran}).Draw(t, "verdict")
 		r := rapid.SampledFrom(reasons).Draw(t, "reason")
-		next := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "asked")}, c)
-		if next != Stop && c.AnswerStarted {
+		decision := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "asked")}, c)
+		if decision != Stop && c.AnswerStarted {
 			t.Fatal("the request may run again although part of the answer was sent")
 		}
-		if next != Stop && v != verdict.NotRun && !c.Idempotent {
+		if decision != Stop && v != verdict.NotRun && !c.Idempotent {
 			t.Fatal("a request that may have run may run again")
 		}
-		if next == Reroute && v != verdict.NotRun {
+		if decision == Reroute && v != verdict.NotRun {
 			t.Fatal("a request that may have run is rerouted without using the budget")
 		}
 		if MayHedge(c) && !(c.Idempotent && c.ReadOnly && !c.AnswerStarted) {
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -65,7 +65,7 @@
 // slot with spare capacity, or in the emptiest one. left is the time that the caller has left,
 // which limits the slots by MaxDelayShare; zero means unlimited. spread, from 0 to 1, is the
 // position within the slot.
-func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, spread float64) time.Duration {
+func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, jitter float64) time.Duration {
 	r.advance(now)
 	capacity := r.slotCapacity()
 	first, end := int64(minReturnDelay/returnSlotLength), int64(returnSlotCount)
@@ -80,7 +80,7 @@
 		}
 	}
 	r.scheduled[r.slot(chosen)]++
-	delay := time.Duration((float64(chosen) + spread) * float64(returnSlotLength))
+	delay := time.Duration((float64(chosen) + jitter) * float64(returnSlotLength))
 	if until := now.Add(delay + returnSlotLength); until.After(r.lastReturn) {
 		r.lastReturn = until
 	}
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -31,14 +31,14 @@
 
 type attemptQueue []attempt
 
-func (v attemptQueue) Len() int           { return len(v) }
-func (v attemptQueue) Less(i, j int) bool { return v[i].at.Before(v[j].at) }
-func (v attemptQueue) Swap(i, j int)      { v[i], v[j] = v[j], v[i] }
-func (v *attemptQueue) Push(x any)        { *v = append(*v, x.(attempt)) }
-func (v *attemptQueue) Pop() any {
-	old := *v
+func (q attemptQueue) Len() int           { return len(q) }
+func (q attemptQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q attemptQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *attemptQueue) Push(x any)        { *q = append(*q, x.(attempt)) }
+func (q *attemptQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*v = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -54,9 +54,9 @@
 
 // simulateSurge simulates a surge in which each caller gives up after patience and returns after
 // the delay that its router determines.
-func simulateSurge(seed uint64, patience time.Duration, delayFor func(router int, now time.Time, left time.Duration) time.Duration, schedulers [surgeRouters]*ReturnScheduler) surgeOutcome {
+func simulateSurge(seed uint64, callerTimeout time.Duration, delayFor func(router int, now time.Time, left time.Duration) time.Duration, schedulers [surgeRouters]*ReturnScheduler) surgeOutcome {
 	random := rand.New(rand.NewPCG(seed, 6))
-	var next attemptQueue
+	var queue attemptQueue
 	start := time.Unix(1000, 0)
 	for now := start; now.Before(start.Add(simulatedDuration)); {
 		rate := float64(normalArrivalsPerSecond)
@@ -64,33 +64,33 @@
 			rate = surgeArrivalsPerSecond
 		}
 		now = now.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
-		heap.Push(&next, attempt{at: now, first: now})
+		heap.Push(&queue, attempt{at: now, first: now})
 	}
 	var out surgeOutcome
 	idleAt := start // when the pool has answered all waiting requests
-	for next.Len() > 0 {
-		v := heap.Pop(&next).(attempt)
+	for queue.Len() > 0 {
+		a := heap.Pop(&queue).(attempt)
 		router := random.IntN(surgeRouters)
-		if !v.returning {
+		if !a.returning {
 			out.callers++
 		}
-		schedulers[router].Arrived(v.at)
-		waiting := max(0, idleAt.Sub(v.at)) * surgeAnswersPerSecond / time.Second
+		schedulers[router].Arrived(a.at)
+		waiting := max(0, idleAt.Sub(a.at)) * surgeAnswersPerSecond / time.Second
 		if waiting < surgeMaxWaiting {
-			idleAt = later(idleAt, v.at).Add(time.Second / surgeAnswersPerSecond)
-			schedulers[router].Answered(v.at)
+			idleAt = later(idleAt, a.at).Add(time.Second / surgeAnswersPerSecond)
+			schedulers[router].Answered(a.at)
 			continue
 		}
-		if v.returning {
+		if a.returning {
 			out.rejectedAgain++
 		}
-		left := patience - v.at.Sub(v.first)
-		delay := min(delayFor(router, v.at, left), left/3)
+		left := callerTimeout - a.at.Sub(a.first)
+		delay := min(delayFor(router, a.at, left), left/3)
 		if delay < 100*time.Millisecond {
 			out.unserved++
 			continue
 		}
-		heap.Push(&next, attempt{at: v.at.Add(delay), first: v.first, returning: true})
+		heap.Push(&queue, attempt{at: a.at.Add(delay), first: a.first, returning: true})
 	}
 	return out
 }
@@ -116,27 +116,27 @@
 // delay.
 func TestCallersReturnWhenThereIsCapacity(t *testing.T) {
 	for _, c := range []struct {
-		patience                      time.Duration
+		callerTimeout                 time.Duration
 		maxRejectedAgain, maxUnserved float64 // limits relative to a fixed delay of one second
 	}{
-		{patience: 15 * time.Second, maxRejectedAgain: 0.2, maxUnserved: 1},
-		{patience: 8 * time.Second, maxRejectedAgain: 0.6, maxUnserved: 1},
-		{patience: 4 * time.Second, maxRejectedAgain: 1.1, maxUnserved: 1.1},
+		{callerTimeout: 15 * time.Second, maxRejectedAgain: 0.2, maxUnserved: 1},
+		{callerTimeout: 8 * time.Second, maxRejectedAgain: 0.6, maxUnserved: 1},
+		{callerTimeout: 4 * time.Second, maxRejectedAgain: 1.1, maxUnserved: 1.1},
 	} {
 		var fixed, planned surgeOutcome
 		for seed := range uint64(surgeSeeds) {
-			fixed = fixed.plus(simulateSurge(seed, c.patience, func(int, time.Time, time.Duration) time.Duration { return time.Second }, newSchedulers()))
+			fixed = fixed.plus(simulateSurge(seed, c.callerTimeout, func(int, time.Time, time.Duration) time.Duration { return time.Second }, newSchedulers()))
 			random := rand.New(rand.NewPCG(seed, 8))
 			schedulers := newSchedulers()
-			planned = planned.plus(simulateSurge(seed, c.patience, func(router int, now time.Time, left time.Duration) time.Duration {
+			planned = planned.plus(simulateSurge(seed, c.callerTimeout, func(router int, now time.Time, left time.Duration) time.Duration {
 				return schedulers[router].Schedule(now, left, random.Float64())
 			}, schedulers))
 		}
 		t.Logf("of %d callers with %v, rejections of returning callers: %d with a fixed second, %d as scheduled; unserved: %d, %d",
-			fixed.callers, c.patience, fixed.rejectedAgain, planned.rejectedAgain, fixed.unserved, planned.unserved)
+			fixed.callers, c.callerTimeout, fixed.rejectedAgain, planned.rejectedAgain, fixed.unserved, planned.unserved)
 		if float64(planned.rejectedAgain) > c.maxRejectedAgain*float64(fixed.rejectedAgain) || float64(planned.unserved) > c.maxUnserved*float64(fixed.unserved) {
 			t.Errorf("with %v: %d rejections of returning callers, %d with a fixed second; unserved %d, %d",
-				c.patience, planned.rejectedAgain, fixed.rejectedAgain, planned.unserved, fixed.unserved)
+				c.callerTimeout, planned.rejectedAgain, fixed.rejectedAgain, planned.unserved, fixed.unserved)
 		}
 	}
 }
