--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -88,7 +88,7 @@
 		Gone: Never, OutOfRegion: Never, Drained: Never, Leaving: Never, Resting: Never, Cold: Never,
 		Unreachable: Last, Suspected: Last,
 	},
-	// A transfer needs neither a slot nor any tokens of the upstream.
+	// A transfer uses none of what these conditions protect: neither a slot nor a token.
 	Prompt: {
 		Gone: Never, OutOfRegion: Never, Drained: Freely, Leaving: Freely, Resting: Freely, Cold: Freely,
 		Unreachable: Never, Suspected: Freely,
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -123,7 +123,7 @@
 }
 
 // A router that has just started, or has served no stream for an hour, receives a summary of slow
-// engines. Merging it without rebasing the weights first turned the slowdown into NaN, and
+// engines. Merging it without rebasing the weights first would turn the slowdown into NaN, and
 // everything computed from it.
 func TestIdleRoutersMergeSummaries(t *testing.T) {
 	members := vms(2)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// mayDifferElsewhere reports whether another upstream may not fail for the same reason. A reason
-// that is not listed, such as one of a newer peer, is treated as final.
+// mayDifferElsewhere reports whether the request may succeed at another upstream despite this
+// reason. A reason that is not listed, such as one of a newer peer, is treated as final.
 func mayDifferElsewhere(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamFailed, verdict.ReasonIncarnationGone, verdict.ReasonUnknownRequest,
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -63,7 +63,7 @@
 
 // Schedule returns the delay after which a caller rejected at now should return: in the first
 // slot with spare capacity, or in the emptiest one. left is the time that the caller has left,
-// which limits the slots by MaxDelayShare; zero means unlimited. spread, from 0 to 1, is the
+// which limits the slots by MaxDelayShare; zero means unlimited. jitter, from 0 to 1, is the
 // position within the slot.
 func (r *ReturnScheduler) Schedule(now time.Time, left time.Duration, jitter float64) time.Duration {
 	r.advance(now)
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -52,7 +52,7 @@
 	return surgeOutcome{callers: o.callers + p.callers, unserved: o.unserved + p.unserved, rejectedAgain: o.rejectedAgain + p.rejectedAgain}
 }
 
-// simulateSurge simulates a surge in which each caller gives up after patience and returns after
+// simulateSurge simulates a surge in which each caller gives up after callerTimeout and returns after
 // the delay that its router determines.
 func simulateSurge(seed uint64, callerTimeout time.Duration, delayFor func(router int, now time.Time, left time.Duration) time.Duration, schedulers [surgeRouters]*ReturnScheduler) surgeOutcome {
 	random := rand.New(rand.NewPCG(seed, 6))
