--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -54,8 +54,8 @@
 const (
 	// Work is a request: a first attempt, a retry, a hedge, or a stream that is resumed.
 	Work Use = iota
-	// Prompt is the transfer of a cached prompt to another upstream.
-	Prompt
+	// PromptTransfer is the transfer of a cached prompt to another upstream.
+	PromptTransfer
 	useCount
 )
 
@@ -65,7 +65,7 @@
 func (u Use) String() string { return useNames[u] }
 
 // Uses returns all uses.
-func Uses() []Use { return []Use{Work, Prompt} }
+func Uses() []Use { return []Use{Work, PromptTransfer} }
 
 // Permission is how freely an upstream may be used, from the strictest to the least strict.
 type Permission uint8
@@ -89,7 +89,7 @@
 		Unreachable: Last, Suspected: Last,
 	},
 	// A transfer uses none of what these conditions protect: neither a slot nor a token.
-	Prompt: {
+	PromptTransfer: {
 		Gone: Never, OutOfRegion: Never, Drained: Freely, Leaving: Freely, Resting: Freely, Cold: Freely,
 		Unreachable: Never, Suspected: Freely,
 	},
@@ -113,9 +113,9 @@
 // Has reports whether a kind is in the Set.
 func (s Set) Has(k Kind) bool { return s&(1<<k) != 0 }
 
-// Allows returns the permission for a use and the kind that determines it: the kind with the
+// Permission returns the permission for a use and the kind that determines it: the kind with the
 // strictest permission, the first of several.
-func (s Set) Allows(u Use) (Permission, Kind) {
+func (s Set) Permission(u Use) (Permission, Kind) {
 	strictest, by := Freely, kindCount
 	if s == 0 {
 		return strictest, by
--- a/internal/condition/condition_test.go
+++ b/internal/condition/condition_test.go
@@ -33,7 +33,7 @@
 	table := tableRows(t)
 	for _, k := range Kinds() {
 		for i, u := range Uses() {
-			permission, _ := Of(k).Allows(u)
+			permission, _ := Of(k).Permission(u)
 			if cells := table[k.String()]; len(cells) <= i || cells[i] != permission.String() {
 				t.Errorf("%s has %v for %q, want %s for %s", conditionsPage, cells, k, permission, u)
 			}
@@ -47,11 +47,11 @@
 		for _, u := range Uses() {
 			want, by := Freely, kindCount
 			for _, k := range Kinds() {
-				if alone, _ := Of(k).Allows(u); s.Has(k) && alone < want {
+				if alone, _ := Of(k).Permission(u); s.Has(k) && alone < want {
 					want, by = alone, k
 				}
 			}
-			if got, gotBy := s.Allows(u); got != want || gotBy != by {
+			if got, gotBy := s.Permission(u); got != want || gotBy != by {
 				t.Errorf("%q for %s: %s by %s, want %s by %s", s, u, got, gotBy, want, by)
 			}
 		}
--- a/internal/model/callers.go
+++ b/internal/model/callers.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	return func(i int) bool {
-		leave, _ := r.said.Conditions(f.clock.now, f.upstreams[i].name).Allows(condition.Work)
+		leave, _ := r.said.Conditions(f.clock.now, f.upstreams[i].name).Permission(condition.Work)
 		return leave == condition.Never
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -52,7 +52,7 @@
 type router struct {
 	tracker *balance.Tracker
 	placed  *placement.Pool
-	window  retry.Window
+	window  retry.WindowBudget
 	returns retry.ReturnScheduler
 	said    *condition.Observations
 	last    map[uint64]int // upstream that has served a session last
--- a/internal/retry/pools.go
+++ b/internal/retry/pools.go
@@ -15,7 +15,7 @@
 }
 
 type poolState struct {
-	window    Window
+	window    WindowBudget
 	scheduler ReturnScheduler
 }
 
@@ -45,8 +45,8 @@
 	return PoolBudget{pools: p, pool: state}
 }
 
-// AwaitsCallers reports whether callers rejected by a pool may still return.
-func (p *PoolBudgets) AwaitsCallers(now time.Time, name string) bool {
+// HasPendingReturns reports whether callers rejected by a pool may still return.
+func (p *PoolBudgets) HasPendingReturns(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := p.pools[name]
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -38,8 +38,8 @@
 	return true
 }
 
-// Conditions are the properties of a request that determine whether it may be retried.
-type Conditions struct {
+// RequestInfo are the properties of a request that determine whether it may be retried.
+type RequestInfo struct {
 	Idempotent    bool // the profile allows the request to run more than once
 	ReadOnly      bool // the method is safe in the HTTP sense
 	AnswerStarted bool // part of the answer has been sent to the caller
@@ -49,7 +49,7 @@
 //
 // Once part of the answer has been sent, the request must not run again: a second run may answer
 // differently, and the caller would receive the beginning of one answer with the end of another.
-func Decide(f Failure, c Conditions) Decision {
+func Decide(f Failure, c RequestInfo) Decision {
 	if c.AnswerStarted || f.Final || !mayDifferElsewhere(f.Err.Reason) {
 		return Stop
 	}
@@ -91,7 +91,7 @@
 // MayHedge reports whether a second attempt may start while the first is still running. This is
 // limited to reads: for a write declared idempotent, two concurrent runs are riskier than two
 // runs in sequence.
-func MayHedge(c Conditions) bool {
+func MayHedge(c RequestInfo) bool {
 	return c.Idempotent && c.ReadOnly && !c.AnswerStarted
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -60,7 +60,7 @@
 		verdict.ReasonCancelled, verdict.ReasonAnswerGone, "a reason of a newer peer",
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		c := Conditions{
+		c := RequestInfo{
 			Idempotent:    rapid.Bool().Draw(t, "idempotent"),
 			ReadOnly:      rapid.Bool().Draw(t, "read"),
 			AnswerStarted: rapid.Bool().Draw(t, "sent"),
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -14,12 +14,12 @@
 // windowBuckets is the number of buckets into which a window is divided.
 const windowBuckets = 10
 
-// Window keeps one router within its part of a Rule. The Rule holds for all routers together if
+// WindowBudget keeps one router within its part of a Rule. The Rule holds for all routers together if
 // each keeps to Ratio of its own requests and their slacks add up to the slack of the Rule.
 // Routers therefore need no information about each other's retries.
 //
-// The zero value is ready to use. A Window is not safe for concurrent use.
-type Window struct {
+// The zero value is ready to use. A WindowBudget is not safe for concurrent use.
+type WindowBudget struct {
 	// Retries are summed over one bucket more than the window, and requests over one bucket less
 	// than retries, so a window that begins within a bucket is covered.
 	buckets [windowBuckets + 1]windowBucket
@@ -31,14 +31,14 @@
 }
 
 // Request counts a request of a caller.
-func (w *Window) Request(now time.Time, r Rule) {
+func (w *WindowBudget) Request(now time.Time, r Rule) {
 	w.advance(now, r)
 	w.buckets[w.index(0)].requests++
 }
 
 // Withdraw counts one more attempt, or returns false if the rule does not allow it for this
 // router.
-func (w *Window) Withdraw(now time.Time, r Rule) bool {
+func (w *WindowBudget) Withdraw(now time.Time, r Rule) bool {
 	w.advance(now, r)
 	requests, retries := 0, 0
 	for i := range windowBuckets + 1 {
@@ -56,12 +56,12 @@
 }
 
 // index returns the index of the bucket that is back buckets before the newest.
-func (w *Window) index(back int) int {
+func (w *WindowBudget) index(back int) int {
 	return w.slots.index(-int64(back), len(w.buckets))
 }
 
 // advance makes the bucket at now the newest one.
-func (w *Window) advance(now time.Time, r Rule) {
+func (w *WindowBudget) advance(now time.Time, r Rule) {
 	length := max(r.Window/windowBuckets, time.Millisecond)
 	for back := range w.slots.advance(now, length, int64(len(w.buckets))) {
 		w.buckets[w.index(int(back))] = windowBucket{}
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -50,7 +50,7 @@
 
 // routerHistory is the Window of a router and the times of its requests and retries.
 type routerHistory struct {
-	window            Window
+	window            WindowBudget
 	requests, retries []time.Time
 }
 
@@ -73,7 +73,7 @@
 // Guards against a budget that denies retries for occasional failures, one request in seven.
 func TestWindowAllowsNearlyItsRatio(t *testing.T) {
 	rule := Rule{Ratio: 0.2, Window: 10 * time.Second}
-	var w Window
+	var w WindowBudget
 	now, denied := windowStart.Add(time.Hour), 0
 	for i := range 1000 {
 		now = now.Add(100 * time.Millisecond)
--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -36,7 +36,7 @@
 		set = set.Union(condition.Of(condition.Suspected))
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
 	}
-	permission, reason := set.Allows(condition.Work)
+	permission, reason := set.Permission(condition.Work)
 	out := admin.UpstreamAccount{
 		VM: vm.ID, Addr: vm.Addr, Pool: vm.Pool, FailureDomain: vm.FailureDomain,
 		Load: roundTenths(p.tracker.Load(now, id)), Work: permission.String(),
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -93,7 +93,7 @@
 		return nil
 	}
 	return func(i int) bool {
-		permission, _ := r.conditionsOf(now, p, p.VMs[i].ID).Allows(condition.Work)
+		permission, _ := r.conditionsOf(now, p, p.VMs[i].ID).Permission(condition.Work)
 		return permission == condition.Never
 	}
 }
@@ -104,7 +104,7 @@
 // chosen.
 func (r *Router) admitSend(now time.Time, pool string, vm topo.VM) *verdict.Error {
 	p := r.View().Pools[pool]
-	if permission, reason := r.conditionsOf(now, p, vm.ID).Allows(condition.Work); permission == condition.Never {
+	if permission, reason := r.conditionsOf(now, p, vm.ID).Permission(condition.Work); permission == condition.Never {
 		return withhold(reason)
 	}
 	if !r.admitCold(now, p, vm.ID) {
@@ -138,7 +138,7 @@
 	if !allowed.Has(topo.Region(vm.FailureDomain)) {
 		s = s.Union(condition.Of(condition.OutOfRegion))
 	}
-	permission, _ := s.Allows(condition.Prompt)
+	permission, _ := s.Permission(condition.PromptTransfer)
 	return permission != condition.Never
 }
 
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -73,7 +73,7 @@
 		a.shareCounted = true
 		a.sessionShare = a.pool.tracker.RecordRequest(now, a.session, req.Profile.Name)
 	}
-	a.returning = req.mayBeReturning() && r.retries.AwaitsCallers(now, pool)
+	a.returning = req.mayBeReturning() && r.retries.HasPendingReturns(now, pool)
 	a.targets = a.chooseTargets(now)
 	if len(a.targets) == 0 {
 		a.Close()
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -174,8 +174,8 @@
 	return time.Time{}
 }
 
-func (s *State) conditions() retry.Conditions {
-	return retry.Conditions{
+func (s *State) conditions() retry.RequestInfo {
+	return retry.RequestInfo{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
 		ReadOnly:      s.plan.ReadOnly,
 		AnswerStarted: s.begun && !s.resume,
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -155,7 +155,7 @@
 
 // takesNoWork reports whether an upstream with these conditions may get no requests.
 func takesNoWork(s condition.Set) bool {
-	permission, _ := s.Allows(condition.Work)
+	permission, _ := s.Permission(condition.Work)
 	return permission == condition.Never
 }
 
