--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -54,9 +54,9 @@
 }
 
 // Claim claims an idempotency key for a request key, and returns the one that it stands for.
-func (k *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
-	key, outcome, err := k.create(ctx, ref, proposed)
-	if err == nil && k.mayMissClaims(time.Now(), topo.EraOf(k.store)) {
+func (c *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
+	key, outcome, err := c.create(ctx, ref, proposed)
+	if err == nil && c.mayMissClaims(time.Now(), topo.EraOf(c.store)) {
 		return wire.Key{}, StoreRestored, errors.Errorf("claim: %s may have been lost", ref)
 	}
 	return key, outcome, err
@@ -66,21 +66,21 @@
 // create may have taken effect, now or a little later. Whichever create is the
 // first holds, and the object says which key that was, so reading it back and
 // creating it once more settle it without a guess.
-func (k *Claimer) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
+func (c *Claimer) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	value, err := json.Marshal(Claim{Key: proposed, KeepUntil: time.Now().Add(TTL).Unix()})
 	if err != nil {
 		return wire.Key{}, StoreDown, errors.WithStack(err)
 	}
 	for range maxTries {
-		_, err = k.store.Put(ctx, ref, value, 0)
+		_, err = c.store.Put(ctx, ref, value, 0)
 		if err == nil {
-			k.remember(time.Now(), createdClaim{ref: ref, key: proposed, value: value})
+			c.remember(time.Now(), createdClaim{ref: ref, key: proposed, value: value})
 			return proposed, Created, nil
 		}
 		if errors.Is(err, topo.ErrRefused) {
 			return wire.Key{}, StoreDown, err
 		}
-		o, getErr := k.store.Get(ctx, ref)
+		o, getErr := c.store.Get(ctx, ref)
 		if getErr == nil {
 			var have Claim
 			err = json.Unmarshal(o.Value, &have)
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -51,72 +51,72 @@
 }
 
 // ObserveEra takes in the era of the store, so that the first claim of a router does not find it new.
-func (k *Claimer) ObserveEra(now time.Time, era topo.Era) {
-	k.mayMissClaims(now, era)
+func (c *Claimer) ObserveEra(now time.Time, era topo.Era) {
+	c.mayMissClaims(now, era)
 }
 
 // mayMissClaims takes in the era of the store, and reports whether claims may still be missing.
-func (k *Claimer) mayMissClaims(now time.Time, era topo.Era) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if era > k.era {
-		k.era, k.eraSeenAt = era, now
+func (c *Claimer) mayMissClaims(now time.Time, era topo.Era) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if era > c.era {
+		c.era, c.eraSeenAt = era, now
 	}
-	return !k.eraSeenAt.IsZero() && now.Sub(k.eraSeenAt) < RestoreGrace
+	return !c.eraSeenAt.IsZero() && now.Sub(c.eraSeenAt) < RestoreGrace
 }
 
-func (k *Claimer) remember(now time.Time, m createdClaim) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	m.at = now
-	k.created = append(k.recent(now), m)
+func (c *Claimer) remember(now time.Time, claim createdClaim) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	claim.at = now
+	c.created = append(c.recent(now), claim)
 }
 
 // recent returns the claims that are remembered. It needs k.mu held.
-func (k *Claimer) recent(now time.Time) []createdClaim {
-	for i, m := range k.created {
-		if now.Sub(m.at) < recreateWindow {
-			return k.created[i:]
+func (c *Claimer) recent(now time.Time) []createdClaim {
+	for i, claim := range c.created {
+		if now.Sub(claim.at) < recreateWindow {
+			return c.created[i:]
 		}
 	}
 	return nil
 }
 
 // RecreateLost makes the remembered claims again that the store has lost.
-func (k *Claimer) RecreateLost(ctx context.Context) {
+func (c *Claimer) RecreateLost(ctx context.Context) {
 	now := time.Now()
-	k.mayMissClaims(now, topo.EraOf(k.store))
-	k.mu.Lock()
-	recent := slices.Clone(k.recent(now))
-	k.mu.Unlock()
-	for _, m := range recent {
-		err := k.recreate(ctx, m)
+	c.mayMissClaims(now, topo.EraOf(c.store))
+	c.mu.Lock()
+	recent := slices.Clone(c.recent(now))
+	c.mu.Unlock()
+	for _, claim := range recent {
+		err := c.recreate(ctx, claim)
 		for try := 1; err != nil && try < maxTries; try++ {
 			pause(ctx)
-			err = k.recreate(ctx, m)
+			err = c.recreate(ctx, claim)
 		}
 		if err != nil {
-			slog.Error("a claim that the store may have lost could not be made again", "claim", m.ref.Name, "error", err)
+			slog.Error("a claim that the store may have lost could not be made again", "claim", claim.ref.Name, "error", err)
 		}
 	}
 }
 
 // recreate makes a claim recreate. One that another request has made since for its own key gives
 // way: under that key nothing has run.
-func (k *Claimer) recreate(ctx context.Context, m createdClaim) error {
-	_, err := k.store.Put(ctx, m.ref, m.value, 0)
+func (c *Claimer) recreate(ctx context.Context, claim createdClaim) error {
+	_, err := c.store.Put(ctx, claim.ref, claim.value, 0)
 	if !errors.Is(err, topo.ErrConflict) {
 		return err
 	}
-	o, err := k.store.Get(ctx, m.ref)
+	o, err := c.store.Get(ctx, claim.ref)
 	if err != nil {
 		return err
 	}
 	var have Claim
-	if err := json.Unmarshal(o.Value, &have); err == nil && have.Key == m.key {
+	if err := json.Unmarshal(o.Value, &have); err == nil && have.Key == claim.key {
 		return nil
 	}
-	_, err = k.store.Put(ctx, m.ref, m.value, o.Version)
+	_, err = c.store.Put(ctx, claim.ref, claim.value, o.Version)
 	return err
 }
 
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -36,16 +36,16 @@
 // Claims are remembered for long enough, and no longer.
 func TestClaimsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := NewClaimer(standin.NewObjectAPI())
+		claimer := NewClaimer(standin.NewObjectAPI())
 		for _, name := range []string{"a", "b", "c"} {
-			if _, _, err := k.Claim(t.Context(), Ref("club", name), wire.Key{VM: name}); err != nil {
+			if _, _, err := claimer.Claim(t.Context(), Ref("club", name), wire.Key{VM: name}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(recreateWindow / 2)
 		}
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		if recent := k.recent(time.Now()); len(recent) != 1 || recent[0].key.VM != "c" {
+		claimer.mu.Lock()
+		defer claimer.mu.Unlock()
+		if recent := claimer.recent(time.Now()); len(recent) != 1 || recent[0].key.VM != "c" {
 			t.Errorf("%+v", recent)
 		}
 	})
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -133,8 +133,8 @@
 	return verdict.MayHaveRun
 }
 
-func rejectedResult(v verdict.Verdict, r verdict.Reason, detail string) Result {
-	return Result{Outcome: Rejected, Err: verdict.New(v, r, "%s", detail)}
+func rejectedResult(v verdict.Verdict, reason verdict.Reason, detail string) Result {
+	return Result{Outcome: Rejected, Err: verdict.New(v, reason, "%s", detail)}
 }
 
 // Admit records that an unseen attempt runs or waits to.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -81,19 +81,19 @@
 
 // write names a write of an entry.
 type write struct {
-	born, sequence int64
-	version        topo.Version
+	startedAt, sequence int64
+	version             topo.Version
 }
 
 func writeOf(e Entry) write {
-	return write{born: e.StartedAt, sequence: e.Sequence, version: e.Version}
+	return write{startedAt: e.StartedAt, sequence: e.Sequence, version: e.Version}
 }
 
 // isReplayOf reports whether w was made no later than last, although its version is higher:
 // the store has come back from an older copy that holds it.
 func (w write) isReplayOf(last write) bool {
 	return last.version != 0 && w.version.Era() > last.version.Era() &&
-		w.born == last.born && w.sequence <= last.sequence
+		w.startedAt == last.startedAt && w.sequence <= last.sequence
 }
 
 // unconfirmedEntry is the last write of an upstream that is gone, in a store that has come back from
@@ -204,11 +204,11 @@
 	current, last := s.entries[e.Name], s.lastWrite(e.Name)
 	delete(s.unconfirmed, e.Name)
 	switch {
-	case e.StartedAt == 0 && last.born != 0:
+	case e.StartedAt == 0 && last.startedAt != 0:
 		// An upstream that has told its start once tells it always.
 		s.applyUnusable(now, e.Name)
 		return
-	case e.StartedAt < last.born:
+	case e.StartedAt < last.startedAt:
 		t.Outdated++
 		if current != nil {
 			current.overwritten = true
@@ -218,7 +218,7 @@
 		t.Outdated++
 		s.applyReplay(now, current, e)
 		return
-	case current != nil && current.write.born != e.StartedAt:
+	case current != nil && current.write.startedAt != e.StartedAt:
 		t.Replaced = append(t.Replaced, current.vm)
 	}
 	s.set(now, e)
@@ -244,9 +244,9 @@
 	if e.ColdFor > 0 {
 		vm.WarmAt = now.Add(e.ColdFor) // it was written before now, so that it is warm by then
 	}
-	written := &entry{vm: vm, write: writeOf(e)}
-	written.assumeCold(s.coldAssumptions[vm.FailureDomain])
-	s.entries[e.Name] = written
+	stored := &entry{vm: vm, write: writeOf(e)}
+	stored.assumeCold(s.coldAssumptions[vm.FailureDomain])
+	s.entries[e.Name] = stored
 }
 
 // AssumeCold takes in that upstreams of a failure domain may have become cold up to a version of
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -68,8 +68,8 @@
 // NewHTTPWithDialer is NewHTTP with connections that dial opens.
 func NewHTTPWithDialer(base string, dial DialFunc) *HTTP {
 	h := &HTTP{base: base, dialect: Plain{}, timeouts: Timeouts{Call: callTimeout, WatchGrace: watchGrace, MaxRetryAfter: maxRetryAfter}}
-	for l := range clientCount {
-		h.clients[l] = newClient(l, dial)
+	for kind := range clientCount {
+		h.clients[kind] = newClient(kind, dial)
 	}
 	return h
 }
--- a/internal/topo/transport.go
+++ b/internal/topo/transport.go
@@ -98,7 +98,7 @@
 // DialFunc opens a connection to the platform.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func newClient(l clientKind, dial DialFunc) *http.Client {
+func newClient(kind clientKind, dial DialFunc) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -108,7 +108,7 @@
 				}
 				return &countedConn{Conn: c}, nil
 			},
-			DisableKeepAlives:   l == writeClient,
+			DisableKeepAlives:   kind == writeClient,
 			MaxIdleConnsPerHost: maxIdleConnections,
 			IdleConnTimeout:     idleTimeout,
 		},
