--- a/internal/lease/calls_test.go
+++ b/internal/lease/calls_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// All 330 routers of a large fleet look after the lease. If each asked the
-// store, it would spend a part of the two thousand reads a second on that alone.
+// Guards against every router of a large fleet calling the store for the lease: 330
+// routers would use a noticeable part of its 2000 reads a second.
 func TestStoreCallRateOfALargeFleet(t *testing.T) {
 	const routers, minutes = 330, 10
 	var names []string
@@ -38,9 +38,9 @@
 	seconds := float64(minutes * 60)
 	t.Logf("%d routers: %.2f reads and %.2f writes a second", routers, float64(len(w.calls)-writes)/seconds, float64(writes)/seconds)
 	if candidates != MaxCandidates || len(w.holders()) != 1 {
-		t.Fatalf("%d stand and %d hold", candidates, len(w.holders()))
+		t.Fatalf("%d candidates, want %d; %d holders, want 1", candidates, MaxCandidates, len(w.holders()))
 	}
 	if perSecond := float64(len(w.calls)) / seconds; perSecond > 1 {
-		t.Fatalf("%.2f calls a second", perSecond)
+		t.Fatalf("%.2f store calls a second, want at most 1", perSecond)
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease keeps one holder at a time of a role, by an object in the
-// platform's store, and gives each holder a fencing token.
+// Package lease elects at most one holder of a role at a time, by means of an
+// object in the platform's store, and gives each holder a fencing token.
 //
-// No clock of another VM is trusted: a holder counts its time from before it
-// sent the write that made it holder, and a candidate counts the same time,
-// and a margin, from after it first saw that write. Fencing tokens make orders
-// safe even where clocks run at rates that differ by more than the margin.
+// No VM relies on another VM's clock. A holder counts the TTL from before it
+// sent the write that made it the holder; a candidate counts the same TTL, plus
+// a margin, from after it first saw that write. Fencing tokens keep orders safe
+// even if clock rates differ by more than the margin.
 package lease
 
 import (
@@ -19,33 +19,36 @@
 )
 
 const (
-	// DefaultTTL is how long a lease lasts after the write that took or renewed it.
+	// DefaultTTL is how long a lease lasts after the write that acquired or renewed it.
 	DefaultTTL = 15 * time.Second
-	// MaxCandidates is how many routers stand for the lease at a time. The others
-	// make no calls of the store for it.
+	// MaxCandidates is the number of routers that compete for the lease at a time.
+	// The others make no store calls for it.
 	MaxCandidates = 3
 
-	// marginDivisor of the TTL is what a candidate waits beyond it, for clocks
-	// that run at different rates.
+	// marginDivisor divides the TTL into the margin that a candidate waits beyond
+	// the TTL, for clocks that run at different rates.
 	marginDivisor = 5
-	// callDivisor of the TTL is the pause between a holder's renewals and between
-	// a candidate's reads.
+	// callDivisor divides the TTL into the interval between a holder's renewals,
+	// and between a candidate's reads.
 	callDivisor = 3
 
+	// orderRetryAfter is when an order may be retried that arrived before the
+	// fencing token was known.
 	orderRetryAfter = time.Second
 )
 
 // Record is the value of a lease object.
 type Record struct {
 	Holder  string            `json:"holder"`          // empty: released
-	Attempt string            `json:"attempt"`         // names the write, so that its writer can tell it again
-	TTL     time.Duration     `json:"ttl_ns"`          // by which all judge this holding, whatever their own settings
-	Token   wire.FencingToken `json:"token,omitempty"` // zero in the write that takes the lease
+	Attempt string            `json:"attempt"`         // id of the write, by which its writer recognises it
+	TTL     time.Duration     `json:"ttl_ns"`          // applied by all candidates, whatever their own settings
+	Token   wire.FencingToken `json:"token,omitempty"` // zero in the write that acquires the lease
 }
 
 // TokenOf returns the fencing token of a lease object at version v. The token
-// is the version of the write by which the holder took the lease, which the
-// store makes higher than all before, also when the object was deleted between.
+// is the version of the write by which the holder acquired the lease. The store
+// makes it higher than all earlier versions, even if the object was deleted in
+// between.
 func TokenOf(r Record, v topo.Version) wire.FencingToken {
 	if r.Token == 0 {
 		return wire.FencingToken(v)
@@ -61,7 +64,7 @@
 	}
 	var r Record
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return 0, errors.Wrap(err, "lease")
+		return 0, errors.Wrapf(err, "decode lease %q", name)
 	}
 	return TokenOf(r, o.Version), nil
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,14 +21,14 @@
 	_ = flag.Set("rapid.checks", "500")
 }
 
-// simulation is candidates with clocks of their own before one store, in virtual
-// time, and one sidecar that takes orders.
+// simulation runs candidates, each with its own clock, against one store and one
+// sidecar that receives orders, in virtual time.
 type simulation struct {
-	now         time.Duration // since the start, true time
+	now         time.Duration // true time since the start
 	candidates  []*candidate
-	object      topo.Object // the lease object; version zero: none
-	previous    topo.Object // what a replica that lags still holds
-	replicaLags bool        // candidates read from the replica
+	object      topo.Object // the lease object; version zero: it does not exist
+	previous    topo.Object // what a lagging replica still holds
+	replicaLags bool        // candidates read from the lagging replica
 	version     topo.Version
 	down        bool
 	calls       []*call
@@ -41,16 +41,16 @@
 	id            string
 	state         *State
 	offset        time.Duration
-	clockPermille int64 // rate of its clock
+	clockPermille int64 // rate of its clock, in thousandths of true time
 	paused        bool
 	delayed       []Event
 }
 
-// call is a call of the store on its way. A write may take effect long after
-// its caller has given it up.
+// call is a store call in flight. A write may take effect long after its caller
+// has given up on it.
 type call struct {
 	from     *candidate
-	state    *State // of from, which may have been restarted since
+	state    *State // state of from at the time of the call; from may have restarted since
 	effect   Effect
 	answered bool
 	applied  bool
@@ -78,8 +78,8 @@
 	return time.UnixMilli(1_800_000_000_000).Add(c.offset + w.now*time.Duration(c.clockPermille)/1000)
 }
 
-// step hands c an event, or keeps it until c is resumed. The time in a Tick is
-// that of the clock; answers are stamped when they are handed over.
+// step delivers an event to c, or keeps it until c is resumed. The time of a Tick is
+// the time at which it was made; results are stamped when they are delivered.
 func (w *simulation) step(c *candidate, event Event) {
 	if c.paused {
 		c.delayed = append(c.delayed, event)
@@ -98,7 +98,7 @@
 	}
 }
 
-// apply lets a call take effect at the store and returns its outcome.
+// apply executes a call at the store and returns its outcome.
 func (w *simulation) apply(k *call) (topo.Object, error) {
 	k.applied = true
 	if w.down {
@@ -137,7 +137,7 @@
 	w.step(k.from, GetResult{Object: o, Err: err})
 }
 
-// loseAnswer loses the answer to a call, before or after its effect.
+// loseAnswer fails a call whose response is lost, before or after its effect.
 func (w *simulation) loseAnswer(k *call) {
 	if _, writes := k.effect.(Put); writes {
 		w.answer(k, topo.Object{}, topo.ErrUnknown)
@@ -156,7 +156,7 @@
 	return out
 }
 
-// answerAll processes all calls that have not been answered.
+// answerAll executes and answers all calls that have been neither executed nor answered.
 func (w *simulation) answerAll() {
 	for i := 0; i < len(w.calls); i++ {
 		if k := w.calls[i]; !k.answered && !k.applied {
@@ -175,7 +175,8 @@
 	}
 }
 
-// deliver brings an order to the sidecar.
+// deliver delivers an order to the sidecar, which reads the lease's token first if
+// it knows none.
 func (w *simulation) deliver(o *order) {
 	if !w.fence.Known() && !w.down && w.object.Version != 0 {
 		var r Record
@@ -183,12 +184,12 @@
 		w.fence.Learn(TokenOf(r, w.object.Version))
 	}
 	err := w.fence.Check(o.token)
-	// The upstream works on orders in the order of their arrival.
+	// The upstream executes orders in the order of their arrival.
 	n := int64(len(w.history))
 	w.history = append(w.history, porcupine.Operation{Call: 2 * n, Return: 2*n + 1, Input: *o, Output: err == nil})
 }
 
-// holders returns who believes to hold the lease.
+// holders returns the candidates whose grant is valid by their own clock.
 func (w *simulation) holders() []*candidate {
 	var out []*candidate
 	for _, c := range w.candidates {
@@ -199,8 +200,8 @@
 	return out
 }
 
-// tokenOrderModel is a sidecar's register of the token whose order it took last.
-// It takes orders in the order of tokens, and none of two holders with one token.
+// tokenOrderModel models a sidecar that stores the last accepted order. It accepts
+// orders in ascending order of tokens, and orders with one token from one holder only.
 var tokenOrderModel = porcupine.Model{
 	Init: func() any { return order{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -225,7 +226,7 @@
 	}
 }
 
-// runNormally is a while in which all goes well, but for who is paused.
+// runNormally simulates a period without new faults: all calls are executed and answered.
 func (w *simulation) runNormally(t *rapid.T) {
 	w.tick()
 	w.answerAll()
@@ -237,7 +238,7 @@
 	unanswered := func(k *call) bool { return !k.answered && !k.applied }
 	return map[string]func(*rapid.T){
 		"run":      w.runNormally,
-		"run on":   w.runNormally, // likelier than faults, so that leases are won and lapse
+		"run on":   w.runNormally, // more likely than faults, so that leases are acquired and lapse
 		"run more": w.runNormally,
 		"tick":     func(t *rapid.T) { w.tick() },
 		"pass":     func(t *rapid.T) { w.advance(t, 12000) },
@@ -268,7 +269,7 @@
 				c.state = NewState(fmt.Sprint(c.id, "-", w.now), DefaultTTL)
 			}
 		},
-		"prepare": func(t *rapid.T) { // checks the lease, and is paused before it sends
+		"prepare": func(t *rapid.T) { // a holder checks its lease and is delayed before it sends
 			for _, c := range w.holders() {
 				w.orders = append(w.orders, &order{from: c, token: c.state.Grant().Token})
 			}
@@ -282,24 +283,24 @@
 		},
 		"": func(t *rapid.T) {
 			if holders := w.holders(); len(holders) > 1 {
-				t.Fatalf("%s and %s hold the lease", holders[0].id, holders[1].id)
+				t.Fatalf("%s and %s hold the lease at the same time", holders[0].id, holders[1].id)
 			}
 		},
 	}
 }
 
-// A router that holds the lease is frozen after it has checked its lease and
-// before its order goes out. Another takes the lease and gives orders. The
-// first wakes up, or its order arrives late: the upstream would load a model
-// that nobody wants any more. Answers of the store are lost before and after
-// their effect, writes land late, and the sidecar restarts in between.
+// Guards against an upstream executing an order of a former lease holder, such as
+// loading a model that is no longer wanted. A holder is paused between the check of its
+// lease and the sending of an order, or the order arrives late, while another router
+// acquires the lease and sends orders. Store responses are lost before and after the
+// effect, writes take effect late, and the sidecar restarts.
 func TestOrdersAreAcceptedOnlyInTokenOrder(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
 		t.Repeat(w.actions(t))
 		if !porcupine.CheckOperations(tokenOrderModel, w.history) {
-			t.Fatalf("orders were taken out of token order: %v", w.history)
+			t.Fatalf("orders were accepted out of token order: %v", w.history)
 		}
 		for _, op := range w.history {
 			if op.Output.(bool) {
@@ -318,11 +319,11 @@
 			w.now += DefaultTTL / callDivisor
 		}
 		if len(w.holders()) != 1 {
-			t.Fatalf("%d hold the lease after a quiet minute", len(w.holders()))
+			t.Fatalf("%d candidates hold the lease after a minute without faults, want 1", len(w.holders()))
 		}
 	})
-	t.Logf("%d orders taken, %d refused", accepted, refused)
+	t.Logf("%d orders accepted, %d rejected", accepted, refused)
 	if accepted == 0 || refused == 0 {
-		t.Fatal("orders must be both taken and refused, or the test shows nothing")
+		t.Fatal("the test must see both accepted and rejected orders")
 	}
 }
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// startCandidate returns a Runner that stands for the lease.
+// startCandidate starts a Runner that competes for the lease.
 func startCandidate(t *testing.T, store *standin.ObjectAPI, id string) *Runner {
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -19,8 +19,9 @@
 	return r
 }
 
-// A lease that the store has lost, or shows as released, since it came back from an older
-// copy: whoever took it at once would give orders beside its holder.
+// Guards against two holders after the store was restored from an older copy in which the
+// lease is missing or released: a candidate that acquired it at once would send orders at
+// the same time as its holder.
 func TestLostLeaseIsNotTakenAtOnce(t *testing.T) {
 	for name, before := range map[string]func(*testing.T, *standin.ObjectAPI){
 		"lost":     func(*testing.T, *standin.ObjectAPI) {},
@@ -37,7 +38,7 @@
 				time.Sleep(time.Second)
 				former := holder.Grant().Token
 				if !holder.Grant().Valid(time.Now()) {
-					t.Fatal("not held")
+					t.Fatal("the holder does not hold the lease before the restore")
 				}
 				store.Restore(snapshot)
 				fresh := startCandidate(t, store, "fresh")
@@ -52,18 +53,18 @@
 						}
 					}
 					if held > 1 {
-						t.Fatal("two hold the lease")
+						t.Fatalf("%d runners hold the lease at the same time", held)
 					}
 				}
 				if !next.Valid(time.Now()) || next.Token <= former {
-					t.Errorf("held at last by %+v, after token %d", next, former)
+					t.Errorf("last grant %+v; want a valid one with a token above %d", next, former)
 				}
 			})
 		})
 	}
 }
 
-// takeAndRelease leaves a lease behind that its holder has given up.
+// takeAndRelease acquires the lease and releases it, which leaves its object in the store.
 func takeAndRelease(t *testing.T, store *standin.ObjectAPI) {
 	ctx, stop := context.WithCancel(t.Context())
 	r := NewRunner(store, "controller", "first", DefaultTTL, func() bool { return true })
@@ -77,8 +78,9 @@
 	<-done
 }
 
-// A holder that slept through a return of the store, and whose renewal has replaced another's
-// lease since its revision was given out again: it would go on giving orders.
+// Guards against a paused holder sending orders without the lease. The store was restored
+// meanwhile, another router acquired the lease under a reused revision, and the renewal of
+// the paused holder overwrote that lease.
 func TestRenewalThatReplacesAnotherLeaseDoesNotHold(t *testing.T) {
 	s := NewState("a", DefaultTTL)
 	now := time.Unix(1000, 0)
@@ -89,19 +91,19 @@
 	s.Step(GetResult{Now: now, Err: topo.ErrNotFound})
 	s.Step(written(7))
 	if _, held := s.Held(now); !held {
-		t.Fatal("not held")
+		t.Fatal("the lease is not held after the first write")
 	}
 	now = now.Add(DefaultTTL + time.Second)
-	s.Step(Tick{Now: now, IsCandidate: true}) // renews on top of version 7
+	s.Step(Tick{Now: now, IsCandidate: true}) // renews on condition of version 7
 	s.Step(written(topo.VersionAt(1, 8)))
 	for range 4 {
 		if token, held := s.Held(now); held {
-			t.Fatalf("held by token %d", token)
+			t.Fatalf("the lease is held with token %d after a renewal in another era", token)
 		}
 		now = now.Add(DefaultTTL / callDivisor)
 		for _, e := range s.Step(Tick{Now: now, IsCandidate: true}) {
 			if _, isPut := e.(Put); isPut {
-				t.Fatal("it renews what it does not hold")
+				t.Fatal("a lease that is not held is renewed")
 			}
 		}
 	}
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -12,10 +12,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// tickInterval is how often a Runner looks at the clock.
+// tickInterval is the interval between the Tick events of a Runner.
 const tickInterval = 250 * time.Millisecond
 
-// Runner keeps a State against the platform's store.
+// Runner runs a State against the platform's store.
 type Runner struct {
 	store       topo.Store
 	ref         topo.Ref
@@ -25,12 +25,12 @@
 	loop        *loop.Loop[Event, Effect]
 	grant       atomic.Pointer[Grant]
 	ctx         context.Context
-	released    chan struct{} // closed when the resignation is written, or can't be
+	released    chan struct{} // closed when the write of the resignation has ended, also with an error
 }
 
-// NewRunner returns a Runner for the lease object of that name, as the
-// candidate self, which must be unique to the process. It stands for the lease
-// while stands reports true, and takes it for ttl at a time.
+// NewRunner returns a Runner for the lease object of the given name. self
+// identifies the candidate and must be unique to the process. The Runner competes
+// for the lease while isCandidate returns true, and acquires it for ttl at a time.
 func NewRunner(store topo.Store, name, self string, ttl time.Duration, isCandidate func() bool) *Runner {
 	r := &Runner{
 		store:       store,
@@ -45,7 +45,7 @@
 	return r
 }
 
-// Run keeps the lease until ctx ends, and then resigns.
+// Run competes for the lease and renews it until ctx ends, and then resigns.
 func (r *Runner) Run(ctx context.Context) {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -56,8 +56,8 @@
 	for {
 		select {
 		case <-tick.C:
-			// The time is taken here and not from the tick, which may have
-			// waited while the process was paused.
+			// Not the time of the tick, which may have been queued while the
+			// process was paused.
 			r.loop.Post(Tick{Now: time.Now(), IsCandidate: r.isCandidate()})
 		case <-ctx.Done():
 			r.resign()
@@ -66,7 +66,8 @@
 	}
 }
 
-// resign resigns and waits until the store has heard of it, or for a renewal's time.
+// resign gives up the lease and waits until the store holds the resignation, at
+// most for the interval between renewals.
 func (r *Runner) resign() {
 	held := r.Grant().Valid(time.Now())
 	r.loop.Post(Resign{})
@@ -79,7 +80,8 @@
 	}
 }
 
-// Grant returns what is held now. Who acts under it checks Valid before each effect.
+// Grant returns the current grant. A caller that acts under it must check Valid
+// before each effect.
 func (r *Runner) Grant() Grant {
 	return *r.grant.Load()
 }
@@ -104,7 +106,7 @@
 func (r *Runner) write(p Put) {
 	value, err := json.Marshal(p.Record)
 	if err != nil {
-		panic(err) // a Record has no value that could fail
+		panic(err) // every Record can be marshalled
 	}
 	o, err := r.store.Put(r.ctx, r.ref, value, p.IfVersion)
 	r.loop.Post(PutResult{Now: time.Now(), Object: o, Err: err})
@@ -113,9 +115,9 @@
 	}
 }
 
-// IsCandidate reports whether self is among the routers that stand for a lease: the
-// first few by a hash, so that hundreds of routers do not all ask the store.
-// Where routers disagree on the list, more or fewer stand for a while.
+// IsCandidate reports whether self is among the MaxCandidates routers that compete for
+// a lease. They are chosen by hash, so that hundreds of routers do not all call the
+// store. While routers have different lists, there may be more or fewer candidates.
 func IsCandidate(name, self string, routers []string) bool {
 	selfHash := xxh3.HashString(name + "\x00" + self)
 	lower, listed := 0, false
--- a/internal/lease/runner_test.go
+++ b/internal/lease/runner_test.go
@@ -9,9 +9,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/standin"
 )
 
-// The router that gives the orders is stopped as planned, and a roll-out that
-// was under way stands still until its lease has lapsed, or a router that died
-// keeps others from it for ever.
+// Guards against a rollout stalling until the lease lapses after a planned stop of its
+// holder, or for ever after the death of its holder.
 func TestPlannedStopReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
@@ -26,16 +25,16 @@
 		second, _ := run("b")
 		time.Sleep(time.Minute)
 		if !first.Grant().Valid(time.Now()) || second.Grant().Valid(time.Now()) {
-			t.Fatal("the first does not hold the lease, or the second does")
+			t.Fatal("the first runner does not hold the lease, or the second does")
 		}
 		former := first.Grant().Token
 		stop()
 		time.Sleep(DefaultTTL/callDivisor + time.Second)
 		if g := second.Grant(); !g.Valid(time.Now()) || g.Token <= former {
-			t.Fatalf("not handed over: %+v", g)
+			t.Fatalf("grant %+v of the second runner; want a valid one with a token above %d", g, former)
 		}
 		if current, err := CurrentToken(t.Context(), store, "controller"); err != nil || current != second.Grant().Token {
-			t.Fatalf("a sidecar would learn %d, %v", current, err)
+			t.Fatalf("current token %d, %v; want %d", current, err, second.Grant().Token)
 		}
 	})
 }
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -12,16 +12,16 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Event is something that has happened to a candidate.
+// Event is an input of a State.
 type Event interface{ isEvent() }
 
-// Tick is the passing of time.
+// Tick reports the current time.
 type Tick struct {
 	Now         time.Time
-	IsCandidate bool // this router is to stand for the lease
+	IsCandidate bool // this router is to compete for the lease
 }
 
-// GetResult is the end of a Get. Now is a time after the answer has come.
+// GetResult is the result of a Get. Now is a time after the response arrived.
 type GetResult struct {
 	Now    time.Time
 	Era    topo.Era // of the store
@@ -29,16 +29,16 @@
 	Err    error
 }
 
-// PutResult is the end of a Put.
+// PutResult is the result of a Put. Now is a time after the response arrived.
 type PutResult struct {
 	Now    time.Time
 	Object topo.Object
 	Err    error
 }
 
-// Resign gives the lease up, for a planned stop. The holding ends at once; the
-// store is told, so that the next holder need not wait. If that write is lost,
-// the lease lapses.
+// Resign gives up the lease, for a planned stop. It is no longer held at once. A
+// write releases it in the store, so that the next holder need not wait; if that
+// write is lost, the lease lapses.
 type Resign struct{}
 
 func (Tick) isEvent()      {}
@@ -46,7 +46,7 @@
 func (PutResult) isEvent() {}
 func (Resign) isEvent()    {}
 
-// Effect is a call of the store. A State has one out at a time.
+// Effect is a store call. A State has at most one in flight.
 type Effect interface{ isEffect() }
 
 // Get reads the lease object.
@@ -61,73 +61,72 @@
 func (Get) isEffect() {}
 func (Put) isEffect() {}
 
-// attempt is a write whose outcome may not be known.
+// attempt is a write whose outcome may be unknown.
 type attempt struct {
 	id        string
 	record    Record
-	sent      time.Time // before it was sent
+	sent      time.Time // a time before it was sent
 	ifVersion topo.Version
 }
 
-// State is a candidate's or holder's view of the lease.
+// State is a candidate's or holder's view of the lease. It does no I/O.
 type State struct {
-	self       string // unique to this process, so that a restarted one is another
+	self       string // unique to this process, so that a restarted process has another
 	ttl        time.Duration
-	writeCount uint64
+	writeCount uint64 // numbers the writes in their attempt ids
 
-	callInFlight   bool // a call is out
+	callInFlight   bool
 	isCandidate    bool
 	resigned       bool
-	releasePending bool      // the store is to hear of the resignation
-	nextCall       time.Time // of the next call
-	nextPut        time.Time // of the next write that follows a read
+	releasePending bool      // the resignation is still to be written to the store
+	nextCall       time.Time // no call before this time
+	nextPut        time.Time // no write that follows a read before this time
 
 	hasRead       bool // the object has been read
 	record        Record
-	version       topo.Version // zero: there is no object
-	versionSeenAt time.Time    // when version was seen first
+	version       topo.Version // zero: the object does not exist
+	versionSeenAt time.Time    // when version was first seen
 	era           topo.Era     // of the store
-	eraSeenAt     time.Time    // when it was seen to be in it; zero: it never came back from a copy
+	eraSeenAt     time.Time    // when era was first seen; zero: no restore is known
 
 	attempts []attempt
 	token    wire.FencingToken // zero: not the holder
 	deadline time.Time
 }
 
-// NewState returns the State of a candidate that takes the lease for ttl at a
+// NewState returns the State of a candidate that acquires the lease for ttl at a
 // time. self must be unique to the process.
 func NewState(self string, ttl time.Duration) *State {
 	return &State{self: self, ttl: ttl}
 }
 
-// callInterval is the pause between calls of the store.
+// callInterval returns the interval between store calls.
 func (s *State) callInterval() time.Duration { return s.ttl / callDivisor }
 
-// Held returns the fencing token while the lease is held.
+// Held returns the fencing token, and whether the lease is held at now.
 func (s *State) Held(now time.Time) (wire.FencingToken, bool) {
 	return s.token, s.token != 0 && now.Before(s.deadline)
 }
 
-// Grant is an immutable picture of the lease for those that act under it.
+// Grant is an immutable snapshot of a held lease. Token is zero if it is not held.
 type Grant struct {
 	Token    wire.FencingToken
 	Deadline time.Time
 }
 
-// Valid reports whether the lease is held at now. A holder asks before each
-// effect: one that was paused wakes up with the belief of the time before. The
-// wall clock counts as well, since the monotonic one stands still while a VM
-// is suspended.
+// Valid reports whether the lease is held at now. A holder must check it before
+// each effect, since a paused process resumes with an outdated grant. The wall
+// clock is compared too, because the monotonic clock stops while a VM is suspended.
 func (g Grant) Valid(now time.Time) bool {
 	return g.Token != 0 && now.Before(g.Deadline) && now.Round(0).Before(g.Deadline.Round(0))
 }
 
-// Grant returns the present picture.
+// Grant returns the current grant, whether or not it is still valid.
 func (s *State) Grant() Grant {
 	return Grant{Token: s.token, Deadline: s.deadline}
 }
 
-// Step applies an event.
+// Step applies an event and returns the store calls to make.
 func (s *State) Step(event Event) []Effect {
 	effects := s.apply(event)
 	if !s.releasePending || s.callInFlight {
@@ -201,22 +200,22 @@
 		}
 		s.observe(e.Now, r, e.Object.Version)
 	}
-	// A read from a replica that lags may show a lease as free again and again;
-	// without the pause, failing writes and reads would chase each other.
+	// A lagging replica may show the lease as free repeatedly. Without this pause,
+	// failing writes and reads would follow each other without delay.
 	if s.resigned || s.token != 0 || !s.isCandidate || !s.isFree(e.Now) || e.Now.Before(s.nextPut) {
 		return nil
 	}
 	return s.put(e.Now, Record{Holder: s.self}, e.Now.Add(s.callInterval()))
 }
 
-// observe takes in the object as it was read.
+// observe records the lease object as read or written.
 //
-// A write whose answer was lost may have made this process the holder, or may
-// still be on its way. The attempt id in the object tells: if it is one of
-// ours, that write took effect, and the lease counts from before it was sent.
+// A write whose response was lost may have made this process the holder, or may
+// still take effect. The attempt id in the object decides: if it is one of this
+// State's, that write took effect, and the lease counts from before it was sent.
 func (s *State) observe(now time.Time, r Record, v topo.Version) {
 	if v != 0 && v < s.version {
-		return // a read that lags
+		return // a stale read
 	}
 	if !s.hasRead || v != s.version {
 		s.versionSeenAt = now
@@ -229,7 +228,7 @@
 	case i >= 0 || r.Holder != s.self || TokenOf(r, v) != s.token:
 		s.token = 0
 	}
-	// A write takes effect only while the object is at the version it names.
+	// A write can take effect only while the object is at the version of its condition.
 	s.attempts = slices.DeleteFunc(s.attempts, func(a attempt) bool { return a.ifVersion != v })
 }
 
@@ -241,16 +240,18 @@
 	s.deadline = sent.Add(s.ttl)
 }
 
-// tookEffectInSameEra reports whether a write that took effect at a version did so in the era of the store
-// in which its condition was read. In another one it has replaced what another has written.
+// tookEffectInSameEra reports whether a write that took effect at version v did so in the
+// era of the store in which its condition was read. In a later era it has overwritten
+// another writer's object that was given the same revision.
 func (a attempt) tookEffectInSameEra(v topo.Version) bool {
 	return a.ifVersion == 0 || a.ifVersion.Era() == v.Era()
 }
 
-// isFree reports whether the lease may be taken. Its holder counts TTL from
-// before its write was sent; this counts from after that write was seen, and
-// longer, so the holder has stopped by then. A store that has come back from an
-// older copy may have lost the write of a holder that goes by it still.
+// isFree reports whether the lease may be acquired. Its holder counts the TTL from
+// before its write was sent. A candidate counts from after it saw that write, and
+// for longer, so the holder has stopped by then. A store that was restored from an
+// older copy may have lost the write of a holder that still relies on it, so no lease
+// is free until the TTL and margin have passed since its new era was seen.
 func (s *State) isFree(now time.Time) bool {
 	if !s.eraSeenAt.IsZero() && !hasLapsed(now, s.eraSeenAt, s.ttl) {
 		return false
@@ -258,6 +259,7 @@
 	return s.record.Holder == "" || hasLapsed(now, s.versionSeenAt, s.record.TTL)
 }
 
+// hasLapsed reports whether ttl and the margin have passed since a time.
 func hasLapsed(now, since time.Time, ttl time.Duration) bool {
 	return now.Sub(since) >= ttl+ttl/marginDivisor
 }
@@ -278,11 +280,11 @@
 	if s.resigned {
 		return nil
 	}
-	// Another wrote, or the outcome is unknown: read back.
+	// Another process wrote the object, or the outcome is unknown: read it back.
 	return s.get(e.Now.Add(s.callInterval()))
 }
 
-// forget forgets a write that certainly had no effect.
+// forget drops an attempt that certainly had no effect.
 func (s *State) forget(a attempt) {
 	s.attempts = slices.DeleteFunc(s.attempts, func(o attempt) bool { return o == a })
 }
