--- a/internal/topo/bench_test.go
+++ b/internal/topo/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// metered is a connection that adds what it carries to a sum.
+// metered is a connection that adds the bytes it transfers to a sum.
 type metered struct {
 	net.Conn
 	sum *atomic.Int64
@@ -34,8 +34,8 @@
 	return n, err
 }
 
-// BenchmarkStore measures calls of the store over loopback, in bytes with
-// headers: an idle watch, one with changes of 600 bytes, and a listing.
+// BenchmarkStore measures the bytes of store calls over loopback, headers included: an
+// idle watch, watches with changes of 600 bytes, a listing, and a put with its get.
 func BenchmarkStore(b *testing.B) {
 	api := standin.NewObjectAPI()
 	mux := http.NewServeMux()
--- a/internal/topo/change.go
+++ b/internal/topo/change.go
@@ -1,12 +1,12 @@
 package topo
 
-// VMChange is a VM that is there now, leaves or has left.
+// VMChange is a VM that joined, started to leave or left.
 type VMChange struct {
 	VM    VM
 	State VMState
 }
 
-// VMState is what the list of VMs says of one.
+// VMState is the new state of a VM in a VMChange.
 type VMState string
 
 // States of a VM in the list.
@@ -16,7 +16,8 @@
 	VMLeft    VMState = "left"
 )
 
-// Changes returns what differs between two readings of the list.
+// Changes returns the differences between two snapshots of the list, those of VMs in
+// after first.
 func Changes(before, after []VM) []VMChange {
 	old := make(map[string]VM, len(before))
 	for _, vm := range before {
--- a/internal/topo/change_test.go
+++ b/internal/topo/change_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against lines that do not tell who has joined, leaves or has left.
+// Guards against missed or duplicate reports of VMs that join, start to leave or leave.
 func TestChanges(t *testing.T) {
 	vm := func(id string, leaving bool) VM { return VM{ID: id, Leaving: leaving} }
 	before := []VM{vm("stays", false), vm("leaves", false), vm("goes", true), vm("left", true)}
--- a/internal/topo/dialect.go
+++ b/internal/topo/dialect.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/vocabulary"
 )
 
-// Call is one call of the platform as it is sent.
+// Call is an HTTP request to the platform.
 type Call struct {
 	Method string
 	Path   string // with the query, if any
@@ -18,9 +18,9 @@
 	Header http.Header
 }
 
-// Dialect is how a platform spells the calls of its object API. Its answers to
-// one object and to a listing or watch are read by Object and Page. Versions in calls and
-// answers are the revisions of the era that Era returns.
+// Dialect encodes the calls of a platform's object API and decodes its responses.
+// Object decodes the response of Get and Put, Page that of List and Watch. Versions in
+// calls and responses are revisions of the era that Head returns.
 type Dialect interface {
 	Get(ref Ref) Call
 	List(kind Kind, cont string) Call
@@ -29,20 +29,20 @@
 	Watch(kinds []Kind, since Version, wait time.Duration) Call
 	Object(ref Ref, body []byte) (Object, error)
 	Page(kind Kind, body []byte) (Page, error)
-	// Head reads the head of an answer.
+	// Head decodes the status and header of a response.
 	Head(status int, header http.Header) Head
 }
 
-// Head is what the head of an answer says of the store that has given it.
+// Head is what the status and header of a response say about the store.
 type Head struct {
-	Era        Era           // zero: its versions order all its changes
-	RetryAfter time.Duration // for which it wants no more calls of this process; zero: it does not ask
+	Era        Era           // zero: not reported
+	RetryAfter time.Duration // for which the store asks this process to make no calls; zero: it does not ask
 }
 
-// EraHeader names the era of the stand-in in its answers.
+// EraHeader is the response header with the era of the stand-in store.
 const EraHeader = "Object-Era"
 
-// Plain is the Dialect of this project's own stand-in. Objects live at
+// Plain is the Dialect of this project's own stand-in store. Objects are at
 // /v1/objects/{kind}/{name}; conditional writes use If-Match with the version
 // and If-None-Match: *; a watch is a GET of /v1/watch that the server holds
 // until something has changed.
@@ -102,11 +102,13 @@
 	return Head{Era: ParseEra(header.Get(EraHeader)), RetryAfter: ParseRest(status, header.Get(RetryAfterHeader))}
 }
 
-// RetryAfterHeader names the seconds for which the stand-in wants no more calls.
+// RetryAfterHeader is the response header with the seconds for which the stand-in store
+// asks for no calls.
 const RetryAfterHeader = "Retry-After"
 
-// ParseRest returns for how long a store that answers with a status and a time in seconds
-// wants no more calls; zero: it does not ask, or in a way that makes no sense.
+// ParseRest returns how long a store asks for no calls, by the status of a response and
+// the seconds in its Retry-After header. It returns at most an hour, and zero if the store
+// does not ask or the seconds are invalid.
 func ParseRest(status int, seconds string) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
@@ -118,10 +120,10 @@
 	return time.Duration(min(n, time.Hour.Seconds()) * float64(time.Second))
 }
 
-// plainSource names an answer of the object API where words are noticed.
+// plainSource is the source under which the vocabulary reports unknown words of responses.
 const plainSource = "an answer of the object API"
 
-// Words of the object API that Plain speaks.
+// Headers and statuses that Plain reads or ignores on purpose.
 var (
 	plainHeaders = vocabulary.New("header of the object API's answer",
 		vocabulary.Word{Name: EraHeader, Reader: "topo.Plain.Head"},
@@ -136,7 +138,7 @@
 	plainStatuses = vocabulary.New("status of the object API's answer",
 		vocabulary.Word{Name: "200", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "304", Reader: "topo.statusError"},
-		vocabulary.Word{Name: "400", Why: "it is a refusal like any other from there on"},
+		vocabulary.Word{Name: "400", Why: "handled like any other refusal"},
 		vocabulary.Word{Name: "404", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "409", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "410", Reader: "topo.statusError"},
@@ -146,12 +148,12 @@
 	)
 )
 
-// PlainVocabulary returns the tables of Plain, for those who ask what is read.
+// PlainVocabulary returns the tables of the headers and statuses of Plain.
 func PlainVocabulary() []*vocabulary.Table {
 	return []*vocabulary.Table{plainHeaders, plainStatuses}
 }
 
-// ParseEra returns the era that a header names; zero: it names none.
+// ParseEra returns the era that a header value holds, or zero if it holds none.
 func ParseEra(value string) Era {
 	era, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || era < 0 {
@@ -164,6 +166,8 @@
 	return "/v1/objects/" + url.PathEscape(string(ref.Kind)) + "/" + url.PathEscape(ref.Name)
 }
 
+// conditionHeader returns the header that makes a write conditional on version v, or on
+// the absence of the object if v is zero.
 func conditionHeader(v Version) http.Header {
 	h := http.Header{}
 	if v == 0 {
--- a/internal/topo/era.go
+++ b/internal/topo/era.go
@@ -7,22 +7,22 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// Era counts how often a store has come back from an older copy of itself. What was
-// written after the copy is gone then, and its versions are given out again. Zero: the
-// store does not tell.
+// Era counts the restores of a store from older copies of itself. A restore loses what was
+// written after the copy, and the store reuses the revisions of the lost writes. Zero: the
+// store does not report an era.
 type Era int64
 
 var storeRestores = telemetry.NewCounter("platform_store_restores_total",
 	"Times at which the platform's store has come back from an older copy.", telemetry.Alert)
 
-// eraTracker is what a client has heard of the eraTracker of its store.
+// eraTracker holds the newest era that the store has reported to a client.
 type eraTracker struct {
 	mu     sync.Mutex
 	newest Era
 }
 
-// observe takes in the era that an answer names, and returns the one that it is of, and the
-// newest. An answer that names none is of the newest.
+// observe records the era that a response names. It returns the era of the response and
+// the newest one. A response that names no era belongs to the newest.
 func (e *eraTracker) observe(named Era) (era, newest Era) {
 	e.mu.Lock()
 	before := e.newest
@@ -38,27 +38,28 @@
 	return named, max(before, named)
 }
 
-// isOver reports whether an era is known to be isOver.
+// isOver reports whether a newer era than the given one has been observed.
 func (e *eraTracker) isOver(era Era) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return era < e.newest
 }
 
-// Era implements EraTeller.
+// Era implements EraReporter.
 func (h *HTTP) Era() Era {
 	h.eras.mu.Lock()
 	defer h.eras.mu.Unlock()
 	return h.eras.newest
 }
 
-// versioned returns an object with the version that it has in an era.
+// versioned returns an object whose revision is replaced by its version in an era.
 func (era Era) versioned(o Object) Object {
 	o.Version = VersionAt(era, o.Version)
 	return o
 }
 
-// versionedPage returns a page with the versions that its objects have in an era.
+// versionedPage returns a page whose revisions are replaced by versions in an era. It
+// modifies the objects of p.
 func (era Era) versionedPage(p Page) Page {
 	p.Version = VersionAt(era, p.Version)
 	for i, o := range p.Objects {
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -16,8 +16,8 @@
 
 var claimRef = topo.Ref{Kind: topo.KindClaim, Name: "a"}
 
-// newRestorableStore returns a store, a client of it and one that makes no call of its own while
-// the store comes back.
+// newRestorableStore returns a store and two clients of it. unaware is for tests in which
+// it makes no call between a restore and the call under test.
 func newRestorableStore(t *testing.T) (store *standin.ObjectAPI, client, unaware *topo.HTTP) {
 	store = standin.NewObjectAPI()
 	mux := http.NewServeMux()
@@ -36,8 +36,8 @@
 	return o
 }
 
-// A write on top of what was read before the store came back from an older copy, where
-// another's object has been given the same revision: it would replace that one unseen.
+// Guards against a conditional write, based on a read before a restore of the store,
+// overwriting another writer's object that was given the same revision after the restore.
 func TestWriteFailsOnAReusedRevision(t *testing.T) {
 	store, client, unaware := newRestorableStore(t)
 	snapshot := store.Copy()
@@ -45,26 +45,26 @@
 	store.Restore(snapshot)
 	other := put(t, client, `"another's"`, 0)
 	if other.Version <= read.Version || other.Version.Revision() != read.Version.Revision() {
-		t.Fatalf("version %s after %s", other.Version, read.Version)
+		t.Fatalf("version %s after %s; want a higher one with the same revision", other.Version, read.Version)
 	}
 	if _, err := client.Put(t.Context(), claimRef, json.RawMessage(`"mine, newer"`), read.Version); !errors.Is(err, topo.ErrConflict) {
-		t.Errorf("a write by one who knows that the store is another: %v", err)
+		t.Errorf("write by a client that knows the new era: %v, want a conflict", err)
 	}
 	if err := client.Delete(t.Context(), claimRef, read.Version); !errors.Is(err, topo.ErrConflict) {
-		t.Errorf("a deletion: %v", err)
+		t.Errorf("deletion by a client that knows the new era: %v, want a conflict", err)
 	}
 	if o, err := client.Get(t.Context(), claimRef); err != nil || string(o.Value) != `"another's"` {
-		t.Errorf("%s, %v", o.Value, err)
+		t.Errorf("value %s, %v; want that of the other writer", o.Value, err)
 	}
-	// Who does not know yet may be too late to keep the write from being made. It is not
-	// told that it was made in the place where it was meant to be.
+	// A client that does not know the new era cannot prevent the write. The write must
+	// not be reported as successful.
 	if _, err := unaware.Put(t.Context(), claimRef, json.RawMessage(`"mine, newer"`), read.Version); !errors.Is(err, topo.ErrUnknown) {
-		t.Errorf("a write by one who does not know: %v", err)
+		t.Errorf("write by a client that does not know the new era: %v, want an unknown outcome", err)
 	}
 }
 
-// A watch from a revision that the store has given out again: it is answered, and leaves
-// out what was changed up to there.
+// Guards against missed changes: a watch from a revision that the store has reused would
+// be answered without the changes of the new era up to that revision.
 func TestWatchFailsInANewEra(t *testing.T) {
 	store, client, unaware := newRestorableStore(t)
 	c := store.Copy()
@@ -86,7 +86,7 @@
 	for name, s := range map[string]topo.Store{"client": client, "unaware": unaware, "store": store} {
 		within, cancel := context.WithTimeout(t.Context(), time.Minute)
 		if _, err := s.Watch(within, []topo.Kind{topo.KindClaim}, page.Version, time.Second); !errors.Is(err, topo.ErrCompacted) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: %v, want %v", name, err, topo.ErrCompacted)
 		}
 		cancel()
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// A store that leaves the era out of some of its answers, as when something between answers
-// for it: what it tells is not taken for that of an era which is over.
+// Guards against responses without an era, such as those of a proxy, being attributed to
+// an era that is over.
 func TestAnswerWithoutAnEraBelongsToTheNewest(t *testing.T) {
 	named := true
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// callTimeout bounds one call to the platform. A store that is merely slow
-	// must not hold the goroutine that asks it for ever.
+	// callTimeout bounds one call to the platform. A slow store must not block the
+	// calling goroutine for ever.
 	callTimeout = 5 * time.Second
-	// watchGrace is how much later than its wait a watch may be answered. A
-	// connection that something in between has forgotten is noticed by it.
+	// watchGrace is how much later than the end of its wait a watch may be answered.
+	// Past it, the connection counts as silently dropped by a middlebox.
 	watchGrace = time.Second
-	// maxRetryAfter bounds for how long a store is left alone at its word: what it takes from others
-	// meanwhile is not known here.
+	// maxRetryAfter bounds how long a store's request for no calls is honoured: this
+	// process cannot see whether the store accepts calls of others again meanwhile.
 	maxRetryAfter = 2 * time.Second
 
-	// maxValue is the most that the platform holds in one object, in bytes.
+	// maxValue is the largest value that the platform stores in one object, in bytes.
 	maxValue = 1 << 20
-	// maxObjectAnswer and maxPageAnswer bound answers, in bytes.
+	// maxObjectAnswer and maxPageAnswer bound the bodies of responses, in bytes.
 	maxObjectAnswer = maxValue + 64<<10
 	maxPageAnswer   = 64 << 20
 )
 
-// HTTP is the platform over HTTP. It implements Store and VMList.
+// HTTP is an HTTP client of the platform. It implements Store and VMList.
 //
-// How calls are spelt is for a Dialect to say: Plain, unless Speaking names
-// another. VMs are at /v1/vms.
+// A Dialect encodes the calls: Plain, unless WithDialect sets another. The list of VMs
+// is at /v1/vms.
 //
-// The platform answers 429 and 503 only to calls that it has not begun.
+// The platform answers 429 and 503 only to calls that it has not started to process.
 //
-// Revisions of different eras of the store say nothing of each other. A watch from one era
-// is never taken to go on in the next, nor a write to depend on what an object was in
-// another: its revision may have been given out again.
+// Revisions of different eras of the store are not comparable, since the store reuses
+// them after a restore. So a watch that started in one era fails in the next, and a write
+// that is conditional on a version of an earlier era fails as well.
 type HTTP struct {
 	base     string
 	dialect  Dialect
@@ -52,11 +52,11 @@
 	backoffs backoffs
 }
 
-// Timeouts is how long a client waits for the platform.
+// Timeouts bounds how long a client waits for the platform.
 type Timeouts struct {
-	Call          time.Duration // for one call. A store that is merely slow must not hold its caller for ever
-	WatchGrace    time.Duration // beyond the wait of a watch: a connection that has gone silent shows by it
-	MaxRetryAfter time.Duration // for which a store that wants no calls is left alone at most
+	Call          time.Duration // of one call; a slow store must not block its caller for ever
+	WatchGrace    time.Duration // beyond the wait of a watch; past it, the connection counts as silently dropped
+	MaxRetryAfter time.Duration // upper bound on the time for which a store may ask for no calls
 }
 
 // NewHTTP returns a client for the platform at base, such as http://10.0.0.2:7000.
@@ -65,7 +65,7 @@
 	return NewHTTPWithDialer(base, dialer.DialContext)
 }
 
-// NewHTTPWithDialer is NewHTTP with connections that dial opens.
+// NewHTTPWithDialer is like NewHTTP but opens connections with dial.
 func NewHTTPWithDialer(base string, dial DialFunc) *HTTP {
 	h := &HTTP{base: base, dialect: Plain{}, timeouts: Timeouts{Call: callTimeout, WatchGrace: watchGrace, MaxRetryAfter: maxRetryAfter}}
 	for kind := range clientCount {
@@ -75,7 +75,7 @@
 }
 
 // WithTLS makes new connections use the configuration that config returns, such as
-// one that trusts the platform's own authorities, and returns h.
+// one that trusts the platform's own authorities. It modifies and returns h.
 func (h *HTTP) WithTLS(config func() *tls.Config) *HTTP {
 	for _, client := range h.clients {
 		t := client.Transport.(*http.Transport)
@@ -84,7 +84,7 @@
 	return h
 }
 
-// WithDialect makes calls in a dialect, with a patience, and returns h.
+// WithDialect sets the dialect and the timeouts of h. It modifies and returns h.
 func (h *HTTP) WithDialect(d Dialect, p Timeouts) *HTTP {
 	h.dialect, h.timeouts = d, p
 	return h
@@ -115,7 +115,7 @@
 // Put implements Store.
 func (h *HTTP) Put(ctx context.Context, ref Ref, value json.RawMessage, ifVersion Version) (o Object, err error) {
 	if len(value) > maxValue {
-		return Object{}, errors.Wrapf(ErrRefused, "%s: %d bytes, at most %d fit", ref, len(value), maxValue)
+		return Object{}, errors.Wrapf(ErrRefused, "%s: value of %d bytes exceeds the limit of %d", ref, len(value), maxValue)
 	}
 	r := request{name: callPut, kind: ref.Kind, baseVersion: ifVersion, Call: h.dialect.Put(ref, value, ifVersion.Revision())}
 	err = h.call(ctx, r, func(era Era, body []byte) error {
@@ -158,32 +158,33 @@
 	return vms, err == nil, err
 }
 
-// errNotModified is a conditional read that found nothing new.
+// errNotModified is the result of a conditional read whose content has not changed.
 var errNotModified = errors.New("topo: not modified")
 
-// request is one call of the platform.
+// request is a call with what is needed to execute and count it.
 type request struct {
 	Call
 	name        callName
 	kind        Kind          // of the objects, for the counters
 	wait        time.Duration // of a watch
-	baseVersion Version       // from which it watches, or on which it depends; zero: none
+	baseVersion Version       // start of a watch, or condition of a write; zero: none
 }
 
-// eraChangedError returns how a call ends that depends on a version of another era than the one
-// in which it is answered, or would be.
+// eraChangedError returns the error of a call whose base version belongs to another era
+// than the store.
 func (r request) eraChangedError() error {
 	class := ErrConflict
 	if r.name == callWatch {
 		class = ErrCompacted
 	}
-	return errors.Wrapf(class, "%s %s: the store has come back from an older copy since %s", r.Method, r.Path, r.baseVersion)
+	return errors.Wrapf(class, "%s %s: the store was restored from an older copy after version %s", r.Method, r.Path, r.baseVersion)
 }
 
 func (r request) isWrite() bool {
 	return r.Method != http.MethodGet
 }
 
+// callTimeoutFor returns the timeout of a call, waiting time of a watch included.
 func (p Timeouts) callTimeoutFor(r request) time.Duration {
 	if r.name == callWatch {
 		return r.wait + p.WatchGrace
@@ -191,6 +192,7 @@
 	return p.Call
 }
 
+// answerLimit returns the largest accepted body of a response, in bytes.
 func (r request) answerLimit() int64 {
 	if r.name == callList || r.name == callWatch || r.name == callVMs {
 		return maxPageAnswer
@@ -198,9 +200,9 @@
 	return maxObjectAnswer
 }
 
-// call makes a call and counts it. A read that got no answer on a kept
-// connection is made once more: the connection may have gone silent long ago,
-// and only a read can be repeated without harm.
+// call executes a call and counts it. A read without a response on a reused
+// connection is tried once more: the connection may have been dead for long, and
+// only reads are safe to repeat.
 func (h *HTTP) call(ctx context.Context, r request, read func(Era, []byte) error) error {
 	if r.baseVersion != 0 && h.eras.isOver(r.baseVersion.Era()) {
 		err := r.eraChangedError()
@@ -209,7 +211,7 @@
 	}
 	if wait := h.backoffs.remaining(r, time.Now()); wait > 0 {
 		outcomes.Inc(outcomeWithheld)
-		return errors.Wrapf(ErrRefused, "%s %s: the store wants no calls for another %v", r.Method, r.Path, wait)
+		return errors.Wrapf(ErrRefused, "%s %s: the store asked for no calls for another %v", r.Method, r.Path, wait)
 	}
 	first, err := h.try(ctx, r, read)
 	if first.reused && first.unanswered && !r.isWrite() && r.name != callWatch && ctx.Err() == nil {
@@ -219,9 +221,9 @@
 	return err
 }
 
-// attempt is what is known of one try of a call.
+// attempt describes one try of a call.
 type attempt struct {
-	connected  bool // there was a connection, so something may have been sent
+	connected  bool // there was a connection, so the request may have been sent
 	reused     bool // the connection had served another call before
 	unanswered bool
 }
@@ -270,12 +272,13 @@
 	return a, nil
 }
 
-// checkEra returns why an answer from an era is of no use; nil: it is.
+// checkEra returns why a response from an era cannot be used, or nil if it can.
 func (r request) checkEra(era, newest Era) error {
 	eraChanged := r.baseVersion != 0 && r.baseVersion.Era() != era
 	switch {
 	case r.isWrite() && (eraChanged || era < newest):
-		// It was made, on top of what another wrote, or in a store that has lost it.
+		// The write was made, either over another writer's object of the same
+		// revision, or in a store that has since lost it.
 		return errors.Wrapf(ErrUnknown, "%s %s: written in era %d of the store", r.Method, r.Path, era)
 	case era < newest:
 		return errors.Wrapf(ErrRefused, "%s %s: answered in era %d of the store, which is over", r.Method, r.Path, era)
@@ -285,9 +288,9 @@
 	return nil
 }
 
-// unansweredError classifies a call without an answer. A read changed nothing. A write
-// that had no connection was not sent; any other may have taken effect before
-// its answer was unansweredError. The kept connections may be as dead as this one was.
+// unansweredError classifies a call without a response. A read changed nothing. A write
+// that had no connection was not sent; any other write may have taken effect before its
+// response was lost. Idle connections are closed, since they may be dead too.
 func (h *HTTP) unansweredError(client *http.Client, r request, a attempt, err error) (attempt, error) {
 	a.unanswered = true
 	client.CloseIdleConnections()
@@ -298,8 +301,8 @@
 	return a, errors.Wrapf(class, "%s %s: %s", r.Method, r.Path, err)
 }
 
-// malformedError is an answer that makes no sense. A write was probably made, but
-// who knows by whom it was answered.
+// malformedError returns the error of a call whose response cannot be decoded. A write
+// was probably made, but something other than the store may have answered.
 func malformedError(r request, err error) error {
 	class := ErrRefused
 	if r.isWrite() {
@@ -308,6 +311,7 @@
 	return errors.Wrapf(class, "%s %s: malformed answer: %s", r.Method, r.Path, err)
 }
 
+// statusError returns the error that a status stands for, or nil for 2xx.
 func statusError(r request, status int) error {
 	class := ErrRefused
 	switch {
--- a/internal/topo/http_test.go
+++ b/internal/topo/http_test.go
@@ -19,16 +19,16 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// pipeNetwork is a network of in-memory connections to one server.
+// pipeNetwork connects clients to one server by in-memory connections.
 type pipeNetwork struct {
 	accepted chan net.Conn
 	dials    int
 	down     bool
-	silence  *atomic.Bool // of the connections opened from now on
+	silence  *atomic.Bool // silences the connections that are opened from now on
 }
 
-// silenceableConn is a connection that something in between may have forgotten: what is
-// written to it gets lost and nothing comes back.
+// silenceableConn is a connection that a middlebox may silently drop: writes are lost
+// and no response arrives.
 type silenceableConn struct {
 	net.Conn
 	silent *atomic.Bool
@@ -62,7 +62,7 @@
 func (p *pipeNetwork) Close() error   { return nil }
 func (p *pipeNetwork) Addr() net.Addr { return &net.UnixAddr{} }
 
-// withPipeClient runs f with a client of an object API, in virtual time.
+// withPipeClient runs f with a client of an object API over a pipeNetwork, in virtual time.
 func withPipeClient(t *testing.T, f func(*testing.T, *pipeNetwork, *standin.ObjectAPI, *topo.HTTP)) {
 	synctest.Test(t, func(t *testing.T) {
 		api := standin.NewObjectAPI()
@@ -86,11 +86,10 @@
 
 var ref = topo.Ref{Kind: topo.KindProfile, Name: "chat"}
 
-// A connection to the store has been forgotten by something in between: what is
-// sent on it gets lost, and no error ever comes. Operators see a router that
-// falls behind while the store works. A read is repeated on a new connection, a
-// watch is given up shortly after its wait, and writes never use a kept
-// connection, so that theirs do not end as unknown.
+// Guards against a router falling behind while the store works, because a middlebox has
+// silently dropped a connection: what is sent on it is lost, without an error. A read is
+// repeated on a new connection, a watch ends shortly after its wait, and writes never
+// reuse a connection, so that their outcome does not become unknown.
 func TestSilentConnectionsAreAbandoned(t *testing.T) {
 	withPipeClient(t, func(t *testing.T, n *pipeNetwork, _ *standin.ObjectAPI, h *topo.HTTP) {
 		ctx := t.Context()
@@ -107,27 +106,27 @@
 		n.silence.Store(true)
 		n.silence = new(atomic.Bool)
 		if _, err := h.Put(ctx, ref, json.RawMessage(`2`), o.Version); err != nil {
-			t.Errorf("a write while kept connections are silent: %s", err)
+			t.Errorf("write while idle connections are silent: %s", err)
 		}
 		if got, err := h.Get(ctx, ref); err != nil || string(got.Value) != "2" {
-			t.Errorf("a read on a silent connection: %s, %v", got.Value, err)
+			t.Errorf("read on a silent connection: %s, %v", got.Value, err)
 		}
 		start := time.Now()
 		if _, err := h.Watch(ctx, []topo.Kind{ref.Kind}, 0, 2*time.Second); err == nil {
-			t.Error("a watch on a silent connection was answered")
+			t.Error("watch on a silent connection was answered")
 		}
 		if took := time.Since(start); took > 3*time.Second {
-			t.Errorf("a silent watch was given up after %s", took)
+			t.Errorf("watch on a silent connection ended after %s, want at most 3s", took)
 		}
 		if p, err := h.Watch(ctx, []topo.Kind{ref.Kind}, 0, 2*time.Second); err != nil || len(p.Objects) == 0 {
-			t.Errorf("the next watch: %v, %v", p, err)
+			t.Errorf("next watch: %v, %v", p, err)
 		}
 	})
 }
 
-// A write gets no answer, or one that does not say what became of it. If it
-// counted as refused, an operator would be told that a change in force was not
-// made; if a refusal counted as unknown, nobody would dare to try again.
+// Guards against the wrong outcome of a write whose response is lost or ambiguous. If it
+// counted as refused, an operator would be told that a change was not made that is in
+// force; if a refusal counted as unknown, the write could not be retried safely.
 func TestWriteOutcomes(t *testing.T) {
 	withPipeClient(t, func(t *testing.T, n *pipeNetwork, api *standin.ObjectAPI, h *topo.HTTP) {
 		one := json.RawMessage(`1`)
@@ -162,14 +161,14 @@
 		_, err := h.Put(t.Context(), ref, large, 1)
 		check("value too large", err, topo.ErrRefused)
 		if o, err := h.Get(t.Context(), ref); err != nil || o.Version != 1 {
-			t.Errorf("in the end: %v, %v", o, err)
+			t.Errorf("object after all writes: %v, %v; want version 1", o, err)
 		}
 	})
 }
 
-// The platform's certificate is signed by the operators' own authority. A
-// router that trusts it is answered; one that does not sends nothing, so its
-// writes count as refused.
+// Guards against a wrong outcome of writes over TLS, where the platform's certificate is
+// signed by the operators' own authority. A client that trusts it can write; one that
+// does not sends nothing, so its writes count as refused.
 func TestPlatformOverTLS(t *testing.T) {
 	mux := http.NewServeMux()
 	standin.NewObjectAPI().Register(mux)
--- a/internal/topo/rest.go
+++ b/internal/topo/rest.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// backoffs is until when a store wants no calls of this process. Reading and writing have bounds
-// of their own there, so that a store may want the one and not the other.
+// backoffs holds until when the store has asked this process for no calls. Stores limit
+// reads and writes separately, so a store may ask for no calls of one of the two only.
 type backoffs struct {
 	mu    sync.Mutex
-	until [2]time.Time // of reads, and of writes
+	until [2]time.Time // of reads and of writes, by backoffIndex
 }
 
 func backoffIndex(r request) int {
@@ -19,7 +19,8 @@
 	return 0
 }
 
-// extend takes in that the store wants no calls like r for a time.
+// extend records that the store asked for no calls like r for a time. It never shortens
+// a backoff.
 func (s *backoffs) extend(r request, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -31,7 +32,7 @@
 	}
 }
 
-// remaining returns for how much longer the store wants no calls like r.
+// remaining returns how long no calls like r may be made, or zero if they may.
 func (s *backoffs) remaining(r request, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/topo/rest_test.go
+++ b/internal/topo/rest_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against calls of a store that wants none, and against one that is never called again.
+// Guards against calls to a store that asked for none, and against a backoff that never ends.
 func TestBackoffs(t *testing.T) {
 	var s backoffs
 	now := time.Unix(1000, 0)
@@ -20,17 +20,17 @@
 		after time.Duration
 		want  time.Duration
 	}{
-		{"a read in it", get, time.Second, time.Second},
-		{"a read at its end", get, 2 * time.Second, 0},
+		{"a read within the backoff", get, time.Second, time.Second},
+		{"a read at the end of the backoff", get, 2 * time.Second, 0},
 		{"a write", put, time.Second, 0},
 	} {
 		if got := s.remaining(c.r, now.Add(c.after)); got != c.want {
-			t.Errorf("%s: %v left, want %v", c.name, got, c.want)
+			t.Errorf("%s: %v remaining, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Guards against times that make no sense.
+// Guards against backoffs from invalid, negative or excessive times, and from other statuses.
 func TestParseRest(t *testing.T) {
 	for _, c := range []struct {
 		status  int
--- a/internal/topo/topo.go
+++ b/internal/topo/topo.go
@@ -1,9 +1,8 @@
-// Package topo is the face of the operators' platform: the object API,
-// which keeps what must last, and the list of VMs.
+// Package topo is the client of the operators' platform: the object API,
+// which stores durable state, and the list of VMs.
 //
-// Store and VMList are the only ways in which this project touches the
-// platform. HTTPStore and HTTPVMList speak to it over HTTP; tests put fakes in
-// their place.
+// This project uses the platform only through Store and VMList. HTTP implements
+// both; tests use fakes instead.
 package topo
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is a kind of object.
+// Kind is the kind of an object in the store.
 type Kind string
 
 // The kinds of object that this project keeps.
@@ -24,18 +23,18 @@
 	KindProfile      Kind = "profile"
 	KindOrganisation Kind = "organisation"
 	KindPool         Kind = "pool"
-	KindDrain        Kind = "drain"        // by the id of the VM
-	KindDomainDrain  Kind = "domain-drain" // by the name of the failure domain
-	KindLimits       Kind = "limits"       // of what callers may send
-	KindEdition      Kind = "edition"      // of a configuration that is written as a whole
-	KindClaim        Kind = "claim"        // of a caller's own idempotency key
-	KindConviction   Kind = "conviction"   // of a request that crashes upstreams
+	KindDrain        Kind = "drain"        // named by the id of the VM
+	KindDomainDrain  Kind = "domain-drain" // named by the failure domain
+	KindLimits       Kind = "limits"       // limits on what callers may send
+	KindEdition      Kind = "edition"      // a configuration that is written as a whole
+	KindClaim        Kind = "claim"        // a claim of a caller's own idempotency key
+	KindConviction   Kind = "conviction"   // the conviction of a request that crashes upstreams
 	KindLease        Kind = "lease"
-	KindHistory      Kind = "history" // former revisions of configuration
-	KindRouter       Kind = "router"  // where a router can be reached by others
+	KindHistory      Kind = "history" // earlier revisions of the configuration
+	KindRouter       Kind = "router"  // the address at which other routers reach a router
 )
 
-// Ref names an object.
+// Ref identifies an object.
 type Ref struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -46,7 +45,7 @@
 	return fmt.Sprintf("%s/%s", r.Kind, r.Name)
 }
 
-// Object is a value in the store at one version.
+// Object is the value of an object at one version.
 type Object struct {
 	Ref
 	Version Version         `json:"version"`
@@ -56,25 +55,26 @@
 
 // Errors of a Store. A caller matches them with errors.Is.
 var (
-	// ErrNotFound is an object that does not exist.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("topo: not found")
-	// ErrConflict is a conditional write whose condition did not hold. Nothing was written.
+	// ErrConflict means that the condition of a write did not hold. Nothing was written.
 	ErrConflict = errors.New("topo: conflict")
-	// ErrRefused is a call that the store turned away unprocessed. Nothing was written.
+	// ErrRefused means that the store did not process the call. Nothing was written.
 	ErrRefused = errors.New("topo: refused")
-	// ErrUnknown is a call whose answer was lost. A write may have taken effect.
+	// ErrUnknown means that the response was lost. A write may have taken effect.
 	ErrUnknown = errors.New("topo: outcome unknown")
-	// ErrCompacted is a watch from a version that the store no longer holds.
+	// ErrCompacted means that a watch starts from a version that the store no longer holds.
 	ErrCompacted = errors.New("topo: version compacted")
 )
 
-// Page is one page of a listing.
+// Page is one page of a listing, or the changes that a watch returned.
 type Page struct {
 	Objects  []Object `json:"objects"`
 	Version  Version  `json:"version"`            // of the store when the listing began
 	Continue string   `json:"continue,omitempty"` // for the next page; empty on the last
-	// Whole tells that Objects are all that exist at Version, with what their
-	// versions are left open. It is of sources that tell everything when anything changes.
+	// Whole reports that Objects is the complete list of objects at Version; the
+	// versions of the objects themselves may be unset. Sources that send everything
+	// on any change set it.
 	Whole bool `json:"-"`
 }
 
@@ -83,22 +83,23 @@
 	Get(ctx context.Context, ref Ref) (Object, error)
 	// List returns a page of the objects of a kind.
 	List(ctx context.Context, kind Kind, cont string) (Page, error)
-	// Put writes an object if its version is still ifVersion; zero means that
-	// it must not exist.
+	// Put writes an object if its version is still ifVersion. Zero requires that
+	// the object does not exist.
 	Put(ctx context.Context, ref Ref, value json.RawMessage, ifVersion Version) (Object, error)
 	// Delete removes an object if its version is still ifVersion.
 	Delete(ctx context.Context, ref Ref, ifVersion Version) error
-	// Watch waits up to wait for changes of the kinds after since. It returns
-	// at once when there are any, and an empty page when the wait is over.
+	// Watch returns the changes of objects of the kinds after version since. It
+	// waits for them up to wait, and then returns an empty page.
 	Watch(ctx context.Context, kinds []Kind, since Version, wait time.Duration) (Page, error)
 }
 
-// EraReporter is a Store that tells in which era it last answered.
+// EraReporter is a Store that reports the era of its latest response.
 type EraReporter interface {
 	Era() Era
 }
 
-// EraOf returns the era in which a store last answered; zero: it does not tell.
+// EraOf returns the era of a store's latest response, or zero if the store does not
+// report it.
 func EraOf(s Store) Era {
 	if reporter, ok := s.(EraReporter); ok {
 		return reporter.Era()
@@ -106,36 +107,36 @@
 	return 0
 }
 
-// Role is what a VM does.
+// Role is the role of a VM.
 type Role string
 
 // Roles of VMs.
 const (
 	RoleRouter   Role = "router"
-	RoleUpstream Role = "upstream" // with a sidecar beside it
-	RoleDirect   Role = "direct"   // an upstream that routers call themselves
+	RoleUpstream Role = "upstream" // with a sidecar on its VM
+	RoleDirect   Role = "direct"   // an upstream that routers call without a sidecar
 )
 
-// VM is an entry of the platform's list. The list lags behind the truth.
+// VM is an entry of the platform's list. The list may be outdated.
 type VM struct {
 	ID string `json:"id"`
-	// Instance is what an upstream without a sidecar calls itself. One that starts
-	// again keeps that name and gets another ID. Empty: the ID.
+	// Instance is the name that an upstream without a sidecar uses for itself. After
+	// a restart it has the same name and another ID. Empty: the name is the ID.
 	Instance      string `json:"instance,omitempty"`
 	Role          Role   `json:"role"`
 	Addr          string `json:"addr"`                 // of the router's or sidecar's protocol, host:port
 	AdminAddr     string `json:"admin_addr,omitempty"` // of a router's HTTP API for operators, host:port
 	Pool          string `json:"pool,omitempty"`
 	FailureDomain string `json:"failure_domain,omitempty"`
-	Weight        int    `json:"weight,omitempty"` // relative capacity; zero means one
-	Slots         int    `json:"slots,omitempty"`  // requests that it works on at a time; zero: not known
+	Weight        int    `json:"weight,omitempty"` // relative capacity; zero counts as one
+	Slots         int    `json:"slots,omitempty"`  // requests that it processes at a time; zero: unknown
 	Leaving       bool   `json:"leaving,omitempty"`
-	// WarmAt is until when the upstream counts as cold after its start; zero: it does not.
+	// WarmAt is when the upstream stops counting as cold after its start; zero: it is warm.
 	WarmAt time.Time `json:"-"`
 }
 
-// Region returns the region of a failure domain: what stands before the first slash of its
-// name; empty: it names none.
+// Region returns the region of a failure domain: the part of its name before the first
+// slash, or an empty string if the name has no slash.
 func Region(failureDomain string) string {
 	region, _, found := strings.Cut(failureDomain, "/")
 	if !found {
@@ -144,7 +145,7 @@
 	return region
 }
 
-// Name returns what the VM's upstream calls itself.
+// Name returns the name that the VM's upstream uses for itself.
 func (vm VM) Name() string {
 	if vm.Instance != "" {
 		return vm.Instance
@@ -152,14 +153,14 @@
 	return vm.ID
 }
 
-// VMs is one reading of the list. Tag identifies its content.
+// VMs is a snapshot of the list. Tag identifies its content.
 type VMs struct {
 	Tag     string `json:"tag"`
 	Entries []VM   `json:"vms"`
 }
 
-// VMList is the platform's lagging list of VMs.
+// VMList is the platform's list of VMs.
 type VMList interface {
-	// VMs returns the list, or changed=false when its tag is still the given one.
+	// VMs returns the list, or changed=false if its tag is still the given one.
 	VMs(ctx context.Context, tag string) (vms VMs, changed bool, err error)
 }
--- a/internal/topo/transport.go
+++ b/internal/topo/transport.go
@@ -17,26 +17,26 @@
 	dialTimeout = time.Second
 	// idleTimeout is how long an unused connection is kept.
 	idleTimeout = 30 * time.Second
-	// maxIdleConnections is how many unused ones are kept for each lane.
+	// maxIdleConnections is how many unused connections each client keeps.
 	maxIdleConnections = 2
 )
 
-// clientKind is a set of connections that calls of one sort share.
+// clientKind selects one of the HTTP clients. Each has its own connections.
 type clientKind uint8
 
 const (
-	// readClient and laneWatch keep connections. They are apart, so that a watch
-	// that has gone silent does not take the others down with it.
+	// readClient and watchClient reuse connections. They are separate, so that the
+	// timeout of a watch on a dead connection does not close the connections of reads.
 	readClient clientKind = iota
 	watchClient
-	// writeClient opens a connection for each write. On a kept one that something
-	// in between has forgotten, the write would wait in vain and its outcome be
-	// unknown; a new one fails before anything is sent.
+	// writeClient opens a connection for each write. On a reused connection that a
+	// middlebox has silently dropped, a write would time out and its outcome would be
+	// unknown; a new connection fails before anything is sent.
 	writeClient
 	clientCount
 )
 
-// callName tells the calls of the platform apart.
+// callName is the name of a call of the platform in the metrics.
 type callName string
 
 const (
@@ -59,7 +59,7 @@
 	}
 }
 
-// callOutcome is how a call has ended.
+// callOutcome is the outcome of a call in the metrics.
 type callOutcome string
 
 const (
@@ -68,7 +68,7 @@
 	outcomeRefused   callOutcome = "refused"
 	outcomeUnknown   callOutcome = "unknown"
 	outcomeCompacted callOutcome = "compacted"
-	outcomeWithheld  callOutcome = "withheld" // not made: the store wants no calls
+	outcomeWithheld  callOutcome = "withheld" // not made, since the store asked for no calls
 )
 
 var (
@@ -112,7 +112,7 @@
 			MaxIdleConnsPerHost: maxIdleConnections,
 			IdleConnTimeout:     idleTimeout,
 		},
-		// A redirected write would be sent to one who may not know its condition.
+		// A redirect could send a write to a server that ignores its condition.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// countedConn counts its bytes for the call that uses it. HTTP/1.1 has one call
-// at a time on a connection.
+// countedConn counts the bytes of the call that uses it. HTTP/1.1 has one call at a
+// time on a connection.
 type countedConn struct {
 	net.Conn
 	use atomic.Pointer[connUse]
@@ -153,7 +153,7 @@
 	control telemetry.ControlKind
 }
 
-// attribute makes c count for r from now on.
+// attribute counts the further bytes of c for r.
 func attribute(c net.Conn, r request) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
--- a/internal/topo/version.go
+++ b/internal/topo/version.go
@@ -6,12 +6,12 @@
 )
 
 // Version orders the changes of one store. A later change of any object has a higher
-// version than every earlier one, also where the store has come back from an older copy
-// and gives its revisions out again: a Version holds the era above the revision.
+// version than every earlier one, even if the store was restored from an older copy and
+// reuses revisions: the high bits of a Version hold the era, the low bits the revision.
 type Version int64
 
-// revisionBits is how much of a Version is the revision. Ten thousand changes a second
-// take three years to use them up.
+// revisionBits is the number of bits of a Version that hold the revision. At ten thousand
+// changes a second they last for three years.
 const revisionBits = 40
 
 // VersionAt returns the version of a revision in an era.
@@ -24,12 +24,12 @@
 	return Era(v >> revisionBits)
 }
 
-// Revision returns v as the store counts within its era.
+// Revision returns the store's own revision within the era of v.
 func (v Version) Revision() Version {
 	return v & (1<<revisionBits - 1)
 }
 
-// String returns era.revision, or the revision alone where the store tells no era.
+// String returns era.revision, or the revision alone if the era is zero.
 func (v Version) String() string {
 	revision := strconv.FormatInt(int64(v.Revision()), 10)
 	if v.Era() == 0 {
