--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,9 +1,9 @@
-// Package claim keeps which request key stands for a caller's own idempotency key, as
-// objects in the platform's store: whichever router makes the claim first, all runs that
-// come with the key go by it.
+// Package claim maps callers' own idempotency keys to request keys, by objects in the
+// platform's store. The first router that claims an idempotency key sets its request key,
+// and all requests with that idempotency key run under it.
 //
-// Package router asks a Keeper for each request that comes with such a key, and tells it
-// when the store has come back from an older copy.
+// Package router calls a Claimer for each request with an idempotency key, and when the
+// store was restored from an older copy.
 package claim
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	// maxTries is how often an unanswered claim is made again.
+	// maxTries is how often a claim is tried whose outcome is unknown.
 	maxTries = 3
-	// TTL is for how long a caller may send its own idempotency key again. After that the
-	// claim may be swept.
+	// TTL is how long a caller may resend its own idempotency key. After that the claim
+	// may be swept.
 	TTL = 24 * time.Hour
 )
 
-// Outcome is what came of claiming an idempotency key.
+// Outcome is the outcome of claiming an idempotency key.
 type Outcome string
 
 // Outcomes of Keeper.Claim.
@@ -35,7 +35,8 @@
 	Created   Outcome = "made"
 	Found     Outcome = "found"
 	StoreDown Outcome = "store-down"
-	// StoreRestored is a claim that cannot be told from one that the store has lost.
+	// StoreRestored means that an earlier claim of the key may have been lost in a
+	// restore of the store.
 	StoreRestored Outcome = "store-restored"
 )
 
@@ -43,29 +44,31 @@
 // with a caller's own idempotency key runs.
 type Claim struct {
 	Key       wire.Key `json:"key"`
-	KeepUntil int64    `json:"keep_until"` // Unix seconds; then it may be swept
+	KeepUntil int64    `json:"keep_until"` // Unix seconds; after that it may be swept
 }
 
-// Ref names the claim object of an organisation's idempotency key. Callers
-// choose the key, so it is hashed with the organisation's name.
+// Ref returns the reference of the claim object of an organisation's idempotency key.
+// Callers choose the key freely, so its name is a hash of the organisation and the key.
 func Ref(org, idempotencyKey string) topo.Ref {
 	sum := sha256.Sum256([]byte(org + "\x00" + idempotencyKey))
 	return topo.Ref{Kind: topo.KindClaim, Name: hex.EncodeToString(sum[:])}
 }
 
-// Claim claims an idempotency key for a request key, and returns the one that it stands for.
+// Claim claims an idempotency key for a proposed request key, and returns the request key
+// that the idempotency key maps to: the proposed one if the outcome is Created, that of an
+// earlier claim if it is Found.
 func (c *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	key, outcome, err := c.create(ctx, ref, proposed)
 	if err == nil && c.mayMissClaims(time.Now(), topo.EraOf(c.store)) {
-		return wire.Key{}, StoreRestored, errors.Errorf("claim: %s may have been lost", ref)
+		return wire.Key{}, StoreRestored, errors.Errorf("claim: an earlier claim %s may have been lost in a restore of the store", ref)
 	}
 	return key, outcome, err
 }
 
-// create creates the claim object or reads the one that is there. An unanswered
-// create may have taken effect, now or a little later. Whichever create is the
-// first holds, and the object says which key that was, so reading it back and
-// creating it once more settle it without a guess.
+// create creates the claim object or reads the existing one. A create whose response was
+// lost may have taken effect or may do so later. The first create to take effect wins, and
+// the object holds its key. So the outcome is found by reading the object, and creating it
+// again if it does not exist.
 func (c *Claimer) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	value, err := json.Marshal(Claim{Key: proposed, KeepUntil: time.Now().Add(TTL).Unix()})
 	if err != nil {
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -15,47 +15,50 @@
 )
 
 const (
-	// recreateWindow is for how long a router remembers the claims that it has made. The copy
-	// from which a store comes back is some seconds old.
+	// recreateWindow is how long a router remembers the claims that it has created. The
+	// copy from which a store is restored is some seconds old.
 	recreateWindow = time.Minute
-	// RestoreGrace is for how long after a return of the store no idempotency key of callers
-	// is claimed: until all routers have heard of it and made their claims again.
+	// RestoreGrace is how long after a restore of the store no idempotency key can be
+	// claimed. Within it, all routers learn of the restore and recreate their claims.
 	RestoreGrace = 5 * time.Second
-	// retryPause is the pause before a claim is tried again that has to be made anew.
+	// retryPause is the pause before the recreation of a claim is tried again.
 	retryPause = 250 * time.Millisecond
 )
 
-// Claimer claims idempotency keys in the store. A store that comes back from an older copy
-// has lost claims: a request that comes again under its key would run a second time. So the
-// routers that made them make them again, and until they have, no key is claimed.
+// Claimer claims idempotency keys in the store. A store that was restored from an older
+// copy has lost claims, and a request that is resent under a lost key would run a second
+// time. So each router recreates the claims that it created, and no key can be claimed
+// within RestoreGrace.
 type Claimer struct {
 	store topo.Store
 
 	mu        sync.Mutex
-	created   []createdClaim // the oldest first
+	created   []createdClaim // oldest first
 	era       topo.Era
-	eraSeenAt time.Time // when the store was seen to be in it
+	eraSeenAt time.Time // when era was first seen; zero: no restore is known
 }
 
-// createdClaim is a claim as it was written.
+// createdClaim is a claim that this router has written.
 type createdClaim struct {
 	ref   topo.Ref
 	key   wire.Key
 	value json.RawMessage
-	at    time.Time
+	at    time.Time // when it was written
 }
 
-// NewClaimer returns a Keeper of claims in a store that has made none.
+// NewClaimer returns a Claimer for a store. It has created no claims.
 func NewClaimer(store topo.Store) *Claimer {
 	return &Claimer{store: store}
 }
 
-// ObserveEra takes in the era of the store, so that the first claim of a router does not find it new.
+// ObserveEra records the era of the store, so that the first claim of a router does not
+// mistake it for a new one.
 func (c *Claimer) ObserveEra(now time.Time, era topo.Era) {
 	c.mayMissClaims(now, era)
 }
 
-// mayMissClaims takes in the era of the store, and reports whether claims may still be missing.
+// mayMissClaims records the era of the store, and reports whether claims that a restore
+// lost may not have been recreated yet.
 func (c *Claimer) mayMissClaims(now time.Time, era topo.Era) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +75,7 @@
 	c.created = append(c.recent(now), claim)
 }
 
-// recent returns the claims that are remembered. It needs k.mu held.
+// recent returns the claims within recreateWindow. The caller must hold c.mu.
 func (c *Claimer) recent(now time.Time) []createdClaim {
 	for i, claim := range c.created {
 		if now.Sub(claim.at) < recreateWindow {
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// RecreateLost makes the remembered claims again that the store has lost.
+// RecreateLost recreates those of this router's recent claims that the store has lost.
 func (c *Claimer) RecreateLost(ctx context.Context) {
 	now := time.Now()
 	c.mayMissClaims(now, topo.EraOf(c.store))
@@ -96,13 +99,13 @@
 			err = c.recreate(ctx, claim)
 		}
 		if err != nil {
-			slog.Error("a claim that the store may have lost could not be made again", "claim", claim.ref.Name, "error", err)
+			slog.Error("claim that the store may have lost could not be recreated", "claim", claim.ref.Name, "error", err)
 		}
 	}
 }
 
-// recreate makes a claim recreate. One that another request has made since for its own key gives
-// way: under that key nothing has run.
+// recreate creates a claim again. It overwrites a claim that another request has created
+// for its own request key meanwhile: nothing has run under that key.
 func (c *Claimer) recreate(ctx context.Context, claim createdClaim) error {
 	_, err := c.store.Put(ctx, claim.ref, claim.value, 0)
 	if !errors.Is(err, topo.ErrConflict) {
@@ -120,7 +123,7 @@
 	return err
 }
 
-// pause waits a little before the next try.
+// pause waits for retryPause, or until ctx ends.
 func pause(ctx context.Context) {
 	timer := time.NewTimer(retryPause)
 	defer timer.Stop()
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -9,8 +9,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// A claim that the store has lost with its return from an older copy: the request comes
-// again, at another router, and would run a second time.
+// Guards against a request running twice because a restore of the store from an older copy
+// lost its claim, and the caller resends it to another router.
 func TestLostClaimIsRecreatedBeforeItsKeyIsClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
@@ -23,17 +23,17 @@
 		}
 		store.Restore(snapshot)
 		if key, outcome, _ := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != StoreRestored {
-			t.Errorf("right after: %s %+v", outcome, key)
+			t.Errorf("claim right after the restore: %s %+v, want %s", outcome, key, StoreRestored)
 		}
 		first.RecreateLost(t.Context())
 		time.Sleep(RestoreGrace)
 		if key, outcome, err := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Found || key != ran {
-			t.Errorf("later: %s %+v, %v", outcome, key, err)
+			t.Errorf("claim after the grace: %s %+v, %v; want %s %+v", outcome, key, err, Found, ran)
 		}
 	})
 }
 
-// Claims are remembered for long enough, and no longer.
+// Guards against claims being forgotten too early, or kept in memory without end.
 func TestClaimsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		claimer := NewClaimer(standin.NewObjectAPI())
@@ -46,7 +46,7 @@
 		claimer.mu.Lock()
 		defer claimer.mu.Unlock()
 		if recent := claimer.recent(time.Now()); len(recent) != 1 || recent[0].key.VM != "c" {
-			t.Errorf("%+v", recent)
+			t.Errorf("recent claims %+v, want only that of key c", recent)
 		}
 	})
 }
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -2,7 +2,7 @@
 
 import "github.com/parsleyfront/parsleyfront/internal/token"
 
-// Key is a request key as routers and sidecars know it: the content of the
+// Key is a request key as used between routers and sidecars: the content of the
 // signed token without its signature.
 type Key struct {
 	VM          string      `json:"vm"`
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -1,8 +1,8 @@
 // Package idempotency decides whether a request under a key may run.
 //
-// A Table holds the keys that one sidecar incarnation has decided on. It is
-// bounded, and what has left it is never run anew: see docs/design/0001,
-// "Request keys and the chain".
+// A Table holds the keys of the requests that one sidecar incarnation has admitted
+// or rejected. It is bounded, and a request whose key was evicted never runs again:
+// see docs/design/0001, "Request keys and the chain".
 package idempotency
 
 import (
@@ -17,27 +17,27 @@
 type Attempt struct {
 	Key         Key
 	Org         string
-	Fingerprint uint64 // of the request; zero: not known
-	Successor   *Key   // where the request goes on if it is refused here
+	Fingerprint uint64 // of the request; zero: unknown
+	Successor   *Key   // key under which the request continues if it is rejected here
 }
 
-// Outcome is what a table holds of a key.
+// Outcome is the state of a key in a Table.
 type Outcome uint8
 
 const (
-	// Unseen is a key that may run: it is to be admitted or refused now.
+	// Unseen is a key that may run. The caller must admit or reject it now.
 	Unseen Outcome = iota
-	// Live is a key whose request waits or runs.
+	// Live is a key whose request is waiting or running.
 	Live
 	// Done is a key whose request has ended.
 	Done
-	// Moved is a key that was refused here and goes on under its successor.
+	// Moved is a key that was rejected here and continues under its successor.
 	Moved
-	// Rejected is a key that does not run here, whatever comes.
+	// Rejected is a key that will never run here.
 	Rejected
 )
 
-// Result is a table's answer to an attempt.
+// Result is the result of looking up an attempt.
 type Result struct {
 	Outcome   Outcome
 	Verdict   verdict.Verdict // of Done
@@ -51,31 +51,32 @@
 	limit       int
 	entries     map[token.Nonce]*entry
 	evictable   evictionHeap // entries that are not live
-	watermark   int64        // latest expiry of an entry that has left, in Unix seconds
+	watermark   int64        // latest expiry of the evicted keys, in Unix seconds
 	now         int64        // latest time seen, in Unix seconds
 }
 
-// entry is kept small, since there is one for each request of the last while.
+// entry is the state of one key. It is kept small, since there is one for each recent
+// request.
 type entry struct {
 	nonce       token.Nonce
 	org         string
 	fingerprint uint64
 	expires     int64
-	evictAfter  int64 // when it may be forgotten, in Unix seconds
+	evictAfter  int64 // it may be evicted after this time, in Unix seconds
 	outcome     Outcome
 	verdict     verdict.Verdict
-	reason      verdict.Reason // of a refusal
+	reason      verdict.Reason // of a rejection
 	successor   *Key
 }
 
-// NewTable returns an empty table that holds limit entries, or as many as are
-// live if those are more.
+// NewTable returns an empty table of one sidecar incarnation. It holds up to limit
+// entries, or all live ones if those are more.
 func NewTable(incarnation uint64, limit int) *Table {
 	return &Table{incarnation: incarnation, limit: limit, entries: make(map[token.Nonce]*entry)}
 }
 
-// Lookup returns what is known of an attempt's key. After Unseen the caller
-// admits or refuses the attempt before it looks again.
+// Lookup returns the state of an attempt's key. After Unseen the caller must call
+// Admit or Reject before the next Lookup.
 func (t *Table) Lookup(now time.Time, a Attempt) Result {
 	t.advance(now)
 	if a.Key.Incarnation != t.incarnation {
@@ -84,9 +85,9 @@
 	if e := t.entries[a.Key.Nonce]; e != nil {
 		return e.lookupResult(a)
 	}
-	// A copy of a request can arrive after its entry has left to make room. It
-	// looks new, and would run a second time or after its caller was told
-	// not-run. Every entry that has left expired at or before the watermark.
+	// A copy of a request can arrive after its entry was evicted. It looks new, and
+	// would run a second time, or after its caller was told not-run. The key of every
+	// evicted entry expires at or before the watermark.
 	if a.Key.Expires <= t.watermark {
 		return rejectedResult(verdict.MayHaveRun, verdict.ReasonEvicted, "the key is no longer known")
 	}
@@ -96,12 +97,13 @@
 	return Result{Outcome: Unseen}
 }
 
-// advance moves the clock forward only. If the wall clock steps back, a key
-// that was answered not-run because it had expired would become fresh and run.
+// advance moves the table's clock forward, never back. If it followed a wall clock
+// that steps back, a key that was answered not-run as expired could run later.
 func (t *Table) advance(now time.Time) {
 	t.now = max(t.now, now.Unix())
 }
 
+// lookupResult returns the result for an attempt whose key has this entry.
 func (e *entry) lookupResult(a Attempt) Result {
 	if e.org != a.Org {
 		return rejectedResult(verdict.NotRun, verdict.ReasonBadKey, "the key is not valid")
@@ -123,9 +125,9 @@
 	}
 }
 
-// keyVerdict is the verdict on a key as a whole. A resend whose body differs by a
-// byte is the same request to its caller, so the reuse of a key that was
-// admitted is not answered not-run.
+// keyVerdict returns the verdict on a key, whatever the request that it is sent with.
+// For a caller, a resend with a slightly different body is the same request, so the
+// reuse of an admitted key must not be answered not-run.
 func (e *entry) keyVerdict() verdict.Verdict {
 	if e.outcome == Rejected {
 		return verdict.NotRun
@@ -137,7 +139,7 @@
 	return Result{Outcome: Rejected, Err: verdict.New(v, reason, "%s", detail)}
 }
 
-// Admit records that an unseen attempt runs or waits to.
+// Admit records that an unseen attempt runs or waits to run.
 func (t *Table) Admit(a Attempt) {
 	e := t.insert(a)
 	e.outcome = Live
@@ -145,13 +147,13 @@
 }
 
 // Reject records that an unseen attempt does not run here. Later copies are
-// sent to its successor, or answered not-run when it has none.
+// redirected to its successor, or answered not-run if it has none.
 func (t *Table) Reject(a Attempt, r verdict.Reason) {
 	t.reject(t.insert(a), r)
 }
 
-// Withdraw turns a live key that has not run into a refused one and returns
-// its successor, if it has one.
+// Withdraw rejects a live key that has not run, and returns its successor, or nil if
+// it has none or is not live.
 func (t *Table) Withdraw(n token.Nonce, r verdict.Reason) *Key {
 	e := t.entries[n]
 	if e == nil || e.outcome != Live {
@@ -161,8 +163,8 @@
 	return e.successor
 }
 
-// Cancel refuses a live key that has not run for good: unlike one that is
-// withdrawn, it does not go on elsewhere.
+// Cancel rejects a live key that has not run. Unlike a withdrawn key, it does not
+// continue under its successor.
 func (t *Table) Cancel(n token.Nonce) {
 	if e := t.entries[n]; e != nil && e.outcome == Live {
 		e.successor = nil
@@ -170,8 +172,8 @@
 	}
 }
 
-// Finish records the end of a live key's request. Its entry stays until its
-// key has expired and keepUntil has passed.
+// Finish records the end of a live key's request. Unless the table is full, its entry
+// stays until its key has expired and keepUntil has passed.
 func (t *Table) Finish(n token.Nonce, v verdict.Verdict, keepUntil time.Time) {
 	e := t.entries[n]
 	if e == nil || e.outcome != Live {
@@ -182,7 +184,7 @@
 	t.markEvictable(e)
 }
 
-// Expire forgets what has served its time.
+// Expire evicts the entries whose time is over.
 func (t *Table) Expire(now time.Time) {
 	t.advance(now)
 	for len(t.evictable) > 0 && t.evictable[0].evictAfter < t.now {
@@ -190,7 +192,7 @@
 	}
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (t *Table) Len() int {
 	return len(t.entries)
 }
@@ -218,8 +220,9 @@
 	t.evictOverLimit()
 }
 
-// evictOverLimit makes room. Live entries stay whatever the limit, because their answers
-// are being read; admission bounds their number.
+// evictOverLimit evicts entries while there are more than the limit. Live entries
+// stay whatever the limit, because their answers are being read; admission bounds
+// their number.
 func (t *Table) evictOverLimit() {
 	for len(t.entries) > t.limit && len(t.evictable) > 0 {
 		t.evict()
@@ -232,7 +235,7 @@
 	t.watermark = max(t.watermark, e.expires)
 }
 
-// evictionHeap is a heap of entries, the one that leaves first on top.
+// evictionHeap is a heap of entries, the one to evict first on top.
 type evictionHeap []*entry
 
 func (h evictionHeap) Len() int           { return len(h) }
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -26,17 +26,17 @@
 	return Key{VM: "vm", Incarnation: inc, Nonce: n, Expires: expires}
 }
 
-// keyHistory is what happened to one key, as an outside observer saw it.
+// keyHistory is what happened to one key, as seen from outside the table.
 type keyHistory struct {
 	attempt  Attempt
 	admitted int
 	live     bool
-	notRun   bool // said to the key's own organisation
+	notRun   bool // answered to the key's own organisation
 }
 
-// A guest books a room. Copies of the request arrive late and through other
-// routers, the table overflows meanwhile and the clock steps back. The room
-// must be held at most once, and never after the guest was told not-run.
+// Guards against a request running twice, or after its caller was told not-run. Copies of
+// it arrive late and through other routers, while the table overflows and the clock steps
+// back.
 func TestKeyStartsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := int64(1000)
@@ -93,13 +93,13 @@
 	case f.Outcome == Rejected && f.Err.Verdict == verdict.NotRun:
 		k.notRun = true
 	case a.Fingerprint != k.attempt.Fingerprint && f.Outcome != Rejected:
-		t.Fatalf("a different request under a known key found %v", f.Outcome)
+		t.Fatalf("lookup of a different request under a known key: %v, want a rejection", f.Outcome)
 	}
 	if k.admitted > 1 || (k.admitted > 0 && k.notRun) {
-		t.Fatalf("key admitted %d times, not-run said: %v", k.admitted, k.notRun)
+		t.Fatalf("key admitted %d times, answered not-run: %v", k.admitted, k.notRun)
 	}
 	if k.live && a.Fingerprint == k.attempt.Fingerprint && f.Outcome != Live && f.Outcome != Unseen {
-		t.Fatalf("a running request is not joined but %v", f)
+		t.Fatalf("lookup of a running request: %v, want live", f)
 	}
 	if table.Len() > table.limit && len(table.evictable) > 0 {
 		t.Fatalf("%d entries, limit %d", table.Len(), table.limit)
@@ -109,11 +109,11 @@
 func checkOtherOrganisation(t *rapid.T, table *Table, a Attempt, now int64) {
 	f := table.Lookup(time.Unix(now, 0), a)
 	if f.Outcome != Rejected || f.Successor != nil {
-		t.Fatalf("another organisation's key shows %v", f)
+		t.Fatalf("lookup of another organisation's key: %v, want a rejection without a successor", f)
 	}
 }
 
-// requestCopy is one copy of a request, carried by one router along the chain.
+// requestCopy is one copy of a request, which one router sends along the chain of keys.
 type requestCopy struct {
 	key     Key
 	links   int
@@ -121,10 +121,10 @@
 	verdict verdict.Verdict
 }
 
-// A coach tags a clip and, hearing nothing, sends it again: the copies travel
-// through different routers, which propose different successors where they are
-// refused, while sidecars restart and forget. The clip is tagged at most once,
-// and not at all when one of the routers has said not-run.
+// Guards against a request running twice, or although a router answered not-run. A caller
+// without a response resends it, the copies go through different routers, which propose
+// different successors where the request is rejected, while sidecars restart and lose
+// their tables.
 func TestAtMostOneKeyOfAChainRuns(t *testing.T) {
 	const sidecars, maxLinks = 4, 4
 	rapid.Check(t, func(t *rapid.T) {
@@ -197,16 +197,16 @@
 
 func checkChain(t *rapid.T, copies []*requestCopy, runs int) {
 	if runs > 1 {
-		t.Fatalf("%d runs", runs)
+		t.Fatalf("the request ran %d times", runs)
 	}
 	for i, c := range copies {
 		if c.done && c.verdict == verdict.NotRun && runs > 0 {
-			t.Fatalf("copy %d was told not-run, and it ran", i)
+			t.Fatalf("copy %d was answered not-run, but the request ran", i)
 		}
 	}
 }
 
-// BenchmarkTable measures one entry's bytes and one attempt's time.
+// BenchmarkTable measures the memory of one entry and the time of one attempt.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,8 +1,9 @@
-// Package register keeps the entries in the platform's store by which routers find each other.
+// Package register maintains the entries in the platform's store by which routers discover
+// each other.
 //
-// A router runs a Keeper. It assumes that one router reads the store for the others, and that
-// routers that know each other tell each other the rest: the register is read at a start, and
-// now and then by who reads the store.
+// Each router runs a Registrar. It assumes that one router reads the store for the others,
+// and that routers that are connected report further routers to each other. So the
+// register is read at the start of a router, and periodically by those that read the store.
 package register
 
 import (
@@ -19,41 +20,41 @@
 )
 
 const (
-	// readInterval is the mean time between two readings of the register by those
-	// routers that read the store. Routers make themselves known to each other at
-	// their start, so this only heals what was lost then.
+	// readInterval is the mean interval between reads of the register by the routers
+	// that read the store. Routers announce themselves to each other at their start, so
+	// these reads only make up for announcements that were lost.
 	readInterval = 30 * time.Second
-	// retryPause is the pause after a reading that failed.
+	// retryPause is the mean pause after a failed read.
 	retryPause = time.Second
-	// entryTTL is how long an entry of a router stays that nobody renews. A
-	// router renews its own when it reads the register at a start.
+	// entryTTL is how long an entry is kept without renewal. A router rewrites its own
+	// entry when a read, such as the one at its start, finds it missing or different.
 	entryTTL = 48 * time.Hour
 )
 
-// registration is a router's object in the store, by which others find it.
+// registration is the value of a router's entry in the store.
 type registration struct {
 	Node    relay.Node `json:"node"`
 	Written int64      `json:"written"` // Unix seconds
 }
 
-// Registrar keeps one router's entry.
+// Registrar maintains one router's entry.
 type Registrar struct {
 	store          topo.Store
 	self           relay.Node
 	isReader       func() bool
 	onRouters      func([]relay.Node)
-	hasEntry       bool          // owned by Run
-	checkRequested chan struct{} // of one: the store may have lost this router's entry
+	hasEntry       bool          // used by Run only
+	checkRequested chan struct{} // buffer of one: the store may have lost this router's entry
 }
 
-// New returns the Keeper of a router. reads reports whether it reads the store for others, and
-// found takes in who else is there.
+// New returns the Registrar of the router self. isReader reports whether this router reads
+// the store for others, and onRouters receives the other routers after each read.
 func New(store topo.Store, self relay.Node, isReader func() bool, onRouters func([]relay.Node)) *Registrar {
 	return &Registrar{store: store, self: self, isReader: isReader, onRouters: onRouters, checkRequested: make(chan struct{}, 1)}
 }
 
-// Run makes this router known in the store, learns of the others there, and
-// sweeps those that are long gone, until ctx ends.
+// Run registers this router in the store, reads the entries of the others, and removes
+// expired ones, until ctx ends.
 func (k *Registrar) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := k.sync(ctx)
@@ -66,9 +67,9 @@
 	}
 }
 
-// waitForNextRead returns when the register is to be read again. Meanwhile it sees to it that
-// the store has this router's entry, which one that comes back from an older copy may lack:
-// routers that start would not find this one.
+// waitForNextRead waits until the register is to be read again. Meanwhile, on request, it
+// ensures that the store has this router's entry. A store that was restored from an older
+// copy may lack it, and routers that start would not find this one.
 func (k *Registrar) waitForNextRead(ctx context.Context) {
 	next := time.NewTimer(readInterval/2 + rand.N(readInterval))
 	defer next.Stop()
@@ -79,7 +80,7 @@
 		case <-k.checkRequested:
 			sleep(ctx, rand.N(retryPause))
 			if err := k.writeEntryIfMissing(ctx); err != nil {
-				slog.Warn("this router's entry of the register was not found, nor written again", "error", err)
+				slog.Warn("checking or rewriting this router's entry in the register failed", "error", err)
 				return
 			}
 		case <-next.C:
@@ -91,14 +92,15 @@
 	}
 }
 
-// RequestCheck has the entry of this router looked for.
+// RequestCheck makes Run check that the store still has this router's entry.
 func (k *Registrar) RequestCheck() {
 	select {
 	case k.checkRequested <- struct{}{}:
-	default: // it is about to be
+	default: // a check is pending already
 	}
 }
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -106,7 +108,7 @@
 	}
 }
 
-// writeEntryIfMissing writes the entry of this router if the store has none.
+// writeEntryIfMissing writes this router's entry if the store does not have it.
 func (k *Registrar) writeEntryIfMissing(ctx context.Context) error {
 	_, err := k.store.Get(ctx, topo.Ref{Kind: topo.KindRouter, Name: k.self.Name})
 	if errors.Is(err, topo.ErrNotFound) {
@@ -115,11 +117,11 @@
 	return err
 }
 
-// sync enters this router and then reads who else is there: of two that
-// start at the same moment, the one that enters later finds the other.
+// sync writes this router's entry and then reads the others: of two routers that start at
+// the same moment, the one that writes later finds the other.
 func (k *Registrar) sync(ctx context.Context) error {
 	if !k.hasEntry {
-		// A conflict is the entry of an earlier start, which the reading shows.
+		// A conflict means an entry of an earlier start, which the read returns.
 		if err := k.writeEntry(ctx, 0); err != nil && !errors.Is(err, topo.ErrConflict) {
 			return err
 		}
@@ -132,8 +134,9 @@
 	return k.writeEntry(ctx, version)
 }
 
-// readAll reads the register and makes its routers known to the relay. It returns
-// the version of this router's own entry, and whether it says what it should.
+// readAll reads the register, passes the other routers to onRouters and removes expired
+// entries. It returns the version of this router's own entry, and whether that entry is
+// up to date.
 func (k *Registrar) readAll(ctx context.Context) (own topo.Version, upToDate bool, err error) {
 	var nodes []relay.Node
 	cont := ""
@@ -145,7 +148,7 @@
 		for _, o := range page.Objects {
 			var r registration
 			if err := json.Unmarshal(o.Value, &r); err != nil {
-				slog.Warn("an entry of the register of routers makes no sense", "router", o.Name, "error", err)
+				slog.Warn("malformed entry in the register of routers", "router", o.Name, "error", err)
 				continue
 			}
 			switch {
@@ -165,8 +168,8 @@
 	return own, upToDate, nil
 }
 
-// writeEntry writes this router's entry. If the answer is lost, the next reading shows
-// what became of it.
+// writeEntry writes this router's entry if it is still at version; zero requires that it
+// does not exist. If the response is lost, the next read shows the outcome.
 func (k *Registrar) writeEntry(ctx context.Context, version topo.Version) error {
 	value, err := json.Marshal(registration{Node: k.self, Written: time.Now().Unix()})
 	if err != nil {
@@ -176,9 +179,9 @@
 	return err
 }
 
-// sweep removes an entry that nobody renews.
+// sweep removes an expired entry.
 func (k *Registrar) sweep(ctx context.Context, o topo.Object) {
 	if err := k.store.Delete(ctx, o.Ref, o.Version); err != nil && !errors.Is(err, topo.ErrNotFound) {
-		slog.Warn("an old entry of the register of routers could not be removed", "router", o.Name, "error", err)
+		slog.Warn("expired entry of the register of routers could not be removed", "router", o.Name, "error", err)
 	}
 }
