--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -48,7 +48,7 @@
 	return serving, leaving
 }
 
-func check(t *testing.T, s *State, serving, leaving []string) {
+func checkListed(t *testing.T, s *State, serving, leaving []string) {
 	t.Helper()
 	if gotServing, gotLeaving := s.serving(); !slices.Equal(gotServing, serving) || !slices.Equal(gotLeaving, leaving) {
 		t.Errorf("serving %v, leaving %v; want %v and %v", gotServing, gotLeaving, serving, leaving)
@@ -61,14 +61,14 @@
 	s := NewState(timing)
 	s.Apply(start, writtenChanges("a", "b"))
 	s.Apply(start, removedChange("a"))
-	check(t, s, []string{"b"}, []string{"a"})
+	checkListed(t, s, []string{"b"}, []string{"a"})
 	if s.Expire(start.Add(timing.Linger - time.Millisecond)) {
 		t.Error("the removed upstream is dropped before the end of the linger time")
 	}
 	if !s.Expire(start.Add(timing.Linger)) {
 		t.Error("the removed upstream is not dropped at the end of the linger time")
 	}
-	check(t, s, []string{"b"}, nil)
+	checkListed(t, s, []string{"b"}, nil)
 }
 
 // Guards against lingering for an upstream that had announced its leaving before its entry
@@ -76,9 +76,9 @@
 func TestLeavingUpstreamIsDroppedWithItsEntry(t *testing.T) {
 	s := NewState(timing)
 	s.Apply(start, []Change{{Entry: Entry{Name: "a", VM: topo.VM{Leaving: true}}}})
-	check(t, s, nil, []string{"a"})
+	checkListed(t, s, nil, []string{"a"})
 	s.Apply(start, removedChange("a"))
-	check(t, s, nil, nil)
+	checkListed(t, s, nil, nil)
 }
 
 // Guards against dropping working upstreams whose entries lapsed during an outage of the
@@ -91,7 +91,7 @@
 	for _, id := range []string{"back", "dead", "left"} {
 		s.Apply(start, removedChange(id))
 	}
-	check(t, s, []string{"back", "dead"}, nil)
+	checkListed(t, s, []string{"back", "dead"}, nil)
 	now := start.Add(time.Second)
 	s.Apply(now, writtenChanges("back"))
 	if s.Expire(now) {
@@ -101,9 +101,9 @@
 	if !s.Expire(now) {
 		t.Error("the entry that was not rewritten is still kept after the outage grace")
 	}
-	check(t, s, []string{"back"}, []string{"dead"})
+	checkListed(t, s, []string{"back"}, []string{"dead"})
 	s.Expire(now.Add(timing.Linger))
-	check(t, s, []string{"back"}, nil)
+	checkListed(t, s, []string{"back"}, nil)
 }
 
 // Guards against a late report of an earlier recovery, from another router, moving the
@@ -162,12 +162,12 @@
 		t.Errorf("address %s, want new:1", vm.Addr)
 	}
 	s.Apply(start, removedChange("a"))
-	check(t, s, []string{"a@2"}, nil)
+	checkListed(t, s, []string{"a@2"}, nil)
 	now := start.Add(timing.RenewTimeout / 2)
 	s.Expire(now)
 	s.Apply(now, startedAt(2, "new:1"))
 	s.Expire(start.Add(2 * timing.RenewTimeout))
-	check(t, s, []string{"a@2"}, nil)
+	checkListed(t, s, []string{"a@2"}, nil)
 }
 
 // As above, but the present incarnation has died too and does not rewrite its entry.
@@ -177,11 +177,11 @@
 	s.Apply(start, startedAt(1, "old:1"))
 	s.Apply(start, removedChange("a"))
 	s.Expire(start.Add(timing.RenewTimeout))
-	check(t, s, nil, []string{"a@2"})
+	checkListed(t, s, nil, []string{"a@2"})
 	s.Expire(start.Add(timing.RenewTimeout + timing.Linger))
-	check(t, s, nil, nil)
+	checkListed(t, s, nil, nil)
 	s.Apply(start.Add(time.Minute), startedAt(1, "old:1"))
-	check(t, s, nil, nil)
+	checkListed(t, s, nil, nil)
 }
 
 // Guards against use of an upstream whose entry was overwritten by a value that describes
@@ -190,11 +190,11 @@
 	s := NewState(timing)
 	s.Apply(start, append(writtenChanges("b"), startedAt(2, "x:1")...))
 	s.Apply(start, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
-	check(t, s, []string{"b"}, []string{"a@2"})
+	checkListed(t, s, []string{"b"}, []string{"a@2"})
 	s.Apply(start, startedAt(2, "x:1"))
-	check(t, s, []string{"a@2", "b"}, nil)
+	checkListed(t, s, []string{"a@2", "b"}, nil)
 	s.Apply(start, writtenChanges("a")) // without a start, which "a" always reports
-	check(t, s, []string{"b"}, []string{"a@2"})
+	checkListed(t, s, []string{"b"}, []string{"a@2"})
 }
 
 // Guards against dropping entries too early when a second outage ends within the grace of
@@ -206,9 +206,9 @@
 	s.Apply(start, removedChange("a"))
 	s.StoreRecovered(start.Add(time.Second))
 	s.Expire(start.Add(timing.OutageGrace))
-	check(t, s, []string{"a"}, nil)
+	checkListed(t, s, []string{"a"}, nil)
 	s.Expire(start.Add(time.Second + timing.OutageGrace))
-	check(t, s, nil, []string{"a"})
+	checkListed(t, s, nil, []string{"a"})
 }
 
 // Guards against a former incarnation being listed after a later one was seen. Writes of
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -55,36 +55,36 @@
 
 // Run registers this router in the store, reads the entries of the others, and removes
 // expired ones, until ctx ends.
-func (k *Registrar) Run(ctx context.Context) {
+func (reg *Registrar) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := k.sync(ctx)
+		err := reg.sync(ctx)
 		if err != nil {
 			slog.Warn("the register of routers could not be read", "error", err)
 			sleep(ctx, retryPause/2+rand.N(retryPause))
 			continue
 		}
-		k.waitForNextRead(ctx)
+		reg.waitForNextRead(ctx)
 	}
 }
 
 // waitForNextRead waits until the register is to be read again. Meanwhile, on request, it
 // ensures that the store has this router's entry. A store that was restored from an older
 // copy may lack it, and routers that start would not find this one.
-func (k *Registrar) waitForNextRead(ctx context.Context) {
+func (reg *Registrar) waitForNextRead(ctx context.Context) {
 	next := time.NewTimer(readInterval/2 + rand.N(readInterval))
 	defer next.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.checkRequested:
+		case <-reg.checkRequested:
 			sleep(ctx, rand.N(retryPause))
-			if err := k.writeEntryIfMissing(ctx); err != nil {
+			if err := reg.writeEntryIfMissing(ctx); err != nil {
 				slog.Warn("checking or rewriting this router's entry in the register failed", "error", err)
 				return
 			}
 		case <-next.C:
-			if k.isReader() {
+			if reg.isReader() {
 				return
 			}
 			next.Reset(readInterval/2 + rand.N(readInterval))
@@ -93,9 +93,9 @@
 }
 
 // RequestCheck makes Run check that the store still has this router's entry.
-func (k *Registrar) RequestCheck() {
+func (reg *Registrar) RequestCheck() {
 	select {
-	case k.checkRequested <- struct{}{}:
+	case reg.checkRequested <- struct{}{}:
 	default: // a check is pending already
 	}
 }
@@ -109,39 +109,39 @@
 }
 
 // writeEntryIfMissing writes this router's entry if the store does not have it.
-func (k *Registrar) writeEntryIfMissing(ctx context.Context) error {
-	_, err := k.store.Get(ctx, topo.Ref{Kind: topo.KindRouter, Name: k.self.Name})
+func (reg *Registrar) writeEntryIfMissing(ctx context.Context) error {
+	_, err := reg.store.Get(ctx, topo.Ref{Kind: topo.KindRouter, Name: reg.self.Name})
 	if errors.Is(err, topo.ErrNotFound) {
-		return k.writeEntry(ctx, 0)
+		return reg.writeEntry(ctx, 0)
 	}
 	return err
 }
 
 // sync writes this router's entry and then reads the others: of two routers that start at
 // the same moment, the one that writes later finds the other.
-func (k *Registrar) sync(ctx context.Context) error {
-	if !k.hasEntry {
+func (reg *Registrar) sync(ctx context.Context) error {
+	if !reg.hasEntry {
 		// A conflict means an entry of an earlier start, which the read returns.
-		if err := k.writeEntry(ctx, 0); err != nil && !errors.Is(err, topo.ErrConflict) {
+		if err := reg.writeEntry(ctx, 0); err != nil && !errors.Is(err, topo.ErrConflict) {
 			return err
 		}
-		k.hasEntry = true
+		reg.hasEntry = true
 	}
-	version, upToDate, err := k.readAll(ctx)
+	version, upToDate, err := reg.readAll(ctx)
 	if err != nil || upToDate {
 		return err
 	}
-	return k.writeEntry(ctx, version)
+	return reg.writeEntry(ctx, version)
 }
 
 // readAll reads the register, passes the other routers to onRouters and removes expired
 // entries. It returns the version of this router's own entry, and whether that entry is
 // up to date.
-func (k *Registrar) readAll(ctx context.Context) (own topo.Version, upToDate bool, err error) {
+func (reg *Registrar) readAll(ctx context.Context) (own topo.Version, upToDate bool, err error) {
 	var nodes []relay.Node
 	cont := ""
 	for {
-		page, err := k.store.List(ctx, topo.KindRouter, cont)
+		page, err := reg.store.List(ctx, topo.KindRouter, cont)
 		if err != nil {
 			return 0, false, err
 		}
@@ -152,10 +152,10 @@
 				continue
 			}
 			switch {
-			case o.Name == k.self.Name:
-				own, upToDate = o.Version, r.Node == k.self
+			case o.Name == reg.self.Name:
+				own, upToDate = o.Version, r.Node == reg.self
 			case time.Since(time.Unix(r.Written, 0)) > entryTTL:
-				k.sweep(ctx, o)
+				reg.sweep(ctx, o)
 			default:
 				nodes = append(nodes, r.Node)
 			}
@@ -164,24 +164,24 @@
 			break
 		}
 	}
-	k.onRouters(nodes)
+	reg.onRouters(nodes)
 	return own, upToDate, nil
 }
 
 // writeEntry writes this router's entry if it is still at version; zero requires that it
 // does not exist. If the response is lost, the next read shows the outcome.
-func (k *Registrar) writeEntry(ctx context.Context, version topo.Version) error {
-	value, err := json.Marshal(registration{Node: k.self, Written: time.Now().Unix()})
+func (reg *Registrar) writeEntry(ctx context.Context, version topo.Version) error {
+	value, err := json.Marshal(registration{Node: reg.self, Written: time.Now().Unix()})
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	_, err = k.store.Put(ctx, topo.Ref{Kind: topo.KindRouter, Name: k.self.Name}, value, version)
+	_, err = reg.store.Put(ctx, topo.Ref{Kind: topo.KindRouter, Name: reg.self.Name}, value, version)
 	return err
 }
 
 // sweep removes an expired entry.
-func (k *Registrar) sweep(ctx context.Context, o topo.Object) {
-	if err := k.store.Delete(ctx, o.Ref, o.Version); err != nil && !errors.Is(err, topo.ErrNotFound) {
+func (reg *Registrar) sweep(ctx context.Context, o topo.Object) {
+	if err := reg.store.Delete(ctx, o.Ref, o.Version); err != nil && !errors.Is(err, topo.ErrNotFound) {
 		slog.Warn("expired entry of the register of routers could not be removed", "router", o.Name, "error", err)
 	}
 }
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -247,7 +247,7 @@
 	client := h.clients[r.name.client()]
 	resp, err := client.Do(req)
 	if err != nil {
-		return h.unansweredError(client, r, a, err)
+		return h.classifyUnanswered(client, r, a, err)
 	}
 	defer resp.Body.Close()
 	head := h.dialect.Head(resp.StatusCode, resp.Header)
@@ -255,7 +255,7 @@
 	h.backoffs.extend(r, time.Now(), min(head.RetryAfter, h.timeouts.MaxRetryAfter))
 	body, err := io.ReadAll(io.LimitReader(resp.Body, r.answerLimit()+1))
 	if err != nil {
-		return h.unansweredError(client, r, a, err)
+		return h.classifyUnanswered(client, r, a, err)
 	}
 	if int64(len(body)) > r.answerLimit() {
 		return a, malformedError(r, errors.Errorf("more than %d bytes", r.answerLimit()))
@@ -288,10 +288,10 @@
 	return nil
 }
 
-// unansweredError classifies a call without a response. A read changed nothing. A write
+// classifyUnanswered classifies a call without a response. A read changed nothing. A write
 // that had no connection was not sent; any other write may have taken effect before its
 // response was lost. Idle connections are closed, since they may be dead too.
-func (h *HTTP) unansweredError(client *http.Client, r request, a attempt, err error) (attempt, error) {
+func (h *HTTP) classifyUnanswered(client *http.Client, r request, a attempt, err error) (attempt, error) {
 	a.unanswered = true
 	client.CloseIdleConnections()
 	class := ErrRefused
