--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -30,7 +30,7 @@
 // Outcome is the outcome of claiming an idempotency key.
 type Outcome string
 
-// Outcomes of Keeper.Claim.
+// Outcomes of Claimer.Claim.
 const (
 	Created   Outcome = "made"
 	Found     Outcome = "found"
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
 		first, second := NewClaimer(store), NewClaimer(store)
-		ref := Ref("club", "pay-once")
+		ref := Ref("org", "pay-once")
 		snapshot := store.Copy()
 		ran, outcome, err := first.Claim(t.Context(), ref, wire.Key{VM: "a"})
 		if err != nil || outcome != Created {
@@ -23,12 +23,12 @@
 		}
 		store.Restore(snapshot)
 		if key, outcome, _ := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != StoreRestored {
-			t.Errorf("claim right after the restore: %s %+v, want %s", outcome, key, StoreRestored)
+			t.Errorf("claim right after the restore: %s %+v, want store-restored", outcome, key)
 		}
 		first.RecreateLost(t.Context())
 		time.Sleep(RestoreGrace)
 		if key, outcome, err := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Found || key != ran {
-			t.Errorf("claim after the grace: %s %+v, %v; want %s %+v", outcome, key, err, Found, ran)
+			t.Errorf("claim after the grace: %s %+v, %v; want found, with the key of the first claim", outcome, key, err)
 		}
 	})
 }
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		claimer := NewClaimer(standin.NewObjectAPI())
 		for _, name := range []string{"a", "b", "c"} {
-			if _, _, err := claimer.Claim(t.Context(), Ref("club", name), wire.Key{VM: name}); err != nil {
+			if _, _, err := claimer.Claim(t.Context(), Ref("org", name), wire.Key{VM: name}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(recreateWindow / 2)
--- a/internal/lease/calls_test.go
+++ b/internal/lease/calls_test.go
@@ -38,7 +38,7 @@
 	seconds := float64(minutes * 60)
 	t.Logf("%d routers: %.2f reads and %.2f writes a second", routers, float64(len(w.calls)-writes)/seconds, float64(writes)/seconds)
 	if candidates != MaxCandidates || len(w.holders()) != 1 {
-		t.Fatalf("%d candidates, want %d; %d holders, want 1", candidates, MaxCandidates, len(w.holders()))
+		t.Fatalf("%d candidates and %d holders of the lease", candidates, len(w.holders()))
 	}
 	if perSecond := float64(len(w.calls)) / seconds; perSecond > 1 {
 		t.Fatalf("%.2f store calls a second, want at most 1", perSecond)
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -53,7 +53,7 @@
 						}
 					}
 					if held > 1 {
-						t.Fatalf("%d runners hold the lease at the same time", held)
+						t.Fatal("more than one runner holds the lease at the same time")
 					}
 				}
 				if !next.Valid(time.Now()) || next.Token <= former {
--- a/internal/lease/runner_test.go
+++ b/internal/lease/runner_test.go
@@ -31,10 +31,10 @@
 		stop()
 		time.Sleep(DefaultTTL/callDivisor + time.Second)
 		if g := second.Grant(); !g.Valid(time.Now()) || g.Token <= former {
-			t.Fatalf("grant %+v of the second runner; want a valid one with a token above %d", g, former)
+			t.Fatalf("second runner has grant %+v; want a valid one with a higher token", g)
 		}
 		if current, err := CurrentToken(t.Context(), store, "controller"); err != nil || current != second.Grant().Token {
-			t.Fatalf("current token %d, %v; want %d", current, err, second.Grant().Token)
+			t.Fatalf("current token %d, %v; want that of the second runner's grant", current, err)
 		}
 	})
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -228,7 +228,7 @@
 			case 2:
 				s.StoreRecovered(now)
 			default:
-				incarnation := int64(rapid.IntRange(1, 4).Draw(t, "life"))
+				incarnation := int64(rapid.IntRange(1, 4).Draw(t, "incarnation"))
 				latest = max(latest, incarnation)
 				s.Apply(now, startedAt(incarnation, strconv.FormatInt(incarnation, 10)))
 			}
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -86,7 +86,7 @@
 	for name, s := range map[string]topo.Store{"client": client, "unaware": unaware, "store": store} {
 		within, cancel := context.WithTimeout(t.Context(), time.Minute)
 		if _, err := s.Watch(within, []topo.Kind{topo.KindClaim}, page.Version, time.Second); !errors.Is(err, topo.ErrCompacted) {
-			t.Errorf("%s: %v, want %v", name, err, topo.ErrCompacted)
+			t.Errorf("watch with %s: %v, want a compacted version", name, err)
 		}
 		cancel()
 	}
