--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -85,9 +85,9 @@
 		}
 		o, getErr := c.store.Get(ctx, ref)
 		if getErr == nil {
-			var have Claim
-			err = json.Unmarshal(o.Value, &have)
-			return have.Key, Found, errors.WithStack(err)
+			var existing Claim
+			err = json.Unmarshal(o.Value, &existing)
+			return existing.Key, Found, errors.WithStack(err)
 		}
 		if !errors.Is(getErr, topo.ErrNotFound) {
 			return wire.Key{}, StoreDown, getErr
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -115,8 +115,8 @@
 	if err != nil {
 		return err
 	}
-	var have Claim
-	if err := json.Unmarshal(o.Value, &have); err == nil && have.Key == claim.key {
+	var existing Claim
+	if err := json.Unmarshal(o.Value, &existing); err == nil && existing.Key == claim.key {
 		return nil
 	}
 	_, err = c.store.Put(ctx, claim.ref, claim.value, o.Version)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// startedAt returns a write of upstream "a" with the given start and address.
-func startedAt(at int64, addr string) []Change {
+// incarnationWrite returns a write of upstream "a" with the given start and address.
+func incarnationWrite(at int64, addr string) []Change {
 	return []Change{{Entry: Entry{Name: "a", StartedAt: at, VM: topo.VM{Addr: addr}}}}
 }
 
@@ -137,15 +137,15 @@
 // load would be overestimated. The new incarnation gets another ID and keeps the name.
 func TestRestartedUpstreamGetsANewID(t *testing.T) {
 	s := NewState(timing)
-	s.Apply(start, startedAt(1, "x:1"))
+	s.Apply(start, incarnationWrite(1, "x:1"))
 	former := onlyVM(t, s)
-	taken := s.Apply(start, startedAt(2, "x:1"))
+	result := s.Apply(start, incarnationWrite(2, "x:1"))
 	present := onlyVM(t, s)
 	if present.ID == former.ID || present.Name() != "a" || former.Name() != "a" {
 		t.Errorf("former incarnation %+v, present incarnation %+v", former, present)
 	}
-	if !slices.Equal(taken.Replaced, []topo.VM{former}) {
-		t.Errorf("replaced %+v, want %+v", taken.Replaced, former)
+	if !slices.Equal(result.Replaced, []topo.VM{former}) {
+		t.Errorf("replaced %+v, want %+v", result.Replaced, former)
 	}
 }
 
@@ -154,9 +154,9 @@
 // entry. Requests went to the old address, and after the removal to none.
 func TestLateWritesOfAFormerIncarnationAreIgnored(t *testing.T) {
 	s := NewState(timing)
-	s.Apply(start, startedAt(2, "new:1"))
-	if taken := s.Apply(start, startedAt(1, "old:1")); taken.Outdated != 1 {
-		t.Errorf("%d outdated writes, want 1", taken.Outdated)
+	s.Apply(start, incarnationWrite(2, "new:1"))
+	if result := s.Apply(start, incarnationWrite(1, "old:1")); result.Outdated != 1 {
+		t.Errorf("%d outdated writes, want 1", result.Outdated)
 	}
 	if vm := onlyVM(t, s); vm.Addr != "new:1" {
 		t.Errorf("address %s, want new:1", vm.Addr)
@@ -165,7 +165,7 @@
 	checkListed(t, s, []string{"a@2"}, nil)
 	now := start.Add(timing.RenewTimeout / 2)
 	s.Expire(now)
-	s.Apply(now, startedAt(2, "new:1"))
+	s.Apply(now, incarnationWrite(2, "new:1"))
 	s.Expire(start.Add(2 * timing.RenewTimeout))
 	checkListed(t, s, []string{"a@2"}, nil)
 }
@@ -173,14 +173,14 @@
 // As above, but the present incarnation has died too and does not rewrite its entry.
 func TestIncarnationThatDoesNotRenewItsEntryIsRemoved(t *testing.T) {
 	s := NewState(timing)
-	s.Apply(start, startedAt(2, "new:1"))
-	s.Apply(start, startedAt(1, "old:1"))
+	s.Apply(start, incarnationWrite(2, "new:1"))
+	s.Apply(start, incarnationWrite(1, "old:1"))
 	s.Apply(start, removedChange("a"))
 	s.Expire(start.Add(timing.RenewTimeout))
 	checkListed(t, s, nil, []string{"a@2"})
 	s.Expire(start.Add(timing.RenewTimeout + timing.Linger))
 	checkListed(t, s, nil, nil)
-	s.Apply(start.Add(time.Minute), startedAt(1, "old:1"))
+	s.Apply(start.Add(time.Minute), incarnationWrite(1, "old:1"))
 	checkListed(t, s, nil, nil)
 }
 
@@ -188,10 +188,10 @@
 // no upstream. It is used again once it has rewritten its entry.
 func TestUnusableEntryRemovesTheUpstream(t *testing.T) {
 	s := NewState(timing)
-	s.Apply(start, append(writtenChanges("b"), startedAt(2, "x:1")...))
+	s.Apply(start, append(writtenChanges("b"), incarnationWrite(2, "x:1")...))
 	s.Apply(start, []Change{{Kind: Unusable, Entry: Entry{Name: "a"}}})
 	checkListed(t, s, []string{"b"}, []string{"a@2"})
-	s.Apply(start, startedAt(2, "x:1"))
+	s.Apply(start, incarnationWrite(2, "x:1"))
 	checkListed(t, s, []string{"a@2", "b"}, nil)
 	s.Apply(start, writtenChanges("a")) // without a start, which "a" always reports
 	checkListed(t, s, []string{"b"}, []string{"a@2"})
@@ -230,7 +230,7 @@
 			default:
 				incarnation := int64(rapid.IntRange(1, 4).Draw(t, "incarnation"))
 				latest = max(latest, incarnation)
-				s.Apply(now, startedAt(incarnation, strconv.FormatInt(incarnation, 10)))
+				s.Apply(now, incarnationWrite(incarnation, strconv.FormatInt(incarnation, 10)))
 			}
 			s.Expire(now)
 			for _, vm := range s.VMs() {
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -203,7 +203,7 @@
 // call executes a call and counts it. A read without a response on a reused
 // connection is tried once more: the connection may have been dead for long, and
 // only reads are safe to repeat.
-func (h *HTTP) call(ctx context.Context, r request, read func(Era, []byte) error) error {
+func (h *HTTP) call(ctx context.Context, r request, decode func(Era, []byte) error) error {
 	if r.baseVersion != 0 && h.eras.isOver(r.baseVersion.Era()) {
 		err := r.eraChangedError()
 		outcomes.Inc(outcomeOf(err))
@@ -213,9 +213,9 @@
 		outcomes.Inc(outcomeWithheld)
 		return errors.Wrapf(ErrRefused, "%s %s: the store asked for no calls for another %v", r.Method, r.Path, wait)
 	}
-	first, err := h.try(ctx, r, read)
+	first, err := h.try(ctx, r, decode)
 	if first.reused && first.unanswered && !r.isWrite() && r.name != callWatch && ctx.Err() == nil {
-		_, err = h.try(ctx, r, read)
+		_, err = h.try(ctx, r, decode)
 	}
 	outcomes.Inc(outcomeOf(err))
 	return err
@@ -228,7 +228,7 @@
 	unanswered bool
 }
 
-func (h *HTTP) try(ctx context.Context, r request, read func(Era, []byte) error) (attempt, error) {
+func (h *HTTP) try(ctx context.Context, r request, decode func(Era, []byte) error) (attempt, error) {
 	calls.Inc(r.name)
 	ctx, cancel := context.WithTimeout(ctx, h.timeouts.callTimeoutFor(r))
 	defer cancel()
@@ -263,10 +263,10 @@
 	if err := statusError(r, resp.StatusCode); err != nil {
 		return a, err
 	}
-	if err := r.checkEra(era, newest); err != nil || read == nil {
+	if err := r.checkEra(era, newest); err != nil || decode == nil {
 		return a, err
 	}
-	if err := read(era, body); err != nil {
+	if err := decode(era, body); err != nil {
 		return a, malformedError(r, err)
 	}
 	return a, nil
