--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -33,32 +33,32 @@
 	return s
 }
 
-// PackKnown returns all that this router knows of the upstreams, for the routers that depend on
+// Summary returns all that this router knows of the upstreams, for the routers that depend on
 // its reports.
-func (t *Tracker) PackKnown(now time.Time, members []load.VM) SharedState {
+func (t *Tracker) Summary(now time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackKnown(now, members), Outcomes: t.outliers.Summary(now, members), Speeds: t.speed.Summary(now, members)}
 }
 
-// PackObserved returns what this router has observed of the upstreams itself since a time, for
+// Report returns what this router has observed of the upstreams itself since a time, for
 // the router whose reports it depends on.
-func (t *Tracker) PackObserved(now, after time.Time, members []load.VM) SharedState {
+func (t *Tracker) Report(now, after time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackObserved(now, after, members), Outcomes: t.outliers.Report(members), Speeds: t.speed.Report(members)}
 }
 
-// MergeKnown merges what PackKnown returned at the router whose reports this one depends on.
-func (t *Tracker) MergeKnown(now time.Time, members []load.VM, s SharedState) error {
+// MergeSummary merges what PackKnown returned at the router whose reports this one depends on.
+func (t *Tracker) MergeSummary(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return stderrors.Join(t.loads.MergeKnown(now, members, s.Loads), t.outliers.MergeSummary(now, members, s.Outcomes), t.speed.MergeSummary(now, members, s.Speeds))
 }
 
-// MergeObserved merges what PackObserved returned at a router that depends on this one's
+// MergeReport merges what PackObserved returned at a router that depends on this one's
 // reports.
-func (t *Tracker) MergeObserved(now time.Time, members []load.VM, s SharedState) error {
+func (t *Tracker) MergeReport(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return stderrors.Join(t.loads.MergeObserved(now, members, s.Loads), t.outliers.MergeReport(now, members, s.Outcomes), t.speed.MergeReport(now, members, s.Speeds))
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -296,8 +296,8 @@
 	return t.outliers.Changes()
 }
 
-// Suspected reports whether an upstream fails more of its requests than others do.
-func (t *Tracker) Suspected(now time.Time, vm load.VM) bool {
+// IsSuspected reports whether an upstream fails more of its requests than others do.
+func (t *Tracker) IsSuspected(now time.Time, vm load.VM) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.outliers.IsSuspected(now, vm)
--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -62,10 +62,10 @@
 			receiver.RecordOutcome(now, Attempt{VM: ids[i], Profile: "chat"}, time.Second, true)
 		}
 	}
-	if err := collector.MergeObserved(now, ids, reporter.PackObserved(now, time.Time{}, ids)); err != nil {
+	if err := collector.MergeReport(now, ids, reporter.Report(now, time.Time{}, ids)); err != nil {
 		t.Fatal(err)
 	}
-	if err := receiver.MergeKnown(now, ids, collector.PackKnown(now, ids)); err != nil {
+	if err := receiver.MergeSummary(now, ids, collector.Summary(now, ids)); err != nil {
 		t.Fatal(err)
 	}
 	chosen := func(mechanisms policy.Policy) int {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -106,11 +106,11 @@
 func (f *fleet) share() {
 	now, reader := f.clock.now, f.routers[0].tracker
 	for _, r := range f.routers[1:] {
-		_ = reader.MergeObserved(now, f.ids, r.tracker.PackObserved(now, now.Add(-shareEvery), f.ids).Allowed(f.on))
+		_ = reader.MergeReport(now, f.ids, r.tracker.Report(now, now.Add(-shareEvery), f.ids).Allowed(f.on))
 	}
-	known := reader.PackKnown(now, f.ids).Allowed(f.on)
+	known := reader.Summary(now, f.ids).Allowed(f.on)
 	for _, r := range f.routers[1:] {
-		_ = r.tracker.MergeKnown(now, f.ids, known)
+		_ = r.tracker.MergeSummary(now, f.ids, known)
 	}
 }
 
--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -32,7 +32,7 @@
 	id := load.Hash(vm.ID)
 	set := r.conditionsOf(now, p, vm.ID)
 	statements := append(p.listedStatements(now, vm.ID), r.conditions.Statements(now, vm.ID)...)
-	if p.tracker.Suspected(now, id) {
+	if p.tracker.IsSuspected(now, id) {
 		set = set.Union(condition.Of(condition.Suspected))
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	m.lastReportAt = now
-	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.PackKnown(now, p.serving) })
+	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.Summary(now, p.serving) })
 	leaving := m.leavingUpstreams(true)
 	if len(pools) == 0 && len(leaving) == 0 {
 		m.lastReport = nil
@@ -81,7 +81,7 @@
 func (m *mesh) reportsForReader(now time.Time) [][]byte {
 	after := m.sharedAt
 	m.sharedAt = now
-	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.PackObserved(now, after, p.serving) })
+	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.Report(now, after, p.serving) })
 	leaving := m.leavingUpstreams(false)
 	var out [][]byte
 	for len(pools) > 0 || len(leaving) > 0 {
@@ -189,9 +189,9 @@
 		if p == nil {
 			continue
 		}
-		merge := p.tracker.MergeKnown
+		merge := p.tracker.MergeSummary
 		if from == fromFollower {
-			merge = p.tracker.MergeObserved
+			merge = p.tracker.MergeReport
 		}
 		if err := merge(now, p.serving, balance.SharedState{Loads: shared.Loads, Outcomes: shared.Outcomes, Speeds: shared.Speeds}); err != nil {
 			meshMalformed.Inc()
