--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -17,7 +17,7 @@
 // A runner dies in the middle of an event, and another one goes on behind the
 // last event that the caller has. Wherever the stream is cut, and however its
 // bytes come in, the caller's stream must be the whole one.
-func TestCutStreamsJoinWithoutGapOrRepeat(t *testing.T) {
+func TestResumedStreamHasNoGapOrRepeat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "newline")
 		n := rapid.IntRange(1, 6).Draw(t, "events")
@@ -28,29 +28,29 @@
 			}
 			return b.Bytes()
 		}
-		var c Framer
+		var f Framer
 		var out bytes.Buffer
 		feed := func(b []byte) {
 			for len(b) > 0 {
 				k := rapid.IntRange(1, len(b)).Draw(t, "piece")
-				out.Write(c.Feed(bytes.Clone(b[:k])))
+				out.Write(f.Feed(bytes.Clone(b[:k])))
 				b = b[k:]
 			}
 		}
 		whole := stream(1)
 		feed(whole[:rapid.IntRange(0, len(whole)).Draw(t, "cut")])
-		if !c.Discard() {
+		if !f.Discard() {
 			t.Fatal("short events were torn")
 		}
 		from := 1
-		if c.LastID() != "" {
-			if _, err := fmt.Sscan(c.LastID(), &from); err != nil {
+		if f.LastID() != "" {
+			if _, err := fmt.Sscan(f.LastID(), &from); err != nil {
 				t.Fatal(err)
 			}
 			from++
 		}
 		feed(stream(from))
-		out.Write(c.Pending())
+		out.Write(f.Pending())
 		if !bytes.Equal(out.Bytes(), whole) {
 			t.Fatalf("%q, want %q", out.Bytes(), whole)
 		}
@@ -59,13 +59,13 @@
 
 // An event of many megabytes is not held back in a router's memory; a stream that
 // breaks off within it cannot be gone on with.
-func TestHugeEventIsNotHeld(t *testing.T) {
-	var c Framer
-	c.Feed([]byte("id: 1\n\n"))
-	if out := c.Feed(make([]byte, maxHeld+1)); len(out) != maxHeld+1 {
+func TestOversizedEventIsNotBuffered(t *testing.T) {
+	var f Framer
+	f.Feed([]byte("id: 1\n\n"))
+	if out := f.Feed(make([]byte, maxPendingBytes+1)); len(out) != maxPendingBytes+1 {
 		t.Fatalf("%d bytes went out", len(out))
 	}
-	if c.Discard() {
+	if f.Discard() {
 		t.Error("gone on with within an event")
 	}
 }
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -31,7 +31,7 @@
 		"Answers of upstreams that were dropped because they belong to another call.")
 	dials = telemetry.NewFamily[dialOutcome]("exchange_dials_total", "outcome",
 		"Connections opened to upstreams without a sidecar, by what came of it.")
-	abandoned = telemetry.NewCounter("exchange_abandoned_calls_total",
+	abortedCalls = telemetry.NewCounter("exchange_abandoned_calls_total",
 		"Calls of upstreams that were broken off since their upstream had started again.")
 	reuses = telemetry.NewCounter("exchange_reuses_total",
 		"Calls of upstreams over a connection that had served another.")
@@ -50,8 +50,8 @@
 	dial    DialFunc
 
 	mu    sync.Mutex
-	hosts map[endpoint][]*conn // unused connections, the one used last at the end
-	busy  map[*conn]endpoint   // on which calls are under way
+	idle  map[endpoint][]*conn // unused connections, the one used last at the end
+	inUse map[*conn]endpoint   // on which calls are under way
 }
 
 // endpoint is one incarnation of an upstream. Another one may get its address.
@@ -72,52 +72,52 @@
 
 // NewClient returns a Client that speaks d over connections that dial opens.
 func NewClient(d Dialect, dial DialFunc) *Client {
-	return &Client{dialect: d, dial: dial, hosts: make(map[endpoint][]*conn), busy: make(map[*conn]endpoint)}
+	return &Client{dialect: d, dial: dial, idle: make(map[endpoint][]*conn), inUse: make(map[*conn]endpoint)}
 }
 
 // Do makes a call of the upstream on vm and returns when the head of the answer
 // is there. pass is asked once, before the first byte is sent, and may forbid
 // it. The end of ctx breaks the call off, also after Do has returned.
-func (c *Client) Do(ctx context.Context, vm topo.VM, call Call, pass func() bool) (*Stream, error) {
+func (c *Client) Do(ctx context.Context, vm topo.VM, call Call, maySend func() bool) (*Stream, error) {
 	at := endpoint{instance: vm.ID, addr: vm.Addr}
 	header := call.Header.Clone()
 	if header == nil {
 		header = make(http.Header)
 	}
-	conn, err := c.conn(ctx, at)
+	conn, err := c.getConn(ctx, at)
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "%s", err)
 	}
-	if !pass() {
-		c.put(at, conn)
+	if !maySend() {
+		c.putIdle(at, conn)
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "given up before it was sent")
 	}
-	release := c.use(ctx, at, conn)
+	release := c.markInUse(ctx, at, conn)
 	c.dialect.Tell(header, call)
 	if err := conn.send(call, header); err != nil {
 		release()
 		_ = conn.Close()
-		return nil, lost(ctx, err)
+		return nil, lostError(ctx, err)
 	}
-	resp, word, err := conn.answer(call.Method, call.ID, c.dialect)
+	resp, signal, err := conn.readResponse(call.Method, call.ID, c.dialect)
 	if err != nil {
 		release()
 		_ = conn.Close()
-		return nil, lost(ctx, err)
+		return nil, lostError(ctx, err)
 	}
-	return &Stream{client: c, at: at, conn: conn, resp: resp, events: ofEvents(resp), Signal: word, release: release}, nil
+	return &Stream{client: c, at: at, conn: conn, resp: resp, eventStream: ofEvents(resp), Signal: signal, release: release}, nil
 }
 
-// use marks a connection as busy with a call that the end of ctx breaks off, until
+// markInUse marks a connection as busy with a call that the end of ctx breaks off, until
 // release is called. It reports whether the call was not broken off.
-func (c *Client) use(ctx context.Context, at endpoint, conn *conn) (release func() bool) {
+func (c *Client) markInUse(ctx context.Context, at endpoint, conn *conn) (release func() bool) {
 	c.mu.Lock()
-	c.busy[conn] = at
+	c.inUse[conn] = at
 	c.mu.Unlock()
-	stop := conn.abortOn(ctx)
+	stop := conn.closeOnDone(ctx)
 	return func() bool {
 		c.mu.Lock()
-		delete(c.busy, conn)
+		delete(c.inUse, conn)
 		c.mu.Unlock()
 		return stop()
 	}
@@ -128,39 +128,39 @@
 // probes of keepAliveIdle and after have failed, and callers wait for 3 s more for an
 // answer that cannot come.
 func (c *Client) AbortCalls(vm topo.VM) {
-	gone := endpoint{instance: vm.ID, addr: vm.Addr}
+	restarted := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, at := range c.busy {
-		if at == gone {
-			abandoned.Inc()
+	for conn, at := range c.inUse {
+		if at == restarted {
+			abortedCalls.Inc()
 			_ = conn.Close() // the call's own goroutine finds it closed
 		}
 	}
 }
 
-// lost is the error of a call that was sent, in whole or in part, and got no
+// lostError is the error of a call that was sent, in whole or in part, and got no
 // answer.
-func lost(ctx context.Context, err error) error {
+func lostError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "%s", ctx.Err())
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s", err)
 }
 
-// conn returns an unused connection, the one used last first, or a new one.
-func (c *Client) conn(ctx context.Context, at endpoint) (*conn, error) {
+// getConn returns an unused connection, the one used last first, or a new one.
+func (c *Client) getConn(ctx context.Context, at endpoint) (*conn, error) {
 	now := time.Now()
 	for {
-		kept := c.take(at)
-		if kept == nil {
+		conn := c.takeIdle(at)
+		if conn == nil {
 			break
 		}
-		if now.Before(kept.expires) && kept.quiet() {
+		if now.Before(conn.expires) && conn.reusable() {
 			reuses.Inc()
-			return kept, nil
+			return conn, nil
 		}
-		_ = kept.Close()
+		_ = conn.Close()
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -173,23 +173,23 @@
 	return newConn(raw), nil
 }
 
-func (c *Client) take(at endpoint) *conn {
+func (c *Client) takeIdle(at endpoint) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.hosts[at]
-	if len(kept) == 0 {
+	conns := c.idle[at]
+	if len(conns) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	c.hosts[at] = kept[:len(kept)-1]
+	last := conns[len(conns)-1]
+	c.idle[at] = conns[:len(conns)-1]
 	return last
 }
 
-func (c *Client) put(at endpoint, conn *conn) {
+func (c *Client) putIdle(at endpoint, conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.reused = true
-	c.hosts[at] = append(c.hosts[at], conn)
+	c.idle[at] = append(c.idle[at], conn)
 }
 
 // CloseIdle closes the unused connections that have expired, or whose upstream is
@@ -197,22 +197,22 @@
 func (c *Client) CloseIdle(now time.Time, vms map[string]topo.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for at, kept := range c.hosts {
+	for at, conns := range c.idle {
 		vm, listed := vms[at.instance]
-		gone := !listed || vm.Addr != at.addr
-		left := kept[:0]
-		for _, conn := range kept {
-			if gone || !now.Before(conn.expires) {
+		removed := !listed || vm.Addr != at.addr
+		remaining := conns[:0]
+		for _, conn := range conns {
+			if removed || !now.Before(conn.expires) {
 				_ = conn.Close()
 			} else {
-				left = append(left, conn)
+				remaining = append(remaining, conn)
 			}
 		}
-		clear(kept[len(left):])
-		if len(left) == 0 {
-			delete(c.hosts, at)
+		clear(conns[len(remaining):])
+		if len(remaining) == 0 {
+			delete(c.idle, at)
 		} else {
-			c.hosts[at] = left
+			c.idle[at] = remaining
 		}
 	}
 }
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// readBuffer is the size of a connection's buffer, in bytes: the head of an
+	// readBufferBytes is the size of a connection's buffer, in bytes: the head of an
 	// answer and a few events.
-	readBuffer = 4 << 10
-	// concurrentBody is the size from which a body is written while the answer
+	readBufferBytes = 4 << 10
+	// concurrentBodyBytes is the size from which a body is written while the answer
 	// is awaited, in bytes. An upstream may refuse a long request before it has
 	// read it, and a smaller one fits into the socket's buffer.
-	concurrentBody = 8 << 10
-	// defaultIdle is how long an unused connection is kept where the upstream
+	concurrentBodyBytes = 8 << 10
+	// defaultIdleTimeout is how long an unused connection is kept where the upstream
 	// does not say.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is how much earlier than the upstream an unused connection is
 	// given up: a call that crosses the upstream's close may have run.
 	idleMargin = 500 * time.Millisecond
@@ -35,20 +35,20 @@
 // conn is a connection to an upstream. One call uses it at a time.
 type conn struct {
 	net.Conn
-	r       *bufio.Reader
-	reused  bool
-	expires time.Time // while it is unused
-	writing chan error
+	r           *bufio.Reader
+	reused      bool
+	expires     time.Time // while it is unused
+	bodyWritten chan error
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer)}
+	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
-// quiet reports whether an unused connection is open and has nothing to read.
+// reusable reports whether an unused connection is open and has nothing to read.
 // Bytes behind a whole answer belong to no call, and the next one would take
 // them for its own.
-func (c *conn) quiet() bool {
+func (c *conn) reusable() bool {
 	state := netpeek.Look(c.Conn)
 	return c.r.Buffered() == 0 && (state == netpeek.Quiet || state == netpeek.Unknown)
 }
@@ -57,21 +57,21 @@
 // after send has returned; sent tells when it is through.
 func (c *conn) send(call Call, header http.Header) error {
 	var b bytes.Buffer
-	b.Grow(readBuffer)
+	b.Grow(readBufferBytes)
 	b.WriteString(call.Method)
 	b.WriteByte(' ')
 	b.WriteString(call.Path)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(call.Host)
 	b.WriteString("\r\n")
-	if len(call.Body) > 0 || !bodyless(call.Method) {
+	if len(call.Body) > 0 || !omitsEmptyBody(call.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(call.Body)))
 		b.WriteString("\r\n")
 	}
 	_ = header.Write(&b) // a Buffer takes everything
 	b.WriteString("\r\n")
-	if len(call.Body) < concurrentBody {
+	if len(call.Body) < concurrentBodyBytes {
 		b.Write(call.Body)
 		_, err := c.Write(b.Bytes())
 		return err
@@ -80,7 +80,7 @@
 		return err
 	}
 	written := make(chan error, 1)
-	c.writing = written
+	c.bodyWritten = written
 	go func() {
 		_, err := c.Write(call.Body)
 		written <- err
@@ -88,32 +88,32 @@
 	return nil
 }
 
-// bodyless reports whether a request of a method has no body unless it says so.
-func bodyless(method string) bool {
+// omitsEmptyBody reports whether a request of a method has no body unless it says so.
+func omitsEmptyBody(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// sent reports whether all of the call has been written, without waiting.
-func (c *conn) sent() bool {
-	if c.writing == nil {
+// allSent reports whether all of the call has been written, without waiting.
+func (c *conn) allSent() bool {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-c.writing:
-		c.writing = nil
+	case err := <-c.bodyWritten:
+		c.bodyWritten = nil
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// maxStrays is how many answers to other calls are passed over for one call.
-const maxStrays = 2
+// maxStrayResponses is how many answers to other calls are passed over for one call.
+const maxStrayResponses = 2
 
-// answer reads the head of the answer to call id. Answers to earlier calls of
+// readResponse reads the head of the readResponse to call id. Answers to earlier calls of
 // the same connection, which come late, are passed over.
-func (c *conn) answer(method, id string, d Dialect) (*http.Response, Signal, error) {
-	for range maxStrays + 1 {
+func (c *conn) readResponse(method, id string, d Dialect) (*http.Response, Signal, error) {
+	for range maxStrayResponses + 1 {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
 			return nil, Signal{}, errors.WithStack(err)
@@ -121,9 +121,9 @@
 		if resp.StatusCode < http.StatusOK {
 			continue // an interim response; it has no body
 		}
-		word := d.Read(resp.StatusCode, resp.Header)
-		if word.ID == id {
-			return resp, word, nil
+		signal := d.Read(resp.StatusCode, resp.Header)
+		if signal.ID == id {
+			return resp, signal, nil
 		}
 		strayAnswers.Inc()
 		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
@@ -144,11 +144,11 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// abortOn closes the connection when ctx ends, which wakes who reads from it.
+// closeOnDone closes the connection when ctx ends, which wakes who reads from it.
 // An upstream drops a request whose connection is closed.
-func (c *conn) abortOn(ctx context.Context) (release func() bool) {
+func (c *conn) closeOnDone(ctx context.Context) (release func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.Close() })
 }
--- a/internal/exchange/stream.go
+++ b/internal/exchange/stream.go
@@ -24,36 +24,36 @@
 type Stream struct {
 	Signal Signal // of the head
 
-	client  *Client
-	at      endpoint
-	conn    *conn
-	resp    *http.Response
-	events  bool // it is a stream of events; asked at each of them
-	release func() bool
-	headed  bool
-	buf     []byte
-	over    bool // the body has ended, though its last bytes had yet to be handed out
-	closed  bool
-	pause   time.Duration // that the next piece may take; zero: any
+	client       *Client
+	at           endpoint
+	conn         *conn
+	resp         *http.Response
+	eventStream  bool // it is a stream of events; asked at each of them
+	release      func() bool
+	headReturned bool
+	buf          []byte
+	atEOF        bool // the body has ended, though its last bytes had yet to be handed out
+	closed       bool
+	stallTimeout time.Duration // that the next piece may take; zero: any
 }
 
 // ErrStalled is an answer that has paused for longer than Within allows. It goes on
 // with the next call of Next.
 var ErrStalled = errors.New("exchange: the answer has paused for too long")
 
-// silent waits for the next bytes of the answer and reports whether they did not
+// stalled waits for the next bytes of the answer and reports whether they did not
 // come in time. It only looks at them: a read that ran out of time within the
 // framing of a body could not be gone on with. The framing alone is no answer: an
-// upstream that falls silent after the end of a chunk, sent by itself, would have the read
+// upstream that falls stalled after the end of a chunk, sent by itself, would have the read
 // that follows wait without a bound, and the caller with it.
-func (s *Stream) silent() bool {
-	if s.more() {
+func (s *Stream) stalled() bool {
+	if s.bodyBuffered() {
 		return false
 	}
 	// Setting a deadline fails only on a closed connection, as the read will.
-	_ = s.conn.SetReadDeadline(time.Now().Add(s.pause))
+	_ = s.conn.SetReadDeadline(time.Now().Add(s.stallTimeout))
 	defer func() { _ = s.conn.SetReadDeadline(time.Time{}) }()
-	for !s.more() {
+	for !s.bodyBuffered() {
 		if _, err := s.conn.r.Peek(s.conn.r.Buffered() + 1); err != nil {
 			return errors.Is(err, os.ErrDeadlineExceeded)
 		}
@@ -61,10 +61,10 @@
 	return false
 }
 
-// more reports whether something of the body has come that was not read yet.
-func (s *Stream) more() bool {
-	ahead, _ := s.conn.r.Peek(s.conn.r.Buffered()) // that many are there
-	return len(ahead) > 0 && !(s.chunked() && framing(ahead))
+// bodyBuffered reports whether something of the body has come that was not read yet.
+func (s *Stream) bodyBuffered() bool {
+	buffered, _ := s.conn.r.Peek(s.conn.r.Buffered()) // that many are there
+	return len(buffered) > 0 && !(s.chunked() && isFraming(buffered))
 }
 
 // chunked reports whether the body comes in chunks.
@@ -72,22 +72,22 @@
 	return slices.Contains(s.resp.TransferEncoding, "chunked")
 }
 
-// lastChunk begins the end of a body that comes in chunks.
-var lastChunk = []byte("0\r\n")
+// finalChunk begins the end of a body that comes in chunks.
+var finalChunk = []byte("0\r\n")
 
-// framing reports whether bytes may be nothing but the end of a chunk and the beginning of
+// isFraming reports whether bytes may be nothing but the end of a chunk and the beginning of
 // the size of the next one.
-func framing(b []byte) bool {
+func isFraming(b []byte) bool {
 	b = bytes.TrimPrefix(b, []byte("\r\n"))
-	if bytes.HasPrefix(b, lastChunk) {
+	if bytes.HasPrefix(b, finalChunk) {
 		return false
 	}
 	return len(bytes.Trim(b, "0123456789abcdefABCDEF\r\n")) == 0
 }
 
 // SetStallTimeout bounds the time that each further piece may take.
-func (s *Stream) SetStallTimeout(pause time.Duration) {
-	s.pause = pause
+func (s *Stream) SetStallTimeout(timeout time.Duration) {
+	s.stallTimeout = timeout
 }
 
 // Status returns the status of the answer.
@@ -97,7 +97,7 @@
 
 // IsEventStream reports whether the answer is a stream of events.
 func (s *Stream) IsEventStream() bool {
-	return s.events
+	return s.eventStream
 }
 
 func ofEvents(resp *http.Response) bool {
@@ -109,14 +109,14 @@
 // bytes are valid until the next call. An error means that the answer is broken.
 // The context that was given to Do ends the wait.
 func (s *Stream) Next() (wire.Piece, error) {
-	if !s.headed {
-		s.headed = true
+	if !s.headReturned {
+		s.headReturned = true
 		return wire.Piece{Head: &wire.Head{Status: s.resp.StatusCode, Header: s.resp.Header}}, nil
 	}
 	if s.buf == nil {
 		s.buf = make([]byte, pieceBytes)
 	}
-	if !s.over && s.pause > 0 && s.silent() {
+	if !s.atEOF && s.stallTimeout > 0 && s.stalled() {
 		return wire.Piece{}, ErrStalled
 	}
 	for {
@@ -125,7 +125,7 @@
 		case n > 0:
 			// The end comes with the last bytes if it was in one packet with them.
 			// Nothing follows then, which is not to be taken for a pause.
-			s.over = errors.Is(err, io.EOF)
+			s.atEOF = errors.Is(err, io.EOF)
 			return wire.Piece{Bytes: s.buf[:n]}, nil
 		case errors.Is(err, io.EOF):
 			s.finish()
@@ -139,14 +139,14 @@
 // finish gives the connection back after a whole answer.
 func (s *Stream) finish() {
 	s.closed = true
-	idle := keepFor(s.resp.Header)
-	usable := s.release() && s.conn.sent() && !s.resp.Close && idle > 0 && s.conn.r.Buffered() == 0
+	idleTimeout := keepFor(s.resp.Header)
+	usable := s.release() && s.conn.allSent() && !s.resp.Close && idleTimeout > 0 && s.conn.r.Buffered() == 0
 	if !usable {
 		_ = s.conn.Close()
 		return
 	}
-	s.conn.expires = time.Now().Add(idle)
-	s.client.put(s.at, s.conn)
+	s.conn.expires = time.Now().Add(idleTimeout)
+	s.client.putIdle(s.at, s.conn)
 }
 
 // Close gives the answer up, unless it has ended: the upstream sees the
@@ -163,12 +163,12 @@
 // Drain reads the rest of a short answer that nobody needs, to keep the
 // connection. A long one, or one that does not come, is not worth it.
 func (s *Stream) Drain() {
-	const most, within = 4 << 10, 50 * time.Millisecond
-	if s.resp.ContentLength < 0 || s.resp.ContentLength > most {
+	const maxBytes, timeout = 4 << 10, 50 * time.Millisecond
+	if s.resp.ContentLength < 0 || s.resp.ContentLength > maxBytes {
 		s.Close()
 		return
 	}
-	_ = s.conn.SetReadDeadline(time.Now().Add(within))
+	_ = s.conn.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.Copy(io.Discard, s.resp.Body)
 	_ = s.conn.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -17,195 +17,195 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// sidecarSide is the truth about one attempt at its sidecar.
-type sidecarSide struct {
-	ran, closed bool // started; never to be started
-	restarted   bool
+// sidecarState is the truth about one attempt at its sidecar.
+type sidecarState struct {
+	ran, neverRuns bool // started; never to be started
+	restarted      bool
 }
 
-// world answers the effects of one request as sidecars and networks might.
-type world struct {
-	t         *rapid.T
-	plan      Plan
-	budget    *retry.Budget
-	state     *State
-	now       time.Time
-	sides     []*sidecarSide
-	withdrawn int
-	offers    int
-	delivered bool
-	resumable bool // the answer that is delivered
-	refused   bool // the caller's key, for good: each copy of the request is told so
-	final     *Finish
-	queue     []Event
+// simulation answers the effects of one request as sidecars and networks might.
+type simulation struct {
+	t                *rapid.T
+	plan             Plan
+	budget           *retry.Budget
+	state            *State
+	now              time.Time
+	sidecars         []*sidecarState
+	withdrawals      int
+	offers           int
+	delivered        bool
+	resumable        bool // the answer that is delivered
+	callerKeyRefused bool // the caller's key, for good: each copy of the request is told so
+	finish           *Finish
+	pending          []Event
 }
 
-func (w *world) Withdraw() bool {
-	ok := w.budget.Withdraw()
+func (s *simulation) Withdraw() bool {
+	ok := s.budget.Withdraw()
 	if ok {
-		w.withdrawn++
+		s.withdrawals++
 	}
 	return ok
 }
 
-func (w *world) RetryAfter(time.Duration) time.Duration { return 0 }
+func (s *simulation) RetryAfter(time.Duration) time.Duration { return 0 }
 
-func (w *world) act(effect Effect) {
+func (s *simulation) act(effect Effect) {
 	switch e := effect.(type) {
 	case Offer:
-		w.offers++
-		if w.delivered != e.Continue || w.delivered && !w.resumable {
-			w.t.Fatalf("offered (continue %v) with a part of an answer out: %v", e.Continue, w.delivered)
+		s.offers++
+		if s.delivered != e.Continue || s.delivered && !s.resumable {
+			s.t.Fatalf("offered (continue %v) with a part of an answer out: %v", e.Continue, s.delivered)
 		}
-		w.begin(e.Attempt)
+		s.start(e.Attempt)
 	case Follow:
-		w.begin(e.Attempt)
+		s.start(e.Attempt)
 	case Resubmit:
-		w.submit(e.Attempt)
+		s.submit(e.Attempt)
 	case Attach:
-		w.attach(e.Attempt)
+		s.attach(e.Attempt)
 	case Deliver:
-		w.delivered = true
-		if e.Resumable != w.resumable {
-			w.t.Fatalf("delivered as resumable %v, is %v", e.Resumable, w.resumable)
+		s.delivered = true
+		if e.Resumable != s.resumable {
+			s.t.Fatalf("delivered as resumable %v, is %v", e.Resumable, s.resumable)
 		}
-		w.piece(e.Attempt)
+		s.progress(e.Attempt)
 	case Finish:
-		w.final = &e
+		s.finish = &e
 	}
 }
 
-func (w *world) begin(attempt int) {
-	if attempt != len(w.sides) {
-		w.t.Fatalf("attempt %d follows %d", attempt, len(w.sides)-1)
+func (s *simulation) start(attempt int) {
+	if attempt != len(s.sidecars) {
+		s.t.Fatalf("attempt %d follows %d", attempt, len(s.sidecars)-1)
 	}
-	w.sides = append(w.sides, &sidecarSide{})
-	if w.plan.Direct {
-		w.send(attempt)
+	s.sidecars = append(s.sidecars, &sidecarState{})
+	if s.plan.Direct {
+		s.sendDirect(attempt)
 	} else {
-		w.submit(attempt)
+		s.submit(attempt)
 	}
 }
 
-// send lets one call of an upstream without a sidecar meet its fate.
-func (w *world) send(i int) {
-	side := w.sides[i]
+// sendDirect lets one call of an upstream without a sidecar meet its fate.
+func (s *simulation) sendDirect(i int) {
+	sidecar := s.sidecars[i]
 	failed := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")
-	switch rapid.IntRange(0, 5).Draw(w.t, "fate") {
+	switch rapid.IntRange(0, 5).Draw(s.t, "fate") {
 	case 0:
-		w.post(Unreachable{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
+		s.post(Unreachable{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
 	case 1:
-		side.ran = rapid.Bool().Draw(w.t, "arrived")
-		w.post(ConnectionLost{Now: w.now, Attempt: i})
+		sidecar.ran = rapid.Bool().Draw(s.t, "arrived")
+		s.post(ConnectionLost{Now: s.now, Attempt: i})
 	case 2:
-		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")})
+		s.post(Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")})
 	case 3:
-		side.ran = true
-		w.post(ErrorResponse{Now: w.now, Attempt: i, Err: failed})
+		sidecar.ran = true
+		s.post(ErrorResponse{Now: s.now, Attempt: i, Err: failed})
 	default:
-		side.ran = true
-		w.piece(i)
+		sidecar.ran = true
+		s.progress(i)
 	}
 }
 
-func (w *world) post(e Event) { w.queue = append(w.queue, e) }
+func (s *simulation) post(e Event) { s.pending = append(s.pending, e) }
 
 // submit lets one submission meet its fate.
-func (w *world) submit(i int) {
-	side := w.sides[i]
-	held := w.plan.CallerHasKey && w.state.attempts[i].held
-	switch fate := rapid.IntRange(0, 5).Draw(w.t, "fate"); {
-	case fate == 0:
-		w.post(Unreachable{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
-	case fate == 1: // lost before or after it got there
-		if rapid.Bool().Draw(w.t, "arrived") && !side.closed {
-			side.ran = true
+func (s *simulation) submit(i int) {
+	sidecar := s.sidecars[i]
+	callerKey := s.plan.CallerHasKey && s.state.attempts[i].underCallerKey
+	switch outcome := rapid.IntRange(0, 5).Draw(s.t, "fate"); {
+	case outcome == 0:
+		s.post(Unreachable{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
+	case outcome == 1: // lost before or after it got there
+		if rapid.Bool().Draw(s.t, "arrived") && !sidecar.neverRuns {
+			sidecar.ran = true
 		}
-		w.post(ConnectionLost{Now: w.now, Attempt: i})
-	case fate == 2 && rapid.Bool().Draw(w.t, "restart"):
-		side.restarted = true
-		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
-	case side.restarted:
-		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
-	case side.ran:
-		w.admit(i)
-	case fate == 3:
-		side.closed = true
-		r := Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")}
-		if held && rapid.Bool().Draw(w.t, "moved") {
+		s.post(ConnectionLost{Now: s.now, Attempt: i})
+	case outcome == 2 && rapid.Bool().Draw(s.t, "restart"):
+		sidecar.restarted = true
+		s.post(Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
+	case sidecar.restarted:
+		s.post(Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
+	case sidecar.ran:
+		s.admit(i)
+	case outcome == 3:
+		sidecar.neverRuns = true
+		r := Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")}
+		if callerKey && rapid.Bool().Draw(s.t, "moved") {
 			r.Moved = &wire.Key{}
 		}
-		w.refused = w.refused || held && r.Moved == nil
-		w.post(r)
+		s.callerKeyRefused = s.callerKeyRefused || callerKey && r.Moved == nil
+		s.post(r)
 	default:
-		side.ran = true
-		w.admit(i)
+		sidecar.ran = true
+		s.admit(i)
 	}
 }
 
-func (w *world) admit(i int) {
-	w.post(Admitted{Attempt: i})
-	w.piece(i)
+func (s *simulation) admit(i int) {
+	s.post(Admitted{Attempt: i})
+	s.progress(i)
 }
 
-func (w *world) attach(i int) {
-	if w.sides[i].restarted {
-		w.post(Refused{Now: w.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
+func (s *simulation) attach(i int) {
+	if s.sidecars[i].restarted {
+		s.post(Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
 		return
 	}
-	w.piece(i)
+	s.progress(i)
 }
 
-// piece lets an admitted attempt go on.
-func (w *world) piece(i int) {
-	switch rapid.IntRange(0, 6).Draw(w.t, "piece") {
+// progress lets an admitted attempt go on.
+func (s *simulation) progress(i int) {
+	switch rapid.IntRange(0, 6).Draw(s.t, "piece") {
 	case 0:
-		w.post(ConnectionLost{Now: w.now, Attempt: i})
+		s.post(ConnectionLost{Now: s.now, Attempt: i})
 	case 1:
-		w.sides[i].restarted = true
-		w.post(ConnectionLost{Now: w.now, Attempt: i})
+		s.sidecars[i].restarted = true
+		s.post(ConnectionLost{Now: s.now, Attempt: i})
 	case 2:
-		w.post(Ended{Now: w.now, Attempt: i, Err: verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")})
+		s.post(Ended{Now: s.now, Attempt: i, Err: verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")})
 	case 3: // silence, until a deadline
 	default:
 		switch {
-		case w.delivered && w.state.winner == i:
-			w.post(Ended{Now: w.now, Attempt: i})
-		case w.delivered: // an answer that goes on with another's
-			w.post(ResponseStarted{Now: w.now, Attempt: i, Resumable: true})
+		case s.delivered && s.state.winner == i:
+			s.post(Ended{Now: s.now, Attempt: i})
+		case s.delivered: // an answer that goes on with another's
+			s.post(ResponseStarted{Now: s.now, Attempt: i, Resumable: true})
 		default:
-			events := rapid.Bool().Draw(w.t, "events")
-			w.resumable = w.plan.Resumable && events
-			w.post(ResponseStarted{Now: w.now, Attempt: i, Resumable: events})
+			events := rapid.Bool().Draw(s.t, "events")
+			s.resumable = s.plan.Resumable && events
+			s.post(ResponseStarted{Now: s.now, Attempt: i, Resumable: events})
 		}
 	}
 }
 
 // step delivers one of the waiting events, or lets time pass.
-func (w *world) step() {
-	if len(w.queue) == 0 || rapid.IntRange(0, 9).Draw(w.t, "tick") == 0 {
-		if at := w.state.Wake(); !at.IsZero() {
-			w.now = at
+func (s *simulation) step() {
+	if len(s.pending) == 0 || rapid.IntRange(0, 9).Draw(s.t, "tick") == 0 {
+		if at := s.state.Wake(); !at.IsZero() {
+			s.now = at
 		}
-		w.apply(Ticked{Now: w.now})
+		s.apply(Ticked{Now: s.now})
 		return
 	}
-	i := rapid.IntRange(0, len(w.queue)-1).Draw(w.t, "next")
-	e := w.queue[i]
-	w.queue = append(w.queue[:i], w.queue[i+1:]...)
-	w.apply(e)
+	i := rapid.IntRange(0, len(s.pending)-1).Draw(s.t, "next")
+	e := s.pending[i]
+	s.pending = append(s.pending[:i], s.pending[i+1:]...)
+	s.apply(e)
 }
 
-func (w *world) apply(e Event) {
-	for _, effect := range w.state.Step(e) {
-		w.act(effect)
+func (s *simulation) apply(e Event) {
+	for _, effect := range s.state.Step(e) {
+		s.act(effect)
 	}
 }
 
-func (w *world) ran() int {
+func (s *simulation) runs() int {
 	n := 0
-	for _, side := range w.sides {
-		if side.ran {
+	for _, sidecar := range s.sidecars {
+		if sidecar.ran {
 			n++
 		}
 	}
@@ -216,12 +216,12 @@
 // service has started, sidecars refuse, restart and move the request on, and
 // deadlines pass. The guest is then told "not run" while a room is held, or
 // finds two bookings, if any path through the machine forgets an attempt.
-func TestVerdictsAreTrueOnEveryPath(t *testing.T) {
-	finals := make(map[verdict.Verdict]int)
+func TestVerdictIsCorrectOnEveryPath(t *testing.T) {
+	verdicts := make(map[verdict.Verdict]int)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		w := &world{t: t, now: now, budget: &retry.Budget{}}
-		w.plan = Plan{
+		sim := &simulation{t: t, now: now, budget: &retry.Budget{}}
+		sim.plan = Plan{
 			Idempotent:   rapid.Bool().Draw(t, "idempotent"),
 			ReadOnly:     rapid.Bool().Draw(t, "read"),
 			CallerHasKey: rapid.Bool().Draw(t, "held"),
@@ -233,44 +233,44 @@
 			FirstByte:    now.Add(2 * time.Second),
 			Deadline:     now.Add(3 * time.Second),
 		}
-		if rapid.Bool().Draw(t, "switches") && w.plan.Direct {
-			w.plan.SwitchAfter = 500 * time.Millisecond
+		if rapid.Bool().Draw(t, "switches") && sim.plan.Direct {
+			sim.plan.SwitchAfter = 500 * time.Millisecond
 		}
-		w.plan.CallerHasKey = w.plan.CallerHasKey && !w.plan.Direct
-		w.plan.Resumable = w.plan.Resumable && w.plan.Direct
+		sim.plan.CallerHasKey = sim.plan.CallerHasKey && !sim.plan.Direct
+		sim.plan.Resumable = sim.plan.Resumable && sim.plan.Direct
 		for range rapid.IntRange(0, 30).Draw(t, "earlier requests") {
-			w.budget.Deposit(retry.MaxRatio)
+			sim.budget.Deposit(retry.MaxRatio)
 		}
-		w.state = New(w.plan, w)
-		w.apply(Began{Now: now})
-		for steps := 0; w.final == nil; steps++ {
+		sim.state = New(sim.plan, sim)
+		sim.apply(Began{Now: now})
+		for steps := 0; sim.finish == nil; steps++ {
 			if steps > 1000 {
 				t.Fatal("no end")
 			}
-			w.step()
+			sim.step()
 		}
-		if w.final.Err == nil {
+		if sim.finish.Err == nil {
 			return
 		}
-		finals[w.final.Err.Verdict]++
-		if w.final.Err.Verdict == verdict.NotRun && w.ran() > 0 {
-			t.Fatalf("said not-run of what ran: %v", w.final.Err)
+		verdicts[sim.finish.Err.Verdict]++
+		if sim.finish.Err.Verdict == verdict.NotRun && sim.runs() > 0 {
+			t.Fatalf("said not-run of what ran: %v", sim.finish.Err)
 		}
-		if !w.plan.Idempotent && !w.plan.Resumable && w.ran() > 1 {
-			t.Fatalf("ran %d times", w.ran())
+		if !sim.plan.Idempotent && !sim.plan.Resumable && sim.runs() > 1 {
+			t.Fatalf("ran %d times", sim.runs())
 		}
-		if w.plan.MaxSends > 0 && w.plan.Direct && w.ran() > w.plan.MaxSends {
-			t.Fatalf("ran at %d upstreams of at most %d", w.ran(), w.plan.MaxSends)
+		if sim.plan.MaxSends > 0 && sim.plan.Direct && sim.runs() > sim.plan.MaxSends {
+			t.Fatalf("ran at %d upstreams of at most %d", sim.runs(), sim.plan.MaxSends)
 		}
-		if w.refused && w.ran() > 0 {
+		if sim.callerKeyRefused && sim.runs() > 0 {
 			t.Fatal("ran although other copies of the request are told not-run")
 		}
-		if w.ran() > 1+w.withdrawn {
-			t.Fatalf("%d runs with %d paid for", w.ran(), w.withdrawn)
+		if sim.runs() > 1+sim.withdrawals {
+			t.Fatalf("%d runs with %d paid for", sim.runs(), sim.withdrawals)
 		}
 	})
 	for _, v := range []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran} {
-		if finals[v] == 0 {
+		if verdicts[v] == 0 {
 			t.Errorf("no path ended in %v", v)
 		}
 	}
@@ -278,7 +278,7 @@
 
 // The first upstream is slow to answer a clip fetch, the hedge answers, and
 // then the first one does too. Two answers to one request would be mixed.
-func TestOnlyTheFirstOfTwoHedgedAnswersIsDelivered(t *testing.T) {
+func TestOnlyFirstHedgedResponseIsDelivered(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &retry.Budget{}
 	for range 11 {
@@ -300,7 +300,7 @@
 
 // A clip fetch crashes its upstream while its hedge runs at the next one. Left
 // alone, the hedge crashes that one too, before anyone has heard of the first.
-func TestHedgeIsCancelledWhenItsSiblingCrashesAnUpstream(t *testing.T) {
+func TestHedgeIsCancelledWhenOtherAttemptCrashesUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &retry.Budget{}
 	for range 11 {
@@ -321,7 +321,7 @@
 // upstream that a booking is offered to has not heard of the others' loads yet and
 // refuses, the other two are full by the time it gets to them. The guest was told to
 // come back although the first upstream had room all the time.
-func TestTheFirstToRefuseForItsBoundIsAskedAgain(t *testing.T) {
+func TestFirstOverBoundUpstreamIsOfferedAgain(t *testing.T) {
 	overBound := verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")
 	s := New(Plan{MaxOffers: 3}, &retry.Budget{})
 	got := s.Step(Began{Now: time.Unix(1000, 0)})
@@ -338,7 +338,7 @@
 
 // The same while the last of the pool drains: what it refuses for says nothing of the
 // room at the first.
-func TestTheFirstToRefuseForItsBoundIsAskedAgainAfterADrainingOne(t *testing.T) {
+func TestFirstOverBoundUpstreamIsOfferedAgainAfterDrainingOne(t *testing.T) {
 	s := New(Plan{MaxOffers: 2}, &retry.Budget{})
 	s.Step(Began{Now: time.Unix(1000, 0)})
 	s.Step(Refused{Attempt: 0, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")})
@@ -348,24 +348,24 @@
 	}
 }
 
-// advisor is a Budget that has an opinion on when to come back.
-type advisor struct {
+// adviceBudget is a Budget that has an opinion on when to come back.
+type adviceBudget struct {
 	retry.Budget
 	left time.Duration // that it was told of
 }
 
-func (a *advisor) RetryAfter(left time.Duration) time.Duration {
+func (a *adviceBudget) RetryAfter(left time.Duration) time.Duration {
 	a.left = left
 	return 3 * time.Second
 }
 
 // A pool turns a guest away, and its requests speak for three seconds. The guest is told
 // so, unless an upstream has named a time itself.
-func TestCallersAreToldWhatThePoolSpeaksFor(t *testing.T) {
+func TestRetryAfterComesFromUpstreamOrPool(t *testing.T) {
 	now := time.Unix(1000, 0)
 	full := verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")
 	for named, want := range map[time.Duration]time.Duration{0: 3 * time.Second, time.Second: time.Second} {
-		var a advisor
+		var a adviceBudget
 		s := New(Plan{Direct: true, MaxOffers: 1, Deadline: now.Add(9 * time.Second)}, &a)
 		s.Step(Began{Now: now})
 		err := full
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -16,8 +16,8 @@
 	// a request without any progress in between.
 	maxReconnects = 6
 
-	// reconnectsHere is after how many of these a request runs elsewhere that may.
-	reconnectsHere = 1
+	// reconnectsBeforeFailover is after how many of these a request runs elsewhere that may.
+	reconnectsBeforeFailover = 1
 
 	// defaultRetryAfter is the advice to a caller where nobody gave a better one.
 	defaultRetryAfter = time.Second
@@ -39,45 +39,45 @@
 const (
 	submitted phase = iota // it may or may not have reached the sidecar
 	admitted               // the sidecar has it in its table
-	over
+	ended
 )
 
 type attempt struct {
-	phase      phase
-	candidate  int  // that it was offered to, or none
-	held       bool // under the caller's key, or a successor of it
-	link       int  // place in the chain of keys
-	reconnects int  // since the last progress
+	phase          phase
+	candidate      int  // that it was offered to, or none
+	underCallerKey bool // under the caller's key, or a successor of it
+	chainIndex     int  // place in the chain of keys
+	reconnects     int  // since the last progress
 }
 
 // State is the state of one request.
 type State struct {
-	plan     Plan
-	budget   Budget
-	began    time.Time
-	now      time.Time // of the last event that told
-	sent     time.Time // when the last attempt was offered
-	attempts []attempt
-	offered  int  // candidates used so far
-	unsent   int  // attempts that reached nobody
-	full     int  // first candidate that refused for its bound on load, or none
-	askAgain bool // that candidate may be offered the request once more
-	hedged   bool
-	patient  bool // no budget is left to give up a silent attempt
-	winner   int  // attempt whose answer goes to the caller, or none
-	begun    bool // the caller has a part of an answer
-	resume   bool // another run may go on with that answer
-	finished bool
+	plan              Plan
+	budget            Budget
+	startedAt         time.Time
+	now               time.Time // of the last event that told
+	lastOfferAt       time.Time // when the last attempt was offered
+	attempts          []attempt
+	offered           int  // candidates used so far
+	unsent            int  // attempts that reached nobody
+	firstOverBound    int  // first candidate that refused for its bound on load, or none
+	mayOfferAgain     bool // that candidate may be offered the request once more
+	hedged            bool
+	switchBudgetSpent bool // no budget is left to give up a silent attempt
+	winner            int  // attempt whose answer goes to the caller, or none
+	partDelivered     bool // the caller has a part of an answer
+	resumable         bool // another run may go on with that answer
+	finished          bool
 
-	doubt *verdict.Error // why the request may have run, if that is so
-	later time.Duration  // the shortest advice of those who refused
+	mayHaveRun    *verdict.Error // why the request may have run, if that is so
+	minRetryAfter time.Duration  // the shortest advice of those who refused
 }
 
 const none = -1
 
 // New returns the State of a request that is about to begin.
 func New(p Plan, b Budget) *State {
-	return &State{plan: p, budget: b, winner: none, full: none, askAgain: true}
+	return &State{plan: p, budget: b, winner: none, firstOverBound: none, mayOfferAgain: true}
 }
 
 // Finished reports whether Finish has been returned.
@@ -88,14 +88,14 @@
 // Wake returns when Ticked is due next; the zero time means never.
 func (s *State) Wake() time.Time {
 	next := s.plan.Deadline
-	if !s.begun {
+	if !s.partDelivered {
 		next = earlier(next, s.plan.FirstByte)
 		if s.mayHedge() {
-			next = earlier(next, s.began.Add(s.plan.HedgeAfter))
+			next = earlier(next, s.startedAt.Add(s.plan.HedgeAfter))
 		}
 	}
 	if s.maySwitch() {
-		next = earlier(next, s.sent.Add(s.plan.SwitchAfter))
+		next = earlier(next, s.lastOfferAt.Add(s.plan.SwitchAfter))
 	}
 	return next
 }
@@ -117,10 +117,10 @@
 	}
 	switch e := event.(type) {
 	case Began:
-		s.began = e.Now
+		s.startedAt = e.Now
 		if s.plan.AttachOnly {
 			s.offered++
-			return []Effect{Attach{Attempt: s.start(attempt{phase: admitted, candidate: none, held: true})}}
+			return []Effect{Attach{Attempt: s.addAttempt(attempt{phase: admitted, candidate: none, underCallerKey: true})}}
 		}
 		return s.offer(s.plan.CallerHasKey)
 	case Unreachable:
@@ -128,21 +128,21 @@
 	case Refused:
 		return s.refused(e)
 	case ConnectionLost:
-		return s.lost(e.Attempt)
+		return s.connectionLost(e.Attempt)
 	case Admitted:
-		s.admitted(e.Attempt)
+		s.markAdmitted(e.Attempt)
 	case ErrorResponse:
-		return s.declined(e)
+		return s.errorResponse(e)
 	case ResponseStarted:
-		return s.opened(e)
+		return s.responseStarted(e)
 	case PieceDelivered:
 		s.attempts[s.winner].reconnects = 0
 	case Stalled:
-		return s.silent(e)
+		return s.stalled(e)
 	case Ended:
 		return s.ended(e)
 	case NotSent:
-		s.attempts[e.Attempt].phase = over
+		s.attempts[e.Attempt].phase = ended
 	case Ticked:
 		return s.ticked(e.Now)
 	}
@@ -178,45 +178,45 @@
 	return retry.RequestInfo{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
 		ReadOnly:      s.plan.ReadOnly,
-		AnswerStarted: s.begun && !s.resume,
+		AnswerStarted: s.partDelivered && !s.resumable,
 	}
 }
 
 func (s *State) mayHedge() bool {
 	return !s.hedged && s.plan.HedgeAfter > 0 && !s.plan.CallerHasKey &&
-		!s.spent() && retry.MayHedge(s.conditions())
+		!s.exhausted() && retry.MayHedge(s.conditions())
 }
 
 // maySwitch reports whether the one attempt that is under way may be given up for
 // another upstream.
 func (s *State) maySwitch() bool {
-	return s.plan.SwitchAfter > 0 && s.winner == none && !s.patient && !s.spent() && s.alive() == 1 &&
+	return s.plan.SwitchAfter > 0 && s.winner == none && !s.switchBudgetSpent && !s.exhausted() && s.activeAttempts() == 1 &&
 		s.conditions().Idempotent
 }
 
-// spent reports whether the request may go to no further upstream.
-func (s *State) spent() bool {
+// exhausted reports whether the request may go to no further upstream.
+func (s *State) exhausted() bool {
 	sends := len(s.attempts) - s.unsent
 	return s.offered >= s.plan.MaxOffers || s.plan.MaxSends > 0 && sends >= s.plan.MaxSends
 }
 
-// alive counts the attempts that are not over.
-func (s *State) alive() int {
+// activeAttempts counts the attempts that are not over.
+func (s *State) activeAttempts() int {
 	n := 0
 	for _, a := range s.attempts {
-		if a.phase != over {
+		if a.phase != ended {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *State) start(a attempt) int {
+func (s *State) addAttempt(a attempt) int {
 	s.attempts = append(s.attempts, a)
 	return len(s.attempts) - 1
 }
 
-func (s *State) admitted(i int) {
+func (s *State) markAdmitted(i int) {
 	a := &s.attempts[i]
 	if a.phase == submitted {
 		a.phase = admitted
@@ -224,18 +224,18 @@
 	}
 }
 
-func (s *State) offer(held bool) []Effect {
-	if s.spent() {
+func (s *State) offer(underCallerKey bool) []Effect {
+	if s.exhausted() {
 		return s.finish(verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream is left to try"))
 	}
 	s.offered++
-	return s.offerTo(s.offered-1, held)
+	return s.offerTo(s.offered-1, underCallerKey)
 }
 
-func (s *State) offerTo(candidate int, held bool) []Effect {
-	s.sent = s.now
-	number := s.start(attempt{candidate: candidate, held: held})
-	return []Effect{Offer{Attempt: number, Candidate: candidate, Continue: s.begun}}
+func (s *State) offerTo(candidate int, underCallerKey bool) []Effect {
+	s.lastOfferAt = s.now
+	i := s.addAttempt(attempt{candidate: candidate, underCallerKey: underCallerKey})
+	return []Effect{Offer{Attempt: i, Candidate: candidate, Continue: s.partDelivered}}
 }
 
 // offerAgain offers the request once more to the first candidate that refused it for
@@ -249,13 +249,13 @@
 // requests at a time to three idle upstreams 18 of 8640 were turned away without this,
 // 1 of 17280 with it.
 func (s *State) offerAgain() []Effect {
-	s.askAgain = false
-	return s.offerTo(s.full, false)
+	s.mayOfferAgain = false
+	return s.offerTo(s.firstOverBound, false)
 }
 
-func (s *State) follow(link int, key wire.Key) []Effect {
+func (s *State) follow(chainIndex int, key wire.Key) []Effect {
 	if s.plan.AttachOnly {
-		return []Effect{FollowAttach{Attempt: s.start(attempt{phase: admitted, candidate: none, held: true, link: link}), Key: key}}
+		return []Effect{FollowAttach{Attempt: s.addAttempt(attempt{phase: admitted, candidate: none, underCallerKey: true, chainIndex: chainIndex}), Key: key}}
 	}
-	return []Effect{Follow{Attempt: s.start(attempt{candidate: none, held: true, link: link}), Key: key}}
+	return []Effect{Follow{Attempt: s.addAttempt(attempt{candidate: none, underCallerKey: true, chainIndex: chainIndex}), Key: key}}
 }
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -15,23 +15,23 @@
 // router, so that nothing is known of it until the sidecar is asked.
 func (s *State) unreachable(e Unreachable) []Effect {
 	a := &s.attempts[e.Attempt]
-	if a.phase == over {
+	if a.phase == ended {
 		return nil
 	}
-	fresh := a.phase == submitted && a.reconnects == 0 && !a.held
+	fresh := a.phase == submitted && a.reconnects == 0 && !a.underCallerKey
 	if fresh {
 		s.unsent++
 		return s.failed(e.Attempt, retry.Failure{Err: e.Err})
 	}
-	return s.lost(e.Attempt)
+	return s.connectionLost(e.Attempt)
 }
 
-// lost handles a connection that broke. The sidecar either has the request or
+// connectionLost handles a connection that broke. The sidecar either has the request or
 // not, and the same key to the same sidecar settles it either way: it joins
 // what runs, or runs for the first time.
-func (s *State) lost(i int) []Effect {
+func (s *State) connectionLost(i int) []Effect {
 	a := &s.attempts[i]
-	if a.phase == over {
+	if a.phase == ended {
 		return nil
 	}
 	a.reconnects++
@@ -39,9 +39,9 @@
 	if s.plan.Direct || a.reconnects > maxReconnects {
 		return s.failed(i, retry.Failure{Err: err, Reached: true})
 	}
-	if a.reconnects > reconnectsHere && s.alive() == 1 && s.mayRunElsewhere() && s.budget.Withdraw() {
-		a.phase = over
-		s.note(err)
+	if a.reconnects > reconnectsBeforeFailover && s.activeAttempts() == 1 && s.mayRunElsewhere() && s.budget.Withdraw() {
+		a.phase = ended
+		s.recordFailure(err)
 		return s.offer(false)
 	}
 	if a.phase == admitted {
@@ -53,62 +53,62 @@
 // mayRunElsewhere reports whether a second run may take the place of a sidecar
 // that does not answer. It costs budget, while more tries to reconnect do not.
 func (s *State) mayRunElsewhere() bool {
-	return s.plan.Idempotent && s.winner == none && !s.spent()
+	return s.plan.Idempotent && s.winner == none && !s.exhausted()
 }
 
 func (s *State) refused(e Refused) []Effect {
 	a := s.attempts[e.Attempt]
-	if a.phase == over {
+	if a.phase == ended {
 		return nil
 	}
-	if e.Moved != nil && a.link+1 < MaxKeyChain {
-		s.attempts[e.Attempt].phase = over
-		return s.follow(a.link+1, *e.Moved)
+	if e.Moved != nil && a.chainIndex+1 < MaxKeyChain {
+		s.attempts[e.Attempt].phase = ended
+		return s.follow(a.chainIndex+1, *e.Moved)
 	}
 	if e.Moved != nil {
 		e.Err = verdict.New(verdict.MayHaveRun, verdict.ReasonMoved, "the request has moved too often to be followed")
 	}
 	// An attach is refused by a sidecar that has the request no longer, or by
 	// the next incarnation. The request had been admitted there.
-	asked := a.phase == admitted || s.plan.Direct
-	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: asked, Final: e.Final})
+	upstreamAsked := a.phase == admitted || s.plan.Direct
+	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: upstreamAsked, Final: e.Final})
 }
 
-// opened handles the first piece of an answer. The first attempt to get there
+// responseStarted handles the first piece of an answer. The first attempt to get there
 // answers the caller; a hedge that comes second is cancelled.
-func (s *State) opened(e ResponseStarted) []Effect {
+func (s *State) responseStarted(e ResponseStarted) []Effect {
 	i := e.Attempt
-	if s.winner != none || s.attempts[i].phase == over {
+	if s.winner != none || s.attempts[i].phase == ended {
 		return nil
 	}
-	s.winner, s.begun = i, true
-	s.resume = s.plan.Resumable && e.Resumable
-	return append(s.dropOthers(i), Deliver{Attempt: i, Resumable: s.resume})
+	s.winner, s.partDelivered = i, true
+	s.resumable = s.plan.Resumable && e.Resumable
+	return append(s.cancelOthers(i), Deliver{Attempt: i, Resumable: s.resumable})
 }
 
-// declined handles an upstream's own word that it has failed. Where the request
+// errorResponse handles an upstream's own word that it has failed. Where the request
 // may run again that is tried; else the upstream's answer is the best there is.
-func (s *State) declined(e ErrorResponse) []Effect {
-	if s.winner != none || s.attempts[e.Attempt].phase == over {
+func (s *State) errorResponse(e ErrorResponse) []Effect {
+	if s.winner != none || s.attempts[e.Attempt].phase == ended {
 		return nil
 	}
 	f := retry.Failure{Err: e.Err, Reached: true}
-	if s.begun { // of another answer, which this one cannot go on with
+	if s.partDelivered { // of another answer, which this one cannot go on with
 		return append([]Effect{Cancel{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
 	}
-	if retry.Decide(f, s.conditions()) != retry.Retry || s.spent() || s.alive() > 1 || !s.budget.Withdraw() {
-		return s.opened(ResponseStarted{Now: e.Now, Attempt: e.Attempt})
+	if retry.Decide(f, s.conditions()) != retry.Retry || s.exhausted() || s.activeAttempts() > 1 || !s.budget.Withdraw() {
+		return s.responseStarted(ResponseStarted{Now: e.Now, Attempt: e.Attempt})
 	}
-	s.attempts[e.Attempt].phase = over
-	s.note(e.Err)
+	s.attempts[e.Attempt].phase = ended
+	s.recordFailure(e.Err)
 	return append([]Effect{Cancel{Attempt: e.Attempt}}, s.offer(false)...)
 }
 
-func (s *State) dropOthers(keep int) []Effect {
+func (s *State) cancelOthers(keep int) []Effect {
 	var effects []Effect
 	for i := range s.attempts {
-		if i != keep && s.attempts[i].phase != over {
-			s.attempts[i].phase = over
+		if i != keep && s.attempts[i].phase != ended {
+			s.attempts[i].phase = ended
 			effects = append(effects, Cancel{Attempt: i})
 		}
 	}
@@ -119,7 +119,7 @@
 	if e.Err != nil {
 		return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: retry.ReachedUpstream(e.Err)})
 	}
-	s.attempts[e.Attempt].phase = over
+	s.attempts[e.Attempt].phase = ended
 	s.finished = true
 	return []Effect{Finish{}}
 }
@@ -127,34 +127,34 @@
 // failed ends an attempt and decides what follows.
 func (s *State) failed(i int, f retry.Failure) []Effect {
 	a := &s.attempts[i]
-	if a.phase == over {
+	if a.phase == ended {
 		return nil
 	}
-	a.phase = over
-	s.note(f.Err)
-	if i == s.winner && s.resume {
+	a.phase = ended
+	s.recordFailure(f.Err)
+	if i == s.winner && s.resumable {
 		s.winner = none
 	}
 	// If it was the request that crashed the upstream, its hedge is about to
 	// crash the next one.
 	if s.hedged && f.Err.Reason == verdict.ReasonUpstreamFailed && f.Err.Verdict != verdict.NotRun {
-		return append(s.dropOthers(s.winner), s.next(*a, f)...)
+		return append(s.cancelOthers(s.winner), s.retryOrFinish(*a, f)...)
 	}
-	if i != s.winner && s.alive() > 0 {
+	if i != s.winner && s.activeAttempts() > 0 {
 		return nil // the other of two hedged attempts goes on
 	}
-	return s.next(*a, f)
+	return s.retryOrFinish(*a, f)
 }
 
-func (s *State) next(a attempt, f retry.Failure) []Effect {
-	next := s.after(a, f)
-	if f.Err.Reason == verdict.ReasonOverBound && s.full == none {
-		s.full = a.candidate
+func (s *State) retryOrFinish(a attempt, f retry.Failure) []Effect {
+	next := s.nextAction(a, f)
+	if f.Err.Reason == verdict.ReasonOverBound && s.firstOverBound == none {
+		s.firstOverBound = a.candidate
 	}
 	switch {
-	case next == retry.Reroute && s.spent() && s.askAgain && s.full != none:
+	case next == retry.Reroute && s.exhausted() && s.mayOfferAgain && s.firstOverBound != none:
 		return s.offerAgain()
-	case s.plan.AttachOnly || s.spent() || next == retry.Stop:
+	case s.plan.AttachOnly || s.exhausted() || next == retry.Stop:
 		return s.finish(f.Err)
 	case next == retry.Retry && !s.budget.Withdraw():
 		return s.finish(f.Err)
@@ -163,23 +163,23 @@
 	}
 }
 
-// after returns what may follow a failure. A refusal of a key that the caller
+// nextAction returns what may follow a failure. A refusal of a key that the caller
 // holds is remembered by the sidecar and told to every copy of the request, so
 // no copy may run under another key.
-func (s *State) after(a attempt, f retry.Failure) retry.Decision {
-	if a.held && f.Err.Verdict == verdict.NotRun {
+func (s *State) nextAction(a attempt, f retry.Failure) retry.Decision {
+	if a.underCallerKey && f.Err.Verdict == verdict.NotRun {
 		return retry.Stop
 	}
 	return retry.Decide(f, s.conditions())
 }
 
-// note remembers what an attempt's failure says about the request as a whole.
-func (s *State) note(err *verdict.Error) {
+// recordFailure remembers what an attempt's failure says about the request as a whole.
+func (s *State) recordFailure(err *verdict.Error) {
 	if err.Verdict != verdict.NotRun {
-		s.doubt = err
+		s.mayHaveRun = err
 	}
-	if err.RetryAfter > 0 && (s.later == 0 || err.RetryAfter < s.later) {
-		s.later = err.RetryAfter
+	if err.RetryAfter > 0 && (s.minRetryAfter == 0 || err.RetryAfter < s.minRetryAfter) {
+		s.minRetryAfter = err.RetryAfter
 	}
 }
 
@@ -188,28 +188,28 @@
 func (s *State) finish(err *verdict.Error) []Effect {
 	var effects []Effect
 	if s.hedged {
-		effects = s.dropOthers(s.winner)
+		effects = s.cancelOthers(s.winner)
 	}
 	s.finished = true
-	if err.Verdict == verdict.NotRun && s.doubt != nil {
-		err = s.doubt
+	if err.Verdict == verdict.NotRun && s.mayHaveRun != nil {
+		err = s.mayHaveRun
 	}
-	if s.begun && err.Verdict != verdict.Ran {
-		sent := *err
-		sent.Verdict = verdict.Ran // the caller has a part of the answer
-		err = &sent
+	if s.partDelivered && err.Verdict != verdict.Ran {
+		ran := *err
+		ran.Verdict = verdict.Ran // the caller has a part of the answer
+		err = &ran
 	}
-	if worthwhile(err) {
-		err = err.WithRetryAfter(s.advice())
+	if mayRetryLater(err) {
+		err = err.WithRetryAfter(s.retryAfter())
 	}
 	return append(effects, Finish{Err: err})
 }
 
-// advice returns when to come back: the soonest that an upstream named, else what the
+// retryAfter returns when to come back: the soonest that an upstream named, else what the
 // requests of its pool speak for.
-func (s *State) advice() time.Duration {
-	if s.later > 0 {
-		return s.later
+func (s *State) retryAfter() time.Duration {
+	if s.minRetryAfter > 0 {
+		return s.minRetryAfter
 	}
 	left := time.Duration(0)
 	if !s.plan.Deadline.IsZero() {
@@ -218,61 +218,61 @@
 	return cmp.Or(s.budget.RetryAfter(left), defaultRetryAfter)
 }
 
-// worthwhile reports whether the same request may fare better later.
-func worthwhile(err *verdict.Error) bool {
+// mayRetryLater reports whether the same request may fare better later.
+func mayRetryLater(err *verdict.Error) bool {
 	return err.Verdict == verdict.NotRun && retry.Transient(err.Reason)
 }
 
 // ticked handles the deadlines and starts the hedge.
 func (s *State) ticked(now time.Time) []Effect {
 	switch {
-	case due(s.plan.Deadline, now):
-		return s.overdue("the answer is not complete within the profile's deadline")
-	case !s.begun && due(s.plan.FirstByte, now):
-		return s.overdue("the answer has not begun within the profile's deadline")
-	case s.maySwitch() && due(s.sent.Add(s.plan.SwitchAfter), now):
-		return s.giveUp()
-	case s.mayHedge() && due(s.began.Add(s.plan.HedgeAfter), now):
+	case reached(s.plan.Deadline, now):
+		return s.deadlineExceeded("the answer is not complete within the profile's deadline")
+	case !s.partDelivered && reached(s.plan.FirstByte, now):
+		return s.deadlineExceeded("the answer has not begun within the profile's deadline")
+	case s.maySwitch() && reached(s.lastOfferAt.Add(s.plan.SwitchAfter), now):
+		return s.switchUpstream()
+	case s.mayHedge() && reached(s.startedAt.Add(s.plan.HedgeAfter), now):
 		s.hedged = true
-		if s.alive() > 0 && s.budget.Withdraw() {
+		if s.activeAttempts() > 0 && s.budget.Withdraw() {
 			return s.offer(false)
 		}
 	}
 	return nil
 }
 
-// silent gives up an answer that has paused for too long, if another upstream can
+// stalled gives up an answer that has paused for too long, if another upstream can
 // go on with it. Otherwise it is waited for: silence alone ends no answer.
-func (s *State) silent(e Stalled) []Effect {
-	if e.Attempt != s.winner || !s.resume || s.spent() || !s.budget.Withdraw() {
+func (s *State) stalled(e Stalled) []Effect {
+	if e.Attempt != s.winner || !s.resumable || s.exhausted() || !s.budget.Withdraw() {
 		return nil
 	}
 	s.winner = none
-	s.note(verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the stream paused for too long"))
-	return append(s.dropOthers(none), s.offer(false)...)
+	s.recordFailure(verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the stream paused for too long"))
+	return append(s.cancelOthers(none), s.offer(false)...)
 }
 
-// giveUp cancels an attempt that has said nothing for too long and offers the
+// switchUpstream cancels an attempt that has said nothing for too long and offers the
 // request elsewhere. An upstream that hangs looks like this, and one whose answer
 // was lost on a connection that stays open.
-func (s *State) giveUp() []Effect {
+func (s *State) switchUpstream() []Effect {
 	if !s.budget.Withdraw() {
-		s.patient = true
+		s.switchBudgetSpent = true
 		return nil
 	}
-	s.note(verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the upstream did not answer in time"))
-	return append(s.dropOthers(none), s.offer(false)...)
+	s.recordFailure(verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "the upstream did not answer in time"))
+	return append(s.cancelOthers(none), s.offer(false)...)
 }
 
-func due(at, now time.Time) bool {
+func reached(at, now time.Time) bool {
 	return !at.IsZero() && !now.Before(at)
 }
 
-// overdue ends the request at a deadline. Attempts that were never sent have
+// deadlineExceeded ends the request at a deadline. Attempts that were never sent have
 // been sealed before, so one that is alive may have run.
-func (s *State) overdue(detail string) []Effect {
+func (s *State) deadlineExceeded(detail string) []Effect {
 	v := verdict.NotRun
-	if s.alive() > 0 {
+	if s.activeAttempts() > 0 {
 		v = verdict.MayHaveRun
 	}
 	err := verdict.New(v, verdict.ReasonDeadline, "%s", detail)
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -25,14 +25,14 @@
 	HeaderSession = "X-Session-Id"
 )
 
-// maxIdle is how many connections are kept.
-const maxIdle = 64
+// maxIdleConns is how many connections are kept.
+const maxIdleConns = 64
 
 // HTTP is an upstream at an HTTP address.
 type HTTP struct {
-	base  string
-	fresh *http.Client // with a connection for each call
-	kept  *http.Client
+	base     string
+	unpooled *http.Client // with a connection for each call
+	pooled   *http.Client
 }
 
 // NewHTTP returns the upstream at base, such as http://127.0.0.1:8000.
@@ -43,13 +43,13 @@
 // calls by itself, so that they run twice. On a new one, a call that could not
 // connect has not run.
 func NewHTTP(base string) *HTTP {
-	return &HTTP{base: base, fresh: newClient(false), kept: newClient(true)}
+	return &HTTP{base: base, unpooled: newClient(false), pooled: newClient(true)}
 }
 
-func newClient(kept bool) *http.Client {
+func newClient(pooled bool) *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	transport.DisableKeepAlives = !kept
-	transport.MaxIdleConnsPerHost = maxIdle
+	transport.DisableKeepAlives = !pooled
+	transport.MaxIdleConnsPerHost = maxIdleConns
 	transport.DisableCompression = true
 	transport.Proxy = nil
 	return &http.Client{Transport: transport, CheckRedirect: noRedirect}
@@ -57,9 +57,9 @@
 
 func (h *HTTP) client(r Request) *http.Client {
 	if r.Idempotent {
-		return h.kept
+		return h.pooled
 	}
-	return h.fresh
+	return h.unpooled
 }
 
 // noRedirect passes a redirect on to the caller: following it would run a
@@ -81,7 +81,7 @@
 	setHeader(req.Header, r)
 	resp, err := h.client(r).Do(req)
 	if err != nil {
-		return nil, failure(err, connected.Load())
+		return nil, callError(err, connected.Load())
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
@@ -106,20 +106,20 @@
 	return strconv.FormatUint(session, 16)
 }
 
-func failure(err error, connected bool) error {
+func callError(err error, connected bool) error {
 	if !connected {
-		return verdict.New(verdict.NotRun, reason(err, verdict.ReasonUpstreamDown), "%s", err)
+		return verdict.New(verdict.NotRun, reasonFor(err, verdict.ReasonUpstreamDown), "%s", err)
 	}
-	return verdict.New(verdict.MayHaveRun, reason(err, verdict.ReasonUpstreamFailed), "%s", err)
+	return verdict.New(verdict.MayHaveRun, reasonFor(err, verdict.ReasonUpstreamFailed), "%s", err)
 }
 
 // ResponseInterrupted is the error of an answer that broke off while its body was read.
 func ResponseInterrupted(err error) error {
-	return verdict.New(verdict.Ran, reason(err, verdict.ReasonUpstreamFailed), "the answer broke off: %s", err)
+	return verdict.New(verdict.Ran, reasonFor(err, verdict.ReasonUpstreamFailed), "the answer broke off: %s", err)
 }
 
-// reason tells what we ended ourselves from what the upstream did.
-func reason(err error, otherwise verdict.Reason) verdict.Reason {
+// reasonFor tells what we ended ourselves from what the upstream did.
+func reasonFor(err error, otherwise verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return verdict.ReasonDeadline
--- a/internal/upstream/kv.go
+++ b/internal/upstream/kv.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return errors.Wrap(err, "upstream: import")
 	}
-	resp, err := h.fresh.Do(req)
+	resp, err := h.unpooled.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "upstream: import")
 	}
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -18,7 +18,7 @@
 	// refuse an order with an old one, others ignore it.
 	HeaderFencingToken = "X-Fencing-Token"
 
-	maxOrderStatus = 64 << 10
+	maxOrderStatusBytes = 64 << 10
 )
 
 // OrderStatus returns the upstream's latest order and what it serves.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return status, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "%s", err)
 	}
-	resp, err := h.kept.Do(req)
+	resp, err := h.pooled.Do(req)
 	if err != nil {
 		return status, verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "%s", err)
 	}
@@ -36,7 +36,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return status, verdict.New(verdict.NotRun, verdict.ReasonNoOrders, "the upstream takes no orders: status %d", resp.StatusCode)
 	}
-	body := http.MaxBytesReader(nil, resp.Body, maxOrderStatus)
+	body := http.MaxBytesReader(nil, resp.Body, maxOrderStatusBytes)
 	if err := json.NewDecoder(body).Decode(&status); err != nil {
 		return status, verdict.New(verdict.NotRun, verdict.ReasonNoOrders, "%s", err)
 	}
@@ -54,9 +54,9 @@
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "%s", err)
 	}
 	req.Header.Set(HeaderFencingToken, strconv.FormatInt(int64(o.Token), 10))
-	resp, err := h.fresh.Do(req)
+	resp, err := h.unpooled.Do(req)
 	if err != nil {
-		return failure(err, true)
+		return callError(err, true)
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -14,8 +14,8 @@
 	// ProbeTimeout bounds a probe.
 	ProbeTimeout = time.Second
 
-	probePath = "/health"
-	maxHealth = 4 << 10 // bytes of an answer that are read
+	probePath      = "/health"
+	maxHealthBytes = 4 << 10 // bytes of an answer that are read
 )
 
 // Probe implements Upstream. Whatever answers over HTTP is up, also a service
@@ -34,7 +34,7 @@
 	defer resp.Body.Close()
 	var out Health
 	if resp.StatusCode == http.StatusOK {
-		_ = json.NewDecoder(io.LimitReader(resp.Body, maxHealth)).Decode(&out)
+		_ = json.NewDecoder(io.LimitReader(resp.Body, maxHealthBytes)).Decode(&out)
 	}
 	out.Running = max(0, out.Running)
 	return out
@@ -45,5 +45,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.fresh.Do(req)
+	return h.unpooled.Do(req)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,13 +13,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// get is a call that net/http thinks safe to repeat.
-var get = Request{ID: "1", Call: wire.Call{Method: http.MethodGet, Path: "/hold"}}
+// getRequest is a call that net/http thinks safe to repeat.
+var getRequest = Request{ID: "1", Call: wire.Call{Method: http.MethodGet, Path: "/hold"}}
 
 // A payment service drops the second connection on which it hears a call,
 // after it has begun to work. On a kept connection net/http sends the call
 // again by itself: the guest pays twice, and is told that all went well.
-func TestBrokenCallIsNotRepeated(t *testing.T) {
+func TestFailedCallIsNotRepeated(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
@@ -29,12 +29,12 @@
 	}))
 	defer server.Close()
 	u := NewHTTP(server.URL)
-	resp, err := u.Do(context.Background(), get)
+	resp, err := u.Do(context.Background(), getRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	_, err = u.Do(context.Background(), get)
+	_, err = u.Do(context.Background(), getRequest)
 	if e := verdict.From(err); e == nil || e.Verdict != verdict.MayHaveRun || e.Reason != verdict.ReasonUpstreamFailed {
 		t.Errorf("the broken call: %v", err)
 	}
@@ -45,7 +45,7 @@
 
 // A call to an upstream whose process has ended was not run, also when its
 // connections worked before; one that was written and not answered may have.
-func TestVerdictsFollowWhatWasSent(t *testing.T) {
+func TestVerdictDependsOnWhatWasSent(t *testing.T) {
 	arrived := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/hold" {
@@ -62,15 +62,15 @@
 		<-arrived
 		cancel()
 	}()
-	_, err := u.Do(ctx, get)
+	_, err := u.Do(ctx, getRequest)
 	if e := verdict.From(err); e == nil || e.Verdict != verdict.MayHaveRun || e.Reason != verdict.ReasonCancelled {
 		t.Errorf("cancelled under way: %v", err)
 	}
-	if _, err = u.Do(ctx, get); verdict.From(err) == nil || verdict.From(err).Verdict != verdict.NotRun {
+	if _, err = u.Do(ctx, getRequest); verdict.From(err) == nil || verdict.From(err).Verdict != verdict.NotRun {
 		t.Errorf("cancelled before: %v", err)
 	}
 	server.Close()
-	_, err = u.Do(context.Background(), get)
+	_, err = u.Do(context.Background(), getRequest)
 	if e := verdict.From(err); e == nil || e.Verdict != verdict.NotRun || e.Reason != verdict.ReasonUpstreamDown {
 		t.Errorf("process ended: %v", err)
 	}
@@ -80,7 +80,7 @@
 }
 
 // A frozen process still has its connections accepted, by the kernel.
-func TestProbeTellsAFrozenProcess(t *testing.T) {
+func TestProbeDetectsFrozenProcess(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,12 +95,12 @@
 func BenchmarkConnections(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
-	for _, kept := range []bool{false, true} {
-		b.Run(fmt.Sprintf("kept=%v", kept), func(b *testing.B) {
+	for _, pooled := range []bool{false, true} {
+		b.Run(fmt.Sprintf("kept=%v", pooled), func(b *testing.B) {
 			u := NewHTTP(server.URL)
 			for b.Loop() {
-				r := get
-				r.Idempotent = kept
+				r := getRequest
+				r.Idempotent = pooled
 				resp, err := u.Do(context.Background(), r)
 				if err != nil {
 					b.Fatal(err)
