--- a/internal/router/dispatch/event.go
+++ b/internal/router/dispatch/event.go
@@ -1,6 +1,7 @@
-// Package dispatch is the state machine of one caller's request in a router:
-// where it is offered, what is tried after a failure, and what its caller is
-// told. It is pure: it knows no connections and no clocks.
+// Package dispatch is the state machine of one caller's request in a router. It
+// decides which upstreams the request is offered to, what is tried after a
+// failure, and how the request ends. It does no I/O and reads no clock: events
+// carry the time, and the router carries out the effects.
 package dispatch
 
 import (
@@ -10,28 +11,29 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Plan is what is known of a request before it is offered to anyone.
+// Plan holds the properties and limits of a request that are fixed before its first attempt.
 type Plan struct {
-	Idempotent   bool // it may run more than once
-	ReadOnly     bool // it changes nothing
-	CallerHasKey bool // its caller holds the key: the first attempt runs under it
-	AttachOnly   bool // only the answer to an earlier request under the held key is wanted
-	Direct       bool // upstreams have no sidecar: a lost connection is not opened again
-	Resumable    bool // another run may go on with an answer that has broken off
-	MaxOffers    int  // how many upstreams it may be offered to
-	MaxSends     int  // how many of them it may be sent to; zero: all
-
-	HedgeAfter time.Duration // until a second attempt; zero: none
-	// SwitchAfter is how long an attempt that has said nothing is waited for before
-	// it is given up for another upstream; zero: until a deadline. It is for
-	// requests of which two runs at the same time are not wanted.
+	Idempotent   bool // the request may run more than once
+	ReadOnly     bool // the request changes nothing
+	CallerHasKey bool // the caller supplied the request key: the first attempt runs under it
+	AttachOnly   bool // only attach to the response of an earlier request under the caller's key
+	Direct       bool // upstreams have no sidecar: a lost connection is not reopened
+	Resumable    bool // another run may continue an interrupted response
+	MaxOffers    int  // upstreams that the request may be offered to
+	MaxSends     int  // upstreams that the request may be sent to; zero: no limit below MaxOffers
+
+	HedgeAfter time.Duration // from the start to a hedged attempt; zero: no hedging
+	// SwitchAfter is how long an attempt may go without a response before it is
+	// cancelled and another upstream is tried; zero: until a deadline. It serves
+	// requests that must not run twice at the same time, which rules out hedging.
 	SwitchAfter time.Duration
 	FirstByte   time.Time // when the first byte is due; zero: no deadline
-	Deadline    time.Time // when the whole answer is due; zero: no deadline
+	Deadline    time.Time // when the whole response is due; zero: no deadline
 }
 
-// Event is something that has happened to the request. Attempt is the number
-// that the attempt's Offer or Follow gave.
+// Event is an input of the state machine. Attempt, where an event has it, is the
+// number from the effect that started the attempt: Offer, Follow, FollowAttach or,
+// with Plan.AttachOnly, Attach.
 type Event interface{ isEvent() }
 
 // Began starts the request.
@@ -39,69 +41,69 @@
 	Now time.Time
 }
 
-// Unreachable is an attempt to which no connection could be opened.
+// Unreachable reports that no connection could be opened for an attempt.
 type Unreachable struct {
 	Now     time.Time
 	Attempt int
 	Err     *verdict.Error
 }
 
-// Refused is a sidecar's answer that it has not admitted the request.
+// Refused reports that a sidecar, or an upstream without one, refused the request.
 type Refused struct {
 	Now     time.Time
 	Attempt int
 	Err     *verdict.Error
-	Moved   *wire.Key // the key under which the request goes on, if any
-	Final   bool      // no other upstream would take it
+	Moved   *wire.Key // successor key under which the request continues; nil: none
+	Final   bool      // no other upstream would accept the request
 }
 
-// ConnectionLost is a connection that broke after the request had been sent over it.
+// ConnectionLost reports that a connection broke after the request had been sent over it.
 type ConnectionLost struct {
 	Now     time.Time
 	Attempt int
 }
 
-// Admitted is a sidecar's answer that the request is in its table.
+// Admitted reports that a sidecar has the request in its table.
 type Admitted struct {
 	Attempt int
 }
 
-// ErrorResponse is an answer that is there and tells of a failure of the upstream.
+// ErrorResponse reports a response in which the upstream says that it failed.
 type ErrorResponse struct {
 	Now     time.Time
 	Attempt int
 	Err     *verdict.Error
 }
 
-// ResponseStarted is the first piece of an answer.
+// ResponseStarted reports the first piece of a response.
 type ResponseStarted struct {
 	Now       time.Time
 	Attempt   int
-	Resumable bool // another run can go on with it, if the plan allows
+	Resumable bool // another run can continue the response, if the plan allows it
 }
 
-// PieceDelivered is a piece of the answer that the caller has taken.
+// PieceDelivered reports that a piece of the response was passed on to the caller.
 type PieceDelivered struct{}
 
-// Stalled is an answer that goes to the caller and has paused for too long.
+// Stalled reports that the response being delivered has paused for too long.
 type Stalled struct {
 	Now     time.Time
 	Attempt int
 }
 
-// Ended is the end of an answer; a nil Err means that it is whole.
+// Ended reports the end of a response. A nil Err means that the response is complete.
 type Ended struct {
 	Now     time.Time
 	Attempt int
 	Err     *verdict.Error
 }
 
-// NotSent is an attempt that had not been sent and never will be.
+// NotSent reports that an attempt was not sent and never will be.
 type NotSent struct {
 	Attempt int
 }
 
-// Ticked is the passing of time. It is due at Wake.
+// Ticked reports that time has passed. It is due at State.Wake.
 type Ticked struct {
 	Now time.Time
 }
@@ -119,15 +121,15 @@
 func (NotSent) isEvent()         {}
 func (Ticked) isEvent()          {}
 
-// Effect is something to be done for the request.
+// Effect is an action that the router carries out for the request.
 type Effect interface{ isEffect() }
 
-// Offer submits the request to a candidate, under the caller's key if the
-// caller holds one and this is the first attempt, else under a fresh key.
+// Offer submits the request to a candidate. The first attempt runs under the
+// caller's key if the caller has one, every other attempt under a new key.
 type Offer struct {
 	Attempt   int
 	Candidate int
-	Continue  bool // only the rest of an answer that has broken off is wanted
+	Continue  bool // continue a response that was interrupted
 }
 
 // Follow submits the request under a successor key.
@@ -136,37 +138,37 @@
 	Key     wire.Key
 }
 
-// FollowAttach asks for the answer under a successor key.
+// FollowAttach attaches to the response under a successor key.
 type FollowAttach struct {
 	Attempt int
 	Key     wire.Key
 }
 
 // Resubmit sends an attempt to the same sidecar again, under the same key. The
-// sidecar runs it once however often it comes.
+// sidecar runs the request once, however often it is submitted.
 type Resubmit struct {
 	Attempt int
-	Retry   int // how many reconnects in a row this is
+	Retry   int // consecutive reconnects, including this one
 }
 
-// Attach asks for the rest of an attempt's answer.
+// Attach asks for the rest of an attempt's response.
 type Attach struct {
 	Attempt int
-	Retry   int
+	Retry   int // consecutive reconnects, including this one; zero: the first attach
 }
 
-// Deliver starts sending an attempt's answer to the caller.
+// Deliver starts to deliver an attempt's response to the caller.
 type Deliver struct {
 	Attempt   int
-	Resumable bool // another run may go on with it
+	Resumable bool // another run may continue the response
 }
 
-// Cancel cancels an attempt whose answer is not needed any more.
+// Cancel cancels an attempt whose response is no longer needed.
 type Cancel struct {
 	Attempt int
 }
 
-// Finish ends the request. A nil Err means that the answer went out whole.
+// Finish ends the request. A nil Err means that the whole response was delivered.
 type Finish struct {
 	Err *verdict.Error
 }
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -9,83 +9,86 @@
 )
 
 const (
-	// MaxKeyChain is the longest chain of keys under which one request may go on.
+	// MaxKeyChain is the largest number of keys, from the first through its
+	// successors, under which one request may run.
 	MaxKeyChain = 4
 
-	// maxReconnects is how often a connection to one sidecar is opened anew for
-	// a request without any progress in between.
+	// maxReconnects is the number of consecutive reconnects to one sidecar for a
+	// request, without any progress in between.
 	maxReconnects = 6
 
-	// reconnectsBeforeFailover is after how many of these a request runs elsewhere that may.
+	// reconnectsBeforeFailover is the number of these after which a request that
+	// may run at another upstream is offered there.
 	reconnectsBeforeFailover = 1
 
-	// defaultRetryAfter is the advice to a caller where nobody gave a better one.
+	// defaultRetryAfter is sent where neither an upstream nor the Budget gives a time.
 	defaultRetryAfter = time.Second
 )
 
-// Budget is what retries and hedges are paid from, and what callers that are turned away
-// are told.
+// Budget pays for retries and hedges, and sets when rejected callers retry.
 type Budget interface {
-	// Withdraw pays for one more attempt or reports false.
+	// Withdraw pays for one more attempt, or reports false if the budget is too low.
 	Withdraw() bool
-	// RetryAfter returns when a caller that has some time left, zero if any, is to come
-	// back; zero: nothing speaks for one time or another.
+	// RetryAfter returns after which time a caller should retry; zero: no
+	// preference. left is the caller's remaining time; zero: unlimited.
 	RetryAfter(left time.Duration) time.Duration
 }
 
-// phase is how far an attempt has come.
+// phase is the progress of an attempt.
 type phase uint8
 
 const (
-	submitted phase = iota // it may or may not have reached the sidecar
-	admitted               // the sidecar has it in its table
+	submitted phase = iota // may or may not have reached the sidecar
+	admitted               // in the sidecar's table
 	ended
 )
 
+// attempt is the state of one attempt.
 type attempt struct {
 	phase          phase
-	candidate      int  // that it was offered to, or none
-	underCallerKey bool // under the caller's key, or a successor of it
-	chainIndex     int  // place in the chain of keys
+	candidate      int  // index of the upstream it was offered to, or none
+	underCallerKey bool // runs under the caller's key or a successor of it
+	chainIndex     int  // position in the chain of keys, from 0
 	reconnects     int  // since the last progress
 }
 
-// State is the state of one request.
+// State is the state machine of one request.
 type State struct {
 	plan              Plan
 	budget            Budget
 	startedAt         time.Time
-	now               time.Time // of the last event that told
+	now               time.Time // of the last event that carries a time
 	lastOfferAt       time.Time // when the last attempt was offered
 	attempts          []attempt
 	offered           int  // candidates used so far
-	unsent            int  // attempts that reached nobody
-	firstOverBound    int  // first candidate that refused for its bound on load, or none
-	mayOfferAgain     bool // that candidate may be offered the request once more
+	unsent            int  // attempts that reached no upstream
+	firstOverBound    int  // first candidate that refused because of its load bound, or none
+	mayOfferAgain     bool // firstOverBound may be offered the request once more
 	hedged            bool
-	switchBudgetSpent bool // no budget is left to give up a silent attempt
-	winner            int  // attempt whose answer goes to the caller, or none
-	partDelivered     bool // the caller has a part of an answer
-	resumable         bool // another run may go on with that answer
+	switchBudgetSpent bool // the budget did not cover a switch: the silent attempt goes on
+	winner            int  // attempt whose response goes to the caller, or none
+	partDelivered     bool // delivery of a response to the caller has begun
+	resumable         bool // another run may continue that response
 	finished          bool
 
-	mayHaveRun    *verdict.Error // why the request may have run, if that is so
-	minRetryAfter time.Duration  // the shortest advice of those who refused
+	mayHaveRun    *verdict.Error // latest failure after which the request may have run; nil: none
+	minRetryAfter time.Duration  // shortest Retry-After of the failed attempts; zero: none gave one
 }
 
+// none is the absence of a candidate or an attempt.
 const none = -1
 
-// New returns the State of a request that is about to begin.
+// New returns the State of a request that has not started.
 func New(p Plan, b Budget) *State {
 	return &State{plan: p, budget: b, winner: none, firstOverBound: none, mayOfferAgain: true}
 }
 
-// Finished reports whether Finish has been returned.
+// Finished reports whether Step has returned a Finish.
 func (s *State) Finished() bool {
 	return s.finished
 }
 
-// Wake returns when Ticked is due next; the zero time means never.
+// Wake returns when the next Ticked is due; the zero time means never.
 func (s *State) Wake() time.Time {
 	next := s.plan.Deadline
 	if !s.partDelivered {
@@ -100,6 +103,7 @@
 	return next
 }
 
+// earlier returns the earlier of two times; a zero time means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -107,7 +111,7 @@
 	return a
 }
 
-// Step applies an event.
+// Step applies an event and returns the effects that follow from it.
 func (s *State) Step(event Event) []Effect {
 	if s.finished {
 		return nil
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// timeOf returns when an event happened; the zero time if it does not say.
+// timeOf returns when an event happened, or the zero time if the event carries none.
 func timeOf(event Event) time.Time {
 	switch e := event.(type) {
 	case Began:
@@ -174,6 +178,7 @@
 	return time.Time{}
 }
 
+// conditions returns the properties of the request that its retries depend on.
 func (s *State) conditions() retry.RequestInfo {
 	return retry.RequestInfo{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
@@ -182,12 +187,13 @@
 	}
 }
 
+// mayHedge reports whether a hedged attempt may still start.
 func (s *State) mayHedge() bool {
 	return !s.hedged && s.plan.HedgeAfter > 0 && !s.plan.CallerHasKey &&
 		!s.exhausted() && retry.MayHedge(s.conditions())
 }
 
-// maySwitch reports whether the one attempt that is under way may be given up for
+// maySwitch reports whether the only active attempt may be cancelled in favour of
 // another upstream.
 func (s *State) maySwitch() bool {
 	return s.plan.SwitchAfter > 0 && s.winner == none && !s.switchBudgetSpent && !s.exhausted() && s.activeAttempts() == 1 &&
@@ -200,7 +206,7 @@
 	return s.offered >= s.plan.MaxOffers || s.plan.MaxSends > 0 && sends >= s.plan.MaxSends
 }
 
-// activeAttempts counts the attempts that are not over.
+// activeAttempts returns the number of attempts that have not ended.
 func (s *State) activeAttempts() int {
 	n := 0
 	for _, a := range s.attempts {
@@ -211,11 +217,13 @@
 	return n
 }
 
+// addAttempt records an attempt and returns its number.
 func (s *State) addAttempt(a attempt) int {
 	s.attempts = append(s.attempts, a)
 	return len(s.attempts) - 1
 }
 
+// markAdmitted records that the sidecar of attempt i has the request.
 func (s *State) markAdmitted(i int) {
 	a := &s.attempts[i]
 	if a.phase == submitted {
@@ -224,6 +232,7 @@
 	}
 }
 
+// offer offers the request to the next candidate, or ends the request if there is none.
 func (s *State) offer(underCallerKey bool) []Effect {
 	if s.exhausted() {
 		return s.finish(verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no upstream is left to try"))
@@ -232,27 +241,30 @@
 	return s.offerTo(s.offered-1, underCallerKey)
 }
 
+// offerTo offers the request to a candidate.
 func (s *State) offerTo(candidate int, underCallerKey bool) []Effect {
 	s.lastOfferAt = s.now
 	i := s.addAttempt(attempt{candidate: candidate, underCallerKey: underCallerKey})
 	return []Effect{Offer{Attempt: i, Candidate: candidate, Continue: s.partDelivered}}
 }
 
-// offerAgain offers the request once more to the first candidate that refused it for
-// its bound on load, after all others have refused too.
+// offerAgain offers the request once more to the first candidate that refused it
+// because of its load bound, after all others have refused too.
 //
-// An upstream bounds its load by what it has heard of the others' loads. In a surge
-// that it has not heard of yet, it refuses although it is the least loaded of the
-// pool, and the others, asked later, rightly refuse. The caller would be turned away
-// beside an upstream with room. What the others said goes with the second offer, and
-// by the true loads of a pool some upstream is always under its bound. Of nine
-// requests at a time to three idle upstreams 18 of 8640 were turned away without this,
-// 1 of 17280 with it.
+// An upstream derives its load bound from the reported loads of the others. In a
+// surge that has not been reported to it yet, it refuses although it is the least
+// loaded of the pool, and the others, which are offered the request later, refuse
+// correctly. The caller would be rejected although an upstream has spare capacity.
+// The second offer carries the loads that the others reported, and with the true
+// loads of a pool some upstream is always below its bound. With nine simultaneous
+// requests to three idle upstreams, 18 of 8640 requests were rejected without the
+// second offer and 1 of 17280 with it.
 func (s *State) offerAgain() []Effect {
 	s.mayOfferAgain = false
 	return s.offerTo(s.firstOverBound, false)
 }
 
+// follow continues the request under a successor key.
 func (s *State) follow(chainIndex int, key wire.Key) []Effect {
 	if s.plan.AttachOnly {
 		return []Effect{FollowAttach{Attempt: s.addAttempt(attempt{phase: admitted, candidate: none, underCallerKey: true, chainIndex: chainIndex}), Key: key}}
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -8,11 +8,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// unreachable handles a sidecar that cannot be connected to. What has been
-// sent to it before may be running there, so that is tried again for a while.
+// unreachable handles a sidecar that cannot be connected to. If the attempt was
+// sent there before, it may be running there, so the connection is retried like
+// a lost one.
 //
-// A key that a caller holds may have reached the sidecar through another
-// router, so that nothing is known of it until the sidecar is asked.
+// A request under a caller's key may have reached the sidecar through another
+// router. Whether it has run is unknown until the sidecar answers.
 func (s *State) unreachable(e Unreachable) []Effect {
 	a := &s.attempts[e.Attempt]
 	if a.phase == ended {
@@ -26,9 +27,9 @@
 	return s.connectionLost(e.Attempt)
 }
 
-// connectionLost handles a connection that broke. The sidecar either has the request or
-// not, and the same key to the same sidecar settles it either way: it joins
-// what runs, or runs for the first time.
+// connectionLost handles a connection that broke. The sidecar may or may not have
+// the request. Submitting the same key to the same sidecar again is right in both
+// cases: it joins the running request or starts it for the first time.
 func (s *State) connectionLost(i int) []Effect {
 	a := &s.attempts[i]
 	if a.phase == ended {
@@ -50,12 +51,13 @@
 	return []Effect{Resubmit{Attempt: i, Retry: a.reconnects}}
 }
 
-// mayRunElsewhere reports whether a second run may take the place of a sidecar
-// that does not answer. It costs budget, while more tries to reconnect do not.
+// mayRunElsewhere reports whether the request may run at another upstream in place
+// of one whose sidecar does not answer. That costs budget, reconnecting does not.
 func (s *State) mayRunElsewhere() bool {
 	return s.plan.Idempotent && s.winner == none && !s.exhausted()
 }
 
+// refused handles a refusal. It follows the successor key, if there is one.
 func (s *State) refused(e Refused) []Effect {
 	a := s.attempts[e.Attempt]
 	if a.phase == ended {
@@ -68,14 +70,14 @@
 	if e.Moved != nil {
 		e.Err = verdict.New(verdict.MayHaveRun, verdict.ReasonMoved, "the request has moved too often to be followed")
 	}
-	// An attach is refused by a sidecar that has the request no longer, or by
-	// the next incarnation. The request had been admitted there.
+	// An attach is refused by a sidecar that no longer has the request, or by the
+	// sidecar's next incarnation. The request had been admitted there.
 	upstreamAsked := a.phase == admitted || s.plan.Direct
 	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: upstreamAsked, Final: e.Final})
 }
 
-// responseStarted handles the first piece of an answer. The first attempt to get there
-// answers the caller; a hedge that comes second is cancelled.
+// responseStarted handles the first piece of a response. The first attempt with a
+// response serves the caller, and all others are cancelled.
 func (s *State) responseStarted(e ResponseStarted) []Effect {
 	i := e.Attempt
 	if s.winner != none || s.attempts[i].phase == ended {
@@ -86,14 +88,14 @@
 	return append(s.cancelOthers(i), Deliver{Attempt: i, Resumable: s.resumable})
 }
 
-// errorResponse handles an upstream's own word that it has failed. Where the request
-// may run again that is tried; else the upstream's answer is the best there is.
+// errorResponse handles a response in which the upstream says that it failed. The
+// request runs again if it may; otherwise this response goes to the caller.
 func (s *State) errorResponse(e ErrorResponse) []Effect {
 	if s.winner != none || s.attempts[e.Attempt].phase == ended {
 		return nil
 	}
 	f := retry.Failure{Err: e.Err, Reached: true}
-	if s.partDelivered { // of another answer, which this one cannot go on with
+	if s.partDelivered { // part of another response, which this one cannot continue
 		return append([]Effect{Cancel{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
 	}
 	if retry.Decide(f, s.conditions()) != retry.Retry || s.exhausted() || s.activeAttempts() > 1 || !s.budget.Withdraw() {
@@ -104,6 +106,7 @@
 	return append([]Effect{Cancel{Attempt: e.Attempt}}, s.offer(false)...)
 }
 
+// cancelOthers cancels all active attempts but one.
 func (s *State) cancelOthers(keep int) []Effect {
 	var effects []Effect
 	for i := range s.attempts {
@@ -115,6 +118,7 @@
 	return effects
 }
 
+// ended handles the end of a response.
 func (s *State) ended(e Ended) []Effect {
 	if e.Err != nil {
 		return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: retry.ReachedUpstream(e.Err)})
@@ -124,7 +128,7 @@
 	return []Effect{Finish{}}
 }
 
-// failed ends an attempt and decides what follows.
+// failed ends an attempt and decides how the request continues.
 func (s *State) failed(i int, f retry.Failure) []Effect {
 	a := &s.attempts[i]
 	if a.phase == ended {
@@ -135,17 +139,18 @@
 	if i == s.winner && s.resumable {
 		s.winner = none
 	}
-	// If it was the request that crashed the upstream, its hedge is about to
-	// crash the next one.
+	// If the request crashed the upstream, the hedged attempt would crash the next
+	// one too.
 	if s.hedged && f.Err.Reason == verdict.ReasonUpstreamFailed && f.Err.Verdict != verdict.NotRun {
 		return append(s.cancelOthers(s.winner), s.retryOrFinish(*a, f)...)
 	}
 	if i != s.winner && s.activeAttempts() > 0 {
-		return nil // the other of two hedged attempts goes on
+		return nil // the other hedged attempt continues
 	}
 	return s.retryOrFinish(*a, f)
 }
 
+// retryOrFinish offers the request to a further upstream after a failure, or ends it.
 func (s *State) retryOrFinish(a attempt, f retry.Failure) []Effect {
 	next := s.nextAction(a, f)
 	if f.Err.Reason == verdict.ReasonOverBound && s.firstOverBound == none {
@@ -163,9 +168,9 @@
 	}
 }
 
-// nextAction returns what may follow a failure. A refusal of a key that the caller
-// holds is remembered by the sidecar and told to every copy of the request, so
-// no copy may run under another key.
+// nextAction returns what may follow a failure. The sidecar remembers the refusal of
+// a caller's key and returns it to every copy of the request, so no copy may run
+// under another key.
 func (s *State) nextAction(a attempt, f retry.Failure) retry.Decision {
 	if a.underCallerKey && f.Err.Verdict == verdict.NotRun {
 		return retry.Stop
@@ -173,7 +178,8 @@
 	return retry.Decide(f, s.conditions())
 }
 
-// recordFailure remembers what an attempt's failure says about the request as a whole.
+// recordFailure keeps what a failed attempt implies for the verdict and the
+// Retry-After of the whole request.
 func (s *State) recordFailure(err *verdict.Error) {
 	if err.Verdict != verdict.NotRun {
 		s.mayHaveRun = err
@@ -183,8 +189,8 @@
 	}
 }
 
-// finish ends the request with err, or with what makes err untrue: one attempt
-// that may have run outweighs any number that have not.
+// finish ends the request with err, unless err says that the request has not run
+// and an earlier attempt may have run. Then it ends with that attempt's failure.
 func (s *State) finish(err *verdict.Error) []Effect {
 	var effects []Effect
 	if s.hedged {
@@ -196,7 +202,7 @@
 	}
 	if s.partDelivered && err.Verdict != verdict.Ran {
 		ran := *err
-		ran.Verdict = verdict.Ran // the caller has a part of the answer
+		ran.Verdict = verdict.Ran // the caller has a part of the response
 		err = &ran
 	}
 	if mayRetryLater(err) {
@@ -205,8 +211,8 @@
 	return append(effects, Finish{Err: err})
 }
 
-// retryAfter returns when to come back: the soonest that an upstream named, else what the
-// requests of its pool speak for.
+// retryAfter returns after which time the caller should retry: the shortest time
+// that an upstream gave, else the time from the Budget, else defaultRetryAfter.
 func (s *State) retryAfter() time.Duration {
 	if s.minRetryAfter > 0 {
 		return s.minRetryAfter
@@ -218,12 +224,12 @@
 	return cmp.Or(s.budget.RetryAfter(left), defaultRetryAfter)
 }
 
-// mayRetryLater reports whether the same request may fare better later.
+// mayRetryLater reports whether the same request may succeed later.
 func mayRetryLater(err *verdict.Error) bool {
 	return err.Verdict == verdict.NotRun && retry.Transient(err.Reason)
 }
 
-// ticked handles the deadlines and starts the hedge.
+// ticked handles the deadlines, the switch to another upstream and the hedged attempt.
 func (s *State) ticked(now time.Time) []Effect {
 	switch {
 	case reached(s.plan.Deadline, now):
@@ -241,8 +247,8 @@
 	return nil
 }
 
-// stalled gives up an answer that has paused for too long, if another upstream can
-// go on with it. Otherwise it is waited for: silence alone ends no answer.
+// stalled cancels a response that has paused for too long, if another upstream can
+// continue it. Otherwise it keeps waiting: a pause alone never ends a response.
 func (s *State) stalled(e Stalled) []Effect {
 	if e.Attempt != s.winner || !s.resumable || s.exhausted() || !s.budget.Withdraw() {
 		return nil
@@ -252,9 +258,9 @@
 	return append(s.cancelOthers(none), s.offer(false)...)
 }
 
-// switchUpstream cancels an attempt that has said nothing for too long and offers the
-// request elsewhere. An upstream that hangs looks like this, and one whose answer
-// was lost on a connection that stays open.
+// switchUpstream cancels an attempt that has had no response for too long and offers
+// the request to another upstream. The cause may be an upstream that hangs, or a
+// response that was lost on a connection that stays open.
 func (s *State) switchUpstream() []Effect {
 	if !s.budget.Withdraw() {
 		s.switchBudgetSpent = true
@@ -264,12 +270,13 @@
 	return append(s.cancelOthers(none), s.offer(false)...)
 }
 
+// reached reports whether a time is set and has come.
 func reached(at, now time.Time) bool {
 	return !at.IsZero() && !now.Before(at)
 }
 
-// deadlineExceeded ends the request at a deadline. Attempts that were never sent have
-// been sealed before, so one that is alive may have run.
+// deadlineExceeded ends the request at a deadline. The router has reported NotSent
+// for all attempts that were not sent, so an active attempt may have run.
 func (s *State) deadlineExceeded(detail string) []Effect {
 	v := verdict.NotRun
 	if s.activeAttempts() > 0 {
