--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -71,7 +71,7 @@
 	resumable         bool // another run may continue that response
 	finished          bool
 
-	mayHaveRun    *verdict.Error // latest failure after which the request may have run; nil: none
+	mayHaveRunErr *verdict.Error // latest failure after which the request may have run; nil: none
 	minRetryAfter time.Duration  // shortest Retry-After of the failed attempts; zero: none gave one
 }
 
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -72,8 +72,8 @@
 	}
 	// An attach is refused by a sidecar that no longer has the request, or by the
 	// sidecar's next incarnation. The request had been admitted there.
-	upstreamAsked := a.phase == admitted || s.plan.Direct
-	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: upstreamAsked, Final: e.Final})
+	reachedUpstream := a.phase == admitted || s.plan.Direct
+	return s.failed(e.Attempt, retry.Failure{Err: e.Err, Reached: reachedUpstream, Final: e.Final})
 }
 
 // responseStarted handles the first piece of a response. The first attempt with a
@@ -182,7 +182,7 @@
 // Retry-After of the whole request.
 func (s *State) recordFailure(err *verdict.Error) {
 	if err.Verdict != verdict.NotRun {
-		s.mayHaveRun = err
+		s.mayHaveRunErr = err
 	}
 	if err.RetryAfter > 0 && (s.minRetryAfter == 0 || err.RetryAfter < s.minRetryAfter) {
 		s.minRetryAfter = err.RetryAfter
@@ -197,8 +197,8 @@
 		effects = s.cancelOthers(s.winner)
 	}
 	s.finished = true
-	if err.Verdict == verdict.NotRun && s.mayHaveRun != nil {
-		err = s.mayHaveRun
+	if err.Verdict == verdict.NotRun && s.mayHaveRunErr != nil {
+		err = s.mayHaveRunErr
 	}
 	if s.partDelivered && err.Verdict != verdict.Ran {
 		ran := *err
