--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -17,13 +17,14 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// sidecarState is the truth about one attempt at its sidecar.
+// sidecarState is what really happened to one attempt at its sidecar or upstream.
 type sidecarState struct {
-	ran, neverRuns bool // started; never to be started
+	ran, neverRuns bool // the request has started; it never will
 	restarted      bool
 }
 
-// simulation answers the effects of one request as sidecars and networks might.
+// simulation carries out the effects of one request and generates the events that
+// sidecars, upstreams and connections could respond with. It is the request's Budget.
 type simulation struct {
 	t                *rapid.T
 	plan             Plan
@@ -34,12 +35,13 @@
 	withdrawals      int
 	offers           int
 	delivered        bool
-	resumable        bool // the answer that is delivered
-	callerKeyRefused bool // the caller's key, for good: each copy of the request is told so
+	resumable        bool // the response being delivered
+	callerKeyRefused bool // the caller's key was refused for good, for every copy of the request
 	finish           *Finish
 	pending          []Event
 }
 
+// Withdraw implements Budget.
 func (s *simulation) Withdraw() bool {
 	ok := s.budget.Withdraw()
 	if ok {
@@ -48,14 +50,16 @@
 	return ok
 }
 
+// RetryAfter implements Budget.
 func (s *simulation) RetryAfter(time.Duration) time.Duration { return 0 }
 
+// act carries out an effect.
 func (s *simulation) act(effect Effect) {
 	switch e := effect.(type) {
 	case Offer:
 		s.offers++
 		if s.delivered != e.Continue || s.delivered && !s.resumable {
-			s.t.Fatalf("offered (continue %v) with a part of an answer out: %v", e.Continue, s.delivered)
+			s.t.Fatalf("offer with Continue %v, response delivered: %v", e.Continue, s.delivered)
 		}
 		s.start(e.Attempt)
 	case Follow:
@@ -67,7 +71,7 @@
 	case Deliver:
 		s.delivered = true
 		if e.Resumable != s.resumable {
-			s.t.Fatalf("delivered as resumable %v, is %v", e.Resumable, s.resumable)
+			s.t.Fatalf("Deliver.Resumable is %v, want %v", e.Resumable, s.resumable)
 		}
 		s.progress(e.Attempt)
 	case Finish:
@@ -75,9 +79,10 @@
 	}
 }
 
+// start begins a new attempt.
 func (s *simulation) start(attempt int) {
 	if attempt != len(s.sidecars) {
-		s.t.Fatalf("attempt %d follows %d", attempt, len(s.sidecars)-1)
+		s.t.Fatalf("attempt %d follows attempt %d", attempt, len(s.sidecars)-1)
 	}
 	s.sidecars = append(s.sidecars, &sidecarState{})
 	if s.plan.Direct {
@@ -87,11 +92,11 @@
 	}
 }
 
-// sendDirect lets one call of an upstream without a sidecar meet its fate.
+// sendDirect draws the outcome of one call to an upstream without a sidecar.
 func (s *simulation) sendDirect(i int) {
 	sidecar := s.sidecars[i]
 	failed := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")
-	switch rapid.IntRange(0, 5).Draw(s.t, "fate") {
+	switch rapid.IntRange(0, 5).Draw(s.t, "outcome") {
 	case 0:
 		s.post(Unreachable{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
 	case 1:
@@ -108,16 +113,17 @@
 	}
 }
 
+// post adds an event to those that are pending.
 func (s *simulation) post(e Event) { s.pending = append(s.pending, e) }
 
-// submit lets one submission meet its fate.
+// submit draws the outcome of one submission to a sidecar.
 func (s *simulation) submit(i int) {
 	sidecar := s.sidecars[i]
 	callerKey := s.plan.CallerHasKey && s.state.attempts[i].underCallerKey
-	switch outcome := rapid.IntRange(0, 5).Draw(s.t, "fate"); {
+	switch outcome := rapid.IntRange(0, 5).Draw(s.t, "outcome"); {
 	case outcome == 0:
 		s.post(Unreachable{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "")})
-	case outcome == 1: // lost before or after it got there
+	case outcome == 1: // lost before or after the request arrived
 		if rapid.Bool().Draw(s.t, "arrived") && !sidecar.neverRuns {
 			sidecar.ran = true
 		}
@@ -143,11 +149,13 @@
 	}
 }
 
+// admit admits an attempt.
 func (s *simulation) admit(i int) {
 	s.post(Admitted{Attempt: i})
 	s.progress(i)
 }
 
+// attach draws the outcome of an attach to an attempt.
 func (s *simulation) attach(i int) {
 	if s.sidecars[i].restarted {
 		s.post(Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "")})
@@ -156,7 +164,7 @@
 	s.progress(i)
 }
 
-// progress lets an admitted attempt go on.
+// progress draws the next event of an attempt that has been admitted.
 func (s *simulation) progress(i int) {
 	switch rapid.IntRange(0, 6).Draw(s.t, "piece") {
 	case 0:
@@ -166,12 +174,12 @@
 		s.post(ConnectionLost{Now: s.now, Attempt: i})
 	case 2:
 		s.post(Ended{Now: s.now, Attempt: i, Err: verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")})
-	case 3: // silence, until a deadline
+	case 3: // no event until a deadline
 	default:
 		switch {
 		case s.delivered && s.state.winner == i:
 			s.post(Ended{Now: s.now, Attempt: i})
-		case s.delivered: // an answer that goes on with another's
+		case s.delivered: // a response that continues another one
 			s.post(ResponseStarted{Now: s.now, Attempt: i, Resumable: true})
 		default:
 			events := rapid.Bool().Draw(s.t, "events")
@@ -181,7 +189,7 @@
 	}
 }
 
-// step delivers one of the waiting events, or lets time pass.
+// step applies one of the pending events, or lets time pass.
 func (s *simulation) step() {
 	if len(s.pending) == 0 || rapid.IntRange(0, 9).Draw(s.t, "tick") == 0 {
 		if at := s.state.Wake(); !at.IsZero() {
@@ -196,12 +204,14 @@
 	s.apply(e)
 }
 
+// apply applies an event and carries out its effects.
 func (s *simulation) apply(e Event) {
 	for _, effect := range s.state.Step(e) {
 		s.act(effect)
 	}
 }
 
+// runs returns how many attempts have run.
 func (s *simulation) runs() int {
 	n := 0
 	for _, sidecar := range s.sidecars {
@@ -212,10 +222,10 @@
 	return n
 }
 
-// A guest books a room. Connections break before and after the booking
-// service has started, sidecars refuse, restart and move the request on, and
-// deadlines pass. The guest is then told "not run" while a room is held, or
-// finds two bookings, if any path through the machine forgets an attempt.
+// If any path through the state machine forgets an attempt, the caller gets
+// "not-run" for a request that has run, or the request runs twice. Connections
+// break before and after the upstream has started the request, sidecars refuse,
+// restart and move it to a successor key, and deadlines pass.
 func TestVerdictIsCorrectOnEveryPath(t *testing.T) {
 	verdicts := make(map[verdict.Verdict]int)
 	rapid.Check(t, func(t *rapid.T) {
@@ -245,7 +255,7 @@
 		sim.apply(Began{Now: now})
 		for steps := 0; sim.finish == nil; steps++ {
 			if steps > 1000 {
-				t.Fatal("no end")
+				t.Fatal("the request has not finished after 1000 steps")
 			}
 			sim.step()
 		}
@@ -254,7 +264,7 @@
 		}
 		verdicts[sim.finish.Err.Verdict]++
 		if sim.finish.Err.Verdict == verdict.NotRun && sim.runs() > 0 {
-			t.Fatalf("said not-run of what ran: %v", sim.finish.Err)
+			t.Fatalf("verdict not-run for a request that ran: %v", sim.finish.Err)
 		}
 		if !sim.plan.Idempotent && !sim.plan.Resumable && sim.runs() > 1 {
 			t.Fatalf("ran %d times", sim.runs())
@@ -263,21 +273,21 @@
 			t.Fatalf("ran at %d upstreams of at most %d", sim.runs(), sim.plan.MaxSends)
 		}
 		if sim.callerKeyRefused && sim.runs() > 0 {
-			t.Fatal("ran although other copies of the request are told not-run")
+			t.Fatal("ran although other copies of the request get not-run")
 		}
 		if sim.runs() > 1+sim.withdrawals {
-			t.Fatalf("%d runs with %d paid for", sim.runs(), sim.withdrawals)
+			t.Fatalf("%d runs with %d withdrawals from the budget", sim.runs(), sim.withdrawals)
 		}
 	})
 	for _, v := range []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran} {
 		if verdicts[v] == 0 {
-			t.Errorf("no path ended in %v", v)
+			t.Errorf("no path ended with verdict %v", v)
 		}
 	}
 }
 
-// The first upstream is slow to answer a clip fetch, the hedge answers, and
-// then the first one does too. Two answers to one request would be mixed.
+// Guards against mixing two responses to one request: the first upstream is slow, the
+// hedged attempt responds, and then the first upstream responds too.
 func TestOnlyFirstHedgedResponseIsDelivered(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &retry.Budget{}
@@ -288,18 +298,19 @@
 	s.Step(Began{Now: now})
 	s.Step(Admitted{Attempt: 0})
 	if got := s.Step(Ticked{Now: s.Wake()}); len(got) != 1 || got[0] != (Offer{Attempt: 1, Candidate: 1}) {
-		t.Fatalf("hedge: %v", got)
+		t.Fatalf("at the hedge time: %v", got)
 	}
 	if got := s.Step(ResponseStarted{Attempt: 1}); len(got) != 2 || got[0] != (Cancel{Attempt: 0}) || got[1] != (Deliver{Attempt: 1}) {
-		t.Fatalf("winner: %v", got)
+		t.Fatalf("first response: %v", got)
 	}
 	if got := s.Step(ResponseStarted{Attempt: 0}); got != nil {
-		t.Fatalf("loser: %v", got)
+		t.Fatalf("second response: %v", got)
 	}
 }
 
-// A clip fetch crashes its upstream while its hedge runs at the next one. Left
-// alone, the hedge crashes that one too, before anyone has heard of the first.
+// A request crashes its upstream while its hedged attempt runs at the next one. If
+// that attempt is not cancelled, it crashes the second upstream too, before the
+// first crash has been reported to any router.
 func TestHedgeIsCancelledWhenOtherAttemptCrashesUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	budget := &retry.Budget{}
@@ -317,10 +328,10 @@
 	}
 }
 
-// Nine bookings come at the same moment to a pool of three idle upstreams. The first
-// upstream that a booking is offered to has not heard of the others' loads yet and
-// refuses, the other two are full by the time it gets to them. The guest was told to
-// come back although the first upstream had room all the time.
+// Nine requests arrive at the same moment at a pool of three idle upstreams. The
+// first upstream that a request is offered to has no report of the others' loads yet
+// and refuses, and the other two are full by the time the request reaches them. The
+// caller was rejected although the first upstream had spare capacity all the time.
 func TestFirstOverBoundUpstreamIsOfferedAgain(t *testing.T) {
 	overBound := verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")
 	s := New(Plan{MaxOffers: 3}, &retry.Budget{})
@@ -332,26 +343,26 @@
 		got = s.Step(Refused{Attempt: attempt, Err: overBound})
 	}
 	if len(got) != 1 || got[0].(Finish).Err.Reason != verdict.ReasonOverBound {
-		t.Fatalf("refused twice: %v, want the end", got)
+		t.Fatalf("after the second refusal: %v, want Finish", got)
 	}
 }
 
-// The same while the last of the pool drains: what it refuses for says nothing of the
-// room at the first.
+// The same with the last upstream of the pool draining: its refusal says nothing about
+// the spare capacity of the first.
 func TestFirstOverBoundUpstreamIsOfferedAgainAfterDrainingOne(t *testing.T) {
 	s := New(Plan{MaxOffers: 2}, &retry.Budget{})
 	s.Step(Began{Now: time.Unix(1000, 0)})
 	s.Step(Refused{Attempt: 0, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")})
 	got := s.Step(Refused{Attempt: 1, Err: verdict.New(verdict.NotRun, verdict.ReasonDraining, "")})
 	if len(got) != 1 || got[0] != (Offer{Attempt: 2, Candidate: 0}) {
-		t.Fatalf("%v, want an offer to the first", got)
+		t.Fatalf("%v, want an offer to candidate 0", got)
 	}
 }
 
-// adviceBudget is a Budget that has an opinion on when to come back.
+// adviceBudget is a Budget that returns a fixed Retry-After.
 type adviceBudget struct {
 	retry.Budget
-	left time.Duration // that it was told of
+	left time.Duration // argument of the last RetryAfter
 }
 
 func (a *adviceBudget) RetryAfter(left time.Duration) time.Duration {
@@ -359,25 +370,25 @@
 	return 3 * time.Second
 }
 
-// A pool turns a guest away, and its requests speak for three seconds. The guest is told
-// so, unless an upstream has named a time itself.
+// A pool rejects a request, and its Budget gives a Retry-After of three seconds. The
+// caller gets that time, unless an upstream gave one itself.
 func TestRetryAfterComesFromUpstreamOrPool(t *testing.T) {
 	now := time.Unix(1000, 0)
 	full := verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")
-	for named, want := range map[time.Duration]time.Duration{0: 3 * time.Second, time.Second: time.Second} {
+	for given, want := range map[time.Duration]time.Duration{0: 3 * time.Second, time.Second: time.Second} {
 		var a adviceBudget
 		s := New(Plan{Direct: true, MaxOffers: 1, Deadline: now.Add(9 * time.Second)}, &a)
 		s.Step(Began{Now: now})
 		err := full
-		if named > 0 {
-			err = full.WithRetryAfter(named)
+		if given > 0 {
+			err = full.WithRetryAfter(given)
 		}
 		got := s.Step(Refused{Now: now.Add(time.Second), Attempt: 0, Err: err})
 		if len(got) != 1 || got[0].(Finish).Err.RetryAfter != want {
-			t.Errorf("named %v: %v, want to come back after %v", named, got, want)
+			t.Errorf("upstream gave %v: %v, want a Retry-After of %v", given, got, want)
 		}
-		if named == 0 && a.left != 8*time.Second {
-			t.Errorf("%v are left, want 8s", a.left)
+		if given == 0 && a.left != 8*time.Second {
+			t.Errorf("time left is %v, want 8s", a.left)
 		}
 	}
 }
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -30,7 +30,7 @@
 	// Withdraw pays for one more attempt, or reports false if the budget is too low.
 	Withdraw() bool
 	// RetryAfter returns after which time a caller should retry; zero: no
-	// preference. left is the caller's remaining time; zero: unlimited.
+	// preference. left is the time until the deadline; zero: no deadline.
 	RetryAfter(left time.Duration) time.Duration
 }
 
