--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection within a region, where a
-	// round trip takes a few milliseconds. Nothing has been sent, so the call goes
-	// to another upstream.
+	// dialTimeout bounds the opening of a connection. Within a region a round trip
+	// takes a few milliseconds. After a timeout nothing has been sent, so the call
+	// can go to another upstream.
 	dialTimeout = 500 * time.Millisecond
-	// keepAliveIdle and the two after it find a connection that has gone silent
-	// for good: after two unanswered probes, 3 s in all.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a dead connection
+	// after two unanswered probes, 3 s in all.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
@@ -37,6 +37,7 @@
 		"Calls of upstreams over a connection that had served another.")
 )
 
+// dialOutcome is the result of opening a connection.
 type dialOutcome string
 
 const (
@@ -44,17 +45,19 @@
 	dialFailed dialOutcome = "failed"
 )
 
-// Client keeps the connections of one router to upstreams.
+// Client calls upstreams and keeps the connections of one router to them. It is safe
+// for concurrent use.
 type Client struct {
 	dialect Dialect
 	dial    DialFunc
 
 	mu    sync.Mutex
-	idle  map[endpoint][]*conn // unused connections, the one used last at the end
-	inUse map[*conn]endpoint   // on which calls are under way
+	idle  map[endpoint][]*conn // least recently used first
+	inUse map[*conn]endpoint   // connections with a call in progress
 }
 
-// endpoint is one incarnation of an upstream. Another one may get its address.
+// endpoint identifies one incarnation of an upstream. The address alone does not:
+// another incarnation may get it later.
 type endpoint struct {
 	instance, addr string
 }
@@ -62,7 +65,7 @@
 // DialFunc opens a connection to an upstream.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer returns how connections to upstreams are opened.
+// Dialer returns the DialFunc for upstreams, with TCP keep-alive probes.
 func Dialer() DialFunc {
 	d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
@@ -70,14 +73,15 @@
 	return d.DialContext
 }
 
-// NewClient returns a Client that speaks d over connections that dial opens.
+// NewClient returns a Client that uses the headers of d, over connections that dial opens.
 func NewClient(d Dialect, dial DialFunc) *Client {
 	return &Client{dialect: d, dial: dial, idle: make(map[endpoint][]*conn), inUse: make(map[*conn]endpoint)}
 }
 
-// Do makes a call of the upstream on vm and returns when the head of the answer
-// is there. pass is asked once, before the first byte is sent, and may forbid
-// it. The end of ctx breaks the call off, also after Do has returned.
+// Do calls the upstream on vm and returns once the head of the response has arrived.
+// maySend is called once, before the first byte is sent; if it returns false, nothing
+// is sent. The end of ctx aborts the call, also after Do has returned. An error is a
+// *verdict.Error.
 func (c *Client) Do(ctx context.Context, vm topo.VM, call Call, maySend func() bool) (*Stream, error) {
 	at := endpoint{instance: vm.ID, addr: vm.Addr}
 	header := call.Header.Clone()
@@ -108,8 +112,8 @@
 	return &Stream{client: c, at: at, conn: conn, resp: resp, eventStream: ofEvents(resp), Signal: signal, release: release}, nil
 }
 
-// markInUse marks a connection as busy with a call that the end of ctx breaks off, until
-// release is called. It reports whether the call was not broken off.
+// markInUse records that a connection has a call in progress, until release is called.
+// The end of ctx aborts the call. release reports whether the call was not aborted.
 func (c *Client) markInUse(ctx context.Context, at endpoint, conn *conn) (release func() bool) {
 	c.mu.Lock()
 	c.inUse[conn] = at
@@ -123,10 +127,10 @@
 	}
 }
 
-// AbortCalls breaks off the calls of an upstream that has started again. It does not work
-// on them any more; if it lost its power or its network, nothing else tells until the
-// probes of keepAliveIdle and after have failed, and callers wait for 3 s more for an
-// answer that cannot come.
+// AbortCalls aborts the calls in progress to an upstream that has restarted, which no
+// longer works on them. If the upstream lost its power or its network, the router would
+// otherwise notice only when the keep-alive probes have failed, and callers would
+// wait 3 s longer for a response that cannot come.
 func (c *Client) AbortCalls(vm topo.VM) {
 	restarted := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
@@ -134,13 +138,13 @@
 	for conn, at := range c.inUse {
 		if at == restarted {
 			abortedCalls.Inc()
-			_ = conn.Close() // the call's own goroutine finds it closed
+			_ = conn.Close() // the goroutine of the call gets the error
 		}
 	}
 }
 
-// lostError is the error of a call that was sent, in whole or in part, and got no
-// answer.
+// lostError returns the error of a call that was sent, in whole or in part, and got no
+// response.
 func lostError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "%s", ctx.Err())
@@ -148,7 +152,8 @@
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s", err)
 }
 
-// getConn returns an unused connection, the one used last first, or a new one.
+// getConn returns the most recently used idle connection that is still usable, or a
+// new one.
 func (c *Client) getConn(ctx context.Context, at endpoint) (*conn, error) {
 	now := time.Now()
 	for {
@@ -173,6 +178,7 @@
 	return newConn(raw), nil
 }
 
+// takeIdle removes and returns the most recently used idle connection; nil: there is none.
 func (c *Client) takeIdle(at endpoint) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,6 +191,7 @@
 	return last
 }
 
+// putIdle keeps a connection for the next call.
 func (c *Client) putIdle(at endpoint, conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +199,8 @@
 	c.idle[at] = append(c.idle[at], conn)
 }
 
-// CloseIdle closes the unused connections that have expired, or whose upstream is
-// not among vms any more.
+// CloseIdle closes the idle connections that have expired, or whose upstream is no
+// longer among vms.
 func (c *Client) CloseIdle(now time.Time, vms map[string]topo.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// readBufferBytes is the size of a connection's buffer, in bytes: the head of an
-	// answer and a few events.
+	// readBufferBytes is the size of a connection's buffer: the head of a response and
+	// a few events fit into it.
 	readBufferBytes = 4 << 10
-	// concurrentBodyBytes is the size from which a body is written while the answer
-	// is awaited, in bytes. An upstream may refuse a long request before it has
-	// read it, and a smaller one fits into the socket's buffer.
+	// concurrentBodyBytes is the size from which a body is written while the response
+	// is awaited. An upstream may refuse a long request before it has read it, and a
+	// smaller body fits into the socket's buffer.
 	concurrentBodyBytes = 8 << 10
-	// defaultIdleTimeout is how long an unused connection is kept where the upstream
-	// does not say.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream sends
+	// no Keep-Alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is how much earlier than the upstream an unused connection is
-	// given up: a call that crosses the upstream's close may have run.
+	// idleMargin is how long before the upstream's own timeout an idle connection is
+	// closed. A call sent while the upstream closes the connection may have run.
 	idleMargin = 500 * time.Millisecond
 )
 
@@ -37,24 +37,25 @@
 	net.Conn
 	r           *bufio.Reader
 	reused      bool
-	expires     time.Time // while it is unused
-	bodyWritten chan error
+	expires     time.Time  // when an idle connection is to be closed
+	bodyWritten chan error // receives the result of writing a long body; nil: none in progress
 }
 
+// newConn returns a conn with an empty read buffer.
 func newConn(c net.Conn) *conn {
 	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
-// reusable reports whether an unused connection is open and has nothing to read.
-// Bytes behind a whole answer belong to no call, and the next one would take
-// them for its own.
+// reusable reports whether an idle connection is open and has nothing to read. Bytes
+// after a complete response belong to no call, and the next call would take them for
+// its own response.
 func (c *conn) reusable() bool {
 	state := netpeek.Look(c.Conn)
 	return c.r.Buffered() == 0 && (state == netpeek.Quiet || state == netpeek.Unknown)
 }
 
-// send writes a call. A long body goes on being written on another goroutine
-// after send has returned; sent tells when it is through.
+// send writes a call. A long body is written by another goroutine, which may still be
+// running when send returns; allSent reports when it is done.
 func (c *conn) send(call Call, header http.Header) error {
 	var b bytes.Buffer
 	b.Grow(readBufferBytes)
@@ -69,7 +70,7 @@
 		b.WriteString(strconv.Itoa(len(call.Body)))
 		b.WriteString("\r\n")
 	}
-	_ = header.Write(&b) // a Buffer takes everything
+	_ = header.Write(&b) // writes to a Buffer do not fail
 	b.WriteString("\r\n")
 	if len(call.Body) < concurrentBodyBytes {
 		b.Write(call.Body)
@@ -88,12 +89,14 @@
 	return nil
 }
 
-// omitsEmptyBody reports whether a request of a method has no body unless it says so.
+// omitsEmptyBody reports whether a request with this method and an empty body is sent
+// without Content-Length.
 func omitsEmptyBody(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// allSent reports whether all of the call has been written, without waiting.
+// allSent reports whether the whole call has been written without an error. It does
+// not wait.
 func (c *conn) allSent() bool {
 	if c.bodyWritten == nil {
 		return true
@@ -107,11 +110,12 @@
 	}
 }
 
-// maxStrayResponses is how many answers to other calls are passed over for one call.
+// maxStrayResponses is the number of responses to other calls that are skipped for one
+// call.
 const maxStrayResponses = 2
 
-// readResponse reads the head of the readResponse to call id. Answers to earlier calls of
-// the same connection, which come late, are passed over.
+// readResponse reads the head of the response to call id. Late responses to earlier
+// calls on the same connection are skipped.
 func (c *conn) readResponse(method, id string, d Dialect) (*http.Response, Signal, error) {
 	for range maxStrayResponses + 1 {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
@@ -119,7 +123,7 @@
 			return nil, Signal{}, errors.WithStack(err)
 		}
 		if resp.StatusCode < http.StatusOK {
-			continue // an interim response; it has no body
+			continue // an interim response, which has no body
 		}
 		signal := d.Read(resp.StatusCode, resp.Header)
 		if signal.ID == id {
@@ -127,7 +131,7 @@
 		}
 		strayAnswers.Inc()
 		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			break // nobody can say where it ends
+			break // the end of its body is not marked
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, Signal{}, errors.WithStack(err)
@@ -136,7 +140,8 @@
 	return nil, Signal{}, errors.New("exchange: the answer belongs to another call")
 }
 
-// keepFor returns how long a connection may stay unused after an answer.
+// keepFor returns how long a connection may stay idle after a response with headers h:
+// less than the Keep-Alive timeout, or defaultIdleTimeout if there is none.
 func keepFor(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -147,8 +152,9 @@
 	return defaultIdleTimeout
 }
 
-// closeOnDone closes the connection when ctx ends, which wakes who reads from it.
-// An upstream drops a request whose connection is closed.
+// closeOnDone closes the connection when ctx ends, which unblocks its reader. An
+// upstream drops a request whose connection is closed. release stops this and reports
+// whether the connection was not closed.
 func (c *conn) closeOnDone(ctx context.Context) (release func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.Close() })
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange calls upstreams that have no sidecar beside them, over
-// HTTP/1.1 connections of its own.
+// Package exchange is the HTTP/1.1 client with which a router calls upstreams that
+// have no sidecar. It manages its own connections.
 //
-// A router's attempt uses it. What it may assume: an error carries the verdict
-// on the call, NotRun only where not a byte of it was sent or the upstream gave
-// its word; an answer is handed out only if it names the call that it belongs
-// to; a connection is used again only after a whole answer with nothing behind.
+// It guarantees three things. An error of a call carries a verdict, which is NotRun
+// only if no byte of the call was sent or the upstream said that it has not run it. A
+// response is returned only if it names the call that it belongs to. A connection is
+// reused only after a complete response with no bytes behind it.
 package exchange
 
 import (
@@ -17,40 +17,41 @@
 // Call is one request to an upstream.
 type Call struct {
 	wire.Call
-	Host         string        // that the caller asked for
-	ID           string        // of the caller's attempt, which the answer repeats
-	Instance     string        // the one incarnation of the upstream that may run it
-	Organisation string        // by which the upstream knows the caller; empty: none
-	Urgency      int           // 0 is first; see DefaultUrgency
-	TimeLeft     time.Duration // until the whole answer is due
-	LastEventID  string        // id of the last event that the caller has; empty: none
+	Host         string        // Host header of the caller's request
+	ID           string        // request id of the caller's attempt, which the response repeats
+	Instance     string        // the only incarnation of the upstream that may run the call
+	Organisation string        // the upstream's name for the caller's organisation; empty: none
+	Urgency      int           // 0 is the most urgent; see DefaultUrgency
+	TimeLeft     time.Duration // until the whole response is due; zero: no deadline
+	LastEventID  string        // id of the last event that the caller received; empty: none
 	Donor        string        // address of an upstream that may hold the prompt's cached prefix; empty: none
 }
 
-// DefaultUrgency is the urgency of a call that says nothing of it.
+// DefaultUrgency is the urgency of a call that does not set one.
 const DefaultUrgency = 5
 
-// Signal is what the headers of an answer say beside the answer itself.
+// Signal is what the status and headers of a response say about the call and its upstream.
 type Signal struct {
-	ID     string // of the call that is answered
+	ID     string // id of the call that the response belongs to
 	NotRun bool   // the upstream has not run the call and never will
-	Load   *Load  // nil: the upstream does not tell
-	// Leaving tells that the upstream takes nothing new for as long as it lives.
+	Load   *Load  // nil: the upstream does not report its load
+	// Leaving reports that this incarnation of the upstream accepts no new requests.
 	Leaving bool
-	// RetryAfter is for how long the upstream wants nothing from this router; zero: it asks for none.
+	// RetryAfter is for how long this router should send nothing to the upstream;
+	// zero: the upstream gave no time.
 	RetryAfter time.Duration
 }
 
-// Load is an upstream's own count of its requests.
+// Load is an upstream's own count of its requests and slots.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Dialect spells the headers between a platform's routers and upstreams.
+// Dialect encodes and decodes the headers that a platform's routers and upstreams exchange.
 type Dialect interface {
 	// Tell sets the headers of a call, and removes those that its caller may not
 	// set.
 	Tell(h http.Header, c Call)
-	// Read returns what the headers of an answer say.
+	// Read returns what the status and headers of a response say.
 	Read(status int, h http.Header) Signal
 }
--- a/internal/exchange/stream.go
+++ b/internal/exchange/stream.go
@@ -16,41 +16,41 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// pieceBytes is the size of a piece of an answer, in bytes. An event of a stream
-// is a tenth of it.
+// pieceBytes is the size of the largest piece of a response. An event of a stream is
+// typically a tenth of it.
 const pieceBytes = 2 << 10
 
-// Stream is the answer to a call.
+// Stream is the response to a call.
 type Stream struct {
-	Signal Signal // of the head
+	Signal Signal // from the status and headers
 
 	client       *Client
 	at           endpoint
 	conn         *conn
 	resp         *http.Response
-	eventStream  bool // it is a stream of events; asked at each of them
+	eventStream  bool // cached for IsEventStream, which is called for each event
 	release      func() bool
-	headReturned bool
+	headReturned bool // Next has returned the head
 	buf          []byte
-	atEOF        bool // the body has ended, though its last bytes had yet to be handed out
-	closed       bool
-	stallTimeout time.Duration // that the next piece may take; zero: any
+	atEOF        bool          // the body ended with the bytes that Next returned last
+	closed       bool          // the connection was closed or given back
+	stallTimeout time.Duration // longest wait for the next piece; zero: no limit
 }
 
-// ErrStalled is an answer that has paused for longer than Within allows. It goes on
-// with the next call of Next.
+// ErrStalled reports that a response has paused for longer than SetStallTimeout allows.
+// Reading continues with the next call of Next.
 var ErrStalled = errors.New("exchange: the answer has paused for too long")
 
-// stalled waits for the next bytes of the answer and reports whether they did not
-// come in time. It only looks at them: a read that ran out of time within the
-// framing of a body could not be gone on with. The framing alone is no answer: an
-// upstream that falls stalled after the end of a chunk, sent by itself, would have the read
-// that follows wait without a bound, and the caller with it.
+// stalled waits for the next bytes of the body and reports whether they did not arrive
+// within the stall timeout. It only peeks at them, because a read that times out
+// within the chunk framing could not be resumed. Framing alone does not count: if an
+// upstream stalls right after a chunk's trailing CRLF, sent by itself, the read that
+// follows would block without a limit, and the caller with it.
 func (s *Stream) stalled() bool {
 	if s.bodyBuffered() {
 		return false
 	}
-	// Setting a deadline fails only on a closed connection, as the read will.
+	// Setting a deadline fails only on a closed connection, where the read fails too.
 	_ = s.conn.SetReadDeadline(time.Now().Add(s.stallTimeout))
 	defer func() { _ = s.conn.SetReadDeadline(time.Time{}) }()
 	for !s.bodyBuffered() {
@@ -61,22 +61,22 @@
 	return false
 }
 
-// bodyBuffered reports whether something of the body has come that was not read yet.
+// bodyBuffered reports whether unread bytes of the body have arrived.
 func (s *Stream) bodyBuffered() bool {
-	buffered, _ := s.conn.r.Peek(s.conn.r.Buffered()) // that many are there
+	buffered, _ := s.conn.r.Peek(s.conn.r.Buffered()) // as many bytes as are buffered
 	return len(buffered) > 0 && !(s.chunked() && isFraming(buffered))
 }
 
-// chunked reports whether the body comes in chunks.
+// chunked reports whether the body has the chunked transfer encoding.
 func (s *Stream) chunked() bool {
 	return slices.Contains(s.resp.TransferEncoding, "chunked")
 }
 
-// finalChunk begins the end of a body that comes in chunks.
+// finalChunk is the start of the last chunk of a chunked body.
 var finalChunk = []byte("0\r\n")
 
-// isFraming reports whether bytes may be nothing but the end of a chunk and the beginning of
-// the size of the next one.
+// isFraming reports whether b may consist only of the end of a chunk and the start of
+// the next chunk's size.
 func isFraming(b []byte) bool {
 	b = bytes.TrimPrefix(b, []byte("\r\n"))
 	if bytes.HasPrefix(b, finalChunk) {
@@ -85,29 +85,30 @@
 	return len(bytes.Trim(b, "0123456789abcdefABCDEF\r\n")) == 0
 }
 
-// SetStallTimeout bounds the time that each further piece may take.
+// SetStallTimeout bounds the wait for each further piece; zero: no limit.
 func (s *Stream) SetStallTimeout(timeout time.Duration) {
 	s.stallTimeout = timeout
 }
 
-// Status returns the status of the answer.
+// Status returns the HTTP status of the response.
 func (s *Stream) Status() int {
 	return s.resp.StatusCode
 }
 
-// IsEventStream reports whether the answer is a stream of events.
+// IsEventStream reports whether the response is a stream of server-sent events.
 func (s *Stream) IsEventStream() bool {
 	return s.eventStream
 }
 
+// ofEvents reports whether a response is a stream of server-sent events.
 func ofEvents(resp *http.Response) bool {
 	mediaType, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type"))
 	return mediaType == eventstream.MediaType
 }
 
-// Next waits for the next piece: the head, the bytes in order, then the end. The
-// bytes are valid until the next call. An error means that the answer is broken.
-// The context that was given to Do ends the wait.
+// Next waits for the next piece: the head, the bytes in order, then the end. The bytes
+// are valid until the next call. An error other than ErrStalled means that the response
+// is incomplete. The end of the context that was passed to Do ends the wait.
 func (s *Stream) Next() (wire.Piece, error) {
 	if !s.headReturned {
 		s.headReturned = true
@@ -123,8 +124,8 @@
 		n, err := s.resp.Body.Read(s.buf)
 		switch {
 		case n > 0:
-			// The end comes with the last bytes if it was in one packet with them.
-			// Nothing follows then, which is not to be taken for a pause.
+			// Read returns EOF with the last bytes if both came in one packet. Nothing
+			// follows then, which must not count as a pause.
 			s.atEOF = errors.Is(err, io.EOF)
 			return wire.Piece{Bytes: s.buf[:n]}, nil
 		case errors.Is(err, io.EOF):
@@ -136,7 +137,8 @@
 	}
 }
 
-// finish gives the connection back after a whole answer.
+// finish gives the connection back to the client after a complete response, or closes
+// it if it cannot be reused.
 func (s *Stream) finish() {
 	s.closed = true
 	idleTimeout := keepFor(s.resp.Header)
@@ -149,8 +151,8 @@
 	s.client.putIdle(s.at, s.conn)
 }
 
-// Close gives the answer up, unless it has ended: the upstream sees the
-// connection close and drops the request.
+// Close aborts the response unless it has ended. It closes the connection, on which
+// the upstream drops the request.
 func (s *Stream) Close() {
 	if s.closed {
 		return
@@ -160,8 +162,9 @@
 	_ = s.conn.Close()
 }
 
-// Drain reads the rest of a short answer that nobody needs, to keep the
-// connection. A long one, or one that does not come, is not worth it.
+// Drain reads the rest of a short response that is not needed, so that the connection
+// can be reused. If the body is long, of unknown length or late, it closes the
+// connection.
 func (s *Stream) Drain() {
 	const maxBytes, timeout = 4 << 10, 50 * time.Millisecond
 	if s.resp.ContentLength < 0 || s.resp.ContentLength > maxBytes {
