--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -14,9 +14,10 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// A runner dies in the middle of an event, and another one goes on behind the
-// last event that the caller has. Wherever the stream is cut, and however its
-// bytes come in, the caller's stream must be the whole one.
+// Guards against a gap or a repeated event where another upstream continues a stream.
+// The first upstream fails anywhere in the stream, also within an event, and the next
+// one continues after the last event that the caller received. However the bytes
+// arrive, the caller must receive the whole stream.
 func TestResumedStreamHasNoGapOrRepeat(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "newline")
@@ -40,7 +41,7 @@
 		whole := stream(1)
 		feed(whole[:rapid.IntRange(0, len(whole)).Draw(t, "cut")])
 		if !f.Discard() {
-			t.Fatal("short events were torn")
+			t.Fatal("parts of short events were passed on")
 		}
 		from := 1
 		if f.LastID() != "" {
@@ -57,15 +58,15 @@
 	})
 }
 
-// An event of many megabytes is not held back in a router's memory; a stream that
-// breaks off within it cannot be gone on with.
+// An event of many megabytes must not be buffered in a router's memory. A stream that
+// is interrupted within such an event cannot be resumed.
 func TestOversizedEventIsNotBuffered(t *testing.T) {
 	var f Framer
 	f.Feed([]byte("id: 1\n\n"))
 	if out := f.Feed(make([]byte, maxPendingBytes+1)); len(out) != maxPendingBytes+1 {
-		t.Fatalf("%d bytes went out", len(out))
+		t.Fatalf("%d bytes were passed on, want %d", len(out), maxPendingBytes+1)
 	}
 	if f.Discard() {
-		t.Error("gone on with within an event")
+		t.Error("a stream interrupted within an event is reported as resumable")
 	}
 }
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -18,34 +18,34 @@
 const (
 	// HeaderRequestID carries the nonce of the request key.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority carries the request's priority, which engines honour.
+	// HeaderPriority carries the request's priority; model engines schedule by it.
 	HeaderPriority = "X-Priority"
-	// HeaderSession carries the session, in hexadecimal, by which an engine is
-	// asked for its cached prefix later.
+	// HeaderSession carries the session, in hexadecimal. An engine's cached prefix is
+	// exported and imported under the same value.
 	HeaderSession = "X-Session-Id"
 )
 
-// maxIdleConns is how many connections are kept.
+// maxIdleConns is the number of idle connections that are kept to the upstream.
 const maxIdleConns = 64
 
 // HTTP is an upstream at an HTTP address.
 type HTTP struct {
 	base     string
-	unpooled *http.Client // with a connection for each call
-	pooled   *http.Client
+	unpooled *http.Client // opens a connection for each call
+	pooled   *http.Client // reuses connections
 }
 
 // NewHTTP returns the upstream at base, such as http://127.0.0.1:8000.
 //
-// Each call that is not idempotent has a connection of its own. A kept
-// connection may have been closed by an upstream that has restarted; a call
-// written to it fails without word of whether it ran, and net/http repeats some
-// calls by itself, so that they run twice. On a new one, a call that could not
-// connect has not run.
+// Each call that is not idempotent has a connection of its own. A pooled connection
+// may have been closed by an upstream that restarted. A call written to it fails
+// without showing whether it ran, and net/http repeats some calls by itself, so that
+// they run twice. With a new connection, a call that failed to connect has not run.
 func NewHTTP(base string) *HTTP {
 	return &HTTP{base: base, unpooled: newClient(false), pooled: newClient(true)}
 }
 
+// newClient returns a client that does not follow redirects and uses no proxy.
 func newClient(pooled bool) *http.Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DisableKeepAlives = !pooled
@@ -55,6 +55,7 @@
 	return &http.Client{Transport: transport, CheckRedirect: noRedirect}
 }
 
+// client returns the client for a request; see NewHTTP.
 func (h *HTTP) client(r Request) *http.Client {
 	if r.Idempotent {
 		return h.pooled
@@ -62,8 +63,8 @@
 	return h.unpooled
 }
 
-// noRedirect passes a redirect on to the caller: following it would run a
-// second call under the same key.
+// noRedirect makes the client return a redirect as the response, for the caller.
+// Following it would run a second call under the same key.
 func noRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
@@ -86,6 +87,8 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
+// setHeader adds the headers of the call and those of the sidecar. The sidecar's
+// replace the caller's of the same name.
 func setHeader(h http.Header, r Request) {
 	for name, values := range r.Call.Header {
 		h[name] = values
@@ -102,10 +105,12 @@
 	}
 }
 
+// sessionID returns the form of a session in headers and paths.
 func sessionID(session uint64) string {
 	return strconv.FormatUint(session, 16)
 }
 
+// callError returns the error of a call without a response.
 func callError(err error, connected bool) error {
 	if !connected {
 		return verdict.New(verdict.NotRun, reasonFor(err, verdict.ReasonUpstreamDown), "%s", err)
@@ -113,12 +118,14 @@
 	return verdict.New(verdict.MayHaveRun, reasonFor(err, verdict.ReasonUpstreamFailed), "%s", err)
 }
 
-// ResponseInterrupted is the error of an answer that broke off while its body was read.
+// ResponseInterrupted returns the error of a response whose body could not be read to
+// its end.
 func ResponseInterrupted(err error) error {
 	return verdict.New(verdict.Ran, reasonFor(err, verdict.ReasonUpstreamFailed), "the answer broke off: %s", err)
 }
 
-// reasonFor tells what we ended ourselves from what the upstream did.
+// reasonFor returns the reason for err: a deadline or cancellation of the sidecar's own
+// context, else otherwise.
 func reasonFor(err error, otherwise verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
--- a/internal/upstream/kv.go
+++ b/internal/upstream/kv.go
@@ -13,13 +13,13 @@
 	exportPath = "/kv/export?session="
 	importPath = "/kv/import?session="
 
-	// MaxExportBytes bounds the exported prefix of one session, in bytes, so that it
-	// fits into one message between sidecars.
+	// MaxExportBytes bounds the exported prefix of one session, so that it fits into one
+	// message between sidecars.
 	MaxExportBytes = 4 << 20
 )
 
-// ErrNotCached is a session of which the upstream holds nothing.
-var ErrNotCached = errors.New("upstream: nothing is cached")
+// ErrNotCached reports that the upstream has no cached prefix of a session.
+var ErrNotCached = errors.New("upstream: no cached prefix for the session")
 
 // Export implements Upstream.
 func (h *HTTP) Export(ctx context.Context, session uint64) ([]byte, error) {
@@ -33,7 +33,7 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxExportBytes+1))
 	if err != nil || len(b) > MaxExportBytes {
-		return nil, errors.Errorf("upstream: export of over %d bytes, or cut short", MaxExportBytes)
+		return nil, errors.Errorf("upstream: export exceeds %d bytes or is incomplete", MaxExportBytes)
 	}
 	return b, nil
 }
@@ -51,7 +51,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return errors.Errorf("upstream: import refused with %d", resp.StatusCode)
+		return errors.Errorf("upstream: import failed with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -15,13 +15,14 @@
 	ordersPath = "/orders"
 
 	// HeaderFencingToken carries the fencing token of an order. Some upstreams
-	// refuse an order with an old one, others ignore it.
+	// refuse an order with an outdated token, others ignore the header.
 	HeaderFencingToken = "X-Fencing-Token"
 
-	maxOrderStatusBytes = 64 << 10
+	maxOrderStatusBytes = 64 << 10 // bytes of an order status that are read
 )
 
-// OrderStatus returns the upstream's latest order and what it serves.
+// OrderStatus returns the status of the upstream's latest order and what the upstream
+// serves. An error is a *verdict.Error.
 func (h *HTTP) OrderStatus(ctx context.Context) (wire.OrderStatus, error) {
 	var status wire.OrderStatus
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.base+ordersPath, nil)
@@ -43,7 +44,8 @@
 	return status, nil
 }
 
-// Load has the upstream begin a load.
+// Load makes the upstream start to load what the order wants. It returns once the
+// upstream has accepted the order. An error is a *verdict.Error.
 func (h *HTTP) Load(ctx context.Context, o wire.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -15,12 +15,12 @@
 	ProbeTimeout = time.Second
 
 	probePath      = "/health"
-	maxHealthBytes = 4 << 10 // bytes of an answer that are read
+	maxHealthBytes = 4 << 10 // bytes of a response that are read
 )
 
-// Probe implements Upstream. Whatever answers over HTTP is up, also a service
-// that knows no such path; only connecting would not tell a frozen process,
-// for which the kernel still accepts connections.
+// Probe implements Upstream. Any HTTP response means that the upstream is up, also
+// from a service that does not serve the path. Connecting alone would not detect a
+// frozen process, for which the kernel still accepts connections.
 func (h *HTTP) Probe(ctx context.Context) Health {
 	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
@@ -40,6 +40,7 @@
 	return out
 }
 
+// get makes a GET request on a new connection.
 func (h *HTTP) get(ctx context.Context, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.base+path, nil)
 	if err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream is the sidecar's face of the upstream beside it: a model
-// engine or a plain service, spoken to over HTTP.
+// Package upstream is the sidecar's client for the upstream on its VM, a model engine
+// or a plain service that is called over HTTP.
 package upstream
 
 import (
@@ -10,55 +10,56 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Request is a call with what the sidecar adds to it.
+// Request is a call with the properties that the sidecar adds to it.
 type Request struct {
-	ID          string // of the request key
+	ID          string // nonce of the request key
 	Session     uint64 // zero: none
-	Priority    int
-	Idempotent  bool
-	Traceparent string
+	Priority    int    // higher runs earlier; zero: not sent
+	Idempotent  bool   // the call may run more than once
+	Traceparent string // W3C trace context; empty: none
 	Call        wire.Call
 }
 
-// Response is the answer of an upstream. The caller closes Body.
+// Response is the response of an upstream. The caller closes Body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// State is whether an upstream answers.
+// State is the result of probing an upstream.
 type State uint8
 
 // States of an upstream.
 const (
-	// Up answers.
+	// Up is an upstream that responds.
 	Up State = iota
-	// Gone refuses connections or breaks them: its process has ended.
+	// Gone is an upstream that refuses connections or breaks them: its process has
+	// ended.
 	Gone
-	// Frozen takes connections and does not answer.
+	// Frozen is an upstream that accepts connections and does not respond.
 	Frozen
 )
 
-// Instance tells apart the processes that an upstream has been.
+// Instance identifies one process of an upstream. It changes when the upstream restarts.
 type Instance string
 
-// Health is what a probe of an upstream finds.
+// Health is the result of a probe.
 type Health struct {
 	State    State    `json:"-"`
-	Instance Instance `json:"instance"` // empty: the upstream does not say
-	Running  int      `json:"running"`  // requests under way, as the upstream counts
+	Instance Instance `json:"instance"` // empty: the upstream does not report it
+	Running  int      `json:"running"`  // requests in progress, by the upstream's own count
 }
 
 // Upstream runs requests.
 type Upstream interface {
-	// Do makes a call. An error carries the verdict: NotRun only when not a
-	// byte of the call can have reached the upstream.
+	// Do makes a call. An error carries a verdict, which is NotRun only if no byte of
+	// the call can have reached the upstream.
 	Do(ctx context.Context, r Request) (*Response, error)
-	// Probe asks how the upstream is, within ProbeTimeout.
+	// Probe checks the health of the upstream, within ProbeTimeout.
 	Probe(ctx context.Context) Health
-	// Export returns what the upstream has cached of a session's prompt.
+	// Export returns the cached prefix of a session's prompt, or ErrNotCached.
 	Export(ctx context.Context, session uint64) ([]byte, error)
-	// Import gives the upstream what another one has exported.
+	// Import loads a cached prefix that another upstream has exported.
 	Import(ctx context.Context, session uint64, cached []byte) error
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,12 +13,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// getRequest is a call that net/http thinks safe to repeat.
+// getRequest is a call that net/http considers safe to repeat.
 var getRequest = Request{ID: "1", Call: wire.Call{Method: http.MethodGet, Path: "/hold"}}
 
-// A payment service drops the second connection on which it hears a call,
-// after it has begun to work. On a kept connection net/http sends the call
-// again by itself: the guest pays twice, and is told that all went well.
+// Guards against calls that run twice. The upstream closes the connection of the
+// second call after it has started to run it. On a reused connection net/http would
+// send that call again by itself and report success.
 func TestFailedCallIsNotRepeated(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,15 +36,15 @@
 	_ = resp.Body.Close()
 	_, err = u.Do(context.Background(), getRequest)
 	if e := verdict.From(err); e == nil || e.Verdict != verdict.MayHaveRun || e.Reason != verdict.ReasonUpstreamFailed {
-		t.Errorf("the broken call: %v", err)
+		t.Errorf("call on a closed connection: %v", err)
 	}
 	if n := calls.Load(); n != 2 {
 		t.Errorf("%d calls arrived, want 2", n)
 	}
 }
 
-// A call to an upstream whose process has ended was not run, also when its
-// connections worked before; one that was written and not answered may have.
+// A call to an upstream whose process has ended has not run, also if earlier
+// connections worked. A call that was written and got no response may have run.
 func TestVerdictDependsOnWhatWasSent(t *testing.T) {
 	arrived := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -64,10 +64,10 @@
 	}()
 	_, err := u.Do(ctx, getRequest)
 	if e := verdict.From(err); e == nil || e.Verdict != verdict.MayHaveRun || e.Reason != verdict.ReasonCancelled {
-		t.Errorf("cancelled under way: %v", err)
+		t.Errorf("cancelled while running: %v", err)
 	}
 	if _, err = u.Do(ctx, getRequest); verdict.From(err) == nil || verdict.From(err).Verdict != verdict.NotRun {
-		t.Errorf("cancelled before: %v", err)
+		t.Errorf("cancelled before the call: %v", err)
 	}
 	server.Close()
 	_, err = u.Do(context.Background(), getRequest)
@@ -79,7 +79,8 @@
 	}
 }
 
-// A frozen process still has its connections accepted, by the kernel.
+// The kernel still accepts connections for a frozen process, so connecting alone does
+// not detect it.
 func TestProbeDetectsFrozenProcess(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 }
 
-// BenchmarkConnections weighs a connection for each call against kept ones.
+// BenchmarkConnections compares a new connection for each call with pooled connections.
 func BenchmarkConnections(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,8 +1,8 @@
-// Package verdict says whether a request may have run.
+// Package verdict defines errors that state whether a request may have run.
 //
-// Every error that crosses a package edge on the request path carries a
-// Verdict. The verdict alone decides whether the request may be tried again
-// and what its caller is told.
+// Every error that crosses a package boundary on the request path carries a
+// Verdict. The verdict alone decides whether the request may be retried and which
+// outcome its caller sees.
 package verdict
 
 import (
@@ -16,7 +16,8 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value: where nothing is known, nothing is ruled out.
+	// MayHaveRun means that the request may or may not have run. It is the zero
+	// value, so that an unset Verdict rules nothing out.
 	MayHaveRun Verdict = iota
 	// NotRun means that the request has not run and never will.
 	NotRun
@@ -24,7 +25,7 @@
 	Ran
 )
 
-// Names of the verdicts as callers and peers see them.
+// Names of the verdicts on the wire, for callers and peers.
 const (
 	nameMayHaveRun = "may-have-run"
 	nameNotRun     = "not-run"
@@ -48,8 +49,8 @@
 	return []byte(v.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. A name that it does not
-// know becomes MayHaveRun, since a newer peer may say more than we understand.
+// UnmarshalText implements encoding.TextUnmarshaler. An unknown name, such as one
+// from a newer peer, becomes MayHaveRun.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case nameNotRun:
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// Reason names why a request was refused or cut short. Reasons are stable:
-// callers and alerts match on them.
+// Reason names why a request was refused or ended early. Reasons are stable: callers
+// and alerts match on them.
 type Reason string
 
 const (
@@ -75,44 +76,45 @@
 	ReasonForbidden Reason = "forbidden"
 	// ReasonUnknownProfile is a profile, model or service that does not exist.
 	ReasonUnknownProfile Reason = "unknown-profile"
-	// ReasonUnknownRequest is a request id of which nothing is known.
+	// ReasonUnknownRequest is a request id that is not known.
 	ReasonUnknownRequest Reason = "unknown-request"
-	// ReasonTooLarge is a body over its profile's limit.
+	// ReasonTooLarge is a body larger than its profile allows.
 	ReasonTooLarge Reason = "too-large"
-	// ReasonBadKey is a request key that we did not sign, or that has expired.
+	// ReasonBadKey is a request key with an invalid signature, or that has expired.
 	ReasonBadKey Reason = "bad-key"
-	// ReasonOverBound is an upstream at its multiple of the pool's mean load.
+	// ReasonOverBound is an upstream at its load bound, a multiple of the pool's mean
+	// load.
 	ReasonOverBound Reason = "over-bound"
-	// ReasonQueueFull is a queue at the bound of its profile.
+	// ReasonQueueFull is a queue at the limit of its profile.
 	ReasonQueueFull Reason = "queue-full"
 	// ReasonDeadline is a deadline that has passed or cannot be met.
 	ReasonDeadline Reason = "deadline"
 	// ReasonDraining is an upstream or router that is leaving.
 	ReasonDraining Reason = "draining"
-	// ReasonNoUpstream is a pool in which no upstream could be reached.
+	// ReasonNoUpstream is a pool without an upstream that could be reached.
 	ReasonNoUpstream Reason = "no-upstream"
-	// ReasonUpstreamDown is an upstream process that does not accept work.
+	// ReasonUpstreamDown is an upstream process that accepts no requests.
 	ReasonUpstreamDown Reason = "upstream-down"
 	// ReasonUpstreamFailed is an upstream that failed while the request was running.
 	ReasonUpstreamFailed Reason = "upstream-failed"
 	// ReasonIncarnationGone is a request key whose sidecar incarnation has ended.
 	ReasonIncarnationGone Reason = "incarnation-gone"
-	// ReasonEvicted is a request key that has left its sidecar's table.
+	// ReasonEvicted is a request key that was evicted from its sidecar's table.
 	ReasonEvicted Reason = "evicted"
 	// ReasonMoved is a request key whose execution moved to a successor key.
 	ReasonMoved Reason = "moved"
-	// ReasonKeyReused is a request key that came back with a different request.
+	// ReasonKeyReused is a request key that was used again for a different request.
 	ReasonKeyReused Reason = "key-reused"
 	// ReasonQuarantined is a request that is known to crash its upstream.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonSuspect is a request that may have crashed an upstream and waits
-	// for its turn to run alone.
+	// ReasonSuspect is a request that may have crashed an upstream and waits to be
+	// run alone.
 	ReasonSuspect Reason = "suspect"
 	// ReasonFenced is an order from a former holder of a lease.
 	ReasonFenced Reason = "fenced"
-	// ReasonNoOrders is an upstream that takes no orders.
+	// ReasonNoOrders is an upstream that accepts no orders.
 	ReasonNoOrders Reason = "no-orders"
-	// ReasonBusy is an upstream that works on another order.
+	// ReasonBusy is an upstream that is carrying out another order.
 	ReasonBusy Reason = "busy"
 	// ReasonStoreDown is an idempotency key that could not be claimed.
 	ReasonStoreDown Reason = "store-down"
@@ -120,22 +122,23 @@
 	ReasonConcurrency Reason = "concurrency"
 	// ReasonCancelled is a request that its caller cancelled.
 	ReasonCancelled Reason = "cancelled"
-	// ReasonConnection is a connection to a sidecar that broke or went silent.
+	// ReasonConnection is a connection to an upstream or its sidecar that broke or
+	// stalled.
 	ReasonConnection Reason = "connection"
-	// ReasonAnswerGone is an answer that is no longer held.
+	// ReasonAnswerGone is a response that is no longer kept.
 	ReasonAnswerGone Reason = "answer-gone"
 	// ReasonInternal is a failure that none of the other reasons covers.
 	ReasonInternal Reason = "internal"
 )
 
-// Error is an error with the verdict on the request that it concerns.
+// Error is an error with the verdict on the affected request.
 type Error struct {
 	Verdict    Verdict       `json:"verdict"`
 	Reason     Reason        `json:"reason"`
 	Detail     string        `json:"detail,omitempty"`
-	RetryAfter time.Duration `json:"retry_after_ns,omitempty"` // zero: no advice
-	// EarlierUnknown limits a NotRun to this arrival of the request: of earlier
-	// ones under the same key nothing is known.
+	RetryAfter time.Duration `json:"retry_after_ns,omitempty"` // zero: no recommendation
+	// EarlierUnknown limits NotRun to this submission of the request. Whether an
+	// earlier submission under the same key has run is unknown.
 	EarlierUnknown bool `json:"earlier_unknown,omitempty"`
 }
 
@@ -144,20 +147,20 @@
 	return fmt.Sprintf("%s (%s): %s", e.Reason, e.Verdict, e.Detail)
 }
 
-// New returns an Error without advice on when to come back.
+// New returns an Error without a RetryAfter.
 func New(v Verdict, r Reason, format string, args ...any) *Error {
 	return &Error{Verdict: v, Reason: r, Detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns a copy of e that tells the caller to come back after d.
+// WithRetryAfter returns a copy of e with RetryAfter set to d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// From returns the Error within err. An error without a verdict is one of
-// which nothing is known, so it becomes MayHaveRun.
+// From returns the Error in err's chain, or nil if err is nil. An err without an Error
+// becomes a MayHaveRun with ReasonInternal.
 func From(err error) *Error {
 	if err == nil {
 		return nil
