--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -64,7 +64,7 @@
 	var f Framer
 	f.Feed([]byte("id: 1\n\n"))
 	if out := f.Feed(make([]byte, maxPendingBytes+1)); len(out) != maxPendingBytes+1 {
-		t.Fatalf("%d bytes were passed on, want %d", len(out), maxPendingBytes+1)
+		t.Fatalf("%d bytes were passed on", len(out))
 	}
 	if f.Discard() {
 		t.Error("a stream interrupted within an event is reported as resumable")
