--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -83,20 +83,20 @@
 // is sent. The end of ctx aborts the call, also after Do has returned. An error is a
 // *verdict.Error.
 func (c *Client) Do(ctx context.Context, vm topo.VM, call Call, maySend func() bool) (*Stream, error) {
-	at := endpoint{instance: vm.ID, addr: vm.Addr}
+	ep := endpoint{instance: vm.ID, addr: vm.Addr}
 	header := call.Header.Clone()
 	if header == nil {
 		header = make(http.Header)
 	}
-	conn, err := c.getConn(ctx, at)
+	conn, err := c.getConn(ctx, ep)
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "%s", err)
 	}
 	if !maySend() {
-		c.putIdle(at, conn)
+		c.putIdle(ep, conn)
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "given up before it was sent")
 	}
-	release := c.markInUse(ctx, at, conn)
+	release := c.markInUse(ctx, ep, conn)
 	c.dialect.Tell(header, call)
 	if err := conn.send(call, header); err != nil {
 		release()
@@ -109,14 +109,14 @@
 		_ = conn.Close()
 		return nil, lostError(ctx, err)
 	}
-	return &Stream{client: c, at: at, conn: conn, resp: resp, eventStream: ofEvents(resp), Signal: signal, release: release}, nil
+	return &Stream{client: c, endpoint: ep, conn: conn, resp: resp, eventStream: ofEvents(resp), Signal: signal, release: release}, nil
 }
 
 // markInUse records that a connection has a call in progress, until release is called.
 // The end of ctx aborts the call. release reports whether the call was not aborted.
-func (c *Client) markInUse(ctx context.Context, at endpoint, conn *conn) (release func() bool) {
+func (c *Client) markInUse(ctx context.Context, ep endpoint, conn *conn) (release func() bool) {
 	c.mu.Lock()
-	c.inUse[conn] = at
+	c.inUse[conn] = ep
 	c.mu.Unlock()
 	stop := conn.closeOnDone(ctx)
 	return func() bool {
@@ -135,8 +135,8 @@
 	restarted := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, at := range c.inUse {
-		if at == restarted {
+	for conn, ep := range c.inUse {
+		if ep == restarted {
 			abortedCalls.Inc()
 			_ = conn.Close() // the goroutine of the call gets the error
 		}
@@ -154,10 +154,10 @@
 
 // getConn returns the most recently used idle connection that is still usable, or a
 // new one.
-func (c *Client) getConn(ctx context.Context, at endpoint) (*conn, error) {
+func (c *Client) getConn(ctx context.Context, ep endpoint) (*conn, error) {
 	now := time.Now()
 	for {
-		conn := c.takeIdle(at)
+		conn := c.takeIdle(ep)
 		if conn == nil {
 			break
 		}
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	raw, err := c.dial(ctx, "tcp", at.addr)
+	raw, err := c.dial(ctx, "tcp", ep.addr)
 	if err != nil {
 		dials.Inc(dialFailed)
 		return nil, errors.WithStack(err)
@@ -179,24 +179,24 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection; nil: there is none.
-func (c *Client) takeIdle(at endpoint) *conn {
+func (c *Client) takeIdle(ep endpoint) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	conns := c.idle[at]
+	conns := c.idle[ep]
 	if len(conns) == 0 {
 		return nil
 	}
 	last := conns[len(conns)-1]
-	c.idle[at] = conns[:len(conns)-1]
+	c.idle[ep] = conns[:len(conns)-1]
 	return last
 }
 
 // putIdle keeps a connection for the next call.
-func (c *Client) putIdle(at endpoint, conn *conn) {
+func (c *Client) putIdle(ep endpoint, conn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.reused = true
-	c.idle[at] = append(c.idle[at], conn)
+	c.idle[ep] = append(c.idle[ep], conn)
 }
 
 // CloseIdle closes the idle connections that have expired, or whose upstream is no
@@ -204,9 +204,9 @@
 func (c *Client) CloseIdle(now time.Time, vms map[string]topo.VM) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for at, conns := range c.idle {
-		vm, listed := vms[at.instance]
-		removed := !listed || vm.Addr != at.addr
+	for ep, conns := range c.idle {
+		vm, listed := vms[ep.instance]
+		removed := !listed || vm.Addr != ep.addr
 		remaining := conns[:0]
 		for _, conn := range conns {
 			if removed || !now.Before(conn.expires) {
@@ -217,9 +217,9 @@
 		}
 		clear(conns[len(remaining):])
 		if len(remaining) == 0 {
-			delete(c.idle, at)
+			delete(c.idle, ep)
 		} else {
-			c.idle[at] = remaining
+			c.idle[ep] = remaining
 		}
 	}
 }
--- a/internal/exchange/stream.go
+++ b/internal/exchange/stream.go
@@ -25,7 +25,7 @@
 	Signal Signal // from the status and headers
 
 	client       *Client
-	at           endpoint
+	endpoint     endpoint
 	conn         *conn
 	resp         *http.Response
 	eventStream  bool // cached for IsEventStream, which is called for each event
@@ -148,7 +148,7 @@
 		return
 	}
 	s.conn.expires = time.Now().Add(idleTimeout)
-	s.client.putIdle(s.at, s.conn)
+	s.client.putIdle(s.endpoint, s.conn)
 }
 
 // Close aborts the response unless it has ended. It closes the connection, on which
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -65,7 +65,7 @@
 	firstOverBound    int  // first candidate that refused because of its load bound, or none
 	mayOfferAgain     bool // firstOverBound may be offered the request once more
 	hedged            bool
-	switchBudgetSpent bool // the budget did not cover a switch: the silent attempt goes on
+	switchBudgetSpent bool // the budget did not cover a switch: the attempt continues
 	winner            int  // attempt whose response goes to the caller, or none
 	partDelivered     bool // delivery of a response to the caller has begun
 	resumable         bool // another run may continue that response
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -19,8 +19,8 @@
 	if a.phase == ended {
 		return nil
 	}
-	fresh := a.phase == submitted && a.reconnects == 0 && !a.underCallerKey
-	if fresh {
+	neverSent := a.phase == submitted && a.reconnects == 0 && !a.underCallerKey
+	if neverSent {
 		s.unsent++
 		return s.failed(e.Attempt, retry.Failure{Err: e.Err})
 	}
