--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -97,7 +97,7 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "given up before it was sent")
 	}
 	release := c.markInUse(ctx, ep, conn)
-	c.dialect.Tell(header, call)
+	c.dialect.SetHeaders(header, call)
 	if err := conn.send(call, header); err != nil {
 		release()
 		_ = conn.Close()
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -49,9 +49,9 @@
 
 // Dialect encodes and decodes the headers that a platform's routers and upstreams exchange.
 type Dialect interface {
-	// Tell sets the headers of a call, and removes those that its caller may not
+	// SetHeaders sets the headers of a call, and removes those that its caller may not
 	// set.
-	Tell(h http.Header, c Call)
+	SetHeaders(h http.Header, c Call)
 	// Read returns what the status and headers of a response say.
 	Read(status int, h http.Header) Signal
 }
--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -139,9 +139,9 @@
 		sidecar.neverRuns = true
 		r := Refused{Now: s.now, Attempt: i, Err: verdict.New(verdict.NotRun, verdict.ReasonOverBound, "")}
 		if callerKey && rapid.Bool().Draw(s.t, "moved") {
-			r.Moved = &wire.Key{}
+			r.Successor = &wire.Key{}
 		}
-		s.callerKeyRefused = s.callerKeyRefused || callerKey && r.Moved == nil
+		s.callerKeyRefused = s.callerKeyRefused || callerKey && r.Successor == nil
 		s.post(r)
 	default:
 		sidecar.ran = true
--- a/internal/router/dispatch/event.go
+++ b/internal/router/dispatch/event.go
@@ -50,11 +50,11 @@
 
 // Refused reports that a sidecar, or an upstream without one, refused the request.
 type Refused struct {
-	Now     time.Time
-	Attempt int
-	Err     *verdict.Error
-	Moved   *wire.Key // successor key under which the request continues; nil: none
-	Final   bool      // no other upstream would accept the request
+	Now       time.Time
+	Attempt   int
+	Err       *verdict.Error
+	Successor *wire.Key // successor key under which the request continues; nil: none
+	Final     bool      // no other upstream would accept the request
 }
 
 // ConnectionLost reports that a connection broke after the request had been sent over it.
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -63,11 +63,11 @@
 	if a.phase == ended {
 		return nil
 	}
-	if e.Moved != nil && a.chainIndex+1 < MaxKeyChain {
+	if e.Successor != nil && a.chainIndex+1 < MaxKeyChain {
 		s.attempts[e.Attempt].phase = ended
-		return s.follow(a.chainIndex+1, *e.Moved)
+		return s.follow(a.chainIndex+1, *e.Successor)
 	}
-	if e.Moved != nil {
+	if e.Successor != nil {
 		e.Err = verdict.New(verdict.MayHaveRun, verdict.ReasonMoved, "the request has moved too often to be followed")
 	}
 	// An attach is refused by a sidecar that no longer has the request, or by the
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -158,7 +158,7 @@
 	if adm.Moved == nil && e.Verdict == verdict.NotRun {
 		a.returnPermit(at)
 	}
-	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Moved: adm.Moved, Final: a.isStranded(at, e)}
+	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Successor: adm.Moved, Final: a.isStranded(at, e)}
 }
 
 // isStranded reports whether a suspect was refused by the only VM where it may
@@ -188,7 +188,7 @@
 			a.router.handleControl(time.Now(), at.vm, p.End.Control)
 			a.reportCrash(at, p.End.Error)
 			if p.End.Moved != nil { // it waited there and was moved to another upstream
-				return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: p.End.Error, Moved: p.End.Moved}
+				return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: p.End.Error, Successor: p.End.Moved}
 			}
 			if p.End.Error.Verdict == verdict.NotRun {
 				a.returnPermit(at)
