--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -49,7 +49,7 @@
 	attempts        []*attempt
 	outcomes        chan outcome
 	winner          *attempt
-	cutter          *eventstream.Framer // of an answer that another upstream may continue
+	framer          *eventstream.Framer // of an answer that another upstream may continue
 	result          *verdict.Error      // once state is finished; nil: the answer is complete
 	end             *wire.End
 }
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -193,7 +193,7 @@
 			s.SetStallTimeout(time.Duration(pauseFraction * float64(a.req.Profile.MaxPause.Std())))
 		}
 		if a.session != 0 {
-			a.router.holders.Record(a.session, at.vm)
+			a.router.lastServed.Record(a.session, at.vm)
 		}
 		a.router.retries.Answered(time.Now(), a.poolName)
 		return dispatch.ResponseStarted{Now: time.Now(), Attempt: at.number, Resumable: s.IsEventStream()}
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -190,7 +190,7 @@
 	if !enabled.Donors {
 		return topo.VM{}
 	}
-	if last, ok := a.router.holders.Get(a.session); ok && enabled.LastServed && last.ID != a.pool.VMs[c.Index].ID {
+	if last, ok := a.router.lastServed.Get(a.session); ok && enabled.LastServed && last.ID != a.pool.VMs[c.Index].ID {
 		if a.router.canDonate(now, a.view, last, a.req.regions()) {
 			return last
 		}
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -34,7 +34,7 @@
 	if e.Continue {
 		a.winner = nil
 		at.headSent = true
-		at.lastEventID = a.cutter.LastID()
+		at.lastEventID = a.framer.LastID()
 	}
 	if !ok {
 		a.launch(at, 0, noUpstreamLeft)
@@ -83,8 +83,8 @@
 func (a *Answer) deliver(at *attempt, resumable bool) {
 	a.winner = at
 	if resumable {
-		if a.cutter == nil {
-			a.cutter = &eventstream.Framer{}
+		if a.framer == nil {
+			a.framer = &eventstream.Framer{}
 		}
 		return
 	}
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -44,7 +44,7 @@
 		"Bytes of messages between routers, sent and received, by kind.")
 	meshMalformed = telemetry.NewCounter("router_mesh_malformed_total",
 		"Messages between routers that made no sense.", telemetry.Alert)
-	storeReaders = telemetry.NewGauge("router_reads_store_info",
+	readsStoreInfo = telemetry.NewGauge("router_reads_store_info",
 		"1 while this router reads the platform's store itself, 0 while another does it for this one.")
 )
 
@@ -67,7 +67,7 @@
 	members    *follow.Runner
 	parent     relay.Node  // owned by the control loop
 	readsStore atomic.Bool // this router reads the store
-	packed     *pack.Packer
+	packer     *pack.Packer
 	register   *register.Registrar
 
 	// The control loop owns the fields below.
@@ -79,7 +79,7 @@
 }
 
 func newMesh(r *Router, m Mesh) *mesh {
-	out := &mesh{Mesh: m, router: r, packed: pack.New()}
+	out := &mesh{Mesh: m, router: r, packer: pack.New()}
 	out.register = register.New(r.config.Store, m.Self, out.readsStore.Load, func(nodes []relay.Node) {
 		r.loop.Post(RelayEvent{Event: relay.Registered{Now: time.Now(), Nodes: nodes}})
 	})
@@ -191,9 +191,9 @@
 func (m *mesh) setReading(reads bool) {
 	m.readsStore.Store(reads)
 	if reads {
-		storeReaders.Set(1)
+		readsStoreInfo.Set(1)
 	} else {
-		storeReaders.Set(0)
+		readsStoreInfo.Set(0)
 	}
 }
 
@@ -264,7 +264,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.mesh.packed.Pack(set, q, d)
+	return c.mesh.packer.Pack(set, q, d)
 }
 
 // HandleFrame implements wire.Handler. Routers send each other none.
@@ -313,5 +313,5 @@
 	if err := r.peer(topo.VM{ID: parent.Name, Addr: parent.Addr}).Call(ctx, m, q, &p); err != nil {
 		return config.Delta{}, err
 	}
-	return r.mesh.packed.Unpack(p)
+	return r.mesh.packer.Unpack(p)
 }
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -32,7 +32,7 @@
 		list.Entries = append(list.Entries, topo.VM{ID: fmt.Sprint("router-", i), Role: topo.RoleRouter})
 	}
 	now := time.Unix(1000, 0)
-	seekers := 0
+	connecting := 0
 	for i := range routers {
 		s := NewState(fmt.Sprint("router-", i), placement.Locality{}, config.DefaultTiming(), 1)
 		s.Step(VMsChanged{Now: now, VMs: list})
@@ -41,11 +41,11 @@
 			t.Fatalf("router %d sends %v", i, sent)
 		}
 		if sent[0].Connect {
-			seekers++
+			connecting++
 		}
 	}
-	if seekers != noticeConnectors {
-		t.Fatalf("%d routers connect to send the notice, want %d", seekers, noticeConnectors)
+	if connecting != noticeConnectors {
+		t.Fatalf("%d routers connect to send the notice, want %d", connecting, noticeConnectors)
 	}
 }
 
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -62,7 +62,7 @@
 		if a.plan.Direct {
 			at.watch.RecordFailure()
 		}
-		if a.cutter != nil && !a.cutter.Discard() {
+		if a.framer != nil && !a.framer.Discard() {
 			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errPartialEvent})
 			break
 		}
@@ -74,7 +74,7 @@
 // handleSilence handles a stream that has paused for too long. The stream is abandoned
 // only if another upstream continues it: a pause alone is no reason to end an answer.
 func (a *Answer) handleSilence(at *attempt) {
-	if a.cutter.Discard() {
+	if a.framer.Discard() {
 		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
 	}
 	if s, ok := at.stream.(*directStream); ok && a.winner == at {
@@ -108,9 +108,9 @@
 	}
 	switch {
 	case p.End != nil:
-		if a.cutter != nil && p.End.Error == nil && len(a.cutter.Pending()) > 0 {
-			rest := a.cutter.Pending()
-			a.cutter = nil
+		if a.framer != nil && p.End.Error == nil && len(a.framer.Pending()) > 0 {
+			rest := a.framer.Pending()
+			a.framer = nil
 			at.readAhead = append(at.readAhead, p)
 			return wire.Piece{Bytes: rest}, true, nil
 		}
@@ -124,8 +124,8 @@
 		return p, !duplicate, nil
 	default:
 		at.offset += int64(len(p.Bytes))
-		if a.cutter != nil {
-			p.Bytes = a.cutter.Feed(p.Bytes)
+		if a.framer != nil {
+			p.Bytes = a.framer.Feed(p.Bytes)
 		}
 		a.bytesSent += int64(len(p.Bytes))
 		a.step(dispatch.PieceDelivered{})
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -48,7 +48,7 @@
 	relay   *relay.State
 	members *config.Follower
 	entries *membership.State
-	reader  membership.Decoder
+	decoder membership.Decoder
 	// unusable holds why entries name no usable upstream, by the name of the entry. Such
 	// an entry may be written again at each heartbeat, but is logged only once.
 	unusable map[string]string
@@ -66,13 +66,13 @@
 
 // EnableRelay makes the State follow the entries of upstreams in the same way as the
 // configuration. The relay chooses the router that reads both from the store.
-func (s *State) EnableRelay(r *relay.State, reader membership.Decoder, timing membership.Timing, pace config.Timing, seed uint64) {
+func (s *State) EnableRelay(r *relay.State, decoder membership.Decoder, timing membership.Timing, pace config.Timing, seed uint64) {
 	pace.RetryMax *= membersRetryFactor
 	s.relayState = &relayState{
 		relay:    r,
 		members:  config.NewFollower(seed, pace),
 		entries:  membership.NewState(timing),
-		reader:   reader,
+		decoder:  decoder,
 		unusable: make(map[string]string),
 	}
 }
@@ -169,7 +169,7 @@
 			out = append(out, c)
 			continue
 		}
-		entry, err := r.reader.Decode(o)
+		entry, err := r.decoder.Decode(o)
 		if err != nil {
 			c.Kind = membership.Unusable
 			unusable = append(unusable, UnusableEntry{Err: err, Repeated: r.unusable[o.Name] == err.Error()})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -114,7 +114,7 @@
 	claimer        *claim.Claimer
 	suspects       *suspects
 	ledger         *ledger.Ledger
-	holders        *balance.LastServed[topo.VM]
+	lastServed     *balance.LastServed[topo.VM]
 	coldStart      coldStart
 	tuning         atomic.Pointer[Tuning]
 
@@ -153,7 +153,7 @@
 		claimer:        claim.NewClaimer(c.Store),
 		suspects:       newSuspects(),
 		ledger:         ledger.New(),
-		holders:        balance.NewLastServed[topo.VM](),
+		lastServed:     balance.NewLastServed[topo.VM](),
 		coldStart:      coldStart{limiter: warmup.NewLimiter(c.VM)},
 		peers:          make(map[endpoint]*wire.Peer),
 		conditions:     condition.NewObservations(),
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -68,10 +68,10 @@
 // only the loads that they observed themselves.
 func TestLoadsAreSharedBetweenDifferentLists(t *testing.T) {
 	now := time.Unix(1000, 0)
-	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
-	behind.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
-	if got := loadOf(ahead.pool(), now, "b"); got < 16 || got > 18 {
+	older, newer := newTestMesh("a", "b"), newTestMesh("b", "c")
+	older.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
+	newer.mergeSharing(now, older.reportForFollowers(now), fromReader)
+	if got := loadOf(newer.pool(), now, "b"); got < 16 || got > 18 {
 		t.Errorf("load of b, which both lists have: %.1f, want 17", got)
 	}
 }
@@ -140,11 +140,11 @@
 // that are not in a router's own list are ignored.
 func TestLoadsOfUnlistedUpstreamsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
-	behind, ahead := newTestMesh("a", "b"), newTestMesh("b", "c")
-	behind.pool().tracker.RecordLoad(now, load.Hash("a"), 17)
-	ahead.mergeSharing(now, behind.reportForFollowers(now), fromReader)
+	older, newer := newTestMesh("a", "b"), newTestMesh("b", "c")
+	older.pool().tracker.RecordLoad(now, load.Hash("a"), 17)
+	newer.mergeSharing(now, older.reportForFollowers(now), fromReader)
 	for _, id := range []string{"b", "c"} {
-		if got := loadOf(ahead.pool(), now, id); got != 0 {
+		if got := loadOf(newer.pool(), now, id); got != 0 {
 			t.Errorf("load of %s: %.1f, want none", id, got)
 		}
 	}
