--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -113,6 +113,7 @@
 	return time.Until(at)
 }
 
+// handleOutcome processes an outcome of an attempt.
 func (a *Answer) handleOutcome(o outcome) {
 	at := o.attempt
 	if o.last {
@@ -159,6 +160,7 @@
 	}
 }
 
+// execute carries out an effect.
 func (a *Answer) execute(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.Offer:
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// routerShare returns one router's routerShare of a limit.
+// routerShare returns one router's share of a limit.
 func routerShare(limit, routers int) int {
 	if routers <= 1 {
 		return limit
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -71,7 +71,8 @@
 	return math.Round(x*10) / 10
 }
 
-// logEvent logs a failed attempt. decided tells whether the failure had effects.
+// logEvent logs an event if it is the failure of an attempt. decided tells whether
+// the failure had effects, such as another attempt or the end of the request.
 func (a *Answer) logEvent(e dispatch.Event, decided bool) {
 	switch e := e.(type) {
 	case dispatch.Unreachable:
@@ -126,6 +127,7 @@
 	a.log(class, "request ended", attrs...)
 }
 
+// outcome returns how the request ended, and the class of its log line.
 func (a *Answer) outcome() (answerOutcome, telemetry.LineClass) {
 	switch {
 	case a.result != nil:
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -131,6 +131,7 @@
 // socketRetryDelay is the pause after an error of a socket that may be temporary.
 const socketRetryDelay = 100 * time.Millisecond
 
+// handleMessage decodes and processes a message of another router.
 func (m *mesh) handleMessage(b []byte) {
 	message, err := relay.Decode(b)
 	if err != nil {
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -49,6 +49,7 @@
 	return a, nil
 }
 
+// newAnswer returns the Answer of a request to upstreams with sidecars, not yet run.
 func (r *Router) newAnswer(caller context.Context, view *View, req Request) *Answer {
 	now := time.Now()
 	a := &Answer{
