--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -78,11 +78,11 @@
 	case dispatch.Unreachable:
 		a.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
 	case dispatch.Refused:
-		a.logFailure("attempt was rejected", e.Attempt, e.Err, decided)
+		a.logFailure("attempt was refused", e.Attempt, e.Err, decided)
 	case dispatch.ConnectionLost:
-		a.logFailure("connection to the upstream was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
+		a.logFailure("attempt was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
 	case dispatch.ErrorResponse:
-		a.logFailure("upstream answered with an error", e.Attempt, e.Err, decided)
+		a.logFailure("upstream answered with a failure", e.Attempt, e.Err, decided)
 	case dispatch.Ended:
 		if e.Err != nil {
 			a.logFailure("attempt failed", e.Attempt, e.Err, decided)
--- a/internal/router/notice_test.go
+++ b/internal/router/notice_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if connecting != noticeConnectors {
-		t.Fatalf("%d routers connect to send the notice, want %d", connecting, noticeConnectors)
+		t.Fatalf("%d routers connect to send the notice", connecting)
 	}
 }
 
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -145,7 +145,7 @@
 	newer.mergeSharing(now, older.reportForFollowers(now), fromReader)
 	for _, id := range []string{"b", "c"} {
 		if got := loadOf(newer.pool(), now, id); got != 0 {
-			t.Errorf("load of %s: %.1f, want none", id, got)
+			t.Errorf("load %.1f of %s, want none", got, id)
 		}
 	}
 }
