--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -19,14 +19,14 @@
 	// its answer should arrive before the router has to report that it does not
 	// know.
 	deadlineMargin = 50 * time.Millisecond
-	// hedgeFraction is the fraction of its objective that an idempotent request waits
+	// hedgeFraction is the fraction of its objective that an idempotent read waits
 	// for its first byte before it is also sent to a second upstream: an answer of the
 	// usual duration still arrives in time then. Of calls that take 15 ms with an
 	// objective of 100 ms, 1 in 30 is hedged.
 	hedgeFraction = 0.5
 	// switchFraction is the fraction of its objective that a resumable stream waits for
-	// its first byte before it is moved to another upstream. Of notes with an objective
-	// of 400 ms, whose first byte takes 75 ms, 1 in 100 is moved.
+	// its first byte before it is moved to another upstream. Of requests for notes
+	// with an objective of 400 ms, whose first byte takes 75 ms, 1 in 100 is moved.
 	switchFraction = 0.75
 	// pauseFraction is the fraction of its profile's longest pause that a resumable
 	// stream waits for its next event before it is moved. Events are 20 ms apart.
@@ -53,7 +53,7 @@
 	CallerTimeout time.Duration // how long the caller waits from Arrived on; zero: not known
 	LastEventID   string        // id of the last event that the caller has received of an earlier answer
 	CallerGone    func() bool   // reports whether the caller has closed its connection; nil: not known
-	Trace         string        // W3C traceparent; empty: none
+	Trace         string        // W3C traceparent, also for upstreams with a sidecar; empty: none
 }
 
 // regions returns the regions where the request may run: those that both its profile and its
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -257,8 +257,8 @@
 }
 
 // recheckUndrained handles the withdrawal of orders to drain failure domains. The
-// upstreams there may have restarted shortly before, so they count as cold until
-// their entries say that they are warm.
+// upstreams there may have become cold shortly before, so they count as cold for
+// their warm-up time, or until they have written their entries again.
 func (s *State) recheckUndrained(now time.Time, orders []DomainOrder) []Effect {
 	if s.relayState == nil {
 		return nil
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -90,9 +90,9 @@
 	s.book.Expire(now)
 }
 
-// applyQuarantine returns an error for a convicted request. For a suspect it makes
-// the site of the crash the only candidate, or grants it isolation if that VM has
-// left the list.
+// applyQuarantine returns an error for a convicted request. It sends a suspect to
+// the site of the crash only (later attempts go there as well, see reassign), or
+// grants it isolation if that VM has left the list.
 func (a *Answer) applyQuarantine(now time.Time) *verdict.Error {
 	ruling, _ := a.router.suspects.decide(now, a.fingerprint)
 	switch ruling.Action {
