--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -152,7 +152,7 @@
 			defer cancel()
 			notices.Inc()
 			if peer.Call(ctx, wire.MethodNotice, e.Notice, nil) != nil {
-				return // it is due again after noticeRetry
+				return // it is due again after noticeRetryInterval
 			}
 		}
 		r.loop.Post(NoticeAccepted{VM: e.VM.ID, Notice: e.Notice})
