--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -84,8 +84,8 @@
 			// An upstream that rejects requests while others accept theirs is chosen last,
 			// like one that fails them: a request that may be sent only once cannot try
 			// another upstream. With half of the upstreams rejecting half of their requests,
-			// 0.7% of all requests were rejected without this and 0.2% with it; in a surge
-			// with slow upstreams, 0.16% and 0.11%.
+			// .7% of all requests were rejected without this and .2% with it; in a surge
+			// with slow upstreams, .16 and .11%.
 			at.watch.RecordOutcome(false)
 		}
 		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: refusedError(s.Status())}
