--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -252,9 +252,9 @@
 		parts = append(parts, "less loaded of two random upstreams; no session")
 	}
 	if r.State != load.Serving {
-		parts = append(parts, "reported as not serving")
+		parts = append(parts, "believed to refuse")
 	} else if bound > 0 && r.Load >= bound {
-		parts = append(parts, "reported at its load bound, so after those below it")
+		parts = append(parts, "believed full, after those with room")
 	}
 	if o.router.isUnreachable(vm.ID, now) {
 		parts = append(parts, "could not be reached lately, so last")
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -33,7 +33,7 @@
 func (r *Router) Claim(ctx context.Context, org *profile.Organisation, p *profile.Profile, session, callerKey string) (wire.Key, error) {
 	if !r.claimBudget.take(time.Now(), r.View().Routers) {
 		claims.Inc(claimNoBudget)
-		return wire.Key{}, claimUnavailable("too many idempotency keys chosen by callers at once")
+		return wire.Key{}, claimUnavailable("too many idempotency keys of callers' own choice at once")
 	}
 	proposed, err := r.mintKey(ctx, org, p, session)
 	if err != nil {
@@ -46,7 +46,7 @@
 	switch {
 	case outcome == claim.StoreRestored:
 		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonStoreDown,
-			"the platform's store has lost its latest writes").WithRetryAfter(claim.RestoreGrace)
+			"the platform's store has lost what it took in the last seconds").WithRetryAfter(claim.RestoreGrace)
 	case err != nil:
 		return wire.Key{}, claimUnavailable("the platform's store does not answer")
 	}
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -124,9 +124,9 @@
 var errWithheld = map[condition.Kind]*verdict.Error{
 	condition.Gone:    verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "the upstream is gone"),
 	condition.Drained: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream is drained by operators' order"),
-	condition.Leaving: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream is leaving"),
-	condition.Resting: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream asked for a pause"),
-	condition.Cold:    verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream is warming up and at its request limit"),
+	condition.Leaving: verdict.New(verdict.NotRun, verdict.ReasonDraining, "the upstream leaves"),
+	condition.Resting: verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream wants rest"),
+	condition.Cold:    verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the upstream is cold, and has got what it bears"),
 }
 
 // canDonate reports whether other upstreams may fetch cached prompts from an upstream.
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -91,7 +91,7 @@
 		return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: refusedError(s.Status())}
 	}
 	if at.headSent && s.Status() != http.StatusOK {
-		err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream did not continue the stream: status %d", s.Status())
+		err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream did not go on with the stream: status %d", s.Status())
 		s.Close()
 		at.stream = nil
 		return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: err}
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -116,7 +116,7 @@
 // Callers that are rejected at once retry when there is capacity again.
 func (a *Answer) rejectLate(retryAfter time.Duration) error {
 	rejectedLate.Inc()
-	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to start only after %v", a.estimatedStart()).WithRetryAfter(retryAfter)
+	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
 // estimatedStart returns the estimated time until the first byte of the answer, at most an hour.
--- a/internal/router/keys.go
+++ b/internal/router/keys.go
@@ -59,7 +59,7 @@
 func (r *Router) OpenKey(org, s string) (wire.Key, error) {
 	t, err := r.config.Ring.Open(strings.TrimPrefix(s, KeyPrefix), token.PurposeKey)
 	if err != nil || !strings.HasPrefix(s, KeyPrefix) || t.Org != orgHash(org) {
-		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonBadKey, "this is not one of your request keys or request ids")
+		return wire.Key{}, verdict.New(verdict.NotRun, verdict.ReasonBadKey, "this is no request key or request id of yours")
 	}
 	return wire.Key{VM: t.VM, Incarnation: t.Incarnation, Nonce: t.Nonce, Expires: t.Expires.Unix()}, nil
 }
