--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -204,10 +204,10 @@
 	pace.FirstWatchDelay = settleTime
 	pace.Relayed = n.Packets != nil
 	return router.Config{
-		Store:  store,
-		Source: platform.NewConfig(store, p.Regions),
-		Decode: platform.Decode,
-		Pace:   pace,
+		Store:        store,
+		Source:       platform.NewConfig(store, p.Regions),
+		Decode:       platform.Decode,
+		ConfigTiming: pace,
 		Mesh: &router.Mesh{
 			Self:          relay.Node{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
 			Timing:        relay.TimingFor(bound),
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -60,7 +60,7 @@
 
 // copyAnswer copies an answer to the caller and closes it. The error is one
 // that the caller has been shown already.
-func (x *exchange) copyAnswer(answer *router.Answer, offset int64) *verdict.Error {
+func (x *exchange) copyAnswer(answer *router.Response, offset int64) *verdict.Error {
 	defer answer.Close()
 	c := &copier{w: x.w, ctl: http.NewResponseController(x.w), id: answer.ID(), offset: offset}
 	x.w.Header().Set(HeaderRequestID, c.id)
--- a/internal/gateway/hostedanswer.go
+++ b/internal/gateway/hostedanswer.go
@@ -13,7 +13,7 @@
 
 // copy copies an answer to the caller and closes it. An answer that breaks off
 // ends the connection, so that it does not look whole.
-func (x *hostedExchange) copy(answer *router.Answer) {
+func (x *hostedExchange) copy(answer *router.Response) {
 	defer answer.Close()
 	ctl := http.NewResponseController(x.w)
 	streamed := false
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -209,7 +209,7 @@
 	if pool == nil {
 		return admin.Explanation{}, errors.Errorf("pool %q has no upstream in the list of VMs", p.Pool)
 	}
-	a := &Answer{
+	a := &Response{
 		router:  o.router,
 		req:     Request{Org: org, Profile: p, Session: q.Session, Ticket: q.Ticket},
 		view:    view,
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -12,11 +12,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Answer is an upstream's answer on its way to the caller. It carries out the
+// Response is an upstream's answer on its way to the caller. It carries out the
 // effects that package dispatch decides on. The goroutine that calls Next owns
 // it; each effect that waits for an upstream runs on a goroutine of its own until
 // it has an outcome.
-type Answer struct {
+type Response struct {
 	router           *Router
 	transport        transport
 	req              Request
@@ -63,7 +63,7 @@
 
 // post passes an outcome to the Answer. It returns false if the Answer was closed
 // or the attempt dropped.
-func (a *Answer) post(o outcome) bool {
+func (a *Response) post(o outcome) bool {
 	select {
 	case a.outcomes <- o:
 		return true
@@ -73,7 +73,7 @@
 }
 
 // run processes the request until its answer starts or it fails for good.
-func (a *Answer) run() error {
+func (a *Response) run() error {
 	a.step(dispatch.Began{Now: time.Now()})
 	for a.winner == nil && !a.state.Finished() {
 		if err := a.waitForEvent(); err != nil {
@@ -88,7 +88,7 @@
 
 // waitForEvent waits for the next outcome or timer of the request and processes
 // it. It returns an error if the caller is gone.
-func (a *Answer) waitForEvent() error {
+func (a *Response) waitForEvent() error {
 	timer := time.NewTimer(wakeDelay(a.state.Wake()))
 	defer timer.Stop()
 	select {
@@ -114,7 +114,7 @@
 }
 
 // handleOutcome processes an outcome of an attempt.
-func (a *Answer) handleOutcome(o outcome) {
+func (a *Response) handleOutcome(o outcome) {
 	at := o.attempt
 	if o.last {
 		at.busy = false
@@ -129,7 +129,7 @@
 
 // tick passes the present time to the state. At a deadline it first seals the
 // attempts that have not been sent, so that the state can report them as not run.
-func (a *Answer) tick() {
+func (a *Response) tick() {
 	now := time.Now()
 	if a.isOverdue(now) {
 		for _, at := range a.attempts {
@@ -142,7 +142,7 @@
 }
 
 // isOverdue reports whether the deadline, or that of the first byte, has passed.
-func (a *Answer) isOverdue(now time.Time) bool {
+func (a *Response) isOverdue(now time.Time) bool {
 	return isPast(a.plan.Deadline, now) || a.winner == nil && isPast(a.plan.FirstByte, now)
 }
 
@@ -152,7 +152,7 @@
 }
 
 // step passes an event to the state and carries out the effects.
-func (a *Answer) step(e dispatch.Event) {
+func (a *Response) step(e dispatch.Event) {
 	effects := a.state.Step(e)
 	a.logEvent(e, len(effects) > 0)
 	for _, effect := range effects {
@@ -161,7 +161,7 @@
 }
 
 // execute carries out an effect.
-func (a *Answer) execute(effect dispatch.Effect) {
+func (a *Response) execute(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.Offer:
 		a.offer(e)
@@ -184,7 +184,7 @@
 
 // Close releases the answer and its attempts. If the answer is incomplete, the
 // request is cancelled unless it may go on without its caller.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.logEnd()
 	if a.shareCounted && a.state != nil { // the duration of a rejected request says nothing about others of its profile
 		a.pool.tracker.RecordDuration(a.req.Profile.Name, time.Since(a.started))
@@ -205,7 +205,7 @@
 // was complete. The request goes on if the caller may come back for the answer,
 // because it holds the key or has received the request's id. A write goes on as
 // well: an interrupted write is of no use to anybody.
-func (a *Answer) handleCallerGone() {
+func (a *Response) handleCallerGone() {
 	mayReturn := a.req.Key != nil || a.winner != nil && !a.req.isRead()
 	if mayReturn || !a.req.Profile.Idempotent {
 		return
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -144,7 +144,7 @@
 
 // passedOver returns the home upstream of the session and why it was not chosen. Both are empty
 // if it was chosen or the request has no session.
-func (a *Answer) passedOver(now time.Time) (home, reason string) {
+func (a *Response) passedOver(now time.Time) (home, reason string) {
 	if a.basis.Home == placement.None || a.basis.PassedOver == placement.NotPassedOver {
 		return "", ""
 	}
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -17,7 +17,7 @@
 
 // directTransport sends attempts to upstreams that have no sidecar. These keep no record of
 // requests, so a request whose connection is lost after it was sent may have run.
-type directTransport struct{ *Answer }
+type directTransport struct{ *Response }
 
 // directStream is the answer of a direct upstream. Reading ends with the context of its
 // attempt.
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -49,10 +49,10 @@
 }
 
 // dispatchDirect is Dispatch for upstreams without a sidecar.
-func (r *Router) dispatchDirect(ctx context.Context, view *View, req Request) (*Answer, error) {
+func (r *Router) dispatchDirect(ctx context.Context, view *View, req Request) (*Response, error) {
 	now := time.Now()
 	pool := req.poolName()
-	a := &Answer{
+	a := &Response{
 		router:   r,
 		req:      req,
 		view:     view,
@@ -99,7 +99,7 @@
 const noUpstreamRetryAfter = time.Second
 
 // retryAfterNoUpstream returns the retry delay for a request for which there is no upstream.
-func (a *Answer) retryAfterNoUpstream(now time.Time) time.Duration {
+func (a *Response) retryAfterNoUpstream(now time.Time) time.Duration {
 	if a.pool == nil {
 		return noUpstreamRetryAfter
 	}
@@ -114,13 +114,13 @@
 // In a surge beyond the capacity of a pool, requests would wait at the engines until their
 // callers give up: 12195 of 45731 were dropped there without being run, after 2.1 s each.
 // Callers that are rejected at once retry when there is capacity again.
-func (a *Answer) rejectLate(retryAfter time.Duration) error {
+func (a *Response) rejectLate(retryAfter time.Duration) error {
 	rejectedLate.Inc()
 	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
 // estimatedStart returns the estimated time until the first byte of the answer, at most an hour.
-func (a *Answer) estimatedStart() time.Duration {
+func (a *Response) estimatedStart() time.Duration {
 	seconds := min(a.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 }
@@ -143,7 +143,7 @@
 }
 
 // wasTried reports whether the request has had an attempt at an upstream.
-func (a *Answer) wasTried(vm topo.VM) bool {
+func (a *Response) wasTried(vm topo.VM) bool {
 	for _, at := range a.attempts {
 		if at.vm.ID == vm.ID {
 			return true
@@ -153,7 +153,7 @@
 }
 
 // chooseTargets returns the upstreams to which a request may be offered now, best first.
-func (a *Answer) chooseTargets(now time.Time) []target {
+func (a *Response) chooseTargets(now time.Time) []target {
 	if a.pool == nil {
 		return nil
 	}
@@ -185,7 +185,7 @@
 // donor returns the upstream from which a chosen one may fetch the session's cached prompt:
 // the one that served the session last, if it can still donate, else the one that the choice
 // names. It returns the zero VM if there is none.
-func (a *Answer) donor(now time.Time, c placement.Choice) topo.VM {
+func (a *Response) donor(now time.Time, c placement.Choice) topo.VM {
 	enabled := a.router.policy()
 	if !enabled.Donors {
 		return topo.VM{}
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -16,7 +16,7 @@
 )
 
 // addAttempt adds an attempt at a VM.
-func (a *Answer) addAttempt(vm topo.VM) *attempt {
+func (a *Response) addAttempt(vm topo.VM) *attempt {
 	ctx, stop := context.WithCancel(a.ctx)
 	at := &attempt{ctx: ctx, stop: stop, number: len(a.attempts), vm: vm, call: a.req.Call}
 	a.attempts = append(a.attempts, at)
@@ -24,7 +24,7 @@
 }
 
 // offer starts an attempt at the next upstream.
-func (a *Answer) offer(e dispatch.Offer) {
+func (a *Response) offer(e dispatch.Offer) {
 	to, ok := a.transport.target(e)
 	at := a.addAttempt(to.vm)
 	at.donor, at.tracker = to.donor, to.tracker
@@ -57,7 +57,7 @@
 
 // followKey starts an attempt at the VM of the successor key under which the
 // request goes on.
-func (a *Answer) followKey(key wire.Key, effect effectFunc) {
+func (a *Response) followKey(key wire.Key, effect effectFunc) {
 	previous := a.attempts[len(a.attempts)-1]
 	at := a.addAttempt(a.view.VMs[key.VM])
 	at.chainIndex = previous.chainIndex + 1
@@ -67,7 +67,7 @@
 
 // reattach asks for the rest of an attempt's answer. If there is no such attempt,
 // it asks for the answer to an earlier request, from resumeOffset on.
-func (a *Answer) reattach(e dispatch.Attach) {
+func (a *Response) reattach(e dispatch.Attach) {
 	if e.Attempt < len(a.attempts) {
 		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.attach)
 		return
@@ -80,7 +80,7 @@
 // deliver makes an attempt's answer the one that goes to the caller. If no other
 // upstream may continue the answer, it also drops the request's body, so that it
 // is not kept in memory for the minutes that an answer may take.
-func (a *Answer) deliver(at *attempt, resumable bool) {
+func (a *Response) deliver(at *attempt, resumable bool) {
 	a.winner = at
 	if resumable {
 		if a.framer == nil {
@@ -95,7 +95,7 @@
 // launchWithKey carries out an effect on an attempt under a key that may have been
 // used before. If the VM of the key is not in the list, the outcome of an earlier
 // use can't be determined, so the attempt ends with the verdict MayHaveRun.
-func (a *Answer) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
+func (a *Response) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
 	at.key = &key
 	if at.vm.ID == "" {
 		err := verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the VM of the key has left")
@@ -113,7 +113,7 @@
 
 // launch runs f for an attempt on a new goroutine, after the backoff for the
 // given number of retries.
-func (a *Answer) launch(at *attempt, retryNumber int, f effectFunc) {
+func (a *Response) launch(at *attempt, retryNumber int, f effectFunc) {
 	at.busy = true
 	pause := retry.Backoff(retryNumber, rand.Float64())
 	go func() {
@@ -128,7 +128,7 @@
 }
 
 // drop cancels an attempt that lost to another one.
-func (a *Answer) drop(at *attempt) {
+func (a *Response) drop(at *attempt) {
 	if !at.gate.seal() {
 		a.transport.cancel(at)
 	}
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -35,7 +35,7 @@
 
 // logOffer logs to which upstream a request is offered, and the values behind
 // the choice.
-func (a *Answer) logOffer(at *attempt, e dispatch.Offer, to target) {
+func (a *Response) logOffer(at *attempt, e dispatch.Offer, to target) {
 	attrs := []slog.Attr{
 		slog.String("profile", a.req.Profile.Name),
 		slog.String("upstream", at.vm.ID),
@@ -73,7 +73,7 @@
 
 // logEvent logs an event if it is the failure of an attempt. decided tells whether
 // the failure had effects, such as another attempt or the end of the request.
-func (a *Answer) logEvent(e dispatch.Event, decided bool) {
+func (a *Response) logEvent(e dispatch.Event, decided bool) {
 	switch e := e.(type) {
 	case dispatch.Unreachable:
 		a.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
@@ -90,7 +90,7 @@
 	}
 }
 
-func (a *Answer) logFailure(msg string, number int, err *verdict.Error, decided bool) {
+func (a *Response) logFailure(msg string, number int, err *verdict.Error, decided bool) {
 	a.log(telemetry.LineFailure, msg,
 		slog.Int("attempt", number),
 		slog.String("upstream", a.attempts[number].vm.ID),
@@ -102,7 +102,7 @@
 }
 
 // logEnd logs and counts the end of the request, once.
-func (a *Answer) logEnd() {
+func (a *Response) logEnd() {
 	if a.endLogged || a.state == nil {
 		return
 	}
@@ -128,7 +128,7 @@
 }
 
 // outcome returns how the request ended, and the class of its log line.
-func (a *Answer) outcome() (answerOutcome, telemetry.LineClass) {
+func (a *Response) outcome() (answerOutcome, telemetry.LineClass) {
 	switch {
 	case a.result != nil:
 		return answerOutcome(a.result.Reason), telemetry.LineFailure
@@ -139,7 +139,7 @@
 	}
 }
 
-func (a *Answer) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
+func (a *Response) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
 	a.router.config.RequestLog.Line(class, msg, a.req.ID, attrs...)
 }
 
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -22,9 +22,9 @@
 
 // Resume returns the answer to an earlier request of org, from offset on. It
 // never runs the request again.
-func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Answer, error) {
+func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Response, error) {
 	view := r.View()
-	a := &Answer{
+	a := &Response{
 		router:       r,
 		req:          Request{Org: org, Profile: &profile.Profile{}, Key: &key},
 		view:         view,
@@ -101,7 +101,7 @@
 func (r *Router) mintKey(ctx context.Context, org *profile.Organisation, p *profile.Profile, session string) (wire.Key, error) {
 	now := time.Now()
 	view := r.View()
-	vms := r.chooseCandidates(now, &Answer{
+	vms := r.chooseCandidates(now, &Response{
 		view:    view,
 		pool:    view.Pools[p.Pool],
 		req:     Request{Org: org, Profile: p},
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -20,7 +20,7 @@
 // Dispatch sends the request to an upstream and returns when the first piece
 // of the answer has arrived. The caller of Dispatch closes the Answer. ctx ends
 // when the caller of the request is gone.
-func (r *Router) Dispatch(ctx context.Context, req Request) (*Answer, error) {
+func (r *Router) Dispatch(ctx context.Context, req Request) (*Response, error) {
 	view := r.View()
 	if r.isDirect(view, &req) {
 		return r.dispatchDirect(ctx, view, req)
@@ -50,9 +50,9 @@
 }
 
 // newAnswer returns the Answer of a request to upstreams with sidecars, not yet run.
-func (r *Router) newAnswer(caller context.Context, view *View, req Request) *Answer {
+func (r *Router) newAnswer(caller context.Context, view *View, req Request) *Response {
 	now := time.Now()
-	a := &Answer{
+	a := &Response{
 		router:      r,
 		req:         req,
 		view:        view,
@@ -76,7 +76,7 @@
 
 // candidates returns the upstreams to offer the request to, in order. If the
 // caller holds a key, the VM of the key comes first.
-func (r *Router) candidates(now time.Time, a *Answer) []topo.VM {
+func (r *Router) candidates(now time.Time, a *Response) []topo.VM {
 	vms := r.chooseCandidates(now, a)
 	if a.req.Key == nil {
 		return vms
@@ -87,7 +87,7 @@
 
 // chooseCandidates returns the upstreams for a request without regard to its
 // key, the best first.
-func (r *Router) chooseCandidates(now time.Time, a *Answer) []topo.VM {
+func (r *Router) chooseCandidates(now time.Time, a *Response) []topo.VM {
 	if a.pool == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 // candidateSeed returns the seed of the choice for a request without a session.
 // It is the fingerprint where there is one, so that copies of a request go to the
 // same few upstreams, which can be informed if one copy has crashed an upstream.
-func (a *Answer) candidateSeed() uint64 {
+func (a *Response) candidateSeed() uint64 {
 	if a.fingerprint != 0 {
 		return a.fingerprint
 	}
@@ -137,13 +137,13 @@
 }
 
 // ID returns the request's id, with which its caller can ask for it again.
-func (a *Answer) ID() string {
+func (a *Response) ID() string {
 	return a.router.sealKey(a.req.Org.Name, a.session, *a.winner.key)
 }
 
 // Ticket returns the placement ticket for the session's next request, or an
 // empty string for a request without a session.
-func (a *Answer) Ticket() string {
+func (a *Response) Ticket() string {
 	if a.session == 0 {
 		return ""
 	}
@@ -151,7 +151,7 @@
 }
 
 // NextKey returns a request key that the caller may use for its next request.
-func (a *Answer) NextKey() string {
+func (a *Response) NextKey() string {
 	key := a.winner.key
 	return a.router.sealKey(a.req.Org.Name, a.session, newKey(key.VM, key.Incarnation, time.Now()))
 }
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -14,7 +14,7 @@
 
 // Next returns the next piece of the answer. A piece with an End is the last
 // one; an error means that the answer is incomplete and stays so.
-func (a *Answer) Next() (wire.Piece, error) {
+func (a *Response) Next() (wire.Piece, error) {
 	for !a.state.Finished() {
 		p, ok, err := a.readNext()
 		if err != nil {
@@ -32,7 +32,7 @@
 
 // readNext returns the next piece of the answer that is being delivered, or
 // processes an event. It reports whether there is a piece for the caller.
-func (a *Answer) readNext() (wire.Piece, bool, error) {
+func (a *Response) readNext() (wire.Piece, bool, error) {
 	at := a.winner
 	if at == nil { // an attempt at another upstream is to continue the answer
 		return wire.Piece{}, false, a.waitForEvent()
@@ -73,7 +73,7 @@
 
 // handleSilence handles a stream that has paused for too long. The stream is abandoned
 // only if another upstream continues it: a pause alone is no reason to end an answer.
-func (a *Answer) handleSilence(at *attempt) {
+func (a *Response) handleSilence(at *attempt) {
 	if a.framer.Discard() {
 		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
 	}
@@ -87,7 +87,7 @@
 var errPartialEvent = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
 
 // nextPiece reads the next piece from the upstream, until the request's deadline.
-func (a *Answer) nextPiece() (wire.Piece, error) {
+func (a *Response) nextPiece() (wire.Piece, error) {
 	if a.winner.stream == nil {
 		return wire.Piece{}, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "not attached")
 	}
@@ -101,7 +101,7 @@
 
 // forward accounts for a piece and reports whether it goes to the caller. The
 // head arrives again with each attach, but is sent to the caller only once.
-func (a *Answer) forward(p wire.Piece) (wire.Piece, bool, error) {
+func (a *Response) forward(p wire.Piece) (wire.Piece, bool, error) {
 	at := a.winner
 	if a.timeToFirstByte == 0 {
 		a.timeToFirstByte = time.Since(a.started)
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -100,8 +100,8 @@
 	return out
 }
 
-// ListedRouters returns the number of listed routers of the region; zero: not known.
-func (s *State) ListedRouters() int {
+// RegisteredRouters returns the number of listed routers of the region; zero: not known.
+func (s *State) RegisteredRouters() int {
 	if s.relayState == nil {
 		return 0
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,8 +47,8 @@
 	Source follow.Source
 	// Decode decodes the objects of Source; nil: they are in the format of parsleyctl.
 	Decode func(topo.Object) (profile.Object, error)
-	// Pace sets the rate of calls to the store; zero: config.DefaultPace.
-	Pace config.Timing
+	// ConfigTiming sets the rate of calls to the store; zero: config.DefaultPace.
+	ConfigTiming config.Timing
 	// VMListInterval is the interval between two readings of the list of VMs; zero:
 	// defaultVMListInterval.
 	VMListInterval time.Duration
@@ -135,8 +135,8 @@
 	if c.Source == nil {
 		c.Source = follow.FromStore(c.Store)
 	}
-	if c.Pace == (config.Timing{}) {
-		c.Pace = config.DefaultTiming()
+	if c.ConfigTiming == (config.Timing{}) {
+		c.ConfigTiming = config.DefaultTiming()
 	}
 	if c.VMListInterval == 0 {
 		c.VMListInterval = defaultVMListInterval
@@ -144,7 +144,7 @@
 	r := &Router{
 		config:         c,
 		ctx:            ctx,
-		state:          NewState(c.VM, placement.Locality{Domain: c.FailureDomain}, c.Pace, rand.Uint64()),
+		state:          NewState(c.VM, placement.Locality{Domain: c.FailureDomain}, c.ConfigTiming, rand.Uint64()),
 		firstReady:     make(chan struct{}),
 		pendingQueries: make(map[uint64]chan config.Delta),
 		limits:         newLimits(),
@@ -172,7 +172,7 @@
 	context.AfterFunc(ctx, r.closePeers)
 	if c.Mesh != nil {
 		r.mesh = newMesh(r, *c.Mesh)
-		r.state.EnableRelay(relay.New(c.Mesh.Self, c.Mesh.Timing), c.Mesh.MemberDecoder, c.Mesh.MemberTiming, c.Pace, rand.Uint64())
+		r.state.EnableRelay(relay.New(c.Mesh.Self, c.Mesh.Timing), c.Mesh.MemberDecoder, c.Mesh.MemberTiming, c.ConfigTiming, rand.Uint64())
 		r.mesh.run(ctx)
 	}
 	go r.loop.Run(ctx)
@@ -255,7 +255,7 @@
 // publish publishes the new state to requests, and then to operators.
 func (r *Router) publish() {
 	r.view.Store(r.state.View())
-	r.coldStart.registeredRouters.Store(int64(r.state.ListedRouters()))
+	r.coldStart.registeredRouters.Store(int64(r.state.RegisteredRouters()))
 	r.ledger.Publish()
 	r.abandonReplaced()
 	if r.Ready() {
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -16,7 +16,7 @@
 // sidecarTransport sends attempts to the sidecars of upstreams. A sidecar records each
 // request by its key, so a request or an answer that was lost can be sent or asked for
 // again.
-type sidecarTransport struct{ *Answer }
+type sidecarTransport struct{ *Response }
 
 // target implements transport.
 func (a sidecarTransport) target(e dispatch.Offer) (target, bool) {
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -93,7 +93,7 @@
 // applyQuarantine returns an error for a convicted request. It sends a suspect to
 // the site of the crash only (later attempts go there as well, see reassign), or
 // grants it isolation if that VM has left the list.
-func (a *Answer) applyQuarantine(now time.Time) *verdict.Error {
+func (a *Response) applyQuarantine(now time.Time) *verdict.Error {
 	ruling, _ := a.router.suspects.decide(now, a.fingerprint)
 	switch ruling.Action {
 	case quarantine.Refuse:
@@ -116,7 +116,7 @@
 // restrictToSite puts the site of the crash before all candidates. If the caller
 // holds a key, the VM of the key, which decides on the key, stays first and the
 // site becomes the only other candidate.
-func (a *Answer) restrictToSite(site topo.VM) {
+func (a *Response) restrictToSite(site topo.VM) {
 	if a.req.Key == nil {
 		a.candidates = append([]topo.VM{site}, a.candidates...)
 		return
@@ -127,7 +127,7 @@
 // grantIsolation permits a suspect whose crash site has left the list to run alone
 // at the VM that ranks first for its fingerprint, which is the same at all routers
 // with the same list.
-func (a *Answer) grantIsolation() {
+func (a *Response) grantIsolation() {
 	if a.pool == nil || a.req.Key != nil {
 		return
 	}
@@ -138,7 +138,7 @@
 
 // reassign returns the site of the crash if the request is a suspect and the site
 // is listed, else vm.
-func (a *Answer) reassign(vm topo.VM) topo.VM {
+func (a *Response) reassign(vm topo.VM) topo.VM {
 	ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint)
 	if ruling.Action != quarantine.Elsewhere {
 		return vm
@@ -153,7 +153,7 @@
 // offered to, before the caller gets its answer and can send the request again.
 // Otherwise a request that is resent at once through another router would crash
 // the next upstream.
-func (a *Answer) reportCrash(at *attempt, err *verdict.Error) {
+func (a *Response) reportCrash(at *attempt, err *verdict.Error) {
 	if err.Reason != verdict.ReasonUpstreamFailed || err.Verdict == verdict.NotRun {
 		return
 	}
@@ -185,7 +185,7 @@
 // returnPermit reports to the site of a crash that its permission to run the
 // request alone elsewhere will not be used, because no sidecar has admitted the
 // request.
-func (a *Answer) returnPermit(at *attempt) {
+func (a *Response) returnPermit(at *attempt) {
 	if !at.hasPermit || at.crashSite.ID == "" {
 		return
 	}
@@ -197,7 +197,7 @@
 
 // resendTargets returns the VMs that a resent request would be offered to first by
 // this router, and by a router of each failure domain that knows no loads.
-func (a *Answer) resendTargets() []topo.VM {
+func (a *Response) resendTargets() []topo.VM {
 	seen := make(map[string]topo.VM)
 	for _, vm := range a.candidates[:min(resendTargetsPerRouter, len(a.candidates))] {
 		seen[vm.ID] = vm
@@ -210,7 +210,7 @@
 }
 
 // addDomainTargets adds the first choices of a router of each failure domain.
-func (a *Answer) addDomainTargets(seen map[string]topo.VM) {
+func (a *Response) addDomainTargets(seen map[string]topo.VM) {
 	members := a.pool.members
 	domains := make(map[string]bool)
 	for _, vm := range a.pool.VMs {
