--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -33,7 +33,7 @@
 	restingSince         time.Time // start of the current rest
 	restingUntil         time.Time // end of the current rest
 	unreachableUntil     time.Time // end of the current unreachable period
-	lastListed           time.Time // when it was last listed or observed
+	lastSeen             time.Time // when it was last listed or observed
 }
 
 // NewObservations returns Observations without records.
@@ -43,10 +43,10 @@
 
 // RecordLeaving records that an upstream has announced that it leaves, and reports whether that
 // is new.
-func (o *Observations) RecordLeaving(now time.Time, vm string) bool {
+func (o *Observations) RecordLeaving(now time.Time, id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.record(now, vm)
+	r := o.record(now, id)
 	isNew := r.leavingSince.IsZero()
 	if isNew {
 		r.leavingSince = now
@@ -56,10 +56,10 @@
 
 // RecordReportedLeaving records that another router has received the announcement that an
 // upstream leaves.
-func (o *Observations) RecordReportedLeaving(now time.Time, vm string) {
+func (o *Observations) RecordReportedLeaving(now time.Time, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if r := o.record(now, vm); r.reportedLeavingSince.IsZero() {
+	if r := o.record(now, id); r.reportedLeavingSince.IsZero() {
 		r.reportedLeavingSince = now
 	}
 }
@@ -70,19 +70,19 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for vm, r := range o.records {
+	for id, r := range o.records {
 		if !r.leavingSince.IsZero() || includeReported && !r.reportedLeavingSince.IsZero() {
-			out = append(out, vm)
+			out = append(out, id)
 		}
 	}
 	slices.SortFunc(out, func(x, y string) int {
-		return cmp.Or(o.records[y].firstLeaving().Compare(o.records[x].firstLeaving()), cmp.Compare(x, y))
+		return cmp.Or(o.records[y].leavingKnownSince().Compare(o.records[x].leavingKnownSince()), cmp.Compare(x, y))
 	})
 	return out
 }
 
-// firstLeaving returns when the upstream was first known to leave, or zero if it is not.
-func (r *record) firstLeaving() time.Time {
+// leavingKnownSince returns when the upstream was first known to leave, or zero if it is not.
+func (r *record) leavingKnownSince() time.Time {
 	if r.leavingSince.IsZero() || !r.reportedLeavingSince.IsZero() && r.reportedLeavingSince.Before(r.leavingSince) {
 		return r.reportedLeavingSince
 	}
@@ -91,10 +91,10 @@
 
 // RecordResting records that an upstream has asked this router to send it no requests for d. A
 // shorter rest never ends an earlier one sooner.
-func (o *Observations) RecordResting(now time.Time, vm string, d time.Duration) {
+func (o *Observations) RecordResting(now time.Time, id string, d time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.record(now, vm)
+	r := o.record(now, id)
 	if !now.Before(r.restingUntil) {
 		r.restingSince = now
 	}
@@ -102,10 +102,10 @@
 }
 
 // RecordUnreachable records that no connection to an upstream could be opened.
-func (o *Observations) RecordUnreachable(now time.Time, vm string) {
+func (o *Observations) RecordUnreachable(now time.Time, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.record(now, vm).unreachableUntil = now.Add(unreachableFor)
+	o.record(now, id).unreachableUntil = now.Add(unreachableFor)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -115,21 +115,21 @@
 	return a
 }
 
-func (o *Observations) record(now time.Time, vm string) *record {
-	r := o.records[vm]
+func (o *Observations) record(now time.Time, id string) *record {
+	r := o.records[id]
 	if r == nil {
 		r = &record{}
-		o.records[vm] = r
+		o.records[id] = r
 	}
-	r.lastListed = now
+	r.lastSeen = now
 	return r
 }
 
 // Conditions returns the conditions of an upstream.
-func (o *Observations) Conditions(now time.Time, vm string) Set {
+func (o *Observations) Conditions(now time.Time, id string) Set {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.records[vm]
+	r := o.records[id]
 	if r == nil {
 		return 0
 	}
@@ -138,7 +138,7 @@
 
 func (r *record) conditions(now time.Time) Set {
 	var s Set
-	if !r.firstLeaving().IsZero() {
+	if !r.leavingKnownSince().IsZero() {
 		s |= Of(Leaving)
 	}
 	if now.Before(r.restingUntil) {
@@ -155,14 +155,14 @@
 
 // AvailableIn returns the time until an upstream may receive work, according to its leaving and
 // resting conditions: zero if it may now, and Forever if it leaves.
-func (o *Observations) AvailableIn(now time.Time, vm string) time.Duration {
+func (o *Observations) AvailableIn(now time.Time, id string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.records[vm]
+	r := o.records[id]
 	switch {
 	case r == nil:
 		return 0
-	case !r.firstLeaving().IsZero():
+	case !r.leavingKnownSince().IsZero():
 		return Forever
 	}
 	return max(r.restingUntil.Sub(now), 0)
@@ -177,17 +177,17 @@
 
 // Prune removes records without conditions, and those of upstreams that have not been listed for
 // retainUnlistedFor. listed reports whether an upstream is listed now.
-func (o *Observations) Prune(now time.Time, listed func(vm string) bool) {
+func (o *Observations) Prune(now time.Time, listed func(id string) bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for vm, r := range o.records {
+	for id, r := range o.records {
 		switch {
 		case r.conditions(now) == 0:
-			delete(o.records, vm)
-		case listed(vm):
-			r.lastListed = now
-		case now.Sub(r.lastListed) >= retainUnlistedFor:
-			delete(o.records, vm)
+			delete(o.records, id)
+		case listed(id):
+			r.lastSeen = now
+		case now.Sub(r.lastSeen) >= retainUnlistedFor:
+			delete(o.records, id)
 		}
 	}
 }
@@ -214,10 +214,10 @@
 )
 
 // Statements returns the recorded conditions of an upstream.
-func (o *Observations) Statements(now time.Time, vm string) []Statement {
+func (o *Observations) Statements(now time.Time, id string) []Statement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	r := o.records[vm]
+	r := o.records[id]
 	if r == nil {
 		return nil
 	}
--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -74,9 +74,9 @@
 func TestExpiredRecordsArePruned(t *testing.T) {
 	o, now := NewObservations(), time.Unix(1000, 0)
 	for i := range 100 {
-		vm := fmt.Sprint("engine-", i)
-		o.RecordUnreachable(now, vm)
-		o.RecordResting(now, vm, time.Second)
+		id := fmt.Sprint("engine-", i)
+		o.RecordUnreachable(now, id)
+		o.RecordResting(now, id, time.Second)
 	}
 	o.RecordLeaving(now, engine)
 	o.Prune(now.Add(unreachableFor), func(string) bool { return true })
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -9,10 +9,10 @@
 // Events occur ten times per second for a minute. The sum must stay that of an exponential
 // window, regardless of when weights are rescaled.
 func TestSumIsThatOfExponentialWindow(t *testing.T) {
-	const span, gap = 2 * time.Second, 100 * time.Millisecond
-	c := NewClock(span)
+	const timeConstant, gap = 2 * time.Second, 100 * time.Millisecond
+	c := NewClock(timeConstant)
 	now, sum := time.Unix(1_000_000, 0), 0.0
-	want := 1 / (1 - math.Exp(-gap.Seconds()/span.Seconds()))
+	want := 1 / (1 - math.Exp(-gap.Seconds()/timeConstant.Seconds()))
 	for i := range 600 {
 		now = now.Add(gap)
 		if weight, due := c.Rebase(now); due {
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -22,19 +22,19 @@
 func TestKnownLoadsReachSubscribers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := vms(rapid.IntRange(1, 2*maxSharedEntries).Draw(t, "upstreams"))
-		reader, router := NewPoolLoad(), NewPoolLoad()
+		parent, router := NewPoolLoad(), NewPoolLoad()
 		highest := 0
 		for _, vm := range members {
 			load := rapid.IntRange(0, maxSharedLoad).Draw(t, "load")
-			reader.Observe(start, vm, load)
+			parent.Observe(start, vm, load)
 			highest = max(highest, load)
 		}
-		if err := router.MergeKnown(start, members, reader.PackKnown(start, members)); err != nil {
+		if err := router.MergeKnown(start, members, parent.PackKnown(start, members)); err != nil {
 			t.Fatal(err)
 		}
 		highestSeen := 0.0
 		for _, vm := range members {
-			got, want := router.Load(start, vm), reader.Load(start, vm)
+			got, want := router.Load(start, vm), parent.Load(start, vm)
 			highestSeen = max(highestSeen, got)
 			if len(members) <= maxSharedEntries && got != want {
 				t.Errorf("load %v, want %v", got, want)
@@ -54,13 +54,13 @@
 func TestLargePoolsArePublishedInFull(t *testing.T) {
 	for _, c := range []struct{ upstreams, messages int }{{117, 1}, {160, 1}, {400, 4}, {2900, 23}} {
 		members := vms(c.upstreams)
-		reader, router := NewPoolLoad(), NewPoolLoad()
+		parent, router := NewPoolLoad(), NewPoolLoad()
 		now := start
 		for range c.messages {
 			for i, vm := range members {
-				reader.Observe(now, vm, i%60)
+				parent.Observe(now, vm, i%60)
 			}
-			b := reader.PackKnown(now, members)
+			b := parent.PackKnown(now, members)
 			if limit := 4 * 160; len(b) > limit {
 				t.Errorf("%d upstreams: message of %d bytes, want %d at most", c.upstreams, len(b), limit)
 			}
@@ -105,9 +105,9 @@
 // outdated load would circulate between them forever.
 func TestReceivedLoadsAreNotSentBack(t *testing.T) {
 	members := vms(3)
-	reader, router := NewPoolLoad(), NewPoolLoad()
-	reader.Observe(start, members[0], 9)
-	if err := router.MergeKnown(start, members, reader.PackKnown(start, members)); err != nil {
+	parent, router := NewPoolLoad(), NewPoolLoad()
+	parent.Observe(start, members[0], 9)
+	if err := router.MergeKnown(start, members, parent.PackKnown(start, members)); err != nil {
 		t.Fatal(err)
 	}
 	if b := router.PackObserved(start, start.Add(-time.Second), members); b != nil {
@@ -115,14 +115,14 @@
 	}
 	router.Observe(start.Add(time.Millisecond), members[1], 4)
 	b := router.PackObserved(start.Add(time.Millisecond), start, members)
-	if err := reader.MergeObserved(start.Add(time.Millisecond), members, b); err != nil {
+	if err := parent.MergeObserved(start.Add(time.Millisecond), members, b); err != nil {
 		t.Fatal(err)
 	}
-	if got := reader.Load(start.Add(time.Millisecond), members[1]); got != 4 {
+	if got := parent.Load(start.Add(time.Millisecond), members[1]); got != 4 {
 		t.Errorf("the reader has load %v, want 4, as reported by the router", got)
 	}
 	late := start.Add(time.Millisecond + maxSharedAge + 1)
-	if b := reader.PackKnown(late, members); b != nil {
+	if b := parent.PackKnown(late, members); b != nil {
 		t.Errorf("the reader still publishes %v after it has expired", b)
 	}
 }
@@ -131,9 +131,9 @@
 // router received shortly before.
 func TestOwnReportBrieflyTakesPrecedence(t *testing.T) {
 	members := vms(1)
-	reader, router := NewPoolLoad(), NewPoolLoad()
-	reader.Observe(start, members[0], 20)
-	packed := reader.PackKnown(start, members)
+	parent, router := NewPoolLoad(), NewPoolLoad()
+	parent.Observe(start, members[0], 20)
+	packed := parent.PackKnown(start, members)
 	router.Observe(start, members[0], 3)
 	for _, c := range []struct {
 		after time.Duration
--- a/internal/load/speed.go
+++ b/internal/load/speed.go
@@ -27,9 +27,9 @@
 	answerSmoothing = 0.1
 	// waitDecay is the time in which the weight of an observed wait falls to 1/e.
 	waitDecay = 2 * time.Second
-	// priorWaits is the number of requests that are assumed to have waited for the time computed
+	// priorRequestsAhead is the number of requests that are assumed to have waited for the time computed
 	// from the duration of answers and the number of slots.
-	priorWaits = 20.0
+	priorRequestsAhead = 20.0
 	// firstByteSmoothing is the weight of one answer in the average time to the first byte.
 	firstByteSmoothing = 0.02
 )
@@ -70,7 +70,7 @@
 // without any observed wait.
 func (w *waitTotals) perRequest(now time.Time, prior float64) float64 {
 	weight := w.clock.Weight(now)
-	return (w.seconds/weight + priorWaits*prior) / (w.ahead/weight + priorWaits)
+	return (w.seconds/weight + priorRequestsAhead*prior) / (w.ahead/weight + priorRequestsAhead)
 }
 
 // eventTotals holds the weighted number of events and the sum of the intervals before them, as
@@ -97,8 +97,8 @@
 
 // RecordEvents records that n events of a stream arrived within the given time after the previous
 // one.
-func (s *Speed) RecordEvents(now time.Time, vm VM, kind string, n int, within time.Duration) {
-	interval := within.Seconds() / float64(n)
+func (s *Speed) RecordEvents(now time.Time, vm VM, kind string, n int, elapsed time.Duration) {
+	interval := elapsed.Seconds() / float64(n)
 	typical, known := s.typical[kind]
 	if !known {
 		typical = max(interval, minTypicalInterval)
--- a/internal/load/speed_test.go
+++ b/internal/load/speed_test.go
@@ -18,13 +18,13 @@
 // must show it within a second, also to a router that has sent no requests to these engines.
 func TestSlowEnginesAreDetectedByEventIntervals(t *testing.T) {
 	members := vms(5)
-	router, reader, other := NewSpeed(), NewSpeed(), NewSpeed()
+	router, parent, other := NewSpeed(), NewSpeed(), NewSpeed()
 	for _, vm := range members {
 		recordStream(router, start, vm, 40*time.Millisecond)
 		recordStream(other, start, vm, 40*time.Millisecond)
 	}
 	now := start.Add(time.Second)
-	if err := reader.MergeReport(now, members, router.Report(members)); err != nil {
+	if err := parent.MergeReport(now, members, router.Report(members)); err != nil {
 		t.Fatal(err)
 	}
 	for i, vm := range members {
@@ -35,10 +35,10 @@
 		recordStream(router, now, vm, interval)
 	}
 	now = now.Add(time.Second)
-	if err := reader.MergeReport(now, members, router.Report(members)); err != nil {
+	if err := parent.MergeReport(now, members, router.Report(members)); err != nil {
 		t.Fatal(err)
 	}
-	if err := other.MergeSummary(now, members, reader.Summary(now, members)); err != nil {
+	if err := other.MergeSummary(now, members, parent.Summary(now, members)); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []*Speed{router, other} {
@@ -127,18 +127,18 @@
 // everything computed from it.
 func TestIdleRoutersMergeSummaries(t *testing.T) {
 	members := vms(2)
-	reader := NewSpeed()
-	recordStream(reader, start, members[1], 40*time.Millisecond)
-	recordStream(reader, start.Add(time.Second), members[0], 400*time.Millisecond)
+	parent := NewSpeed()
+	recordStream(parent, start, members[1], 40*time.Millisecond)
+	recordStream(parent, start.Add(time.Second), members[0], 400*time.Millisecond)
 	now := start.Add(2 * time.Second)
-	summary := reader.Summary(now, members)
+	summary := parent.Summary(now, members)
 	started, idle := NewSpeed(), NewSpeed()
 	recordStream(idle, now.Add(-time.Hour), members[1], 40*time.Millisecond)
-	for name, s := range map[string]*Speed{"started": started, "quiet": idle} {
+	for name, s := range map[string]*Speed{"started": started, "idle": idle} {
 		if err := s.MergeSummary(now, members, summary); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := s.Slowdown(now, members[0]), reader.Slowdown(now, members[0]); !(math.Abs(got-want) < 0.3) {
+		if got, want := s.Slowdown(now, members[0]), parent.Slowdown(now, members[0]); !(math.Abs(got-want) < 0.3) {
 			t.Errorf("%s: slowdown %.2f, want %.2f", name, got, want)
 		}
 	}
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -146,11 +146,11 @@
 	return float64(e.own) + confidence*float64(e.others) + (1-confidence)*p.meanOthers()
 }
 
-// recentLoadDecay is how long a reported load is used in full for estimating the wait, and the
+// recentLoadPeriod is how long a reported load is used in full for estimating the wait, and the
 // time in which it falls to 1/e afterwards. Requests are rejected because of the reported queue,
 // and requests that are not sent bring no newer report. Without the decay, an upstream would be
 // excluded forever.
-const recentLoadDecay = time.Second
+const recentLoadPeriod = time.Second
 
 // RecentLoad returns the last reported load of an upstream, decayed by age, from which its wait
 // is estimated.
@@ -159,8 +159,8 @@
 	if e == nil {
 		return 0
 	}
-	excessAge := max(now.Sub(e.reportedAt)-recentLoadDecay, 0)
-	return float64(e.own) + float64(e.others)*math.Exp(-excessAge.Seconds()/recentLoadDecay.Seconds())
+	excessAge := max(now.Sub(e.reportedAt)-recentLoadPeriod, 0)
+	return float64(e.own) + float64(e.others)*math.Exp(-excessAge.Seconds()/recentLoadPeriod.Seconds())
 }
 
 // upperDeviations is the number of standard deviations of the unknown part of an upstream's load
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -23,12 +23,12 @@
 	// upstream gets requests again after about this time. With 3 s, a fifth more cached prompts
 	// are moved, and no fewer requests are lost.
 	outcomeDecay = 1500 * time.Millisecond
-	// referenceShare is the part of a pool with the fewest failures that the other upstreams are
+	// referencePoolShare is the part of a pool with the fewest failures that the other upstreams are
 	// compared with. With the mean of the pool as the reference, upstreams would not be suspected
 	// when most of the pool fails.
-	referenceShare = 1.0 / 3
-	// minReference is the smallest failure share assumed for the reference.
-	minReference = 0.05
+	referencePoolShare = 1.0 / 3
+	// minReferenceShare is the smallest failure share assumed for the reference.
+	minReferenceShare = 0.05
 	// An upstream is suspected if its failure share is likely to be suspectFactor times the
 	// reference share plus suspectMargin, limited to minSuspectShare and maxSuspectShare.
 	suspectFactor, suspectMargin     = 2.0, 0.1
@@ -99,9 +99,9 @@
 	repeats int
 }
 
-// renewed returns the state of an upstream that is suspected from now on. healthyShare is the
+// begin returns the state of an upstream that is suspected from now on. healthyShare is the
 // share of the pool that is not failing.
-func (s suspicion) renewed(now time.Time, healthyShare float64) suspicion {
+func (s suspicion) begin(now time.Time, healthyShare float64) suspicion {
 	if now.Sub(s.ended) > resetRepeatsAfter {
 		s.repeats = 0
 	}
@@ -240,7 +240,7 @@
 func (d *Detector) evaluate(now time.Time) {
 	counts := d.currentCounts(now)
 	d.evaluatedAt, d.hasFailures = now, false
-	reference := referenceFailureShare(counts)
+	referenceShare := referenceFailureShare(counts)
 	for vm := range d.suspicions {
 		if _, ok := counts[vm]; !ok {
 			counts[vm] = outcomeCount{} // so that suspicions without recent outcomes end as well
@@ -248,7 +248,7 @@
 	}
 	failing := make(map[load.VM]bool)
 	for vm, c := range counts {
-		if c.failed >= minFailures && c.likelihoodRatio(reference) > minLikelihoodRatio {
+		if c.failed >= minFailures && c.likelihoodRatio(referenceShare) > minLikelihoodRatio {
 			failing[vm] = true
 		}
 	}
@@ -261,8 +261,8 @@
 
 // likelihoodRatio returns the likelihood of the outcomes for an upstream that is to be suspected,
 // divided by that for one with the reference share of failures.
-func (c outcomeCount) likelihoodRatio(reference float64) float64 {
-	normalShare := max(reference, minReference)
+func (c outcomeCount) likelihoodRatio(referenceShare float64) float64 {
+	normalShare := max(referenceShare, minReferenceShare)
 	suspectShare := min(max(suspectFactor*normalShare+suspectMargin, minSuspectShare), maxSuspectShare)
 	return math.Pow(suspectShare/normalShare, c.failed) * math.Pow((1-suspectShare)/(1-normalShare), c.all-c.failed)
 }
@@ -273,7 +273,7 @@
 	s := d.suspicions[vm]
 	switch {
 	case failing && !s.active:
-		s = s.renewed(now, healthyShare)
+		s = s.begin(now, healthyShare)
 	case s.active && !now.Before(s.minEnd) && healthyShare < minHealthyShare:
 		s.active, s.ended, s.cleared = false, now, now
 		delete(d.counts, vm)
@@ -294,7 +294,7 @@
 		return cmp.Or(cmp.Compare(a.failed/(a.all+priorSuccesses), b.failed/(b.all+priorSuccesses)), cmp.Compare(b.all, a.all))
 	})
 	var best outcomeCount
-	for _, c := range counts[:min(max(1, int(referenceShare*float64(len(counts))+0.5)), len(counts))] {
+	for _, c := range counts[:min(max(1, int(referencePoolShare*float64(len(counts))+0.5)), len(counts))] {
 		best = best.plus(c)
 	}
 	return best.failed / (best.all + priorSuccesses)
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -90,13 +90,13 @@
 // suspectedFor returns how long the first upstream of a pool of 18 is suspected for the fourth
 // time in a row, if failing of them fail the given number of requests each time and the others
 // none.
-func suspectedFor(failing, failures int) time.Duration {
+func suspectedFor(failingCount, failures int) time.Duration {
 	d, vms, now := New(), pool(18), start
 	var duration time.Duration
 	for range 4 {
 		for i, vm := range vms {
 			for range failures {
-				if i < failing {
+				if i < failingCount {
 					d.Failed(now, vm)
 				} else {
 					d.Succeeded(now, vm)
--- a/internal/outlier/share_test.go
+++ b/internal/outlier/share_test.go
@@ -12,9 +12,9 @@
 // all three routers must suspect the upstream.
 func TestFailuresOfManyRoutersCount(t *testing.T) {
 	vms := pool(8)
-	reader := New()
+	parent := New()
 	routers := []*Detector{New(), New(), New()}
-	for _, r := range append(routers, reader) {
+	for _, r := range append(routers, parent) {
 		for _, vm := range vms {
 			r.Succeeded(start, vm)
 		}
@@ -22,14 +22,14 @@
 	routers[0].Failed(start, vms[4])
 	routers[1].Failed(start, vms[4])
 	for _, r := range routers {
-		if err := reader.MergeReport(start, vms, r.Report(vms)); err != nil {
+		if err := parent.MergeReport(start, vms, r.Report(vms)); err != nil {
 			t.Fatal(err)
 		}
 		if r.Report(vms) != nil {
 			t.Error("what was reported is reported again")
 		}
 	}
-	summary := reader.Summary(start, vms)
+	summary := parent.Summary(start, vms)
 	for i, r := range routers {
 		if err := r.MergeSummary(start, vms, summary); err != nil {
 			t.Fatal(err)
@@ -50,9 +50,9 @@
 // circulate between two routers and never decay.
 func TestSummaryIsNotReportedBack(t *testing.T) {
 	vms := pool(2)
-	reader, router := New(), New()
-	reader.Failed(start, vms[0])
-	if err := router.MergeSummary(start, vms, reader.Summary(start, vms)); err != nil {
+	parent, router := New(), New()
+	parent.Failed(start, vms[0])
+	if err := router.MergeSummary(start, vms, parent.Summary(start, vms)); err != nil {
 		t.Fatal(err)
 	}
 	if b := router.Report(vms); b != nil {
@@ -64,41 +64,41 @@
 // answers for four seconds. 5 routers send 105 requests per second to 18 upstreams, and each
 // session ranks the upstreams differently.
 const (
-	replayRouters, replayUpstreams = 5, 18
-	replayRequestsPerSecond        = 105
-	replaySessions                 = 600
-	faultyUpstreamsShare           = 0.6
-	lostAnswersShare               = 0.4
-	faultDuration                  = 4 * time.Second
-	faultDelay                     = 3 * time.Second
-	// shareEvery is the interval of reports and summaries. outcomeDelay is the time until the
+	simulatedRouters, simulatedUpstreams = 5, 18
+	requestsPerSecond                    = 105
+	simulatedSessions                    = 600
+	faultyUpstreamsShare                 = 0.6
+	lostAnswersShare                     = 0.4
+	faultDuration                        = 4 * time.Second
+	faultDelay                           = 3 * time.Second
+	// exchangeInterval is the interval of reports and summaries. outcomeDelay is the time until the
 	// outcome of a request is known.
-	shareEvery   = 250 * time.Millisecond
-	outcomeDelay = 80 * time.Millisecond
+	exchangeInterval = 250 * time.Millisecond
+	outcomeDelay     = 80 * time.Millisecond
 )
 
-// pending is an outcome that is not yet known.
-type pending struct {
+// pendingOutcome is an outcome that is not yet known.
+type pendingOutcome struct {
 	at         time.Time
 	router, vm int
 	failed     bool
 }
 
-// replay returns the share of requests that fail during the fault. Without suspicion, routers use
+// simulateFault returns the share of requests that fail during the fault. Without suspicion, routers use
 // the rankings alone. Without sharing, each router uses only its own outcomes.
-func replay(t *testing.T, suspicion, sharing bool, faultyShare float64) float64 {
+func simulateFault(t *testing.T, suspicion, sharing bool, faultyShare float64) float64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 4))
-	vms := pool(replayUpstreams)
-	var routers [replayRouters]*Detector
+	vms := pool(simulatedUpstreams)
+	var routers [simulatedRouters]*Detector
 	for i := range routers {
 		routers[i] = New()
 	}
-	var outstanding []pending
+	var outstanding []pendingOutcome
 	failed, all := 0, 0
 	faultStart, sharedAt := start.Add(faultDelay), start
 	for now := start; now.Before(faultStart.Add(faultDuration)); {
-		now = now.Add(time.Duration(random.ExpFloat64() / replayRequestsPerSecond * float64(time.Second)))
+		now = now.Add(time.Duration(random.ExpFloat64() / requestsPerSecond * float64(time.Second)))
 		for len(outstanding) > 0 && !outstanding[0].at.After(now) {
 			o := outstanding[0]
 			outstanding = outstanding[1:]
@@ -108,14 +108,14 @@
 				routers[o.router].Succeeded(o.at, vms[o.vm])
 			}
 		}
-		if sharing && now.Sub(sharedAt) > shareEvery {
+		if sharing && now.Sub(sharedAt) > exchangeInterval {
 			sharedAt = now
-			share(t, now, vms, routers[:])
+			exchange(t, now, vms, routers[:])
 		}
-		router, session := random.IntN(replayRouters), random.IntN(replaySessions)
+		router, session := random.IntN(simulatedRouters), random.IntN(simulatedSessions)
 		vm := choose(routers[router], now, vms, session, suspicion)
-		fails := now.After(faultStart) && float64(vm) < faultyShare*replayUpstreams && random.Float64() < lostAnswersShare
-		outstanding = append(outstanding, pending{at: now.Add(outcomeDelay), router: router, vm: vm, failed: fails})
+		fails := now.After(faultStart) && float64(vm) < faultyShare*simulatedUpstreams && random.Float64() < lostAnswersShare
+		outstanding = append(outstanding, pendingOutcome{at: now.Add(outcomeDelay), router: router, vm: vm, failed: fails})
 		if now.After(faultStart) {
 			all++
 			if fails {
@@ -126,8 +126,8 @@
 	return float64(failed) / float64(all)
 }
 
-// share merges the reports of all routers into the first one and its summary into the others.
-func share(t *testing.T, now time.Time, vms []load.VM, routers []*Detector) {
+// exchange merges the reports of all routers into the first one and its summary into the others.
+func exchange(t *testing.T, now time.Time, vms []load.VM, routers []*Detector) {
 	t.Helper()
 	for _, r := range routers[1:] {
 		if err := routers[0].MergeReport(now, vms, r.Report(vms)); err != nil {
@@ -157,9 +157,9 @@
 // healthy. A single router sends one request per second to each upstream and detects the faulty
 // ones slowly. Together the routers avoid them after two failures each.
 func TestRequestsAvoidUpstreamsThatLoseAnswers(t *testing.T) {
-	without := replay(t, false, false, faultyUpstreamsShare)
-	alone := replay(t, true, false, faultyUpstreamsShare)
-	together := replay(t, true, true, faultyUpstreamsShare)
+	without := simulateFault(t, false, false, faultyUpstreamsShare)
+	alone := simulateFault(t, true, false, faultyUpstreamsShare)
+	together := simulateFault(t, true, true, faultyUpstreamsShare)
 	t.Logf("lost: %.3f with rankings only, %.3f with the outcomes of each router, %.3f with those of all routers", without, alone, together)
 	if together > 0.6*without {
 		t.Errorf("%.3f of the requests are lost, %.3f without suspicion", together, without)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -50,7 +50,7 @@
 // Once part of the answer has been sent, the request must not run again: a second run may answer
 // differently, and the caller would receive the beginning of one answer with the end of another.
 func Decide(f Failure, c RequestInfo) Decision {
-	if c.AnswerStarted || f.Final || !mayDifferElsewhere(f.Err.Reason) {
+	if c.AnswerStarted || f.Final || !maySucceedElsewhere(f.Err.Reason) {
 		return Stop
 	}
 	notRun := f.Err.Verdict == verdict.NotRun
@@ -66,9 +66,9 @@
 	}
 }
 
-// mayDifferElsewhere reports whether the request may succeed at another upstream despite this
+// maySucceedElsewhere reports whether the request may succeed at another upstream despite this
 // reason. A reason that is not listed, such as one of a newer peer, is treated as final.
-func mayDifferElsewhere(r verdict.Reason) bool {
+func maySucceedElsewhere(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamFailed, verdict.ReasonIncarnationGone, verdict.ReasonUnknownRequest,
 		verdict.ReasonAnswerGone, verdict.ReasonEvicted, verdict.ReasonDeadline:
