--- a/internal/condition/book.go
+++ b/internal/condition/book.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// retainUnlistedFor is how long observations of an upstream are kept after it has left the
-	// list. Entries expire while the platform's store is unavailable, and return afterwards.
+	// retainUnlistedFor is how long the record of an upstream is kept after it was last listed or
+	// observed. An outage of the platform's store can make the entry of a running upstream expire,
+	// and the upstream is listed again after the outage.
 	retainUnlistedFor = 10 * time.Minute
 	// unreachableFor is how long an upstream counts as unreachable after a connection to it could
 	// not be opened. It applies only to this router: others may still reach the upstream.
@@ -33,7 +34,7 @@
 	restingSince         time.Time // start of the current rest
 	restingUntil         time.Time // end of the current rest
 	unreachableUntil     time.Time // end of the current unreachable period
-	lastSeen             time.Time // when it was last listed or observed
+	lastSeen             time.Time // when it was last observed, or listed at a Prune
 }
 
 // NewObservations returns Observations without records.
@@ -81,7 +82,8 @@
 	return out
 }
 
-// leavingKnownSince returns when the upstream was first known to leave, or zero if it is not.
+// leavingKnownSince returns when this router first learned that the upstream leaves, or zero if it
+// has not.
 func (r *record) leavingKnownSince() time.Time {
 	if r.leavingSince.IsZero() || !r.reportedLeavingSince.IsZero() && r.reportedLeavingSince.Before(r.leavingSince) {
 		return r.reportedLeavingSince
@@ -115,6 +117,7 @@
 	return a
 }
 
+// record returns the record of an upstream observed at now, which it creates if there is none.
 func (o *Observations) record(now time.Time, id string) *record {
 	r := o.records[id]
 	if r == nil {
@@ -154,7 +157,8 @@
 const Forever = time.Duration(math.MaxInt64)
 
 // AvailableIn returns the time until an upstream may receive work, according to its leaving and
-// resting conditions: zero if it may now, and Forever if it leaves.
+// resting conditions: zero if it may now, and Forever if it leaves. An unreachable upstream may
+// receive work, after all others.
 func (o *Observations) AvailableIn(now time.Time, id string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -175,8 +179,8 @@
 	return len(o.records) == 0
 }
 
-// Prune removes records without conditions, and those of upstreams that have not been listed for
-// retainUnlistedFor. listed reports whether an upstream is listed now.
+// Prune removes records without conditions, and those of upstreams that were neither listed nor
+// observed for retainUnlistedFor. listed reports whether an upstream is listed now.
 func (o *Observations) Prune(now time.Time, listed func(id string) bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -205,12 +209,12 @@
 
 // Sources of conditions.
 const (
-	ByAnswers     Source = "its answers"
-	ByEntry       Source = "its entry"
-	ByOperators   Source = "operators"
-	ByRouters     Source = "other routers"
-	ByConnections Source = "connections of this router"
-	ByOutcomes    Source = "outcomes of all routers"
+	ByAnswers     Source = "its answers"                // headers of its answers to this router
+	ByEntry       Source = "its entry"                  // its entry in the platform's store
+	ByOperators   Source = "operators"                  // an order of operators
+	ByRouters     Source = "other routers"              // announcements that other routers received
+	ByConnections Source = "connections of this router" // connections that could not be opened
+	ByOutcomes    Source = "outcomes of all routers"    // more failures than the other upstreams
 )
 
 // Statements returns the recorded conditions of an upstream.
--- a/internal/condition/book_test.go
+++ b/internal/condition/book_test.go
@@ -9,7 +9,8 @@
 
 const engine = "engine-7"
 
-// Guards against a rest that is shortened by a later and shorter one.
+// An upstream asks for a rest of ten seconds and a second later for a rest of one second. Guards
+// against requests sent to it before the first rest has ended.
 func TestRestIsNotShortened(t *testing.T) {
 	o, now := NewObservations(), time.Unix(1000, 0)
 	o.RecordResting(now, engine, 10*time.Second)
@@ -18,12 +19,13 @@
 		0: Of(Resting), 9 * time.Second: Of(Resting), 10 * time.Second: 0, time.Hour: 0,
 	} {
 		if got := o.Conditions(now.Add(after), engine); got != want {
-			t.Errorf("after %v: %q", after, got)
+			t.Errorf("conditions after %v: %q, want %q", after, got, want)
 		}
 	}
 }
 
-// Guards against work sent to a leaving upstream after its entry has expired and returned.
+// Guards against work sent to a leaving upstream after its entry has expired in an outage of the
+// platform's store and is listed again.
 func TestLeavingOutlivesTheEntry(t *testing.T) {
 	o, now := NewObservations(), time.Unix(1000, 0)
 	if !o.RecordLeaving(now, engine) || o.RecordLeaving(now, engine) {
@@ -48,7 +50,8 @@
 	}
 }
 
-// Guards against a wrong retry delay for rejected callers.
+// Rejected callers are asked to retry when an upstream is available again. Guards against a delay
+// that ignores a rest, extends beyond its end, or takes an upstream that leaves for available.
 func TestAvailableIn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -98,7 +101,7 @@
 		{Kind: Unreachable, By: ByConnections, Since: now.Add(time.Second), Until: now.Add(time.Second + unreachableFor)},
 	}
 	if got := o.Statements(now.Add(2*time.Second), engine); !slices.Equal(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("statements %+v, want %+v", got, want)
 	}
 	if got := o.Statements(now, "another"); got != nil {
 		t.Errorf("statements of an unknown upstream: %+v", got)
--- a/internal/condition/condition.go
+++ b/internal/condition/condition.go
@@ -3,9 +3,10 @@
 // while it forwards requests.
 //
 // Package router collects the conditions of an upstream from the list of upstreams, operators'
-// orders, outcomes and its Observations, and checks a Set before each choice and each first byte.
-// Nothing in this package uses a clock or a connection. An id names one incarnation of an
-// upstream, so no condition of a former incarnation applies to the next one.
+// orders, outcomes and its Observations. It checks their Set when it chooses an upstream, and again
+// before it sends the first byte of a request. This package reads no clock and opens no connection:
+// callers pass the time and report what they observe. An id names one incarnation of an upstream, so
+// no condition of a former incarnation applies to the next one.
 package condition
 
 import "strings"
@@ -13,13 +14,14 @@
 // Kind is a reason not to use an upstream, or to use it last.
 type Kind uint8
 
-// Kinds of conditions, in order of precedence when one of several is named as the reason.
+// Kinds of conditions. If several kinds restrict a use equally, the first of them in this order is
+// named as the reason.
 const (
 	Gone        Kind = iota // not listed any more
 	OutOfRegion             // the request may not run in its region
 	Drained                 // operators have ordered that it receives no new work
 	Leaving                 // it has announced that it leaves, in an answer or in its entry
-	Resting                 // it has requested a rest from this router
+	Resting                 // it has asked this router to send it no requests for some time
 	Cold                    // it has started recently and is at its warm-up limit
 	Unreachable             // no connection to it could be opened recently
 	Suspected               // it fails more of its requests than the others
@@ -88,7 +90,8 @@
 		Gone: Never, OutOfRegion: Never, Drained: Never, Leaving: Never, Resting: Never, Cold: Never,
 		Unreachable: Last, Suspected: Last,
 	},
-	// A transfer uses none of what these conditions protect: neither a slot nor a token.
+	// Upstreams that are drained, leaving, resting, cold or suspected may still provide a prompt: a
+	// transfer occupies no slot of the upstream and makes it generate no token.
 	PromptTransfer: {
 		Gone: Never, OutOfRegion: Never, Drained: Freely, Leaving: Freely, Resting: Freely, Cold: Freely,
 		Unreachable: Never, Suspected: Freely,
@@ -114,7 +117,8 @@
 func (s Set) Has(k Kind) bool { return s&(1<<k) != 0 }
 
 // Permission returns the permission for a use and the kind that determines it: the kind with the
-// strictest permission, the first of several.
+// strictest permission, the first of several with the same one. If no kind restricts the use, the
+// permission is Freely and the name of the kind is "none".
 func (s Set) Permission(u Use) (Permission, Kind) {
 	strictest, by := Freely, kindCount
 	if s == 0 {
--- a/internal/condition/condition_test.go
+++ b/internal/condition/condition_test.go
@@ -61,9 +61,9 @@
 // Guards against sets that lose a kind.
 func TestSetsKeepTheirKinds(t *testing.T) {
 	if got := Of(Leaving).Union(Of(Cold)).Union(0); got != Of(Cold, Leaving) || got.String() != "leaving, cold" {
-		t.Errorf("%q", got)
+		t.Errorf("union of leaving, cold and nothing: %q", got)
 	}
 	if Of().String() != "" || kindCount.String() != "none" {
-		t.Errorf("%q, %q", Of(), kindCount)
+		t.Errorf("names of the empty set and of no kind: %q, %q", Of(), kindCount)
 	}
 }
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Events occur ten times per second for a minute. The sum must stay that of an exponential
-// window, regardless of when weights are rescaled.
+// Guards against a counter that jumps when weights are rescaled, or drifts. Events occur ten times
+// per second for a minute; the sum must stay the limit of the geometric series of their weights.
 func TestSumIsThatOfExponentialWindow(t *testing.T) {
 	const timeConstant, gap = 2 * time.Second, 100 * time.Millisecond
 	c := NewClock(timeConstant)
--- a/internal/load/demand.go
+++ b/internal/load/demand.go
@@ -18,9 +18,10 @@
 	defaultDuration = time.Second
 	// durationSmoothing is the weight of a new duration in the moving average of its kind.
 	durationSmoothing = 0.1
-	// shareDeviations is the number of standard deviations subtracted from a session's count.
-	// With 1.0, a surge with a third of the traffic is spread over too few upstreams, and half as
-	// many requests again find an upstream over the load bound.
+	// shareDeviations is the number of standard deviations of a session's count that are
+	// subtracted from it to get a lower bound. With 1.0, the share of a session with a third of
+	// the traffic is estimated too low: the session is spread over too few upstreams, and the
+	// number of requests that find an upstream over the load bound is higher by half.
 	shareDeviations = 0.5
 )
 
@@ -50,8 +51,8 @@
 
 // RecordRequest counts a request of a session and returns a lower bound of the session's share of
 // all requests in flight, from 0 to 1. The bound is computed from the session's count less one
-// request and half a standard deviation, so a session that happens to send two requests in a row
-// gets a share near zero.
+// request and shareDeviations standard deviations, so a session that happens to send two requests in
+// a row gets a share near zero. Requests are weighted by the mean duration of their kind.
 func (d *Demand) RecordRequest(now time.Time, session uint64, kind string) float64 {
 	duration, ok := d.durations[kind]
 	if !ok {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,10 +1,17 @@
 // Package load tracks what one router or sidecar knows about the loads of a pool's upstreams. A
 // sidecar uses the pool's mean load to bound its own load. A router uses the loads to choose
-// upstreams with spare capacity.
+// upstreams with spare capacity. No upstream is polled.
 //
-// Nothing is polled. Each request and each reply carries a few load samples that the sender has,
-// with their ages, so samples spread to all routers and sidecars with the traffic (design note
-// 0002).
+// For upstreams with sidecars, a Table holds the newest load sample of each upstream. Each request
+// and each reply between routers and sidecars carries a few samples that the sender has, with their
+// ages, so samples spread to all routers and sidecars with the traffic (design note 0002).
+//
+// For upstreams that routers call directly, each router makes estimates from its own requests and
+// from what upstreams report with their answers: PoolLoad estimates the loads, RelativeLatency and
+// Speed how slow each upstream is, UrgencyMix how many waiting requests are ahead of a new one, and
+// Demand the share of each session in the requests. Routers exchange loads and speeds in a tree:
+// each reports to its parent, the router that it subscribes to, and the parent publishes what it
+// knows to its subscribers.
 package load
 
 import (
@@ -50,11 +57,12 @@
 }
 
 // Bound returns the load up to which an upstream may admit requests, including the request to be
-// admitted. mean is the pool's mean load per unit of weight over the known upstreams. A multiple
-// of zero means no bound.
+// admitted: multiple times the mean load per unit of weight, times the upstream's weight. mean is
+// the mean over the known upstreams, without the request to be admitted. A multiple of zero means
+// no bound.
 //
-// The mean also counts the arriving request. The bounds of a pool therefore add up to more than
-// its load, and if the mean is accurate, at least one upstream has spare capacity.
+// Bound adds the request to be admitted to the mean. The bounds of a pool therefore add up to more
+// than its load, and if the mean is accurate, at least one upstream has spare capacity.
 func Bound(mean float64, known int, multiple float64, weight int) int {
 	if multiple <= 0 {
 		return math.MaxInt
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -5,16 +5,18 @@
 // urgencyLevels is the number of urgency levels, numbered from 0, the most urgent.
 const urgencyLevels = 10
 
-// UrgencyMix counts the requests by urgency for which a router awaits the first byte. They are a
-// sample of the requests that wait at the pool's engines. Engines serve more urgent requests
-// first, so only a fraction of the requests that wait at an engine are ahead of a new one. The
-// zero value is ready to use. A UrgencyMix is not safe for concurrent use.
+// UrgencyMix counts, by urgency, the requests of one router that have no first byte of their answer
+// yet. They are a sample of the requests that wait at the pool's engines. Engines serve more urgent
+// requests first, so only a fraction of the requests that wait at an engine are ahead of a new one.
+// UrgencyMix also holds the objective of each urgency. The zero value is ready to use. A UrgencyMix
+// is not safe for concurrent use.
 type UrgencyMix struct {
 	waiting    [urgencyLevels]int
-	objectives [urgencyLevels]time.Duration
+	objectives [urgencyLevels]time.Duration // for the time to the first byte; zero: none
 }
 
-// SetObjective records the objective for the time to the first byte of requests of an urgency.
+// SetObjective records the objective for the time to the first byte of requests of an urgency; zero
+// means none.
 func (m *UrgencyMix) SetObjective(urgency int, objective time.Duration) {
 	m.objectives[clampUrgency(urgency)] = objective
 }
@@ -39,8 +41,8 @@
 	return shortest
 }
 
-// FractionAhead returns the fraction of the waiting requests that are at least as urgent as the
-// given urgency. Both counts include the new request itself.
+// FractionAhead returns the fraction of the waiting requests that are at least as urgent as a new
+// request of the given urgency. The new request is counted as one of them.
 func (m *UrgencyMix) FractionAhead(urgency int) float64 {
 	ahead, all := 0, 0
 	for i, n := range m.waiting {
--- a/internal/load/pace.go
+++ b/internal/load/pace.go
@@ -57,10 +57,14 @@
 	r.factors[vm] = latencyFactor{factor: factor + latencySmoothing*(ratio-factor), at: now}
 }
 
-// RecordFailure records that an attempt ended after d without a proper answer. The request has to
-// be sent again, and an answer would have taken at least d. An upstream that fails requests
-// immediately must not count as fast: in a simulated pool of three (see package placement) it
-// would be sent .83 of the requests until it is suspected, in place of .30.
+// RecordFailure records that an attempt ended after d without a successful answer. It is counted
+// like an answer of at least d and at least failureFactor times the typical latency, if that is
+// higher than the upstream's factor: an answer would have taken at least d, and the request has to
+// be sent again. Nothing is recorded for a kind without answers so far.
+//
+// An upstream that fails requests immediately must not count as fast: in a simulated pool of three
+// (see package placement), it would receive .83 of the requests until it is suspected, instead of
+// .30.
 func (r *RelativeLatency) RecordFailure(now time.Time, vm VM, kind string, d time.Duration) {
 	typical := r.typical[kind]
 	if typical <= 0 {
--- a/internal/load/pack.go
+++ b/internal/load/pack.go
@@ -28,14 +28,14 @@
 // ErrMalformed is returned for a message that cannot be decoded.
 var ErrMalformed = errors.New("load: malformed samples")
 
-// Pack returns the n newest samples for a peer, without those of the upstreams in except,
-// for which the receiver has newer data.
+// Pack returns the n newest samples for a peer, but at most maxPacked, without expired ones and
+// those of the upstreams in except, for which the receiver has newer data.
 func (t *Table) Pack(now time.Time, n int, except ...VM) []byte {
 	ms := now.UnixMilli()
 	var best [maxPacked]int
 	found := 0
 	n = min(n, maxPacked)
-	for i := range t.entries {
+	for i := range t.entries { // insertion sort into best, newest first
 		e := &t.entries[i]
 		if found == n && (n == 0 || e.at <= t.entries[best[n-1]].at) {
 			continue
@@ -73,7 +73,8 @@
 	return append(b, e.weight, byte(age))
 }
 
-// Merge records samples packed by a peer, except those for which a newer sample is known.
+// Merge records samples packed by a peer, except those for which a newer sample is known. It returns
+// ErrMalformed, and records none, if their length is invalid.
 func (t *Table) Merge(now time.Time, packed []byte) error {
 	if len(packed)%sampleSize != 0 || len(packed) > maxPacked*sampleSize {
 		return ErrMalformed
--- a/internal/load/share_test.go
+++ b/internal/load/share_test.go
@@ -119,11 +119,11 @@
 		t.Fatal(err)
 	}
 	if got := parent.Load(start.Add(time.Millisecond), members[1]); got != 4 {
-		t.Errorf("the reader has load %v, want 4, as reported by the router", got)
+		t.Errorf("the parent has load %v, want 4, as reported by the router", got)
 	}
 	late := start.Add(time.Millisecond + maxSharedAge + 1)
 	if b := parent.PackKnown(late, members); b != nil {
-		t.Errorf("the reader still publishes %v after it has expired", b)
+		t.Errorf("the parent still publishes %v after it has expired", b)
 	}
 }
 
@@ -149,8 +149,9 @@
 	}
 }
 
-// The uncertainty of an upstream's load increases its upper bound, and grows with the age of the
-// last report.
+// Guards against an upper bound that ignores how uncertain an old report is, by which an upstream
+// would receive too many requests. The bound must rise with the age of the last report, up to a
+// limit.
 func TestUpperBoundGrowsWithAge(t *testing.T) {
 	loads := NewPoolLoad()
 	for _, vm := range vms(4) {
@@ -191,8 +192,8 @@
 	})
 }
 
-// A router that sends all requests itself knows all loads. One of many routers counts only its
-// own share.
+// Guards against a wrong estimate of how much of the load a router counts itself: all of it if it
+// sends all requests, and only its own share if it is one of many routers.
 func TestOwnShare(t *testing.T) {
 	for _, c := range []struct {
 		own, reported int
--- a/internal/load/speed.go
+++ b/internal/load/speed.go
@@ -27,8 +27,9 @@
 	answerSmoothing = 0.1
 	// waitDecay is the time in which the weight of an observed wait falls to 1/e.
 	waitDecay = 2 * time.Second
-	// priorRequestsAhead is the number of requests that are assumed to have waited for the time computed
-	// from the duration of answers and the number of slots.
+	// priorRequestsAhead is the weight of the prior estimate of the wait for each request ahead,
+	// which is computed from the duration of answers and the number of slots: as much as that of
+	// observed waits with this many requests ahead in total.
 	priorRequestsAhead = 20.0
 	// firstByteSmoothing is the weight of one answer in the average time to the first byte.
 	firstByteSmoothing = 0.02
@@ -50,8 +51,8 @@
 	waits        waitTotals
 }
 
-// waitTotals holds the weighted sums of the seconds that requests waited and of the number of
-// requests ahead of them.
+// waitTotals holds the weighted sum of the seconds that requests waited, and the weighted sum of the
+// numbers of requests that were ahead of them.
 type waitTotals struct {
 	clock          decay.Clock
 	seconds, ahead float64
@@ -66,8 +67,8 @@
 	w.ahead += ahead * weight
 }
 
-// perRequest returns the estimated wait in seconds for each request ahead. prior is the estimate
-// without any observed wait.
+// perRequest returns the estimated wait in seconds for each request ahead. prior is the estimate in
+// seconds without any observed wait.
 func (w *waitTotals) perRequest(now time.Time, prior float64) float64 {
 	weight := w.clock.Weight(now)
 	return (w.seconds/weight + priorRequestsAhead*prior) / (w.ahead/weight + priorRequestsAhead)
@@ -95,8 +96,8 @@
 	}
 }
 
-// RecordEvents records that n events of a stream arrived within the given time after the previous
-// one.
+// RecordEvents records that n events of a stream, one or more, have arrived together, with the given
+// time elapsed since the event before them.
 func (s *Speed) RecordEvents(now time.Time, vm VM, kind string, n int, elapsed time.Duration) {
 	interval := elapsed.Seconds() / float64(n)
 	typical, known := s.typical[kind]
@@ -128,8 +129,10 @@
 	s.unreported[vm] = s.unreported[vm].plus(e)
 }
 
-// RecordFirstByte records the time to the first byte of an answer and how many requests were
-// ahead of it.
+// RecordFirstByte records the time d to the first byte of an answer, relative to the engine's
+// slowdown. ahead is how many requests were ahead of it at the engine. If there were none, d updates
+// the average time to the first byte of its kind, limited to four times that average. If there were
+// some, the part of d above that average is recorded as time waited for them.
 func (s *Speed) RecordFirstByte(now time.Time, vm VM, kind string, d time.Duration, ahead float64) {
 	seconds := d.Seconds() / s.Slowdown(now, vm)
 	if ahead > 0 {
@@ -159,9 +162,9 @@
 // minDurationFactor is the lower limit of DurationFactor.
 const minDurationFactor = 0.4
 
-// DurationFactor returns the factor by which the allowed wait for a kind of request is reduced: 1
-// if its answers take no longer than average, less the longer they take. Each long request that
-// waits lets several short ones start in time.
+// DurationFactor returns the factor by which the allowed wait for a kind of request is multiplied: 1
+// if its answers take no longer than average, otherwise the average duration divided by theirs, but
+// at least minDurationFactor. Each long request that waits lets several short ones start in time.
 func (s *Speed) DurationFactor(kind string) float64 {
 	duration := s.durations[kind]
 	if duration <= s.meanDuration {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -146,14 +146,15 @@
 	return float64(e.own) + confidence*float64(e.others) + (1-confidence)*p.meanOthers()
 }
 
-// recentLoadPeriod is how long a reported load is used in full for estimating the wait, and the
-// time in which it falls to 1/e afterwards. Requests are rejected because of the reported queue,
-// and requests that are not sent bring no newer report. Without the decay, an upstream would be
-// excluded forever.
+// recentLoadPeriod is how long RecentLoad uses a reported load in full, and then the time in which
+// its weight falls to 1/e. A router sends no requests to an upstream that reported a long queue, and
+// without requests the upstream reports no newer load. Without the decay, it would be excluded
+// forever.
 const recentLoadPeriod = time.Second
 
-// RecentLoad returns the last reported load of an upstream, decayed by age, from which its wait
-// is estimated.
+// RecentLoad returns the last reported load of an upstream, from which the wait at the upstream is
+// estimated. The reported requests of other routers decay towards zero with their age, and not
+// towards the mean of the pool as in Load.
 func (p *PoolLoad) RecentLoad(now time.Time, vm VM) float64 {
 	e := p.entries[vm]
 	if e == nil {
@@ -200,8 +201,9 @@
 // meanOthers returns the mean number of other routers' requests at an upstream. Newer reports
 // have more weight, because an upstream that receives no requests, for example while it is
 // suspected, reports nothing. With equal weights, the loads reported during a surge stay in the
-// mean for seconds after it, and no bound holds: of 653 requests in five calm seconds, 63 found
-// their upstream over the load bound, and 31 with the weights (four runs of a day).
+// mean for seconds after it, and the load bound that routers derive from it is too high: in four
+// runs, 63 of 653 requests in five calm seconds after a surge found their upstream over the load
+// bound, and 31 with these weights.
 func (p *PoolLoad) meanOthers() float64 {
 	if p.weightTotal <= 0 {
 		return 0
--- a/internal/load/trend.go
+++ b/internal/load/trend.go
@@ -42,8 +42,8 @@
 	t.seconds += spanSeconds * float64(new.weight)
 }
 
-// extrapolate adjusts a load sampled age seconds ago to now. The change is limited to half the
-// load, whatever samples claim.
+// extrapolate returns the estimated present load of an upstream with the given weight that had the
+// given load age seconds ago. It changes the load by half at most, regardless of the trend.
 func (t *trend) extrapolate(load, weight, age float64) float64 {
 	if t.seconds < minTrendSeconds {
 		return load
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -5,6 +5,9 @@
 // Requests of a router record their outcomes, and placement ranks suspected upstreams last. An
 // upstream is suspected only relative to others that fail less. If all upstreams fail alike, none
 // is suspected, because moving requests between them does not help.
+//
+// Routers share outcomes in a tree: each router reports those of its requests to its parent, the
+// router that it subscribes to, and receives a summary of the whole fleet from it.
 package outlier
 
 import (
@@ -23,19 +26,20 @@
 	// upstream gets requests again after about this time. With 3 s, a fifth more cached prompts
 	// are moved, and no fewer requests are lost.
 	outcomeDecay = 1500 * time.Millisecond
-	// referencePoolShare is the part of a pool with the fewest failures that the other upstreams are
-	// compared with. With the mean of the pool as the reference, upstreams would not be suspected
-	// when most of the pool fails.
+	// referencePoolShare is the part of a pool's upstreams that the others are compared with: those
+	// with the lowest failure shares. With the mean of the pool as the reference, upstreams would
+	// not be suspected when most of the pool fails.
 	referencePoolShare = 1.0 / 3
-	// minReferenceShare is the smallest failure share assumed for the reference.
+	// minReferenceShare is the smallest failure share assumed for the reference upstreams.
 	minReferenceShare = 0.05
-	// An upstream is suspected if its failure share is likely to be suspectFactor times the
-	// reference share plus suspectMargin, limited to minSuspectShare and maxSuspectShare.
+	// The suspect share is the failure share that a failing upstream is assumed to have:
+	// suspectFactor times the failure share of the reference upstreams plus suspectMargin, limited
+	// to the range from minSuspectShare to maxSuspectShare.
 	suspectFactor, suspectMargin     = 2.0, 0.1
 	minSuspectShare, maxSuspectShare = 0.4, 0.95
-	// minLikelihoodRatio is the ratio above which an upstream is suspected: the likelihood of its
-	// outcomes at the suspect share to that at the reference share. If many upstreams fail a few
-	// requests, some have two failures among few requests by chance.
+	// minLikelihoodRatio is how many times more likely an upstream's outcomes must be with the
+	// suspect share than with the failure share of the reference upstreams for it to be suspected.
+	// If many upstreams fail a few requests, some have two failures among few requests by chance.
 	minLikelihoodRatio = 9.0
 	// priorSuccesses is the number of successful requests that each upstream is assumed to have
 	// had when the reference is selected.
@@ -52,21 +56,24 @@
 	// negligibleFailures is the weight of failures at or below which an upstream need not be
 	// evaluated.
 	negligibleFailures = 0.01
-	// minSuspicion is the minimum duration of a suspicion. It is multiplied by the number of
-	// recent suspicions, up to maxRepeats, and by the healthy share of the pool: the fewer
-	// upstreams remain for the requests, the sooner the suspected ones are tried again.
-	// resetRepeatsAfter is the time without suspicion after which the number starts again at
-	// zero. An upstream that keeps failing costs two requests each time it is tried: with the
-	// repeats, 5 of 80 are lost to one of four upstreams that loses all answers, and 8 without.
+	// minSuspicion is the minimum duration of a suspicion. An upstream that is suspected
+	// repeatedly is suspected for longer: minSuspicion times the number of its recent suspicions,
+	// at most maxRepeats, times the healthy share of the pool, but never for less than
+	// minSuspicion. The fewer upstreams remain for the requests, the sooner the suspected ones are
+	// tried again. An upstream that keeps failing costs two requests each time it is tried: if one
+	// of four upstreams loses all answers, 5 of 80 requests are lost, and 8 if repeated suspicions
+	// are no longer than the first. The number of recent suspicions is reset to zero after
+	// resetRepeatsAfter without suspicion.
 	minSuspicion      = 1500 * time.Millisecond
 	maxRepeats        = 4
 	resetRepeatsAfter = 10 * time.Second
-	// minHealthyShare is the share of a pool below which a suspicion ends after its minimum
-	// duration and the failures of the upstream are cleared. After a surge these failures have
-	// weight for seconds, while an upstream without requests produces no new outcomes. With two
-	// thirds of a pool suspected, the loads of the others exceed the load bound (65 to 141 of
-	// some 600 requests in five calm seconds, none with this rule). If the failures were cleared
-	// for all upstreams, a fifth more requests would fail when two fifths of the pool hang.
+	// minHealthyShare is the healthy share of a pool below which each suspicion ends after its
+	// minimum duration, even if the upstream counts as failing, and its failures are cleared. After
+	// a surge, the failures keep their weight for seconds, while an upstream without requests
+	// produces no new outcomes. Without this rule and with two thirds of a pool suspected, 65 to
+	// 141 of some 600 requests went to upstreams over the load bound in five calm seconds after the
+	// surge; with it, none did. If failures were cleared after every suspicion, also in a pool with
+	// a larger healthy share, a fifth more requests would fail when two fifths of the pool hang.
 	minHealthyShare = 0.5
 	// ignoreFleetFor is how long the fleet's counts of an upstream are ignored after its failures
 	// were cleared, until the other routers have cleared them too.
@@ -82,7 +89,7 @@
 type Detector struct {
 	clock       decay.Clock
 	counts      map[load.VM]outcomeCount // of this router and its subscribers
-	fleet       map[load.VM]outcomeCount // of the whole fleet, published by the parent
+	fleet       map[load.VM]outcomeCount // of the whole fleet, from the parent's last summary
 	unreported  map[load.VM]outcomeCount // since the last report, each of weight one
 	hasFailures bool                     // any upstream has failures that are not negligible
 	suspicions  map[load.VM]suspicion
@@ -96,11 +103,11 @@
 	minEnd  time.Time // earliest end
 	ended   time.Time // end of the last one
 	cleared time.Time // when the failures of the upstream were last cleared
-	repeats int
+	repeats int       // number of recent suspicions, this one included, at most maxRepeats
 }
 
-// begin returns the state of an upstream that is suspected from now on. healthyShare is the
-// share of the pool that is not failing.
+// begin returns the state of an upstream that is suspected from now on, for the first time or
+// again. healthyShare is the share of the pool that is not failing.
 func (s suspicion) begin(now time.Time, healthyShare float64) suspicion {
 	if now.Sub(s.ended) > resetRepeatsAfter {
 		s.repeats = 0
@@ -259,8 +266,8 @@
 	}
 }
 
-// likelihoodRatio returns the likelihood of the outcomes for an upstream that is to be suspected,
-// divided by that for one with the reference share of failures.
+// likelihoodRatio returns the likelihood of the outcomes for an upstream with the suspect share of
+// failures, divided by that for one with the failure share of the reference upstreams.
 func (c outcomeCount) likelihoodRatio(referenceShare float64) float64 {
 	normalShare := max(referenceShare, minReferenceShare)
 	suspectShare := min(max(suspectFactor*normalShare+suspectMargin, minSuspectShare), maxSuspectShare)
@@ -268,7 +275,8 @@
 }
 
 // updateSuspicion starts or ends the suspicion of an upstream. failing reports whether it fails
-// more than the others, and healthyShare is the share of the pool that does not.
+// more than the others, and healthyShare is the share of the pool that does not. In a pool with too
+// few healthy upstreams, a suspicion ends even if the upstream counts as failing.
 func (d *Detector) updateSuspicion(now time.Time, vm load.VM, c outcomeCount, failing bool, healthyShare float64) {
 	s := d.suspicions[vm]
 	switch {
@@ -287,7 +295,8 @@
 	d.changes = append(d.changes, Change{VM: vm, Suspected: s.active, Failed: c.failed, All: c.all})
 }
 
-// referenceFailureShare returns the failure share of the upstreams with the fewest failures.
+// referenceFailureShare returns the failure share of the reference upstreams: the part
+// referencePoolShare of the pool with the lowest failure shares.
 func referenceFailureShare(outcomes map[load.VM]outcomeCount) float64 {
 	counts := slices.Collect(maps.Values(outcomes))
 	slices.SortFunc(counts, func(a, b outcomeCount) int {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// A service answers every seventh request with an error at all of its upstreams alike. Moving
-// requests between them does not help, and sessions would lose their caches.
+// A service answers every second to every tenth request with an error, at all of its upstreams
+// alike. Guards against suspicions in such a pool: moving requests does not help, and sessions would
+// lose their caches.
 func TestNoneIsSuspectedWhenAllFailAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
@@ -75,7 +76,7 @@
 	})
 }
 
-// Guards against unbounded growth while upstreams come and go by the thousand.
+// Guards against unbounded growth of the counts while thousands of upstreams are added and removed.
 func TestKeepDropsRemovedUpstreams(t *testing.T) {
 	d := New()
 	for _, vm := range pool(100) {
@@ -87,9 +88,9 @@
 	}
 }
 
-// suspectedFor returns how long the first upstream of a pool of 18 is suspected for the fourth
-// time in a row, if failing of them fail the given number of requests each time and the others
-// none.
+// suspectedFor returns the duration of the fourth suspicion in a row of the first upstream in a pool
+// of 18. Before each suspicion, the first failingCount upstreams fail the given number of requests
+// and the others answer as many.
 func suspectedFor(failingCount, failures int) time.Duration {
 	d, vms, now := New(), pool(18), start
 	var duration time.Duration
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -13,8 +13,9 @@
 
 // In a large fleet, a router sends a request to each upstream only every few seconds, and sees
 // failures even less often. Each router therefore reports its outcomes to its parent, the router
-// that it subscribes to, which publishes the combined counts. An entry is the short name of an
-// upstream (2 bytes, big-endian) and the two counts (1 byte each).
+// that it subscribes to, which publishes the combined counts. Reports and summaries consist of
+// entries: the short name of an upstream (2 bytes, big-endian), the count of its failures and that
+// of all its outcomes (1 byte each).
 const (
 	entrySize = 4
 	// maxReported is the maximum number of upstreams in a report: those with the most failures.
--- a/internal/outlier/share_test.go
+++ b/internal/outlier/share_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// The failure that the detector addresses: three fifths of the upstreams lose two fifths of their
-// answers for four seconds. 5 routers send 105 requests per second to 18 upstreams, and each
-// session ranks the upstreams differently.
+// Parameters of the simulated fault: three fifths of the upstreams lose two fifths of their answers
+// for four seconds. 5 routers send 105 requests per second to 18 upstreams, and each session ranks
+// the upstreams differently.
 const (
 	simulatedRouters, simulatedUpstreams = 5, 18
 	requestsPerSecond                    = 105
@@ -70,11 +70,9 @@
 	faultyUpstreamsShare                 = 0.6
 	lostAnswersShare                     = 0.4
 	faultDuration                        = 4 * time.Second
-	faultDelay                           = 3 * time.Second
-	// exchangeInterval is the interval of reports and summaries. outcomeDelay is the time until the
-	// outcome of a request is known.
-	exchangeInterval = 250 * time.Millisecond
-	outcomeDelay     = 80 * time.Millisecond
+	faultDelay                           = 3 * time.Second        // from the first request to the fault
+	exchangeInterval                     = 250 * time.Millisecond // of reports and summaries
+	outcomeDelay                         = 80 * time.Millisecond  // from a request to its outcome
 )
 
 // pendingOutcome is an outcome that is not yet known.
@@ -84,8 +82,8 @@
 	failed     bool
 }
 
-// simulateFault returns the share of requests that fail during the fault. Without suspicion, routers use
-// the rankings alone. Without sharing, each router uses only its own outcomes.
+// simulateFault returns the share of requests that fail during the fault. Without suspicion, routers
+// use the rankings alone. Without sharing, each router uses only its own outcomes.
 func simulateFault(t *testing.T, suspicion, sharing bool, faultyShare float64) float64 {
 	t.Helper()
 	random := rand.New(rand.NewPCG(3, 4))
@@ -153,9 +151,10 @@
 	return ranking[0]
 }
 
-// A quarter of the requests are lost for four seconds, although two fifths of the upstreams are
-// healthy. A single router sends one request per second to each upstream and detects the faulty
-// ones slowly. Together the routers avoid them after two failures each.
+// Guards against routers that keep sending requests to faulty upstreams: a quarter of all requests
+// would be lost for four seconds, although two fifths of the upstreams are healthy. A single router
+// sends one request per second to each upstream and detects the faulty ones slowly. Together the
+// routers avoid them after two failures each.
 func TestRequestsAvoidUpstreamsThatLoseAnswers(t *testing.T) {
 	without := simulateFault(t, false, false, faultyUpstreamsShare)
 	alone := simulateFault(t, true, false, faultyUpstreamsShare)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -28,7 +28,8 @@
 	credit int64
 }
 
-// Deposit records a request of a caller, of which the given share may be retried.
+// Deposit records a request of a caller and adds ratio, limited to the range from 0 to MaxRatio,
+// times the cost of an attempt to the credit.
 func (b *Budget) Deposit(ratio float64) {
 	share := int64(min(max(ratio, 0), MaxRatio) * attemptCost)
 	b.credit = min(b.credit+share, maxCredit)
@@ -45,6 +46,6 @@
 	return true
 }
 
-// RetryAfter returns zero: a Budget has no estimate of when callers should retry. Upstreams with
-// sidecars report themselves when they have spare capacity.
+// RetryAfter returns zero: a Budget has no estimate of when callers should retry. It is used for
+// upstreams with sidecars, which report when they have spare capacity.
 func (b *Budget) RetryAfter(time.Duration) time.Duration { return 0 }
--- a/internal/retry/pools.go
+++ b/internal/retry/pools.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PoolBudgets holds the retry state of one router for each pool: the Window that limits retries
-// and the ReturnScheduler for rejected callers. It is safe for concurrent use.
+// PoolBudgets holds the retry state of one router for each pool: the WindowBudget that limits
+// retries and the ReturnScheduler for rejected callers. It is safe for concurrent use.
 type PoolBudgets struct {
 	mu    sync.Mutex
 	pools map[string]*poolState
@@ -62,7 +62,8 @@
 	}
 }
 
-// PoolBudget is the retry budget of one request. It uses the system clock.
+// PoolBudget gives one request access to the budget that it shares with all requests of its router
+// to the pool. It uses the system clock.
 type PoolBudget struct {
 	pools *PoolBudgets
 	pool  *poolState
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -22,7 +22,9 @@
 // Failure describes a failed attempt.
 type Failure struct {
 	Err *verdict.Error
-	// Reached reports whether the request reached the upstream, even if it was not accepted.
+	// Reached reports whether the request reached the upstream, whether or not the upstream
+	// accepted it. It is false if no connection could be opened, or if a sidecar rejected the
+	// request or ended it while it waited.
 	Reached bool
 	// Final reports whether no other upstream would accept the request.
 	Final bool
@@ -38,7 +40,7 @@
 	return true
 }
 
-// RequestInfo are the properties of a request that determine whether it may be retried.
+// RequestInfo holds the properties of a request that determine whether it may be retried.
 type RequestInfo struct {
 	Idempotent    bool // the profile allows the request to run more than once
 	ReadOnly      bool // the method is safe in the HTTP sense
@@ -66,8 +68,8 @@
 	}
 }
 
-// maySucceedElsewhere reports whether the request may succeed at another upstream despite this
-// reason. A reason that is not listed, such as one of a newer peer, is treated as final.
+// maySucceedElsewhere reports whether a request that failed for a reason may succeed at another
+// upstream. A reason that is not listed, such as one of a newer peer, is treated as final.
 func maySucceedElsewhere(r verdict.Reason) bool {
 	switch r {
 	case verdict.ReasonUpstreamFailed, verdict.ReasonIncarnationGone, verdict.ReasonUnknownRequest,
@@ -96,13 +98,14 @@
 }
 
 const (
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = 800 * time.Millisecond
+	firstBackoff = 50 * time.Millisecond  // before the second attempt; doubles with each further one
+	maxBackoff   = 800 * time.Millisecond // limit of the doubling
 )
 
 // Backoff returns the delay before the nth attempt to reconnect, with n starting at 1. The first
 // attempt is immediate, because most lost connections were only dropped by an intermediary.
-// jitter, from 0 to 1, spreads the attempts of routers that lost the same upstream.
+// jitter, from 0 to 1, selects a delay from half of the backoff to all of it, which spreads the
+// attempts of routers that lost the same upstream.
 func Backoff(n int, jitter float64) time.Duration {
 	if n <= 1 {
 		return 0
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -36,6 +36,7 @@
 	})
 }
 
+// Guards against a budget that denies retries although the ratio allows them.
 func TestBudgetAllowsNearlyItsRatio(t *testing.T) {
 	var b Budget
 	extra := 0
@@ -62,12 +63,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := RequestInfo{
 			Idempotent:    rapid.Bool().Draw(t, "idempotent"),
-			ReadOnly:      rapid.Bool().Draw(t, "read"),
-			AnswerStarted: rapid.Bool().Draw(t, "sent"),
+			ReadOnly:      rapid.Bool().Draw(t, "read only"),
+			AnswerStarted: rapid.Bool().Draw(t, "answer started"),
 		}
 		v := rapid.SampledFrom([]verdict.Verdict{verdict.MayHaveRun, verdict.NotRun, verdict.Ran}).Draw(t, "verdict")
 		r := rapid.SampledFrom(reasons).Draw(t, "reason")
-		decision := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "asked")}, c)
+		decision := Decide(Failure{Err: verdict.New(v, r, ""), Reached: rapid.Bool().Draw(t, "reached")}, c)
 		if decision != Stop && c.AnswerStarted {
 			t.Fatal("the request may run again although part of the answer was sent")
 		}
--- a/internal/retry/returns.go
+++ b/internal/retry/returns.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// returnSlotCount is the number of slots of returnSlotLength each to which returning callers
-	// are assigned. Together they cover the time for which waiting for an answer is worthwhile.
+	// returnSlotCount is the number of time slots, of returnSlotLength each, to which returning
+	// callers are assigned. Waiting for an answer is not worthwhile for longer than all of them.
 	returnSlotCount  = 20
 	returnSlotLength = 250 * time.Millisecond
-	// minReturnDelay is the minimum delay until a caller returns. After less time it would find
-	// the same queues.
+	// minReturnDelay is the minimum delay until a caller returns. A caller that returned sooner
+	// would find the same queues.
 	minReturnDelay = 500 * time.Millisecond
-	// rateDecay is the time constant of the averaged rates.
+	// rateDecay is the time constant of the averaged rates of arrivals and answers.
 	rateDecay = 2 * time.Second
 	// minReturnShare is the minimum share of a pool's answers that is reserved for returning
 	// callers, however many new ones arrive, because they have waited longest.
@@ -25,14 +25,15 @@
 
 // ReturnScheduler determines when callers rejected by a pool should return. It spreads them over
 // the next seconds so that the pool has capacity for them in addition to new callers, and
-// accounts for those already scheduled. Every router receives the same share of the pool's
-// arrivals and answers, so routers need no information about each other.
+// accounts for those already scheduled. A router receives the same share of the pool's arrivals as
+// of its answers. It therefore fills that share of the capacity with the callers that it has
+// rejected itself, and needs no information about other routers.
 //
-// If all rejected callers return after one second, they meet the same surge again. Of 11958
-// callers with 15 s each, in ten surges of twice the pool's capacity for 4 s, returning callers
-// were rejected 15453 times, and 1799 times with this scheduler; with 8 s, 15890 and 7371
-// (TestCallersReturnWhenThereIsCapacity). Callers with 4 s have too little time to wait for the
-// end of the surge.
+// If all rejected callers return after one second, they meet the same surge again. In ten simulated
+// surges of twice the pool's capacity for 4 s each (TestCallersReturnWhenThereIsCapacity), 11958
+// callers with a timeout of 15 s were rejected 15453 times on their return after one second, and
+// 1799 times with this scheduler. With a timeout of 8 s, the numbers were 15890 and 7371. Callers
+// with a timeout of 4 s have too little time to wait for the end of the surge.
 //
 // The zero value is ready to use. A ReturnScheduler is not safe for concurrent use.
 type ReturnScheduler struct {
@@ -73,6 +74,8 @@
 		maxDelay := time.Duration(MaxDelayShare * float64(left))
 		end = min(max(int64(maxDelay/returnSlotLength), first+1), end)
 	}
+	// Slots are searched in order of time. The search ends when the chosen one has capacity for one
+	// more caller; until then, the emptiest one so far is chosen.
 	chosen := first
 	for i := first; i < end && r.scheduled[r.slot(chosen)]+1 > capacity; i++ {
 		if r.scheduled[r.slot(i)] < r.scheduled[r.slot(chosen)] {
@@ -87,7 +90,9 @@
 	return delay
 }
 
-// slotCapacity returns the number of returning callers that the pool can serve in one slot.
+// slotCapacity returns the number of returning callers that the pool can serve in one slot: its
+// answers less the arrivals of new callers, but at least minReturnShare of its answers. The counted
+// arrivals include returning callers; their number is taken from the current slot.
 func (r *ReturnScheduler) slotCapacity() float64 {
 	seconds := rateDecay.Seconds()
 	perSlot := returnSlotLength.Seconds() / seconds
@@ -95,11 +100,12 @@
 	return math.Max(r.answers-firstArrivals, minReturnShare*r.answers) * perSlot
 }
 
+// slot returns the index of the slot that is ahead slots after the current one.
 func (r *ReturnScheduler) slot(ahead int64) int {
 	return r.slots.index(ahead, returnSlotCount)
 }
 
-// advance moves the clock to now and decays the weights.
+// advance moves the slots to now, clears those that have passed and decays the rates.
 func (r *ReturnScheduler) advance(now time.Time) {
 	if r.updatedAt.IsZero() {
 		r.updatedAt = now
--- a/internal/retry/returns_test.go
+++ b/internal/retry/returns_test.go
@@ -52,8 +52,9 @@
 	return surgeOutcome{callers: o.callers + p.callers, unserved: o.unserved + p.unserved, rejectedAgain: o.rejectedAgain + p.rejectedAgain}
 }
 
-// simulateSurge simulates a surge in which each caller gives up after callerTimeout and returns after
-// the delay that its router determines.
+// simulateSurge simulates a surge in which each caller gives up after callerTimeout and returns
+// after the delay that its router determines. A caller whose delay would be less than 100 ms has too
+// little time left to return.
 func simulateSurge(seed uint64, callerTimeout time.Duration, delayFor func(router int, now time.Time, left time.Duration) time.Duration, schedulers [surgeRouters]*ReturnScheduler) surgeOutcome {
 	random := rand.New(rand.NewPCG(seed, 6))
 	var queue attemptQueue
@@ -187,8 +188,8 @@
 	}
 }
 
-// Callers told to return must be pending until the last of them may have returned, and none may
-// be pending before the first rejection.
+// Guards against callers that return and are treated as new ones. Returns must be pending until the
+// last caller told to return may have done so, and not before the first rejection.
 func TestReturnsArePendingUntilTheLastIsDue(t *testing.T) {
 	var r ReturnScheduler
 	now := time.Unix(1000, 0)
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Rule limits the retries that routers send to one pool of upstreams: in the Window that ends at
-// any retry, the number of retries is at most Ratio times the number of requests sent by callers,
-// plus Slack.
+// Rule limits the retries that routers send to one pool of upstreams: in each period of length
+// Window that ends with a retry, the number of retries is at most Ratio times the number of requests
+// sent by callers, plus Slack.
 type Rule struct {
-	Ratio  float64
-	Slack  float64
+	Ratio  float64 // retries per request
+	Slack  float64 // retries per Window, allowed in addition
 	Window time.Duration
 }
 
 // windowBuckets is the number of buckets into which a window is divided.
 const windowBuckets = 10
 
-// WindowBudget keeps one router within its part of a Rule. The Rule holds for all routers together if
-// each keeps to Ratio of its own requests and their slacks add up to the slack of the Rule.
-// Routers therefore need no information about each other's retries.
+// WindowBudget limits the retries of one router to a share of its requests in a sliding window.
+// Unlike a Budget, it forgets requests older than the window. If the Rule of each router has the
+// same Ratio and a part of the slack, all routers together keep to that Ratio and the sum of their
+// slacks, so they need no information about each other's retries.
 //
 // The zero value is ready to use. A WindowBudget is not safe for concurrent use.
 type WindowBudget struct {
-	// Retries are summed over one bucket more than the window, and requests over one bucket less
-	// than retries, so a window that begins within a bucket is covered.
+	// A window usually begins within the oldest bucket. The retries in that bucket are counted and
+	// its requests are not, so the limit is never exceeded.
 	buckets [windowBuckets + 1]windowBucket
 	slots   slotClock
 }
@@ -36,8 +37,8 @@
 	w.buckets[w.index(0)].requests++
 }
 
-// Withdraw counts one more attempt, or returns false if the rule does not allow it for this
-// router.
+// Withdraw counts one more attempt of this router and returns true, or returns false if the rule
+// does not allow it.
 func (w *WindowBudget) Withdraw(now time.Time, r Rule) bool {
 	w.advance(now, r)
 	requests, retries := 0, 0
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// routerHistory is the Window of a router and the times of its requests and retries.
+// routerHistory holds the budget of a router and the times of its requests and retries.
 type routerHistory struct {
 	window            WindowBudget
 	requests, retries []time.Time
