--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -118,16 +118,16 @@
 const (
 	// minFillShare is the share of the configured load bound up to which a router fills
 	// upstreams when it depends on reported loads, which are slightly old, and maxFillShare the
-	// share when it counts nearly all requests itself. In between, ownFillShare times the share
+	// share when it counts nearly all requests itself. In between, fillPerOwnShare times the share
 	// of the requests that it counts itself is added. With 4 routers this makes 0.9: a fifth
 	// fewer tokens are moved than with 0.8.
-	minFillShare, ownFillShare, maxFillShare = 0.8, 0.4, 0.95
+	minFillShare, fillPerOwnShare, maxFillShare = 0.8, 0.4, 0.95
 )
 
 // fillShare returns the share of the configured load bound up to which a router fills upstreams
 // if it counts ownShare of all requests itself.
 func fillShare(ownShare float64) float64 {
-	return min(minFillShare+ownFillShare*ownShare, maxFillShare)
+	return min(minFillShare+fillPerOwnShare*ownShare, maxFillShare)
 }
 
 // fixedBoundShare is the share of all requests from which on a router that counts it applies the
@@ -142,9 +142,9 @@
 }
 
 const (
-	// headroomShare is the share of the headroom between the mean and the bound that a router
+	// minHeadroomShare is the share of the headroom between the mean and the bound that a router
 	// uses at least, up to maxHeadroomMultiple times the mean.
-	headroomShare, maxHeadroomMultiple = 0.8, 1.5
+	minHeadroomShare, maxHeadroomMultiple = 0.8, 1.5
 )
 
 // fillLimit returns the multiple of the mean load up to which a router fills an upstream.
@@ -155,7 +155,7 @@
 // 24 upstreams and a bound of 1.25, 800 of 1261 answers were late, and none with the headroom
 // (model.TestManyRoutersDoNotRunToTheSameUpstreams).
 func fillLimit(multiple, ownShare float64) float64 {
-	return max(multiple*fillShare(ownShare), min(1+headroomShare*(multiple-1), maxHeadroomMultiple))
+	return max(multiple*fillShare(ownShare), min(1+minHeadroomShare*(multiple-1), maxHeadroomMultiple))
 }
 
 // RecordRequest counts a request of a session and returns a lower estimate of the session's
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -58,7 +58,7 @@
 		return
 	}
 	w.recorded = true
-	w.stop()
+	w.stopHangTimer()
 	now := time.Now()
 	w.tracker.RecordOutcome(now, w.attempt, now.Sub(w.sent), succeeded)
 }
@@ -75,7 +75,7 @@
 	w.EndWait()
 	w.mu.Lock()
 	slow := w.objective > 0 && time.Since(w.sent) > scale(abandonMultiple, w.objective)
-	w.stop()
+	w.stopHangTimer()
 	w.mu.Unlock()
 	if slow {
 		w.RecordOutcome(false)
@@ -87,8 +87,8 @@
 	return time.Duration(factor * float64(d))
 }
 
-// stop stops the timer for a missing first byte.
-func (w *Watch) stop() {
+// stopHangTimer stops the timer for a missing first byte.
+func (w *Watch) stopHangTimer() {
 	if w.hangTimer != nil {
 		w.hangTimer.Stop()
 	}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -49,9 +49,9 @@
 // one. The upstream leaves while either the VM or the failure domain has an order to leave: an
 // order for the VM outlives the end of that for its failure domain.
 func (o *Orders) Lookup(vm, domain string) (Order, bool) {
-	vmOrder, vmOrdered := o.vms[vm]
-	domainOrder, domainOrdered := o.domains[domain]
-	return Order{Leave: vmOrder.Leave || domainOrder.Leave, Version: max(vmOrder.Version, domainOrder.Version)}, vmOrdered || domainOrdered
+	vmOrder, hasVMOrder := o.vms[vm]
+	domainOrder, hasDomainOrder := o.domains[domain]
+	return Order{Leave: vmOrder.Leave || domainOrder.Leave, Version: max(vmOrder.Version, domainOrder.Version)}, hasVMOrder || hasDomainOrder
 }
 
 // DrainedDomains returns the failure domains that are ordered to leave, sorted.
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -125,7 +125,7 @@
 // A session's home loses answers, and the next upstream of its ranking is over the bound. The
 // third serves the session, and the home is still offered before the one over the bound.
 // Requests without a session avoid the suspected upstream.
-func TestSuspectedUpstreamsComeLast(t *testing.T) {
+func TestSuspectedAndOverloadedUpstreamsAreAvoided(t *testing.T) {
 	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
 	order := chosenIndices(NewPool(ms, Locality{}), fixedLoads{}, q)
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -32,7 +32,7 @@
 	loads     [plainRouters]*load.PoolLoad
 	latencies [plainRouters]*load.RelativeLatency
 	free      [plainUpstreams][plainSlots]time.Time // when each slot of an upstream becomes free
-	waiting   [plainUpstreams]int                   // requests queued or running at an upstream
+	inFlight  [plainUpstreams]int                   // requests queued or running at an upstream
 	pending   completions
 	slow      int // index of the slow upstream, or None
 	broken    int // index of the upstream that fails its requests at once, or None
@@ -60,7 +60,7 @@
 		now = now.Add(time.Duration(p.random.ExpFloat64() / plainRequestsPerSecond * float64(time.Second)))
 		for len(p.pending) > 0 && !p.pending[0].at.After(now) {
 			c := heap.Pop(&p.pending).(completion)
-			p.waiting[c.member]--
+			p.inFlight[c.member]--
 			p.loads[c.router].End(p.ids[c.member])
 			p.recordLatency(c)
 		}
@@ -87,7 +87,7 @@
 
 // serve sends a request to an upstream and reports whether it is answered in time.
 func (p *plainSim) serve(now time.Time, router, member int) bool {
-	if p.waiting[member] == plainSlots+plainQueue {
+	if p.inFlight[member] == plainSlots+plainQueue {
 		return false
 	}
 	if member == p.broken {
@@ -116,7 +116,7 @@
 
 // start adds a request that its upstream completes at the given time.
 func (p *plainSim) start(now, at time.Time, router, member int) {
-	p.waiting[member]++
+	p.inFlight[member]++
 	p.loads[router].Begin(p.ids[member])
 	heap.Push(&p.pending, completion{at: at, began: now, router: router, member: member})
 }
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -11,36 +11,36 @@
 // the same list compute the same order, and a change of the list moves only the sessions of the
 // upstream that joined or left.
 type ranking struct {
-	index   []int     // indices of the upstreams in the caller's list
-	seeds   []uint64  // in the order of index
-	classes []uint8   // for each upstream, its index into weights; nil if all weights are equal
-	weights []float64 // the distinct weights
+	index         []int     // indices of the upstreams in the caller's list
+	seeds         []uint64  // in the order of index
+	weightIndices []uint8   // for each upstream, its index into weights; nil if all weights are equal
+	weights       []float64 // the distinct weights
 }
 
-// maxWeightClasses is the maximum number of distinct weights in a ranking.
-const maxWeightClasses = math.MaxUint8
+// maxWeights is the maximum number of distinct weights in a ranking.
+const maxWeights = math.MaxUint8
 
 // newRanking returns the ranking of the members with the given indices.
 func newRanking(members []Member, index []int) ranking {
 	r := ranking{index: index, seeds: make([]uint64, len(index))}
-	classes := make([]uint8, len(index))
+	weightIndices := make([]uint8, len(index))
 	for at, i := range index {
 		r.seeds[at] = members[i].Seed
-		classes[at] = r.weightClass(float64(max(members[i].Weight, 1)))
+		weightIndices[at] = r.weightIndex(float64(max(members[i].Weight, 1)))
 	}
 	if len(r.weights) > 1 {
-		r.classes = classes
+		r.weightIndices = weightIndices
 	}
 	return r
 }
 
-// weightClass returns the index of a weight in r.weights and adds the weight if it is new. Once
+// weightIndex returns the index of a weight in r.weights and adds the weight if it is new. Once
 // there are maxWeightClasses weights, it returns the index of the nearest one.
-func (r *ranking) weightClass(weight float64) uint8 {
+func (r *ranking) weightIndex(weight float64) uint8 {
 	if at := slices.Index(r.weights, weight); at >= 0 {
 		return uint8(at)
 	}
-	if len(r.weights) < maxWeightClasses {
+	if len(r.weights) < maxWeights {
 		r.weights = append(r.weights, weight)
 		return uint8(len(r.weights) - 1)
 	}
@@ -56,7 +56,7 @@
 // top writes the indices of the upstreams that rank highest for session to best, highest first,
 // and returns their number.
 func (r *ranking) top(session uint64, best []int) int {
-	if r.classes != nil {
+	if r.weightIndices != nil {
 		return r.topWeighted(session, best)
 	}
 	var scores [maxRanked]uint64
@@ -84,18 +84,18 @@
 // weight the hash below which an upstream cannot be among the best.
 func (r *ranking) topWeighted(session uint64, best []int) int {
 	var costs [maxRanked]float64
-	var thresholds [maxWeightClasses]uint64
+	var thresholds [maxWeights]uint64
 	n := 0
 	for at, seed := range r.seeds {
-		class := r.classes[at]
+		weightIndex := r.weightIndices[at]
 		hash := mix(session ^ seed)
-		if hash < thresholds[class] {
+		if hash < thresholds[weightIndex] {
 			continue
 		}
-		weight := r.weights[class]
+		weight := r.weights[weightIndex]
 		cost := -math.Log(toUnitInterval(hash)) / weight
 		if n == len(best) && cost >= costs[n-1] {
-			thresholds[class] = hashBelow(math.Exp(-costs[n-1] * weight))
+			thresholds[weightIndex] = hashBelow(math.Exp(-costs[n-1] * weight))
 			continue
 		}
 		n = min(n+1, len(best))
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -209,7 +209,7 @@
 // all routers send it to its home, which then holds several times the mean. Once all routers
 // receive that load at the same moment, they leave the home together and return to it together.
 // Only spreading the session before its home is reported full keeps the bound.
-func TestLoadsThatAreSharedKeepTheBound(t *testing.T) {
+func TestSharedLoadsAndSpreadSessionsKeepTheBound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		hotShare trafficShare
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -28,7 +28,7 @@
 // sendAll lets all routers send as much as they may to one cold upstream and returns the times
 // at which the requests arrive. Routers are suspended now and then, and their clocks stand still
 // meanwhile.
-func sendAll(t *rapid.T, fleet []*simRouter, l Limit, span time.Duration) []time.Time {
+func sendAll(t *rapid.T, fleet []*simRouter, limit Limit, span time.Duration) []time.Time {
 	var out []time.Time
 	for now := start; now.Before(start.Add(span)); now = now.Add(20 * time.Millisecond) {
 		if rapid.IntRange(0, 9).Draw(t, "suspend") == 0 {
@@ -42,7 +42,7 @@
 			if now.Before(r.suspendedUntil) {
 				continue
 			}
-			for r.limiter.TryAcquire(now.Add(-r.clockLag), "cold", l, r.fleetSize) {
+			for r.limiter.TryAcquire(now.Add(-r.clockLag), "cold", limit, r.fleetSize) {
 				out = append(out, now)
 			}
 		}
@@ -50,8 +50,8 @@
 	return out
 }
 
-// maxPerSecond returns the largest number of times within one second.
-func maxPerSecond(times []time.Time) int {
+// maxWithinSecond returns the largest number of times within one second.
+func maxWithinSecond(times []time.Time) int {
 	highest := 0
 	for i := range times {
 		end, _ := slices.BinarySearchFunc(times, times[i].Add(time.Second), time.Time.Compare)
@@ -66,7 +66,7 @@
 // assume different fleet sizes, and some routers are suspended meanwhile.
 func TestColdUpstreamsStayWithinTheirLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limit{
+		limit := Limit{
 			PerSecond: float64(rapid.IntRange(1, 40).Draw(t, "per second")),
 			Overage:   rapid.SampledFrom([]float64{0, 1, 1.5, 2}).Draw(t, "overage"),
 			Slack:     float64(rapid.IntRange(0, 8).Draw(t, "slack")),
@@ -77,8 +77,8 @@
 			assumed := n - rapid.IntRange(0, n/10).Draw(t, "unknown")
 			fleet = append(fleet, &simRouter{limiter: NewLimiter(fmt.Sprint("front-", i)), fleetSize: assumed})
 		}
-		if got := maxPerSecond(sendAll(t, fleet, l, 3*time.Second)); got > l.MaxPerSecond() {
-			t.Fatalf("%d routers sent %d requests within a second to an upstream with a limit of %d", n, got, l.MaxPerSecond())
+		if got := maxWithinSecond(sendAll(t, fleet, limit, 3*time.Second)); got > limit.MaxPerSecond() {
+			t.Fatalf("%d routers sent %d requests within a second to an upstream with a limit of %d", n, got, limit.MaxPerSecond())
 		}
 	})
 }
@@ -86,15 +86,15 @@
 // A limiter that is too strict keeps cold engines idle. When sessions wait at all routers, a
 // cold engine must get at least a fifth of its limit on average, whatever the size of the fleet.
 func TestColdUpstreamsGetAMinimumShareOfTheirLimit(t *testing.T) {
-	l := Limit{PerSecond: 11, Overage: 1.5, Slack: 5}
+	limit := Limit{PerSecond: 11, Overage: 1.5, Slack: 5}
 	for _, n := range []int{1, 4, 15, 30, 68, 330} {
 		sum, upstreams := 0, 200
 		for u := range upstreams {
 			for i := range n {
-				sum += Share(fmt.Sprint("front-", i), fmt.Sprint("cold-", u), l, n)
+				sum += Share(fmt.Sprint("front-", i), fmt.Sprint("cold-", u), limit, n)
 			}
 		}
-		if share := float64(sum) / float64(upstreams*l.MaxPerSecond()); share < 0.2 || share > 0.8 {
+		if share := float64(sum) / float64(upstreams*limit.MaxPerSecond()); share < 0.2 || share > 0.8 {
 			t.Errorf("%d routers may use %.2f of the limit of a cold upstream", n, share)
 		}
 	}
