--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -8,8 +8,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// SharedState is what routers send each other about a pool's upstreams, which it names by their
-// short names.
+// SharedState is what routers send each other about a pool's upstreams. A router sends a Report
+// to its parent and a Summary to its subscribers. Each part is encoded, or nil if it holds
+// nothing, and identifies upstreams by load.VM.ShortName.
 type SharedState struct {
 	Loads    []byte
 	Outcomes []byte // successes and failures of requests
@@ -33,31 +34,34 @@
 	return s
 }
 
-// Summary returns all that this router knows of the upstreams, for the routers that depend on
-// its reports.
+// Summary returns the loads, failures and slowdowns of upstreams that this router knows, its own
+// and those that other routers have reported, for its subscribers.
 func (t *Tracker) Summary(now time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackKnown(now, members), Outcomes: t.outliers.Summary(now, members), Speeds: t.speed.Summary(now, members)}
 }
 
-// Report returns what this router has observed of the upstreams itself since a time, for
-// the router whose reports it depends on.
+// Report returns what this router and its subscribers have observed of the upstreams, for the
+// router's parent: the loads since the given time, and the outcomes and speeds since the last
+// report.
 func (t *Tracker) Report(now, after time.Time, members []load.VM) SharedState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return SharedState{Loads: t.loads.PackObserved(now, after, members), Outcomes: t.outliers.Report(members), Speeds: t.speed.Report(members)}
 }
 
-// MergeSummary merges what PackKnown returned at the router whose reports this one depends on.
+// MergeSummary merges what Summary returned at this router's parent. If a part is malformed, it
+// merges the others and returns an error.
 func (t *Tracker) MergeSummary(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return stderrors.Join(t.loads.MergeKnown(now, members, s.Loads), t.outliers.MergeSummary(now, members, s.Outcomes), t.speed.MergeSummary(now, members, s.Speeds))
 }
 
-// MergeReport merges what PackObserved returned at a router that depends on this one's
-// reports.
+// MergeReport merges what Report returned at a subscriber of this router. It becomes part of this
+// router's next Report. If a part is malformed, MergeReport merges the others and returns an
+// error.
 func (t *Tracker) MergeReport(now time.Time, members []load.VM, s SharedState) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -22,12 +22,13 @@
 )
 
 // HangMultiple is how many times its objective an attempt may wait for its first byte before
-// that counts as a failure of its upstream. An answer that is merely late does not: after a
-// start, or where the long prompt of a session has to be read, many answers are late, and
-// healthy upstreams would be suspected in turn. Their sessions would leave them, have their
-// prompts read again elsewhere, and make other requests late. With a multiple of 1, half as much
-// memory again is transferred between upstreams on days with faults, and in surges with slow
-// upstreams a tenth more answers are late (five days and one, three seeds each).
+// that counts as a failure of its upstream. A response that is merely late does not count as one:
+// after a start, or where the long prompt of a session has to be read, many responses are late,
+// and one healthy upstream after the other would be suspected. Sessions would leave them, have
+// their prompts read again elsewhere, and make other requests late. With a multiple of 1, half as
+// much cache memory again is transferred between upstreams on days with faults (five days, three
+// seeds each), and in surges with slow upstreams a tenth more responses are late (one day, three
+// seeds).
 const HangMultiple = 2.5
 
 // Tracker is what a router knows of the upstreams of one pool.
@@ -47,7 +48,7 @@
 	return &Tracker{loads: load.NewPoolLoad(), demand: load.NewDemand(), relativeLatency: load.NewRelativeLatency(), outliers: outlier.New(), speed: load.NewSpeed()}
 }
 
-// Request is a request that needs an upstream.
+// Request is a request for which Choose chooses upstreams.
 type Request struct {
 	placement.Query
 	Profile         string
@@ -62,12 +63,15 @@
 
 // Choose writes the upstreams of p that a request is offered to into out, in order of
 // preference, and returns their number and the basis of the choice. r.LoadMultiple is the
-// configured load bound. Mechanisms that are switched off are removed from r.
+// configured load bound as a multiple of the mean load, which Choose lowers to fillLimit.
+// r.SessionShare has no effect while HotSpread is off, and r.Objective and r.TimeLeft have none
+// while Waits is off.
 //
 // A request that cannot be answered in time is deferred behind all those that can, if its caller
 // has enough time left. It is served when the surge is over and takes no slot from requests that
 // arrive in the meantime. Of 28456 callers in a surge of twice the pool's capacity, 16593 get
-// their answer in time, and 11608 without deferral (TestSurgeBeyondThePoolIsServedInTime).
+// their response in time, and 11608 without deferral
+// (model.TestSurgeBeyondThePoolIsServedInTime).
 func (t *Tracker) Choose(now time.Time, p *placement.Pool, mechanisms policy.Policy, r Request, out *[placement.MaxCandidates]placement.Choice) (int, placement.Basis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,10 +121,10 @@
 
 const (
 	// minFillShare is the share of the configured load bound up to which a router fills
-	// upstreams when it depends on reported loads, which are slightly old, and maxFillShare the
-	// share when it counts nearly all requests itself. In between, fillPerOwnShare times the share
-	// of the requests that it counts itself is added. With 4 routers this makes 0.9: a fifth
-	// fewer tokens are moved than with 0.8.
+	// upstreams if it counts next to no requests itself and depends on reported loads, which are
+	// slightly old. The share grows by fillPerOwnShare times the share of all requests that the
+	// router counts itself, up to maxFillShare. With 4 routers the result is 0.9: a fifth fewer
+	// tokens are transferred between upstreams than with 0.8.
 	minFillShare, fillPerOwnShare, maxFillShare = 0.8, 0.4, 0.95
 )
 
@@ -130,9 +134,9 @@
 	return min(minFillShare+fillPerOwnShare*ownShare, maxFillShare)
 }
 
-// fixedBoundShare is the share of all requests from which on a router that counts it applies the
-// same bound to all its requests: the requests that it does not count are too few for all
-// routers to leave an upstream at once.
+// fixedBoundShare is the share of all requests that a router must count itself to apply the same
+// load bound to all its requests, without random variation. The requests that it does not count
+// are then too few for all routers to leave an upstream at the same moment.
 const fixedBoundShare = 0.25
 
 // boundJitter returns how far the bounds of requests are randomised at a router that counts
@@ -142,17 +146,19 @@
 }
 
 const (
-	// minHeadroomShare is the share of the headroom between the mean and the bound that a router
-	// uses at least, up to maxHeadroomMultiple times the mean.
+	// minHeadroomShare is the minimum share that a router uses of the headroom between the mean
+	// and the configured load bound. The fill limit that results from this minimum is at most
+	// maxHeadroomMultiple times the mean.
 	minHeadroomShare, maxHeadroomMultiple = 0.8, 1.5
 )
 
 // fillLimit returns the multiple of the mean load up to which a router fills an upstream.
 //
-// A fixed share of a tight bound is close to the mean, and the unknown part of a load exceeds
-// the difference. Most upstreams then appear to be over the bound, and routers that received the
-// same reports send their sessions to the same few that appear to be below it. With 60 routers,
-// 24 upstreams and a bound of 1.25, 800 of 1261 answers were late, and none with the headroom
+// A fixed share of a tight bound is close to the mean, and the part of a load that a router has to
+// estimate is larger than the difference between the two. Most upstreams then appear to be over
+// the bound, and routers that received the same reports send their sessions to the same few that
+// appear to be below it. With 60 routers, 24 upstreams and a bound of 1.25, 800 of 1261 responses
+// were late, and none with the minimum headroom
 // (model.TestManyRoutersDoNotRunToTheSameUpstreams).
 func fillLimit(multiple, ownShare float64) float64 {
 	return max(multiple*fillShare(ownShare), min(1+minHeadroomShare*(multiple-1), maxHeadroomMultiple))
@@ -166,7 +172,8 @@
 	return t.demand.RecordRequest(now, session, profile)
 }
 
-// RecordDuration records how long a request of a session was in flight.
+// RecordDuration records how long a request with a session was in flight, for the mean duration
+// of its profile's requests.
 func (t *Tracker) RecordDuration(profile string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,7 +218,8 @@
 	t.urgencies.RemoveWaiting(a.Urgency)
 }
 
-// RecordEvents records that n events of a stream arrived within a time after the previous one.
+// RecordEvents records that n events of a stream arrived, the last of them the given time after
+// the event that preceded all n.
 func (t *Tracker) RecordEvents(now time.Time, vm load.VM, profile string, n int, within time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +266,8 @@
 	Deferred bool    // from the Basis of the choice
 }
 
-// RecordOutcome records whether an attempt succeeded and how long it took to find out.
+// RecordOutcome records whether an attempt succeeded. d is the time from sending it to the first
+// byte of the response or, if it failed, to the failure.
 func (t *Tracker) RecordOutcome(now time.Time, a Attempt, d time.Duration, succeeded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -310,7 +319,8 @@
 	return t.loads.Load(now, vm)
 }
 
-// loadsAt is a Tracker at one moment. It implements placement.Loads.
+// loadsAt is a Tracker at one moment, for the choice for one request. It implements
+// placement.Loads. Its methods read the Tracker without locking it: Choose holds the lock.
 type loadsAt struct {
 	*Tracker
 	mechanisms policy.Policy
@@ -318,7 +328,7 @@
 	upstreams  int
 	drained    int // number of upstreams that are drained
 	request    Request
-	deferred   bool // the request waits behind all those that can still be answered in time
+	deferred   bool // Choose has deferred the request
 }
 
 // Load implements placement.Loads.
@@ -367,7 +377,8 @@
 	return l.request.Unavailable != nil && l.request.Unavailable(i)
 }
 
-// IsSuspected implements placement.Loads.
+// IsSuspected implements placement.Loads. Unlike Tracker.IsSuspected, it returns false if outlier
+// detection is switched off.
 func (l loadsAt) IsSuspected(vm load.VM) bool {
 	return l.mechanisms.Outliers && l.outliers.IsSuspected(l.now, vm)
 }
--- a/internal/balance/tracker_test.go
+++ b/internal/balance/tracker_test.go
@@ -11,8 +11,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// Each of four routers counts a quarter of the requests. It may fill upstreams further than one
-// of many routers, which depends mainly on reported loads.
+// Each of four routers counts a quarter of the requests itself, and must fill upstreams further
+// than one of many routers, which depends mainly on reported loads. With the share of a large
+// fleet, it would move sessions away from upstreams that can still take them.
 func TestFillShareGrowsWithOwnShare(t *testing.T) {
 	for _, c := range []struct{ ownShare, want float64 }{{0, 0.8}, {0.25, 0.9}, {1, 0.95}} {
 		if got := fillShare(c.ownShare); got != c.want {
@@ -21,8 +22,10 @@
 	}
 }
 
-// A bound of a quarter over the mean leaves headroom to choose among upstreams, a bound of twice
-// the mean is limited by the fill share alone, and no router exceeds the configured load bound.
+// With a configured load bound of a quarter over the mean, a router must use most of the headroom
+// above the mean: filled up to a fixed share of the bound only, most upstreams would appear to be
+// full. With a bound of twice the mean, the fill share alone sets the limit. No limit may exceed
+// the configured bound.
 func TestTightBoundLeavesHeadroom(t *testing.T) {
 	for _, c := range []struct{ multiple, ownShare, want float64 }{
 		{1.25, 0, 1.2}, {1.1, 0, 1.08}, {1.25, 1, 1.2}, {2, 0, 1.6}, {2, 0.25, 1.8}, {4, 0, 3.2},
@@ -83,7 +86,8 @@
 
 // With a third of a pool drained, the remaining engines have half as much load again, and only
 // they report it. Relative to the mean of those alone, the configured load bound of twice the
-// mean, which counts all upstreams, would be exceeded by a fifth before a router held back.
+// mean, which counts all upstreams, would be exceeded by a fifth before a router chose other
+// upstreams.
 func TestDrainedUpstreamsCountInTheMean(t *testing.T) {
 	const upstreams, drained, each = 54, 18, 12
 	now := time.Unix(1000, 0)
--- a/internal/balance/waits_test.go
+++ b/internal/balance/waits_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Urgencies end at 9. A deferred request of low urgency must be sent with at most that, and not
-// with a value that engines do not support.
+// Deferral adds to a request's urgency value, of which 9 is the last and least urgent. Requests
+// that are not urgent would get higher values, which engines do not support.
 func TestDeferredUrgencyStaysInRange(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tracker, pool, _ := newEnginePool(now, 28)
@@ -142,8 +142,9 @@
 }
 
 // A stream breaks off in a surge and continues at another engine. Its caller has received the
-// first half and gives up after a pause of two seconds, so the request must be neither deferred
-// nor rejected, even if the caller was rejected before.
+// first half and gives up after a pause of two seconds, so the request, which has no objective any
+// more, must be neither deferred nor rejected. That holds even if the caller was rejected before,
+// for which ObjectiveMissed is set.
 func TestResumedStreamsAreNotDeferred(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, requests := range []int{28, 40} {
--- a/internal/balance/watch.go
+++ b/internal/balance/watch.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// abandonMultiple is the counterpart of HangMultiple for attempts that are abandoned earlier.
+// abandonMultiple times its objective is how long an attempt may take without an outcome before
+// it is abandoned. A longer one counts as a failure of its upstream, even if it ended before
+// HangMultiple times the objective.
 const abandonMultiple = HangMultiple / 2
 
 // Watch observes one attempt at a direct upstream and records its outcome in a Tracker. The
@@ -50,7 +52,7 @@
 	}
 }
 
-// RecordOutcome records whether the attempt succeeded. Only the first call counts.
+// RecordOutcome records whether the attempt succeeded. Only the first call after Start counts.
 func (w *Watch) RecordOutcome(succeeded bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +72,8 @@
 }
 
 // Abandon ends the observation of an attempt whose answer is no longer needed. The attempt
-// counts as failed if it took longer than abandonMultiple times the objective.
+// counts as failed if it has no outcome yet and took longer than abandonMultiple times the
+// objective.
 func (w *Watch) Abandon() {
 	w.EndWait()
 	w.mu.Lock()
@@ -87,7 +90,7 @@
 	return time.Duration(factor * float64(d))
 }
 
-// stopHangTimer stops the timer for a missing first byte.
+// stopHangTimer stops the timer for a missing first byte, if there is one.
 func (w *Watch) stopHangTimer() {
 	if w.hangTimer != nil {
 		w.hangTimer.Stop()
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,9 +1,9 @@
 // Package drain determines which upstreams take no new requests by order of the operators:
 // single upstreams by their VM, or all upstreams of a failure domain.
 //
-// Routers and sidecars apply the configuration objects that come into force to an Orders. It
-// assumes that no object is followed by an older one of the same name, which the configuration's
-// Set ensures even if a source is out of date.
+// Routers and sidecars pass each configuration object that comes into force to Orders.Apply. No
+// object may be followed by an older one of the same name, which the configuration's Set ensures
+// even if a source is out of date.
 package drain
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Order is the operators' order for an upstream.
+// Order is the operators' order for a VM, for a failure domain or, as Lookup returns it, for an
+// upstream.
 type Order struct {
-	Leave   bool         // take no new requests; otherwise the upstream stays
-	Version topo.Version // of the newest order that applies to the upstream
+	Leave   bool         // take no new requests; false: the order to leave was deleted
+	Version topo.Version // of the newest object that the order comes from
 }
 
 // Orders is the set of orders in force. Its zero value is empty.
@@ -23,7 +24,8 @@
 	vms, domains map[string]Order
 }
 
-// Apply adds an object if it is an order, and reports whether it is.
+// Apply stores the order of a configuration object in place of an older one, and reports whether
+// the object is an order. A deleted object is stored, too, as an order not to leave.
 func (o *Orders) Apply(object topo.Object) bool {
 	order := Order{Leave: !object.Deleted, Version: object.Version}
 	switch object.Kind {
@@ -46,8 +48,8 @@
 }
 
 // Lookup returns the order for the upstream on a VM of a failure domain, and whether there is
-// one. The upstream leaves while either the VM or the failure domain has an order to leave: an
-// order for the VM outlives the end of that for its failure domain.
+// one. The upstream leaves while either the VM or the failure domain has an order to leave, so
+// that it does not return with its failure domain if the VM has an order of its own.
 func (o *Orders) Lookup(vm, domain string) (Order, bool) {
 	vmOrder, hasVMOrder := o.vms[vm]
 	domainOrder, hasDomainOrder := o.domains[domain]
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -20,33 +20,34 @@
 	return topo.Object{Ref: topo.Ref{Kind: kind, Name: name}, Version: version, Deleted: deleted}
 }
 
-// An operator drains a failure domain in which one engine is out of order and had been drained
-// by itself. The domain is put back into service while that engine is still being repaired: it
-// must not get requests with the others.
+// An operator drains a failure domain in which one engine is broken and has been drained before
+// by an order for its VM. The domain is put back into service while that engine is still being
+// repaired: it must not get requests with the others.
 func TestVMOrderOutlivesItsDomainOrder(t *testing.T) {
 	var o Orders
 	o.Apply(newObject(topo.KindDrain, "broken", 3, false))
 	o.Apply(newObject(topo.KindDomainDrain, "hall", 5, false))
 	o.Apply(newObject(topo.KindDomainDrain, "hall", 9, true))
 	if got, _ := o.Lookup("broken", "hall"); got != (Order{Leave: true, Version: 9}) {
-		t.Errorf("the engine's order is %+v", got)
+		t.Errorf("the broken engine's order is %+v, want to leave, version 9", got)
 	}
-	if got, ok := o.Lookup("well", "hall"); !ok || got != (Order{Version: 9}) {
-		t.Errorf("another engine's order is %+v, %v", got, ok)
+	if got, ok := o.Lookup("healthy", "hall"); !ok || got != (Order{Version: 9}) {
+		t.Errorf("the healthy engine's order is %+v (found %v), want not to leave, version 9", got, ok)
 	}
 	if drained := o.DrainedDomains(); len(drained) != 0 {
 		t.Errorf("drained domains are %v, want none", drained)
 	}
 }
 
-// Other objects of the configuration are not orders and must drain no upstream.
+// Other objects of the configuration are not orders. Even one with the name of a VM and a failure
+// domain must drain no upstream.
 func TestOtherObjectsAreNotOrders(t *testing.T) {
 	var o Orders
 	if o.Apply(newObject(topo.KindProfile, "hall", 1, false)) {
-		t.Error("a profile counts as an order")
+		t.Error("Apply reports that a profile is an order")
 	}
 	if _, ok := o.Lookup("hall", "hall"); ok {
-		t.Error("an upstream has an order")
+		t.Error("an upstream has an order although only a profile was applied")
 	}
 }
 
@@ -79,7 +80,7 @@
 					last[vm+domain] = got.Version
 				}
 				if slices.Contains(o.DrainedDomains(), vm) != domains[vm] {
-					t.Fatalf("drained domains %v, want %s in it: %v", o.DrainedDomains(), vm, domains[vm])
+					t.Fatalf("drained domains %v: want %s among them: %v", o.DrainedDomains(), vm, domains[vm])
 				}
 			}
 		}
--- a/internal/placement/bounded.go
+++ b/internal/placement/bounded.go
@@ -30,22 +30,24 @@
 }
 
 const (
-	// boundSlack is the number of requests that an upstream may have over the multiple of the
+	// boundSlack is the number of requests that the load bound adds to LoadMultiple times the
 	// mean. Where the mean is a few requests, chance alone puts two or three more on an
-	// upstream, and without the slack sessions would leave their cached prompts for that.
+	// upstream. Without the slack, such an upstream would be over the bound, and its sessions
+	// would move away from their cached prompts.
 	boundSlack = 2.25
-	// jitterMultipleMin to jitterMultipleMax times the multiple, plus jitterSlackMin to
-	// jitterSlackMax requests, is the range of a fully randomised bound (BoundJitter 1).
+	// These are the limits of a fully randomised bound (BoundJitter 1). The lowest one is
+	// jitterMultipleMin*LoadMultiple times the mean plus jitterSlackMin requests, the highest
+	// one jitterMultipleMax*LoadMultiple times the mean plus jitterSlackMax requests.
 	jitterMultipleMin, jitterMultipleMax = 0.85, 1.15
 	jitterSlackMin, jitterSlackMax       = 1.5, 3.0
-	// takeoverMultiple times the mean plus takeoverSlack requests is the load up to which an
-	// upstream takes over requests of a suspected one. Without this limit, when three fifths of
-	// a pool lose answers, the others would stay at the load bound, and chance would put them
-	// over the configured load bound.
+	// An upstream takes over requests of a suspected one up to a load of takeoverMultiple times
+	// the mean plus takeoverSlack requests. Without this limit, when three fifths of a pool's
+	// upstreams lose responses, the rest of the pool would be filled up to the bound that the
+	// router applies, and chance would put it over the configured load bound.
 	takeoverMultiple, takeoverSlack = 1.3, 1.0
-	// donorMinAge is the time since an upstream joined during which it is not preferred as a
-	// donor. When upstreams are replaced one after the other, this reduces the shared tokens
-	// that are read again by a sixth; 15 s brings no further reduction.
+	// donorMinAge is how long ago an upstream must have joined to be preferred as a donor. When
+	// upstreams are replaced one after the other, an age of 5 s reduces the shared prompt tokens
+	// that upstreams have to read again by a sixth; 15 s brings no further reduction.
 	donorMinAge = 5 * time.Second
 )
 
@@ -65,14 +67,17 @@
 	QueueWait      float64 // mean seconds of waiting at the session's upstreams, weighted by their speed
 	// Urgency is the urgency that the request is sent with, 0 being the most urgent. Deferred
 	// reports whether the request waits behind all those that can still be answered in time.
+	// ChooseBounded sets neither; balance.Tracker does.
 	Urgency  int
 	Deferred bool
-	// Home is the index of the session's home upstream, None without a session. PassedOver is
+	// Home is the index of the session's home upstream, None without a session. Unlike
+	// Pool.Home, it is ranked by failure domain, unless Query.IgnoreDomains is set. PassedOver is
 	// the reason why it is not the first choice.
 	Home       int
 	PassedOver PassOverReason
-	// ShouldReject reports whether the request should be rejected: more requests come than the
-	// pool can answer in time, and the first choice has no free slot.
+	// ShouldReject reports whether the request should not be sent as it is, but rejected or
+	// deferred: more requests come than the pool can answer in time, and the first choice has no
+	// free slot. If the request is deferred already, it should be rejected.
 	ShouldReject bool
 }
 
@@ -162,13 +167,17 @@
 	return p.byDomain.top(q.Session, best)
 }
 
-// admitAllWait times the shortest objective of the pool is the mean queue wait up to which all
-// requests are admitted, and rejectAllWait times it the one from which on none is. In between, a
-// random share is rejected: reports of queues are some tenths of a second old, and with a sharp
-// limit all routers would reject and then all admit at the same time.
+// admitAllWait and rejectAllWait are mean queue waits as multiples of the pool's shortest
+// objective. All requests are admitted up to the first wait, and none from the second one on. In
+// between, a random share is rejected that grows with the wait: reports of queues are some tenths
+// of a second old, and with a sharp limit all routers would reject and then all admit at the same
+// time.
 const admitAllWait, rejectAllWait = 0.3, 1.0
 
-// shouldReject reports whether a request should not be sent to its first choice as it is.
+// shouldReject reports whether a request whose first choice has no free slot should not be sent as
+// it is, but rejected or deferred. A deferred request is rejected if its first byte would come
+// after its LatencyLimit, any other with a probability that grows with the mean queue wait.
+// Without a LatencyLimit, shouldReject returns false.
 func shouldReject(q Query, b Basis) bool {
 	switch {
 	case q.LatencyLimit <= 0:
@@ -286,12 +295,13 @@
 	tooSlow
 	// queued upstreams have a queue that keeps the answer from beginning in time.
 	queued
-	// lowerRanked upstreams would be eligible, but one that ranks before them works at normal
-	// speed and has a queue: the session waits there. Reading a long prompt takes an engine as
-	// long as a hundred tokens of an answer, and in a surge all callers wait for that. When
-	// three upstreams of normal speed were considered instead of one, 1134 GB of prompts were
-	// moved instead of 960, and .583 of a day's worth was earned instead of .606 (one day, one
-	// seed).
+	// lowerRanked upstreams would be eligible, but of those that rank before them one cannot
+	// begin the answer in time and one works at normal speed. They come after queued upstreams,
+	// so that the session waits near the top of its ranking, where its prompt is cached: reading
+	// a long prompt takes an engine as long as a hundred tokens of an answer, and in a surge all
+	// callers wait for that. When three upstreams of normal speed were considered instead of
+	// one, 1134 GB of prompts were transferred between upstreams instead of 960, and the worth
+	// that the benchmark reports for the day was .583 instead of .606 (one day, one seed).
 	lowerRanked
 	// overBound upstreams may exceed the load bound.
 	overBound
@@ -354,13 +364,13 @@
 	return best
 }
 
-// leaveDomainRatio is how many times longer than elsewhere in the region a request without a
-// session must be expected to take in the router's own failure domain to be sent outside it.
+// leaveDomainRatio is the ratio of the cost in the router's own failure domain to the cost
+// elsewhere in the region above which a request without a session is sent outside the domain.
 const leaveDomainRatio = 1.5
 
-// significantRatio is how many times longer a request must be expected to take at one upstream
-// than at another for the difference to be more than chance. Without it, the upstream that was
-// fastest lately gets all requests when traffic is low.
+// significantRatio is the ratio of the costs at two upstreams above which the cheaper one is
+// preferred; a smaller difference can be chance. Without it, the upstream that was fastest lately
+// gets all requests when traffic is low.
 const significantRatio = 1.25
 
 // chooseCheapest chooses for a request without a session: of two random upstreams of the
--- a/internal/placement/bounded_test.go
+++ b/internal/placement/bounded_test.go
@@ -122,9 +122,10 @@
 
 func (d loadsWithSuspects) IsSuspected(vm load.VM) bool { return d.suspected[vm] }
 
-// A session's home loses answers, and the next upstream of its ranking is over the bound. The
-// third serves the session, and the home is still offered before the one over the bound.
-// Requests without a session avoid the suspected upstream.
+// A session's home is suspected because it loses responses, and the next upstream of its ranking
+// is over the bound. The third one must serve the session, and the one over the bound must not be
+// offered while others have spare capacity: otherwise requests would fail or overload an upstream.
+// Requests without a session must avoid the suspected upstream, too.
 func TestSuspectedAndOverloadedUpstreamsAreAvoided(t *testing.T) {
 	ms := newMembers(8)
 	q := Query{Session: 42, LoadMultiple: 1.6, Now: start.Add(time.Hour)}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -16,7 +16,8 @@
 	concurrentTicketAge = 5 * time.Second
 )
 
-// Query is a request that needs an upstream.
+// Query holds what the choice of an upstream for a request depends on. Choose uses Session,
+// Ticket, TicketAge, LoadMultiple and Random. ChooseBounded uses all but Ticket and TicketAge.
 type Query struct {
 	Session      uint64        // hash of organisation and session; zero: no session
 	Ticket       int           // index of the upstream that served the session last, or None
@@ -40,8 +41,8 @@
 }
 
 // Choose writes the upstreams that a request is offered to into out, in order of preference, and
-// returns their number. The order is advisory: each upstream's sidecar decides whether to accept
-// the request.
+// returns their number. It is for pools whose upstreams have sidecars that limit the load: the
+// order is advisory, and each upstream's sidecar decides whether to accept the request.
 func (p *Pool) Choose(now time.Time, t *load.Table, q Query, out *[MaxCandidates]int) int {
 	c := chooser{pool: p, table: t, now: now, multiple: q.LoadMultiple, out: out}
 	c.mean, c.known = t.Mean(now)
--- a/internal/placement/hot.go
+++ b/internal/placement/hot.go
@@ -11,7 +11,8 @@
 // hold: the less loaded of two random upstreams at the top of the ranking comes first. Each
 // router estimates the session's requests from its own traffic. If routers waited until the home
 // is reported full, all would fill it at the same time and leave it at the same time.
-// TestLoadsThatAreSharedKeepTheBound has the figures.
+// TestSharedLoadsAndSpreadSessionsKeepTheBound logs how many requests exceed the bound with and
+// without this.
 func (p *Pool) spreadHotSession(l Loads, q Query, basis Basis, order []int) {
 	replicas := p.replicas(q, basis, len(order))
 	if replicas < 2 {
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -80,7 +80,7 @@
 	return subset
 }
 
-// Len returns the number of upstreams of the whole pool.
+// Len returns the number of upstreams of the whole pool, also for a Subset of it.
 func (p *Pool) Len() int {
 	return p.total
 }
@@ -90,7 +90,7 @@
 	return p.drained
 }
 
-// Index returns the index of an upstream, or None.
+// Index returns the index of an upstream among the members of p, or None.
 func (p *Pool) Index(vm load.VM) int {
 	for i := range p.members {
 		if p.members[i].VM == vm {
@@ -100,7 +100,8 @@
 	return None
 }
 
-// Home returns the index of the home upstream of a session, which ranks first for it, or None.
+// Home returns the index of the home upstream of a session, which ranks first for it in the
+// region regardless of failure domains, as in Choose. It returns None if p is empty.
 func (p *Pool) Home(session uint64) int {
 	return p.Successor(session, None)
 }
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -35,7 +35,7 @@
 }
 
 // weightIndex returns the index of a weight in r.weights and adds the weight if it is new. Once
-// there are maxWeightClasses weights, it returns the index of the nearest one.
+// there are maxWeights weights, it returns the index of the nearest one.
 func (r *ranking) weightIndex(weight float64) uint8 {
 	if at := slices.Index(r.weights, weight); at >= 0 {
 		return uint8(at)
@@ -54,7 +54,8 @@
 }
 
 // top writes the indices of the upstreams that rank highest for session to best, highest first,
-// and returns their number.
+// and returns their number. The length of best must be from 1 to maxRanked. With equal weights,
+// the highest hash has the smallest -ln(u), so that no logarithm is needed.
 func (r *ranking) top(session uint64, best []int) int {
 	if r.weightIndices != nil {
 		return r.topWeighted(session, best)
@@ -114,7 +115,7 @@
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
-// hashBelow returns a hash that unitInterval maps to u or to a slightly smaller number.
+// hashBelow returns a hash that toUnitInterval maps to u or to a slightly smaller number.
 func hashBelow(u float64) uint64 {
 	return uint64(max(u*(1<<53)-1, 0)) << 11
 }
--- a/internal/placement/sliver_test.go
+++ b/internal/placement/sliver_test.go
@@ -231,8 +231,8 @@
 }
 
 // With a third of the pool drained under heavy traffic, the remaining engines have half as much
-// load again and are closer to the configured load bound, which counts all upstreams. All routers see
-// the same engines exceed the bound at the same moment. With one bound for all requests, they
+// load again and are closer to the configured load bound, which counts all upstreams. All routers
+// see the same engines exceed the bound at the same moment. With one bound for all requests, they
 // would leave them together for the same few others.
 func TestSoftBoundsHoldWhileADomainIsDrained(t *testing.T) {
 	over := func(soft bool) float64 {
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,5 +1,6 @@
 // Package residency determines the regions in which a request may run: if its profile or its
-// organisation names regions, its content must stay within them.
+// organisation names regions, its content must stay within them, and if both do, within those
+// that both name.
 //
 // Package router applies it before it chooses an upstream for an attempt, so that retries,
 // hedges and resumed streams stay in the same regions as the first attempt.
@@ -43,8 +44,8 @@
 	return both
 }
 
-// Unrestricted reports whether the set holds every region, including those whose names are
-// unknown.
+// Unrestricted reports whether the set holds every region, also those that no list names and the
+// empty name.
 func (r Regions) Unrestricted() bool { return !r.restricted }
 
 // Has reports whether a region is in the set.
@@ -56,8 +57,9 @@
 	return found
 }
 
-// Key returns a string that is equal for sets of the same regions, and only for those. Region
-// names do not contain the separator, a zero byte.
+// Key returns a string that is equal for sets of the same regions, and only for those. It is empty
+// for the set of all regions, and a single zero byte for a set without regions. A zero byte ends
+// each name; region names contain none.
 func (r Regions) Key() string {
 	if !r.restricted {
 		return ""
@@ -71,7 +73,8 @@
 	return key.String()
 }
 
-// String returns the names of the regions.
+// String returns the names of the regions, separated by commas, or "all regions" for the set of
+// all regions. It returns the empty string for a set without regions.
 func (r Regions) String() string {
 	if !r.restricted {
 		return "all regions"
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -12,6 +12,8 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
+// names are the regions that tests draw from. The empty name is that of a failure domain without
+// a region.
 var names = []string{"casablanca", "ktm", "caribe", ""}
 
 // drawRegions draws a list of up to five region names.
@@ -20,7 +22,8 @@
 }
 
 // A profile allows two regions and its organisation one. Whatever the two lists hold, a request
-// may run where both allow it and nowhere else, and an empty list restricts nothing.
+// may run where both allow it and nowhere else, and an empty list restricts nothing. Two
+// different sets must not have the same key: routers look the upstreams of a set up by it.
 func TestIntersectionKeepsToBothLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRegions(t, "profile"), drawRegions(t, "organisation")
@@ -32,7 +35,7 @@
 			}
 		}
 		if same := NewRegions(a).Key() == NewRegions(b).Key(); same != sameRegions(NewRegions(a), NewRegions(b)) {
-			t.Errorf("%v and %v: equal keys is %v", a, b, same)
+			t.Errorf("%v and %v: the keys are equal: %v, want the opposite", a, b, same)
 		}
 		if both.Key() != reversed.Key() || both.Unrestricted() != (len(a)+len(b) == 0) {
 			t.Errorf("%v and %v: keys %q and %q, unrestricted %v", a, b, both.Key(), reversed.Key(), both.Unrestricted())
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -6,11 +6,12 @@
 // Requests above the limit crash the upstream again, and a single router sees too small a share
 // of the traffic to notice: each of 30 routers sends a thirtieth.
 //
-// Routers do not coordinate, since a late or lost reply would delay a request or let it through.
-// Each router computes its share from the size of the fleet: in a small fleet an equal part, in
-// a large one all or nothing, by a hash of the names of router and upstream. Routers that
-// disagree on the fleet size differ slightly in the probability, and nothing else: they need not
-// agree on a list of routers.
+// Routers do not ask each other before they send: a late or lost reply would delay a request, or
+// let it through above the limit. Each router computes its share of the limit from the number of
+// routers in the fleet. In a small fleet all routers get an equal part. In a large one, a hash of
+// the names of router and upstream decides whether the router may send one request in any
+// window or none. Routers need not agree on a list of routers: if they assume different fleet
+// sizes, only the size of their parts or the probability of the hash decision differs.
 //
 // Package router feeds and queries a Limiter. The only assumption about a router's clock is that
 // it does not run fast.
@@ -24,13 +25,13 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Limit is the number of requests that a cold upstream can take from all routers together. It is
-// meant for services that state a rate. With its zero value, Share and Limiter allow no request,
-// so callers must not apply it to services that state none.
+// Limit is the rate of requests that a cold upstream can take from all routers together. Callers
+// must apply it only to services that state a rate: with its zero value, Share and Limiter allow
+// no request.
 type Limit struct {
-	PerSecond float64 // stated by the service; zero: none stated
-	Overage   float64 // allowed multiple of PerSecond; zero counts as one
-	Slack     float64 // additional requests
+	PerSecond float64 // requests per second stated by the service; zero: none stated
+	Overage   float64 // allowed multiple of PerSecond, such as 1.5; zero counts as one
+	Slack     float64 // additional requests per second
 }
 
 // MaxPerSecond returns the number of requests that may reach a cold upstream within a second.
@@ -43,8 +44,9 @@
 }
 
 const (
-	// window is the period over which a router counts its requests. It exceeds the second of the
-	// limit by the largest difference expected between the network delays of two requests.
+	// window is the period over which a router counts its requests. It is longer than the second
+	// to which the limit applies, since requests that are sent a second apart can arrive closer
+	// together: 100 ms is the largest expected difference between two network delays.
 	window = 1100 * time.Millisecond
 	// equalShare is the part of the limit that the routers of a small fleet divide equally. The
 	// rest is for routers that have joined since they were counted.
@@ -55,8 +57,9 @@
 )
 
 // Share returns how many requests a router may send to a cold upstream in any window, in a fleet
-// of the given number of routers. It returns 0 if routers is zero, which stands for an unknown
-// number.
+// of the given number of routers. If the limit allows it, each router gets the same number, at
+// least one. Otherwise a hash of router and upstream decides whether the router gets one or none.
+// Share returns 0 if routers is zero, which stands for an unknown number.
 func Share(router, upstream string, limit Limit, routers int) int {
 	total := limit.MaxPerSecond()
 	if routers <= 0 || total <= 0 {
@@ -76,9 +79,10 @@
 	return float64(xxh3.HashString(router+"\x00"+upstream)>>11) / (1 << 53)
 }
 
-// meanSenders returns the largest mean number of routers that may send one request at a time,
-// such that the probability of more than limit senders is at most overshootProbability. The
-// number of senders among many routers selected at random has a Poisson distribution.
+// meanSenders returns the largest mean number of routers that may be selected to send one request
+// in a window each, so that more than limit of them are selected with a probability of at most
+// overshootProbability. The number of routers selected at random among many has a Poisson
+// distribution.
 func meanSenders(limit int) float64 {
 	low, high := 0.0, float64(limit)
 	for range 40 { // bisection steps, far more precise than needed
@@ -124,7 +128,9 @@
 	return &Limiter{router: router, sentAt: make(map[string][]time.Time), shares: make(map[shareKey]int)}
 }
 
-// HasCapacity reports whether one more request may be sent to a cold upstream now.
+// HasCapacity reports whether one more request may be sent to a cold upstream now, in a fleet of
+// the given number of routers (see Share). It counts nothing: TryAcquire must be called before
+// the request is sent.
 func (l *Limiter) HasCapacity(now time.Time, upstream string, limit Limit, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,9 +165,9 @@
 	return share
 }
 
-// TryAcquire counts a request that is sent now and reports whether it may be sent. It must be
-// called immediately before the first byte: other requests may have used up the share since the
-// upstream was chosen.
+// TryAcquire reports whether a request may be sent to a cold upstream now, and counts it if so.
+// It must be called immediately before the first byte is sent: other requests may have used up
+// the share since the upstream was chosen.
 func (l *Limiter) TryAcquire(now time.Time, upstream string, limit Limit, routers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +189,8 @@
 	return out
 }
 
-// Expire removes the requests that were sent longer ago than a window.
+// Expire removes the times of requests that were sent a window ago or earlier. It must be called
+// now and then, since otherwise each upstream that was ever cold takes up memory.
 func (l *Limiter) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -84,7 +84,8 @@
 }
 
 // A limiter that is too strict keeps cold engines idle. When sessions wait at all routers, a
-// cold engine must get at least a fifth of its limit on average, whatever the size of the fleet.
+// cold engine must get at least a fifth of its limit on average, whatever the size of the fleet,
+// and at most four fifths: the rest is for routers that are not counted yet.
 func TestColdUpstreamsGetAMinimumShareOfTheirLimit(t *testing.T) {
 	limit := Limit{PerSecond: 11, Overage: 1.5, Slack: 5}
 	for _, n := range []int{1, 4, 15, 30, 68, 330} {
