--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -132,11 +132,11 @@
 // otherwise notice only when the keep-alive probes have failed, and callers would
 // wait 3 s longer for a response that cannot come.
 func (c *Client) AbortCalls(vm topo.VM) {
-	restarted := endpoint{instance: vm.ID, addr: vm.Addr}
+	former := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, ep := range c.inUse {
-		if ep == restarted {
+		if ep == former {
 			abortedCalls.Inc()
 			_ = conn.Close() // the goroutine of the call gets the error
 		}
--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -359,13 +359,13 @@
 	}
 }
 
-// adviceBudget is a Budget that returns a fixed Retry-After.
-type adviceBudget struct {
+// fixedRetryAfterBudget is a Budget that returns a fixed Retry-After.
+type fixedRetryAfterBudget struct {
 	retry.Budget
 	left time.Duration // argument of the last RetryAfter
 }
 
-func (a *adviceBudget) RetryAfter(left time.Duration) time.Duration {
+func (a *fixedRetryAfterBudget) RetryAfter(left time.Duration) time.Duration {
 	a.left = left
 	return 3 * time.Second
 }
@@ -376,7 +376,7 @@
 	now := time.Unix(1000, 0)
 	full := verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "")
 	for given, want := range map[time.Duration]time.Duration{0: 3 * time.Second, time.Second: time.Second} {
-		var a adviceBudget
+		var a fixedRetryAfterBudget
 		s := New(Plan{Direct: true, MaxOffers: 1, Deadline: now.Add(9 * time.Second)}, &a)
 		s.Step(Began{Now: now})
 		err := full
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -61,13 +61,13 @@
 	lastOfferAt       time.Time // when the last attempt was offered
 	attempts          []attempt
 	offered           int  // candidates used so far
-	unsent            int  // attempts that reached no upstream
+	unreachedAttempts int  // attempts that reached no upstream
 	firstOverBound    int  // first candidate that refused because of its load bound, or none
 	mayOfferAgain     bool // firstOverBound may be offered the request once more
 	hedged            bool
 	switchBudgetSpent bool // the budget did not cover a switch: the attempt continues
 	winner            int  // attempt whose response goes to the caller, or none
-	partDelivered     bool // delivery of a response to the caller has begun
+	deliveryStarted   bool // delivery of a response to the caller has begun
 	resumable         bool // another run may continue that response
 	finished          bool
 
@@ -91,7 +91,7 @@
 // Wake returns when the next Ticked is due; the zero time means never.
 func (s *State) Wake() time.Time {
 	next := s.plan.Deadline
-	if !s.partDelivered {
+	if !s.deliveryStarted {
 		next = earlier(next, s.plan.FirstByte)
 		if s.mayHedge() {
 			next = earlier(next, s.startedAt.Add(s.plan.HedgeAfter))
@@ -178,31 +178,31 @@
 	return time.Time{}
 }
 
-// conditions returns the properties of the request that its retries depend on.
-func (s *State) conditions() retry.RequestInfo {
+// requestInfo returns the properties of the request that its retries depend on.
+func (s *State) requestInfo() retry.RequestInfo {
 	return retry.RequestInfo{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
 		ReadOnly:      s.plan.ReadOnly,
-		AnswerStarted: s.partDelivered && !s.resumable,
+		AnswerStarted: s.deliveryStarted && !s.resumable,
 	}
 }
 
 // mayHedge reports whether a hedged attempt may still start.
 func (s *State) mayHedge() bool {
 	return !s.hedged && s.plan.HedgeAfter > 0 && !s.plan.CallerHasKey &&
-		!s.exhausted() && retry.MayHedge(s.conditions())
+		!s.exhausted() && retry.MayHedge(s.requestInfo())
 }
 
 // maySwitch reports whether the only active attempt may be cancelled in favour of
 // another upstream.
 func (s *State) maySwitch() bool {
 	return s.plan.SwitchAfter > 0 && s.winner == none && !s.switchBudgetSpent && !s.exhausted() && s.activeAttempts() == 1 &&
-		s.conditions().Idempotent
+		s.requestInfo().Idempotent
 }
 
 // exhausted reports whether the request may go to no further upstream.
 func (s *State) exhausted() bool {
-	sends := len(s.attempts) - s.unsent
+	sends := len(s.attempts) - s.unreachedAttempts
 	return s.offered >= s.plan.MaxOffers || s.plan.MaxSends > 0 && sends >= s.plan.MaxSends
 }
 
@@ -245,7 +245,7 @@
 func (s *State) offerTo(candidate int, underCallerKey bool) []Effect {
 	s.lastOfferAt = s.now
 	i := s.addAttempt(attempt{candidate: candidate, underCallerKey: underCallerKey})
-	return []Effect{Offer{Attempt: i, Candidate: candidate, Continue: s.partDelivered}}
+	return []Effect{Offer{Attempt: i, Candidate: candidate, Continue: s.deliveryStarted}}
 }
 
 // offerAgain offers the request once more to the first candidate that refused it
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -21,7 +21,7 @@
 	}
 	neverSent := a.phase == submitted && a.reconnects == 0 && !a.underCallerKey
 	if neverSent {
-		s.unsent++
+		s.unreachedAttempts++
 		return s.failed(e.Attempt, retry.Failure{Err: e.Err})
 	}
 	return s.connectionLost(e.Attempt)
@@ -83,7 +83,7 @@
 	if s.winner != none || s.attempts[i].phase == ended {
 		return nil
 	}
-	s.winner, s.partDelivered = i, true
+	s.winner, s.deliveryStarted = i, true
 	s.resumable = s.plan.Resumable && e.Resumable
 	return append(s.cancelOthers(i), Deliver{Attempt: i, Resumable: s.resumable})
 }
@@ -95,10 +95,10 @@
 		return nil
 	}
 	f := retry.Failure{Err: e.Err, Reached: true}
-	if s.partDelivered { // part of another response, which this one cannot continue
+	if s.deliveryStarted { // part of another response, which this one cannot continue
 		return append([]Effect{Cancel{Attempt: e.Attempt}}, s.failed(e.Attempt, f)...)
 	}
-	if retry.Decide(f, s.conditions()) != retry.Retry || s.exhausted() || s.activeAttempts() > 1 || !s.budget.Withdraw() {
+	if retry.Decide(f, s.requestInfo()) != retry.Retry || s.exhausted() || s.activeAttempts() > 1 || !s.budget.Withdraw() {
 		return s.responseStarted(ResponseStarted{Now: e.Now, Attempt: e.Attempt})
 	}
 	s.attempts[e.Attempt].phase = ended
@@ -175,7 +175,7 @@
 	if a.underCallerKey && f.Err.Verdict == verdict.NotRun {
 		return retry.Stop
 	}
-	return retry.Decide(f, s.conditions())
+	return retry.Decide(f, s.requestInfo())
 }
 
 // recordFailure keeps what a failed attempt implies for the verdict and the
@@ -200,7 +200,7 @@
 	if err.Verdict == verdict.NotRun && s.mayHaveRunErr != nil {
 		err = s.mayHaveRunErr
 	}
-	if s.partDelivered && err.Verdict != verdict.Ran {
+	if s.deliveryStarted && err.Verdict != verdict.Ran {
 		ran := *err
 		ran.Verdict = verdict.Ran // the caller has a part of the response
 		err = &ran
@@ -234,7 +234,7 @@
 	switch {
 	case reached(s.plan.Deadline, now):
 		return s.deadlineExceeded("the answer is not complete within the profile's deadline")
-	case !s.partDelivered && reached(s.plan.FirstByte, now):
+	case !s.deliveryStarted && reached(s.plan.FirstByte, now):
 		return s.deadlineExceeded("the answer has not begun within the profile's deadline")
 	case s.maySwitch() && reached(s.lastOfferAt.Add(s.plan.SwitchAfter), now):
 		return s.switchUpstream()
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -126,13 +126,13 @@
 
 // reasonFor returns the reason for err: a deadline or cancellation of the sidecar's own
 // context, else otherwise.
-func reasonFor(err error, otherwise verdict.Reason) verdict.Reason {
+func reasonFor(err error, fallback verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		return verdict.ReasonDeadline
 	case errors.Is(err, context.Canceled):
 		return verdict.ReasonCancelled
 	default:
-		return otherwise
+		return fallback
 	}
 }
