--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -58,8 +58,9 @@
 	})
 }
 
-// An event of many megabytes must not be buffered in a router's memory. A stream that
-// is interrupted within such an event cannot be resumed.
+// Guards against a router that runs out of memory because it buffers an event of many
+// megabytes, and against resuming a stream within such an event, of which the caller has
+// received a part.
 func TestOversizedEventIsNotBuffered(t *testing.T) {
 	var f Framer
 	f.Feed([]byte("id: 1\n\n"))
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -56,7 +56,8 @@
 	inUse map[*conn]endpoint   // connections with a call in progress
 }
 
-// endpoint identifies one incarnation of an upstream. The address alone does not:
+// endpoint identifies one incarnation of an upstream by the id of its VM entry, which is
+// new for each incarnation, and its address. The address alone does not identify it:
 // another incarnation may get it later.
 type endpoint struct {
 	instance, addr string
@@ -94,7 +95,7 @@
 	}
 	if !maySend() {
 		c.putIdle(ep, conn)
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "given up before it was sent")
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "the call was cancelled before it was sent")
 	}
 	release := c.markInUse(ctx, ep, conn)
 	c.dialect.SetHeaders(header, call)
@@ -113,7 +114,8 @@
 }
 
 // markInUse records that a connection has a call in progress, until release is called.
-// The end of ctx aborts the call. release reports whether the call was not aborted.
+// The end of ctx aborts the call. release returns false if ctx has ended, so that the
+// connection is closed or about to be, or if release was called before.
 func (c *Client) markInUse(ctx context.Context, ep endpoint, conn *conn) (release func() bool) {
 	c.mu.Lock()
 	c.inUse[conn] = ep
@@ -127,10 +129,11 @@
 	}
 }
 
-// AbortCalls aborts the calls in progress to an upstream that has restarted, which no
-// longer works on them. If the upstream lost its power or its network, the router would
-// otherwise notice only when the keep-alive probes have failed, and callers would
-// wait 3 s longer for a response that cannot come.
+// AbortCalls aborts the calls in progress to the incarnation vm of an upstream, after
+// another incarnation has replaced it. The upstream no longer works on these calls. If it
+// lost its power or its network, the router would otherwise notice only when the
+// keep-alive probes have failed, and callers would wait 3 s longer for a response that
+// cannot come.
 func (c *Client) AbortCalls(vm topo.VM) {
 	former := endpoint{instance: vm.ID, addr: vm.Addr}
 	c.mu.Lock()
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -36,7 +36,7 @@
 type conn struct {
 	net.Conn
 	r           *bufio.Reader
-	reused      bool
+	reused      bool       // the connection has been idle before
 	expires     time.Time  // when an idle connection is to be closed
 	bodyWritten chan error // receives the result of writing a long body; nil: none in progress
 }
@@ -96,7 +96,7 @@
 }
 
 // allSent reports whether the whole call has been written without an error. It does
-// not wait.
+// not wait. Only the first call after a long body has failed returns false for it.
 func (c *conn) allSent() bool {
 	if c.bodyWritten == nil {
 		return true
@@ -131,7 +131,7 @@
 		}
 		strayAnswers.Inc()
 		if resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			break // the end of its body is not marked
+			break // the body ends where the connection is closed, so no response follows it
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, Signal{}, errors.WithStack(err)
@@ -153,8 +153,9 @@
 }
 
 // closeOnDone closes the connection when ctx ends, which unblocks its reader. An
-// upstream drops a request whose connection is closed. release stops this and reports
-// whether the connection was not closed.
+// upstream drops a request whose connection is closed. release cancels this; it returns
+// false if ctx has ended, so that the connection is closed or about to be, or if release
+// was called before.
 func (c *conn) closeOnDone(ctx context.Context) (release func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.Close() })
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -3,8 +3,8 @@
 //
 // It guarantees three things. An error of a call carries a verdict, which is NotRun
 // only if no byte of the call was sent or the upstream said that it has not run it. A
-// response is returned only if it names the call that it belongs to. A connection is
-// reused only after a complete response with no bytes behind it.
+// response is returned only if it carries the id of the call. A connection is reused
+// only after a complete response that no further bytes have followed.
 package exchange
 
 import (
@@ -21,13 +21,14 @@
 	ID           string        // request id of the caller's attempt, which the response repeats
 	Instance     string        // the only incarnation of the upstream that may run the call
 	Organisation string        // the upstream's name for the caller's organisation; empty: none
-	Urgency      int           // 0 is the most urgent; see DefaultUrgency
+	Urgency      int           // from 0, the most urgent, to 9; see DefaultUrgency
 	TimeLeft     time.Duration // until the whole response is due; zero: no deadline
 	LastEventID  string        // id of the last event that the caller received; empty: none
 	Donor        string        // address of an upstream that may hold the prompt's cached prefix; empty: none
 }
 
-// DefaultUrgency is the urgency of a call that does not set one.
+// DefaultUrgency is the urgency that upstreams assume for a call without an urgency
+// header.
 const DefaultUrgency = 5
 
 // Signal is what the status and headers of a response say about the call and its upstream.
@@ -49,9 +50,9 @@
 
 // Dialect encodes and decodes the headers that a platform's routers and upstreams exchange.
 type Dialect interface {
-	// SetHeaders sets the headers of a call, and removes those that its caller may not
-	// set.
+	// SetHeaders sets the headers that carry the fields of c, and removes headers that
+	// a caller is not allowed to set.
 	SetHeaders(h http.Header, c Call)
-	// Read returns what the status and headers of a response say.
+	// Read parses the status and headers of a response.
 	Read(status int, h http.Header) Signal
 }
--- a/internal/exchange/stream.go
+++ b/internal/exchange/stream.go
@@ -41,10 +41,12 @@
 // Reading continues with the next call of Next.
 var ErrStalled = errors.New("exchange: the answer has paused for too long")
 
-// stalled waits for the next bytes of the body and reports whether they did not arrive
-// within the stall timeout. It only peeks at them, because a read that times out
-// within the chunk framing could not be resumed. Framing alone does not count: if an
-// upstream stalls right after a chunk's trailing CRLF, sent by itself, the read that
+// stalled waits until bytes of the body have arrived, at most for the stall timeout, and
+// reports whether the timeout passed.
+//
+// It only peeks at the bytes, because a read that times out within the chunk framing
+// could not be resumed. Framing alone does not count as bytes of the body: an upstream
+// may send the CRLF at the end of a chunk by itself and then stall, and the read that
 // follows would block without a limit, and the caller with it.
 func (s *Stream) stalled() bool {
 	if s.bodyBuffered() {
@@ -163,8 +165,8 @@
 }
 
 // Drain reads the rest of a short response that is not needed, so that the connection
-// can be reused. If the body is long, of unknown length or late, it closes the
-// connection.
+// can be reused. If the body is longer than maxBytes or of unknown length, or does not
+// arrive within timeout, it closes the connection.
 func (s *Stream) Drain() {
 	const maxBytes, timeout = 4 << 10, 50 * time.Millisecond
 	if s.resp.ContentLength < 0 || s.resp.ContentLength > maxBytes {
--- a/internal/router/dispatch/dispatch_test.go
+++ b/internal/router/dispatch/dispatch_test.go
@@ -36,7 +36,7 @@
 	offers           int
 	delivered        bool
 	resumable        bool // the response being delivered
-	callerKeyRefused bool // the caller's key was refused for good, for every copy of the request
+	callerKeyRefused bool // the caller's key was refused: the caller gets not-run each time it submits the request
 	finish           *Finish
 	pending          []Event
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// start begins a new attempt.
+// start records a new attempt and submits it to its sidecar or upstream.
 func (s *simulation) start(attempt int) {
 	if attempt != len(s.sidecars) {
 		s.t.Fatalf("attempt %d follows attempt %d", attempt, len(s.sidecars)-1)
@@ -149,7 +149,7 @@
 	}
 }
 
-// admit admits an attempt.
+// admit posts the Admitted event of an attempt and draws the event that follows it.
 func (s *simulation) admit(i int) {
 	s.post(Admitted{Attempt: i})
 	s.progress(i)
@@ -234,7 +234,7 @@
 		sim.plan = Plan{
 			Idempotent:   rapid.Bool().Draw(t, "idempotent"),
 			ReadOnly:     rapid.Bool().Draw(t, "read"),
-			CallerHasKey: rapid.Bool().Draw(t, "held"),
+			CallerHasKey: rapid.Bool().Draw(t, "caller has key"),
 			Direct:       rapid.Bool().Draw(t, "direct"),
 			Resumable:    rapid.Bool().Draw(t, "resumable"),
 			MaxOffers:    rapid.IntRange(1, 4).Draw(t, "offers"),
@@ -273,7 +273,7 @@
 			t.Fatalf("ran at %d upstreams of at most %d", sim.runs(), sim.plan.MaxSends)
 		}
 		if sim.callerKeyRefused && sim.runs() > 0 {
-			t.Fatal("ran although other copies of the request get not-run")
+			t.Fatal("ran although other submissions under the caller's key get not-run")
 		}
 		if sim.runs() > 1+sim.withdrawals {
 			t.Fatalf("%d runs with %d withdrawals from the budget", sim.runs(), sim.withdrawals)
@@ -347,8 +347,10 @@
 	}
 }
 
-// The same with the last upstream of the pool draining: its refusal says nothing about
-// the spare capacity of the first.
+// Guards against rejecting a caller although an upstream has spare capacity. The first
+// upstream refuses because of its load bound, the last one because it is draining, which
+// says nothing about the spare capacity of the first. The state machine must offer the
+// request to the first upstream again.
 func TestFirstOverBoundUpstreamIsOfferedAgainAfterDrainingOne(t *testing.T) {
 	s := New(Plan{MaxOffers: 2}, &retry.Budget{})
 	s.Step(Began{Now: time.Unix(1000, 0)})
--- a/internal/router/dispatch/event.go
+++ b/internal/router/dispatch/event.go
@@ -17,7 +17,7 @@
 	ReadOnly     bool // the request changes nothing
 	CallerHasKey bool // the caller supplied the request key: the first attempt runs under it
 	AttachOnly   bool // only attach to the response of an earlier request under the caller's key
-	Direct       bool // upstreams have no sidecar: a lost connection is not reopened
+	Direct       bool // upstreams have no sidecar: an attempt fails when its connection is lost
 	Resumable    bool // another run may continue an interrupted response
 	MaxOffers    int  // upstreams that the request may be offered to
 	MaxSends     int  // upstreams that the request may be sent to; zero: no limit below MaxOffers
@@ -48,7 +48,8 @@
 	Err     *verdict.Error
 }
 
-// Refused reports that a sidecar, or an upstream without one, refused the request.
+// Refused reports that the request was refused by a sidecar, or by an upstream that has
+// no sidecar.
 type Refused struct {
 	Now       time.Time
 	Attempt   int
@@ -63,7 +64,7 @@
 	Attempt int
 }
 
-// Admitted reports that a sidecar has the request in its table.
+// Admitted reports that a sidecar has accepted the request and recorded its key.
 type Admitted struct {
 	Attempt int
 }
--- a/internal/router/dispatch/state.go
+++ b/internal/router/dispatch/state.go
@@ -17,8 +17,9 @@
 	// request, without any progress in between.
 	maxReconnects = 6
 
-	// reconnectsBeforeFailover is the number of these after which a request that
-	// may run at another upstream is offered there.
+	// reconnectsBeforeFailover is the number of consecutive reconnects to one
+	// sidecar, without any progress, after which a request that may run at another
+	// upstream is offered there.
 	reconnectsBeforeFailover = 1
 
 	// defaultRetryAfter is sent where neither an upstream nor the Budget gives a time.
@@ -39,7 +40,7 @@
 
 const (
 	submitted phase = iota // may or may not have reached the sidecar
-	admitted               // in the sidecar's table
+	admitted               // the sidecar has accepted the request
 	ended
 )
 
@@ -61,17 +62,17 @@
 	lastOfferAt       time.Time // when the last attempt was offered
 	attempts          []attempt
 	offered           int  // candidates used so far
-	unreachedAttempts int  // attempts that reached no upstream
+	unreachedAttempts int  // attempts that failed before anything was sent
 	firstOverBound    int  // first candidate that refused because of its load bound, or none
 	mayOfferAgain     bool // firstOverBound may be offered the request once more
 	hedged            bool
 	switchBudgetSpent bool // the budget did not cover a switch: the attempt continues
 	winner            int  // attempt whose response goes to the caller, or none
-	deliveryStarted   bool // delivery of a response to the caller has begun
+	deliveryStarted   bool // a response to the caller has started
 	resumable         bool // another run may continue that response
 	finished          bool
 
-	mayHaveRunErr *verdict.Error // latest failure after which the request may have run; nil: none
+	mayHaveRunErr *verdict.Error // latest failure with a verdict other than NotRun; nil: none
 	minRetryAfter time.Duration  // shortest Retry-After of the failed attempts; zero: none gave one
 }
 
@@ -178,7 +179,9 @@
 	return time.Time{}
 }
 
-// requestInfo returns the properties of the request that its retries depend on.
+// requestInfo returns the properties of the request that its retries depend on. A
+// resumable request may run more than once, and may run again after its response has
+// started, because another run can continue the response.
 func (s *State) requestInfo() retry.RequestInfo {
 	return retry.RequestInfo{
 		Idempotent:    s.plan.Idempotent || s.plan.Resumable,
@@ -193,8 +196,8 @@
 		!s.exhausted() && retry.MayHedge(s.requestInfo())
 }
 
-// maySwitch reports whether the only active attempt may be cancelled in favour of
-// another upstream.
+// maySwitch reports whether the only active attempt may be cancelled and the request
+// offered to another upstream.
 func (s *State) maySwitch() bool {
 	return s.plan.SwitchAfter > 0 && s.winner == none && !s.switchBudgetSpent && !s.exhausted() && s.activeAttempts() == 1 &&
 		s.requestInfo().Idempotent
--- a/internal/router/dispatch/step.go
+++ b/internal/router/dispatch/step.go
@@ -8,9 +8,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// unreachable handles a sidecar that cannot be connected to. If the attempt was
-// sent there before, it may be running there, so the connection is retried like
-// a lost one.
+// unreachable handles a sidecar, or an upstream that has no sidecar, to which no
+// connection could be opened. If the attempt was sent there before, it may be running
+// there, so the connection is retried like a lost one.
 //
 // A request under a caller's key may have reached the sidecar through another
 // router. Whether it has run is unknown until the sidecar answers.
@@ -136,7 +136,7 @@
 	}
 	a.phase = ended
 	s.recordFailure(f.Err)
-	if i == s.winner && s.resumable {
+	if i == s.winner && s.resumable { // another attempt may continue the response
 		s.winner = none
 	}
 	// If the request crashed the upstream, the hedged attempt would crash the next
@@ -168,8 +168,9 @@
 	}
 }
 
-// nextAction returns what may follow a failure. The sidecar remembers the refusal of
-// a caller's key and returns it to every copy of the request, so no copy may run
+// nextAction returns what may follow a failure. A caller may submit a request several
+// times under its key, also through other routers. The sidecar remembers that it has
+// refused the key and refuses each of these submissions, so none of them may be run
 // under another key.
 func (s *State) nextAction(a attempt, f retry.Failure) retry.Decision {
 	if a.underCallerKey && f.Err.Verdict == verdict.NotRun {
@@ -189,8 +190,9 @@
 	}
 }
 
-// finish ends the request with err, unless err says that the request has not run
-// and an earlier attempt may have run. Then it ends with that attempt's failure.
+// finish ends the request with err. If err has the verdict NotRun and an earlier
+// attempt may have run, the request ends with that attempt's failure instead. Once a
+// response to the caller has started, the verdict is always Ran.
 func (s *State) finish(err *verdict.Error) []Effect {
 	var effects []Effect
 	if s.hedged {
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -87,8 +87,9 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
-// setHeader adds the headers of the call and those of the sidecar. The sidecar's
-// replace the caller's of the same name.
+// setHeader adds the headers of the call and those of the sidecar. A header that the
+// sidecar sets replaces the call's header of the same name; the sidecar sends no header
+// for a priority, session or trace context that is not set.
 func setHeader(h http.Header, r Request) {
 	for name, values := range r.Call.Header {
 		h[name] = values
@@ -105,12 +106,13 @@
 	}
 }
 
-// sessionID returns the form of a session in headers and paths.
+// sessionID formats a session for headers and paths, in hexadecimal.
 func sessionID(session uint64) string {
 	return strconv.FormatUint(session, 16)
 }
 
-// callError returns the error of a call without a response.
+// callError returns the error of a call without a response. connected reports whether
+// the call may have been written to a connection.
 func callError(err error, connected bool) error {
 	if !connected {
 		return verdict.New(verdict.NotRun, reasonFor(err, verdict.ReasonUpstreamDown), "%s", err)
@@ -124,8 +126,8 @@
 	return verdict.New(verdict.Ran, reasonFor(err, verdict.ReasonUpstreamFailed), "the answer broke off: %s", err)
 }
 
-// reasonFor returns the reason for err: a deadline or cancellation of the sidecar's own
-// context, else otherwise.
+// reasonFor returns ReasonDeadline or ReasonCancelled if the context of the sidecar's
+// call has ended, else fallback.
 func reasonFor(err error, fallback verdict.Reason) verdict.Reason {
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
--- a/internal/upstream/kv.go
+++ b/internal/upstream/kv.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// Paths of a model engine's key-value (KV) cache.
 	exportPath = "/kv/export?session="
 	importPath = "/kv/import?session="
 
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -44,8 +44,10 @@
 	return status, nil
 }
 
-// Load makes the upstream start to load what the order wants. It returns once the
-// upstream has accepted the order. An error is a *verdict.Error.
+// Load orders the upstream to load the model that o.Want describes. It returns once the
+// upstream has accepted the order; OrderStatus returns the progress. An error is a
+// *verdict.Error; without a response, its verdict is MayHaveRun, also if the upstream
+// could not be reached.
 func (h *HTTP) Load(ctx context.Context, o wire.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -10,9 +10,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Request is a call with the properties that the sidecar adds to it.
+// Request is a call to the upstream with the values that the sidecar sends along in
+// headers.
 type Request struct {
-	ID          string // nonce of the request key
+	ID          string // nonce of the request key, sent as HeaderRequestID
 	Session     uint64 // zero: none
 	Priority    int    // higher runs earlier; zero: not sent
 	Idempotent  bool   // the call may run more than once
@@ -34,8 +35,8 @@
 const (
 	// Up is an upstream that responds.
 	Up State = iota
-	// Gone is an upstream that refuses connections or breaks them: its process has
-	// ended.
+	// Gone is an upstream that refuses connections or closes them without a response,
+	// which is taken to mean that its process has ended.
 	Gone
 	// Frozen is an upstream that accepts connections and does not respond.
 	Frozen
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// A call to an upstream whose process has ended has not run, also if earlier
-// connections worked. A call that was written and got no response may have run.
+// Guards against a wrong verdict on a call without a response. A call that was written
+// to a connection may have run, so it must not be retried as not-run. A call to an
+// upstream whose process has ended has not run, also if earlier connections worked.
 func TestVerdictDependsOnWhatWasSent(t *testing.T) {
 	arrived := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -76,11 +76,13 @@
 	ReasonForbidden Reason = "forbidden"
 	// ReasonUnknownProfile is a profile, model or service that does not exist.
 	ReasonUnknownProfile Reason = "unknown-profile"
-	// ReasonUnknownRequest is a request id that is not known.
+	// ReasonUnknownRequest is a request id under which the organisation or the sidecar
+	// has no request.
 	ReasonUnknownRequest Reason = "unknown-request"
 	// ReasonTooLarge is a body larger than its profile allows.
 	ReasonTooLarge Reason = "too-large"
-	// ReasonBadKey is a request key with an invalid signature, or that has expired.
+	// ReasonBadKey is a key that has expired or is invalid, such as a request key with a
+	// wrong signature.
 	ReasonBadKey Reason = "bad-key"
 	// ReasonOverBound is an upstream at its load bound, a multiple of the pool's mean
 	// load.
@@ -91,15 +93,18 @@
 	ReasonDeadline Reason = "deadline"
 	// ReasonDraining is an upstream or router that is leaving.
 	ReasonDraining Reason = "draining"
-	// ReasonNoUpstream is a pool without an upstream that could be reached.
+	// ReasonNoUpstream is a pool without a usable upstream, or an upstream or sidecar to
+	// which no connection could be opened.
 	ReasonNoUpstream Reason = "no-upstream"
-	// ReasonUpstreamDown is an upstream process that accepts no requests.
+	// ReasonUpstreamDown is an upstream process that is down although its VM or sidecar
+	// responds, or whose address another upstream has now.
 	ReasonUpstreamDown Reason = "upstream-down"
 	// ReasonUpstreamFailed is an upstream that failed while the request was running.
 	ReasonUpstreamFailed Reason = "upstream-failed"
-	// ReasonIncarnationGone is a request key whose sidecar incarnation has ended.
+	// ReasonIncarnationGone is a request key of a sidecar that has restarted or left since
+	// the key was created, so that it is unknown whether the request has run.
 	ReasonIncarnationGone Reason = "incarnation-gone"
-	// ReasonEvicted is a request key that was evicted from its sidecar's table.
+	// ReasonEvicted is a request key that was evicted from its sidecar's table of keys.
 	ReasonEvicted Reason = "evicted"
 	// ReasonMoved is a request key whose execution moved to a successor key.
 	ReasonMoved Reason = "moved"
@@ -110,13 +115,16 @@
 	// ReasonSuspect is a request that may have crashed an upstream and waits to be
 	// run alone.
 	ReasonSuspect Reason = "suspect"
-	// ReasonFenced is an order from a former holder of a lease.
+	// ReasonFenced is an order of the controller with an outdated fencing token: its
+	// sender no longer holds the controller's lease.
 	ReasonFenced Reason = "fenced"
-	// ReasonNoOrders is an upstream that accepts no orders.
+	// ReasonNoOrders is an upstream that accepts no orders of the controller.
 	ReasonNoOrders Reason = "no-orders"
 	// ReasonBusy is an upstream that is carrying out another order.
 	ReasonBusy Reason = "busy"
-	// ReasonStoreDown is an idempotency key that could not be claimed.
+	// ReasonStoreDown is an idempotency key that could not be claimed, or an order whose
+	// fencing token could not be checked, because the store did not respond, has lost its
+	// latest writes, or has not been read yet.
 	ReasonStoreDown Reason = "store-down"
 	// ReasonConcurrency is an organisation at its concurrency limit.
 	ReasonConcurrency Reason = "concurrency"
@@ -133,12 +141,13 @@
 
 // Error is an error with the verdict on the affected request.
 type Error struct {
-	Verdict    Verdict       `json:"verdict"`
-	Reason     Reason        `json:"reason"`
-	Detail     string        `json:"detail,omitempty"`
-	RetryAfter time.Duration `json:"retry_after_ns,omitempty"` // zero: no recommendation
-	// EarlierUnknown limits NotRun to this submission of the request. Whether an
-	// earlier submission under the same key has run is unknown.
+	Verdict Verdict `json:"verdict"`
+	Reason  Reason  `json:"reason"`
+	Detail  string  `json:"detail,omitempty"`
+	// RetryAfter is after which time the caller should retry; zero: not given.
+	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
+	// EarlierUnknown reports that NotRun holds only for this submission of the request.
+	// Whether an earlier submission under the same key has run is unknown.
 	EarlierUnknown bool `json:"earlier_unknown,omitempty"`
 }
 
