--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -14,8 +14,8 @@
 // valueBytes is about what an organisation with its change takes in the store.
 const valueBytes = 600
 
-// sizes are numbers of objects; the last is the target's.
-var sizes = []int{1400, 4700, 14000}
+// objectCounts are numbers of objects; the last is the target's.
+var objectCounts = []int{1400, 4700, 14000}
 
 func organisation(i int, v topo.Version) topo.Object {
 	r := Revision{
@@ -26,8 +26,8 @@
 	return topo.Object{Ref: topo.Ref{Kind: topo.KindOrganisation, Name: fmt.Sprintf("organisation-%05d", i)}, Version: v, Value: value}
 }
 
-// filled returns a Set of n objects, as after a listing.
-func filled(n int) *Set {
+// filledSet returns a Set of n objects, as after a listing.
+func filledSet(n int) *Set {
 	s := NewSet()
 	var all []topo.Object
 	for i := range n {
@@ -37,7 +37,7 @@
 	return s
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -48,17 +48,17 @@
 // BenchmarkSet measures a node's configuration: what it holds, what a change
 // costs, and what is sent to one who lacks a change or everything.
 func BenchmarkSet(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range objectCounts {
 		b.Run(fmt.Sprintf("hold/objects=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				s := filled(n)
-				b.ReportMetric(float64(heap()-before)/float64(n), "heap-B/object")
+				before := heapBytes()
+				s := filledSet(n)
+				b.ReportMetric(float64(heapBytes()-before)/float64(n), "heap-B/object")
 				b.ReportMetric(float64(s.Bytes())/float64(n), "value-B/object")
 			}
 		})
 		b.Run(fmt.Sprintf("change/objects=%d", n), func(b *testing.B) {
-			s := filled(n)
+			s := filledSet(n)
 			next := make([]topo.Object, 1000)
 			v := topo.Version(n)
 			for i := range next {
@@ -73,26 +73,26 @@
 			}
 		})
 		b.Run(fmt.Sprintf("answer/objects=%d", n), func(b *testing.B) {
-			s := filled(n)
+			s := filledSet(n)
 			q := Query{Since: s.Version() - 1, Summary: s.Summary()}
 			b.ReportAllocs()
 			var d Delta
 			for b.Loop() {
 				d = s.Answer(q)
 			}
-			b.ReportMetric(encoded(q), "query-B")
-			b.ReportMetric(encoded(d), "delta-B")
-			b.ReportMetric(encoded(s.Answer(Query{Since: s.Version(), Summary: s.Summary()})), "no-news-B")
+			b.ReportMetric(encodedBytes(q), "query-B")
+			b.ReportMetric(encodedBytes(d), "delta-B")
+			b.ReportMetric(encodedBytes(s.Answer(Query{Since: s.Version(), Summary: s.Summary()})), "no-news-B")
 		})
 		b.Run(fmt.Sprintf("whole/objects=%d", n), func(b *testing.B) {
-			s := filled(n)
+			s := filledSet(n)
 			for b.Loop() {
 				size, pieces := 0.0, 0
 				to := NewFollower(1, DefaultTiming())
 				effects := to.ask(time.Unix(0, 0), "peer", 0)
 				for to.pull != nil {
 					d := s.Answer(effects[len(effects)-1].(SendQuery).Query)
-					size += encoded(d)
+					size += encodedBytes(d)
 					pieces++
 					effects = to.Step(QueryAnswered{Peer: "peer", Delta: d})
 				}
@@ -103,7 +103,7 @@
 	}
 }
 
-func encoded(v any) float64 {
+func encodedBytes(v any) float64 {
 	b, _ := json.Marshal(v)
 	return float64(len(b))
 }
--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -105,10 +105,10 @@
 	if err != nil {
 		return StoredObject{}, err
 	}
-	return current(o)
+	return decodeStored(o)
 }
 
-func current(o topo.Object) (StoredObject, error) {
+func decodeStored(o topo.Object) (StoredObject, error) {
 	r, err := config.Decode(o.Value)
 	if err != nil {
 		return StoredObject{}, errors.Wrap(err, o.Ref.String())
@@ -126,7 +126,7 @@
 			return nil, err
 		}
 		for _, o := range page.Objects {
-			c, err := current(o)
+			c, err := decodeStored(o)
 			if err != nil {
 				return nil, err
 			}
@@ -163,8 +163,8 @@
 	if err != nil {
 		return Result{Outcome: NotApplied, Change: r.Change, Cause: err}
 	}
-	c := commit{editor: e, base: edit.Base, mine: r, value: value}
-	result := c.run(ctx)
+	write := commit{editor: e, base: edit.Base, mine: r, value: value}
+	result := write.run(ctx)
 	switch result.Outcome {
 	case Applied:
 		e.trimHistory(ctx, edit.Base.Ref, ancestors)
--- a/internal/config/change/change_test.go
+++ b/internal/config/change/change_test.go
@@ -17,16 +17,16 @@
 // race. The next morning someone asks who changed what: the history must show
 // the changes that were in force and no others, and must not grow for ever.
 // Then they roll back, which must not make the later changes disappear.
-func TestHistoryIsWhatWasInForce(t *testing.T) {
+func TestHistoryListsChangesThatWereInForce(t *testing.T) {
 	ctx, store := context.Background(), standin.NewObjectAPI()
 	e := change.NewEditor(store)
 	ref := topo.Ref{Kind: topo.KindProfile, Name: "chat"}
 	read := func() change.StoredObject {
-		now, err := e.Read(ctx, ref)
+		current, err := e.Read(ctx, ref)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return now
+		return current
 	}
 	var inForce []config.ChangeID
 	for i := range 30 {
@@ -61,8 +61,8 @@
 		t.Errorf("%d entries are kept", len(page.Objects))
 	}
 	back := e.Rollback(ctx, read(), history[4], "a", "undo")
-	now := read()
-	if back.Outcome != change.Applied || string(now.Revision.Spec) != "25" || now.Revision.Change.Parent != inForce[0] {
-		t.Errorf("after the rollback: %+v, %+v", back, now)
+	current := read()
+	if back.Outcome != change.Applied || string(current.Revision.Spec) != "25" || current.Revision.Change.Parent != inForce[0] {
+		t.Errorf("after the rollback: %+v, %+v", back, current)
 	}
 }
--- a/internal/config/change/commit.go
+++ b/internal/config/change/commit.go
@@ -22,9 +22,9 @@
 	base   StoredObject
 	mine   config.Revision
 	value  json.RawMessage
-	// sent says that a write may be under way: its answer was lost, so it may
+	// answerLost says that a write may be under way: its answer was lost, so it may
 	// have taken effect, or take effect later.
-	sent bool
+	answerLost bool
 }
 
 // run writes until the outcome is certain or ctx ends.
@@ -41,13 +41,13 @@
 		case err == nil:
 			return c.applied(o.Version, false)
 		case errors.Is(err, topo.ErrConflict), errors.Is(err, topo.ErrNotFound):
-			return c.settle(ctx, err)
+			return c.resolveConflict(ctx, err)
 		case errors.Is(err, topo.ErrRefused):
-			if !c.sent {
+			if !c.answerLost {
 				return c.notApplied(nil, err)
 			}
 		default:
-			c.sent = true
+			c.answerLost = true
 		}
 		if !pause(ctx) {
 			return c.unknown(err)
@@ -55,29 +55,29 @@
 	}
 }
 
-// settle finds out who has replaced the base: this change, by a copy whose
+// resolveConflict finds out who has replaced the base: this change, by a copy whose
 // answer was lost, or another one. It also asks when no answer was lost, since
 // something between here and the store may have sent the write twice.
-func (c *commit) settle(ctx context.Context, cause error) Result {
+func (c *commit) resolveConflict(ctx context.Context, cause error) Result {
 	for {
-		now, err := c.editor.Read(ctx, c.base.Ref)
+		latest, err := c.editor.Read(ctx, c.base.Ref)
 		switch {
 		case err != nil:
 			cause = err
-		case now.Version == 0 && c.base.Version != 0:
-			return c.removed()
-		case now.Version <= c.base.Version:
+		case latest.Version == 0 && c.base.Version != 0:
+			return c.objectRemoved()
+		case latest.Version <= c.base.Version:
 			// A replica that lags. The conflict has shown that there is more.
-		case now.Revision.Change.ID == c.mine.Change.ID:
-			return c.applied(now.Version, false)
+		case latest.Revision.Change.ID == c.mine.Change.ID:
+			return c.applied(latest.Version, false)
 		default:
-			result, known := c.fromHistory(ctx, now)
+			result, known := c.fromHistory(ctx, latest)
 			if known {
 				return result
 			}
 		}
 		if !pause(ctx) {
-			if !c.sent {
+			if !c.answerLost {
 				// No answer was lost, so the conflict was the answer.
 				return c.notApplied(&Conflict{Base: c.base, Mine: c.mine}, nil)
 			}
@@ -86,10 +86,10 @@
 	}
 }
 
-// removed answers when the object has been taken out of the store by other
+// objectRemoved answers when the object has been taken out of the store by other
 // means than a change: then nothing is left that tells what came before.
-func (c *commit) removed() Result {
-	if !c.sent {
+func (c *commit) objectRemoved() Result {
+	if !c.answerLost {
 		return c.notApplied(&Conflict{Base: c.base, Mine: c.mine, Theirs: StoredObject{Ref: c.base.Ref}}, nil)
 	}
 	return c.unknown(errors.Errorf("change: %s has been removed from the store", c.base.Ref))
@@ -98,12 +98,12 @@
 // fromHistory looks for this change among the ancestors of what is in force
 // now. Each of them was written on condition of the one before, so the
 // ancestor next to the base is the one that replaced it.
-func (c *commit) fromHistory(ctx context.Context, now StoredObject) (Result, bool) {
-	conflict := &Conflict{Base: c.base, Mine: c.mine, Theirs: now}
-	if now.Revision.Change.Parent == c.base.Revision.Change.ID {
+func (c *commit) fromHistory(ctx context.Context, latest StoredObject) (Result, bool) {
+	conflict := &Conflict{Base: c.base, Mine: c.mine, Theirs: latest}
+	if latest.Revision.Change.Parent == c.base.Revision.Change.ID {
 		return c.notApplied(conflict, nil), true
 	}
-	entry, err := c.editor.readHistory(ctx, c.base.Ref, now.Revision.Change.ID)
+	entry, err := c.editor.readHistory(ctx, c.base.Ref, latest.Revision.Change.ID)
 	if err != nil {
 		return Result{}, false
 	}
--- a/internal/config/change/history.go
+++ b/internal/config/change/history.go
@@ -26,24 +26,24 @@
 
 // History returns the revisions of an object, the newest first. It follows the
 // links from the revision in force, so changes that lost a race do not show.
-func (e *Editor) History(ctx context.Context, now StoredObject) ([]config.Revision, error) {
-	if now.Version == 0 {
+func (e *Editor) History(ctx context.Context, current StoredObject) ([]config.Revision, error) {
+	if current.Version == 0 {
 		return nil, nil
 	}
-	entry, err := e.readHistory(ctx, now.Ref, now.Revision.Change.ID)
+	entry, err := e.readHistory(ctx, current.Ref, current.Revision.Change.ID)
 	if err != nil {
 		return nil, err
 	}
-	out := []config.Revision{now.Revision}
+	out := []config.Revision{current.Revision}
 	for _, id := range entry.Ancestors {
-		former, err := e.readHistory(ctx, now.Ref, id)
+		previous, err := e.readHistory(ctx, current.Ref, id)
 		if errors.Is(err, topo.ErrNotFound) {
 			break // trimmed
 		}
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, former.Revision)
+		out = append(out, previous.Revision)
 	}
 	return out, nil
 }
@@ -67,16 +67,16 @@
 func (e *Editor) writeHistory(ctx context.Context, base StoredObject, r config.Revision) ([]config.ChangeID, error) {
 	entry := HistoryEntry{Revision: r, Complete: base.Version == 0}
 	if base.Version != 0 {
-		former, err := e.readHistory(ctx, base.Ref, base.Revision.Change.ID)
+		parent, err := e.readHistory(ctx, base.Ref, base.Revision.Change.ID)
 		if err != nil && !errors.Is(err, topo.ErrNotFound) {
 			return nil, err
 		}
-		entry.Ancestors = append([]config.ChangeID{base.Revision.Change.ID}, former.Ancestors...)
-		entry.Complete = former.Complete
+		entry.Ancestors = append([]config.ChangeID{base.Revision.Change.ID}, parent.Ancestors...)
+		entry.Complete = parent.Complete
 	}
-	all := entry.Ancestors
-	if len(all) > MaxHistory {
-		entry.Ancestors = all[:MaxHistory]
+	ancestors := entry.Ancestors
+	if len(ancestors) > MaxHistory {
+		entry.Ancestors = ancestors[:MaxHistory]
 		entry.Complete = false
 	}
 	value, err := json.Marshal(entry)
@@ -88,7 +88,7 @@
 		if err == nil || errors.Is(err, topo.ErrConflict) {
 			// The name is drawn at random: whoever has written it is a former
 			// try of ours whose answer was lost.
-			return all, nil
+			return ancestors, nil
 		}
 		if !errors.Is(err, topo.ErrUnknown) || !pause(ctx) {
 			return nil, err
--- a/internal/config/copies.go
+++ b/internal/config/copies.go
@@ -7,10 +7,10 @@
 	"github.com/zeebo/xxh3"
 )
 
-// maxCopies is how many sidecars keep a copy of the configuration. Each change
+// maxCopyHolders is how many sidecars keep a copy of the configuration. Each change
 // is sent to each of them, so that a copy at all 2,900 of a large fleet would
 // take a third of what the routers may spend on control traffic.
-const maxCopies = 64
+const maxCopyHolders = 64
 
 // CopyHolders returns which sidecars keep a copy of the configuration: the first by a
 // hash of their names. Routers whose lists of VMs differ by a few VMs agree on
@@ -20,5 +20,5 @@
 	slices.SortFunc(out, func(x, y Peer) int {
 		return cmp.Or(cmp.Compare(xxh3.HashString(string(x)), xxh3.HashString(string(y))), cmp.Compare(x, y))
 	})
-	return out[:min(len(out), maxCopies)]
+	return out[:min(len(out), maxCopyHolders)]
 }
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -42,8 +42,8 @@
 // Summary returns the Set's summary. The digest is left out while the Set holds
 // objects beyond those up to which it is complete: equal sets would differ.
 func (s *Set) Summary() Summary {
-	m := Summary{Version: s.settled, CompleteUpTo: s.complete, Edition: s.edition.Number}
-	if s.newest <= s.complete {
+	m := Summary{Version: s.version, CompleteUpTo: s.completeUpTo, Edition: s.edition.Number}
+	if s.newest <= s.completeUpTo {
 		m.Digest = s.digest
 	}
 	return m
@@ -53,53 +53,53 @@
 // one piece: the next piece begins behind a version, so that those of it that are
 // left would never be told.
 func (s *Set) Answer(q Query) Delta {
-	d := Delta{Summary: s.Summary(), DeletionHorizon: s.known()}
+	d := Delta{Summary: s.Summary(), DeletionHorizon: s.deletionHorizon()}
 	from := max(q.Since, q.After)
 	size := 0
 	start := sort.Search(len(s.order), func(i int) bool { return s.order[i].Version > from })
 	for _, o := range s.order[start:] {
-		if !s.current(o) {
+		if !s.isCurrent(o) {
 			continue
 		}
-		full := size > 0 && size+len(o.Value)+objectOverhead > s.pieceBytes
+		full := size > 0 && size+len(o.Value)+objectOverheadBytes > s.maxPieceBytes
 		if full && o.Version > d.Objects[len(d.Objects)-1].Version {
 			d.More = true
 			break
 		}
-		size += len(o.Value) + objectOverhead
+		size += len(o.Value) + objectOverheadBytes
 		d.Objects = append(d.Objects, *o)
 	}
 	return d
 }
 
-// back returns the version that lies n changes before the newest, or zero.
-func (s *Set) back(n int) topo.Version {
+// versionBefore returns the version that lies n changes before the newest, or zero.
+func (s *Set) versionBefore(n int) topo.Version {
 	if n >= len(s.order) {
 		return 0
 	}
 	return s.order[len(s.order)-1-n].Version
 }
 
-// known is the version up to which what is not held does not exist.
-func (s *Set) known() topo.Version {
-	return max(s.floor, s.listed)
+// deletionHorizon is the version up to which what is not held does not exist.
+func (s *Set) deletionHorizon() topo.Version {
+	return max(s.forgottenUpTo, s.listedUpTo)
 }
 
 // CaughtUp reports whether a node lacks nothing that another one knows.
 func (m Summary) CaughtUp(other Summary) bool {
-	return m.Version >= other.Version || m.same(other)
+	return m.Version >= other.Version || m.sameObjects(other)
 }
 
-// same reports whether two nodes hold the same objects.
-func (m Summary) same(other Summary) bool {
+// sameObjects reports whether two nodes hold the sameObjects objects.
+func (m Summary) sameObjects(other Summary) bool {
 	return m.Digest != 0 && m.Digest == other.Digest
 }
 
-// comparable reports whether both nodes are complete up to the newest object of
+// isComparableTo reports whether both nodes are complete up to the newest object of
 // the other, so that they hold the same objects unless something went missing.
 // The versions may differ even so: a removal from the store is the newest object of
 // a node that has watched it, and unknown to one that has listed since.
-func (m Summary) comparable(other Summary) bool {
-	settled := m.Digest != 0 && other.Digest != 0
-	return settled && m.CompleteUpTo >= other.Version && other.CompleteUpTo >= m.Version
+func (m Summary) isComparableTo(other Summary) bool {
+	bothHaveDigests := m.Digest != 0 && other.Digest != 0
+	return bothHaveDigests && m.CompleteUpTo >= other.Version && other.CompleteUpTo >= m.Version
 }
--- a/internal/config/edition.go
+++ b/internal/config/edition.go
@@ -40,9 +40,9 @@
 	return Edition{}
 }
 
-// precedes reports whether e is of an older copy of the store than held: a later era tells
+// isOlderCopyThan reports whether e is of an older copy of the store than held: a later era tells
 // of it, and it has the lower number.
-func (e Edition) precedes(held Edition) bool {
+func (e Edition) isOlderCopyThan(held Edition) bool {
 	return e.Number < held.Number && e.Version.Era() > held.Version.Era()
 }
 
@@ -52,15 +52,15 @@
 	return kind == topo.KindDrain || kind == topo.KindDomainDrain
 }
 
-// overrule returns the held configuration with the orders among the objects of a copy.
-func (s *Set) overrule(copied []topo.Object) []topo.Object {
+// withOrdersOf returns the held configuration with the orders among the objects of a copy.
+func (s *Set) withOrdersOf(fromCopy []topo.Object) []topo.Object {
 	var out []topo.Object
 	s.Objects(func(o topo.Object) {
 		if !isOrder(o.Kind) {
 			out = append(out, o)
 		}
 	})
-	for _, o := range copied {
+	for _, o := range fromCopy {
 		if isOrder(o.Kind) {
 			out = append(out, o)
 		}
--- a/internal/config/follow/calls_test.go
+++ b/internal/config/follow/calls_test.go
@@ -13,19 +13,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// load is what the fleet is put through while its calls are counted.
-type load struct {
-	name    string
-	changes int // by operators
-	down    bool
-	within  time.Duration
-	reads   float64 // of the store, at most, per router and second
+// scenario is what the fleet is put through while its calls are counted.
+type scenario struct {
+	name     string
+	changes  int // by operators
+	down     bool
+	duration time.Duration
+	maxReads float64 // of the store, at most, per router and second
 }
 
-var loads = []load{
-	{name: "15,000 changes a day", changes: 104, within: 10 * time.Minute, reads: 0.6},
-	{name: "10 changes a second", changes: 600, within: time.Minute, reads: 2},
-	{name: "store down", down: true, within: 10 * time.Minute, reads: 1},
+var scenarios = []scenario{
+	{name: "15,000 changes a day", changes: 104, duration: 10 * time.Minute, maxReads: 0.6},
+	{name: "10 changes a second", changes: 600, duration: time.Minute, maxReads: 2},
+	{name: "store down", down: true, duration: 10 * time.Minute, maxReads: 1},
 }
 
 // The store serves about two thousand reads a second, a waiting watch counted
@@ -34,7 +34,7 @@
 // would refuse the operators' own calls. The calls of a router do not grow with
 // the fleet, and a burst of changes or an outage does not multiply them.
 func TestCallsOfTheStoreAreBounded(t *testing.T) {
-	for _, l := range loads {
+	for _, l := range scenarios {
 		for _, routers := range []int{4, 12, 36} {
 			t.Run(fmt.Sprintf("%s/routers=%d", l.name, routers), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { countCalls(t, l, routers) })
@@ -43,7 +43,7 @@
 	}
 }
 
-func countCalls(t *testing.T, l load, routers int) {
+func countCalls(t *testing.T, l scenario, routers int) {
 	ctx, stop := context.WithCancel(t.Context())
 	f := newFleet(t, ctx, 1, 1, routers)
 	e := change.NewEditor(f.store)
@@ -51,26 +51,26 @@
 		t.Fatal(r.Cause)
 	}
 	time.Sleep(time.Minute)
-	before, asked := f.store.Counts(), f.asked.Load()
+	before, queries := f.store.Counts(), f.queries.Load()
 	f.store.SetFaults(standin.ObjectFaults{Down: l.down})
 	for i := range l.changes {
 		base := change.StoredObject{Ref: topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("new-", i)}}
 		if r := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(`1`)}); r.Outcome != change.Applied {
 			t.Fatalf("%s: %v", r.Outcome, r.Cause)
 		}
-		time.Sleep(l.within / time.Duration(l.changes))
+		time.Sleep(l.duration / time.Duration(l.changes))
 	}
 	if l.changes == 0 {
-		time.Sleep(l.within)
+		time.Sleep(l.duration)
 	}
 	after := f.store.Counts()
-	seconds := l.within.Seconds()
+	seconds := l.duration.Seconds()
 	perRouter := func(n int) float64 { return float64(n) / seconds / float64(routers) }
 	reads := perRouter(after.Reads - before.Reads)
 	t.Logf("a router and second: %.2f reads (%d watches now waiting), %.2f questions to peers; %.2f writes a change",
-		reads, after.Waiting, perRouter(int(f.asked.Load()-asked)), float64(after.Writes-before.Writes)/float64(max(l.changes, 1)))
-	if reads > l.reads {
-		t.Errorf("%.2f reads of the store a router and second, want at most %.2f", reads, l.reads)
+		reads, after.Waiting, perRouter(int(f.queries.Load()-queries)), float64(after.Writes-before.Writes)/float64(max(l.changes, 1)))
+	if reads > l.maxReads {
+		t.Errorf("%.2f reads of the store a router and second, want at most %.2f", reads, l.maxReads)
 	}
 	stop()
 	time.Sleep(time.Second) // all goroutines end
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -22,21 +22,21 @@
 // fleet is routers and sidecars around a store, in virtual time. Only their
 // configuration is there.
 type fleet struct {
-	t     *testing.T
-	store *standin.ObjectAPI
-	refs  []topo.Ref
-	began time.Time
+	t         *testing.T
+	store     *standin.ObjectAPI
+	refs      []topo.Ref
+	startTime time.Time
 
-	cut   atomic.Pointer[node] // a sidecar that hears no news, but can be asked
-	asked atomic.Int64         // queries between nodes
+	isolated atomic.Pointer[node] // a sidecar that hears no news, but can be asked
+	queries  atomic.Int64         // queries between nodes
 
-	mu       sync.Mutex
-	rand     *rand.Rand
-	nodes    map[config.Peer]*node
-	routers  []*node
-	sidecars []*node
-	born     int
-	history  history
+	mu           sync.Mutex
+	rand         *rand.Rand
+	nodes        map[config.Peer]*node
+	routers      []*node
+	sidecars     []*node
+	startedNodes int
+	history      history
 }
 
 // node is a router or a sidecar.
@@ -47,24 +47,24 @@
 	ctx    context.Context
 	runner follow.Runner
 
-	mu       sync.Mutex
-	follower *config.Follower
-	held     map[topo.Ref]topo.Version
+	mu           sync.Mutex
+	follower     *config.Follower
+	lastVersions map[topo.Ref]topo.Version
 }
 
 const (
-	sidecarCount = 6
-	linkDelay    = time.Millisecond
-	trafficEvery = 100 * time.Millisecond
+	sidecarCount    = 6
+	linkDelay       = time.Millisecond
+	trafficInterval = 100 * time.Millisecond
 )
 
 func newFleet(t *testing.T, ctx context.Context, seed uint64, objects, routers int) *fleet {
 	f := &fleet{
-		t:     t,
-		store: standin.NewObjectAPI(),
-		began: time.Now(),
-		rand:  rand.New(rand.NewPCG(seed, 0)),
-		nodes: make(map[config.Peer]*node),
+		t:         t,
+		store:     standin.NewObjectAPI(),
+		startTime: time.Now(),
+		rand:      rand.New(rand.NewPCG(seed, 0)),
+		nodes:     make(map[config.Peer]*node),
 	}
 	for i := range objects {
 		f.refs = append(f.refs, topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("profile-", i)})
@@ -93,12 +93,12 @@
 }
 
 func (f *fleet) start(ctx context.Context, c *config.Follower, store topo.Store) *node {
-	f.born++
+	f.startedNodes++
 	n := &node{
-		fleet:    f,
-		name:     config.Peer(fmt.Sprint("node-", f.born)),
-		follower: c,
-		held:     make(map[topo.Ref]topo.Version),
+		fleet:        f,
+		name:         config.Peer(fmt.Sprint("node-", f.startedNodes)),
+		follower:     c,
+		lastVersions: make(map[topo.Ref]topo.Version),
 	}
 	n.ctx, n.stop = context.WithCancel(ctx)
 	n.runner = follow.Runner{Source: follow.FromStore(store), SendQuery: n.ask, Post: n.step}
@@ -132,32 +132,32 @@
 }
 
 func (n *node) step(e config.Event) {
-	if n.fleet.cut.Load() == n {
+	if n.fleet.isolated.Load() == n {
 		return
 	}
 	n.mu.Lock()
 	effects := n.follower.Step(e)
-	n.neverBack()
+	n.checkVersionsNeverDecrease()
 	n.mu.Unlock()
 	for _, effect := range effects {
 		n.runner.Do(n.ctx, effect)
 	}
 }
 
-// neverBack checks that no object is at a lower version than before.
-func (n *node) neverBack() {
+// checkVersionsNeverDecrease checks that no object is at a lower version than before.
+func (n *node) checkVersionsNeverDecrease() {
 	for _, ref := range n.fleet.refs {
 		v := n.follower.Set().HeldVersion(ref)
-		if v < n.held[ref] {
-			n.fleet.t.Errorf("%s: %s went back from %d to %d", n.name, ref, n.held[ref], v)
+		if v < n.lastVersions[ref] {
+			n.fleet.t.Errorf("%s: %s went back from %d to %d", n.name, ref, n.lastVersions[ref], v)
 		}
-		n.held[ref] = v
+		n.lastVersions[ref] = v
 	}
 }
 
 // ask puts a query to another node, which hears this one's mark in passing.
 func (n *node) ask(_ context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
-	n.fleet.asked.Add(1)
+	n.fleet.queries.Add(1)
 	time.Sleep(linkDelay)
 	to := n.fleet.node(peer)
 	if to == nil || n.ctx.Err() != nil {
@@ -173,14 +173,14 @@
 // traffic exchanges marks with sidecars on the back of requests.
 func (n *node) traffic() {
 	for n.ctx.Err() == nil {
-		time.Sleep(trafficEvery)
+		time.Sleep(trafficInterval)
 		s := n.fleet.sidecars[n.fleet.intN(sidecarCount)]
-		s.step(config.SummaryReceived{Now: time.Now(), Peer: n.name, Summary: n.mark()})
-		n.step(config.SummaryReceived{Now: time.Now(), Peer: s.name, Summary: s.mark()})
+		s.step(config.SummaryReceived{Now: time.Now(), Peer: n.name, Summary: n.summary()})
+		n.step(config.SummaryReceived{Now: time.Now(), Peer: s.name, Summary: s.summary()})
 	}
 }
 
-func (n *node) mark() config.Summary {
+func (n *node) summary() config.Summary {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	m := n.follower.Set().Summary()
@@ -200,8 +200,8 @@
 	return r.Change.ID, n.follower.Ready()
 }
 
-// observe records each second what every router has in force.
-func (f *fleet) observe(ctx context.Context) {
+// recordReads records each second what every router has in force.
+func (f *fleet) recordReads(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
 		f.mu.Lock()
@@ -218,7 +218,7 @@
 }
 
 func (f *fleet) now() time.Duration {
-	return time.Since(f.began)
+	return time.Since(f.startTime)
 }
 
 // put creates the first object.
@@ -229,15 +229,15 @@
 	}
 }
 
-// operate lets an operator change objects now and then. Each change begins with
+// runOperator lets an operator change objects now and then. Each change begins with
 // what the operator reads, as parsleyctl does.
-func (f *fleet) operate(ctx context.Context) {
+func (f *fleet) runOperator(ctx context.Context) {
 	e := change.NewEditor(f.store)
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(200+f.intN(3000)) * time.Millisecond)
 		ref := f.refs[f.intN(len(f.refs))]
-		within, cancel := context.WithTimeout(ctx, 10*time.Second)
-		base, err := e.Read(within, ref)
+		limited, cancel := context.WithTimeout(ctx, 10*time.Second)
+		base, err := e.Read(limited, ref)
 		if err == nil {
 			time.Sleep(time.Duration(f.intN(2000)) * time.Millisecond) // to edit it
 			call := f.now()
@@ -245,7 +245,7 @@
 			if f.intN(5) == 0 {
 				edit.Spec = nil
 			}
-			r := e.Commit(within, edit)
+			r := e.Commit(limited, edit)
 			f.history.commit(ref, r, edit.Spec == nil, call, f.now())
 		}
 		cancel()
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// askTimeout bounds a call of a peer. It is the Follower's own patience.
-	askTimeout = 2 * time.Second
+	// queryTimeout bounds a call of a peer. It is the Follower's own patience.
+	queryTimeout = 2 * time.Second
 )
 
 var (
 	storeFailures = telemetry.NewCounter("config_store_failures_total",
 		"Watches and listings of the platform's store that failed.", telemetry.Alert)
-	storeHeard = telemetry.NewGauge("config_store_heard_seconds",
+	storeAnswered = telemetry.NewGauge("config_store_heard_seconds",
 		"When the store answered a watch or a listing last, in seconds since 1970.")
 	listings = telemetry.NewCounter("config_listings_total",
 		"Listings of the whole configuration, at the start, after a compaction and to verify.")
-	behind = telemetry.NewCounter("config_store_behind_total",
+	staleAnswers = telemetry.NewCounter("config_store_behind_total",
 		"Times at which the store began to answer with what is older than what is known here.", telemetry.Alert)
 	compactions = telemetry.NewCounter("config_store_compacted_total",
 		"Watches from a version that the store does not have, or not any more.")
-	questions = telemetry.NewCounter("config_peer_questions_total",
+	queries = telemetry.NewCounter("config_peer_questions_total",
 		"Questions to other nodes for configuration.")
-	questionFailures = telemetry.NewCounter("config_peer_failures_total",
+	queryFailures = telemetry.NewCounter("config_peer_failures_total",
 		"Questions to other nodes for configuration that were not answered.")
 	differences = telemetry.NewCounter("config_differences_total",
 		"Comparisons with a node that should have held the same configuration and did not.", telemetry.Alert)
@@ -50,23 +50,23 @@
 	// Subject is what is followed, for the log; empty: the configuration.
 	Subject string
 
-	mu      sync.Mutex
-	unwatch context.CancelCauseFunc // of the present watch or listing
-	err     string                  // of the last call of the Source that failed
-	mute    bool                    // the last question to a peer failed
+	mu         sync.Mutex
+	cancelCall context.CancelCauseFunc // of the present watch or listing
+	storeError string                  // of the last call of the Source that failed
+	peerSilent bool                    // the last question to a peer failed
 }
 
-func (r *Runner) follows() string {
+func (r *Runner) subject() string {
 	if r.Subject == "" {
 		return "configuration"
 	}
 	return r.Subject
 }
 
-func (r *Runner) lastError() string {
+func (r *Runner) lastStoreError() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.err
+	return r.storeError
 }
 
 // Run posts the passing of time until ctx ends.
@@ -89,71 +89,71 @@
 	switch e := e.(type) {
 	case config.List:
 		ctx, cancel := context.WithCancelCause(ctx)
-		r.calling(cancel)
+		r.replaceCall(cancel)
 		go r.list(ctx)
 	case config.Watch:
 		ctx, cancel := context.WithCancelCause(ctx)
-		r.calling(cancel)
+		r.replaceCall(cancel)
 		go r.watch(ctx, e)
 	case config.CancelCall:
-		r.calling(nil)
+		r.replaceCall(nil)
 	case config.DifferenceFound:
 		differences.Inc()
 	case config.StoreUnavailable:
-		slog.Warn("the platform's store does not answer", "follows", r.follows(), "error", r.lastError())
+		slog.Warn("the platform's store does not answer", "follows", r.subject(), "error", r.lastStoreError())
 	case config.StoreRecovered:
-		slog.Info("the platform's store answers again", "follows", r.follows(), "after", e.After.Round(time.Millisecond))
+		slog.Info("the platform's store answers again", "follows", r.subject(), "after", e.After.Round(time.Millisecond))
 	case config.StoreStale:
-		behind.Inc()
-		slog.Warn("the platform's store answers with what is older than what is known", "follows", r.follows(), "told", e.Received, "known", e.Known)
+		staleAnswers.Inc()
+		slog.Warn("the platform's store answers with what is older than what is known", "follows", r.subject(), "told", e.Received, "known", e.Known)
 	case config.StoreRestored:
-		slog.Warn("what is followed in the platform's store goes on in a new era", "follows", r.follows(), "era", e.Era)
+		slog.Warn("what is followed in the platform's store goes on in a new era", "follows", r.subject(), "era", e.Era)
 	case config.SendQuery:
-		go r.ask(ctx, e)
+		go r.sendQuery(ctx, e)
 	}
 }
 
-func (r *Runner) ask(ctx context.Context, e config.SendQuery) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (r *Runner) sendQuery(ctx context.Context, e config.SendQuery) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	questions.Inc()
+	queries.Inc()
 	d, err := r.SendQuery(ctx, e.Peer, e.Query)
-	r.answered(e.Peer, err)
+	r.noteQueryResult(e.Peer, err)
 	if err != nil {
-		questionFailures.Inc()
+		queryFailures.Inc()
 		r.Post(config.QueryFailed{Now: time.Now(), Peer: e.Peer})
 		return
 	}
 	r.Post(config.QueryAnswered{Now: time.Now(), Peer: e.Peer, Delta: d})
 }
 
-// answered tells when peers cease to answer, and when they do again.
-func (r *Runner) answered(peer config.Peer, err error) {
+// noteQueryResult tells when peers cease to answer, and when they do again.
+func (r *Runner) noteQueryResult(peer config.Peer, err error) {
 	r.mu.Lock()
-	changed := r.mute != (err != nil)
-	r.mute = err != nil
+	changed := r.peerSilent != (err != nil)
+	r.peerSilent = err != nil
 	r.mu.Unlock()
 	switch {
 	case !changed:
 	case err != nil:
-		slog.Warn("a node that was asked for news does not answer", "follows", r.follows(), "peer", string(peer), "error", err.Error())
+		slog.Warn("a node that was asked for news does not answer", "follows", r.subject(), "peer", string(peer), "error", err.Error())
 	default:
-		slog.Info("a node that was asked for news answers again", "follows", r.follows(), "peer", string(peer))
+		slog.Info("a node that was asked for news answers again", "follows", r.subject(), "peer", string(peer))
 	}
 }
 
-// errUnwatched is why a watch was cut short.
-var errUnwatched = errors.New("follow: unwatched")
+// errCallCancelled is why a watch was cut short.
+var errCallCancelled = errors.New("follow: unwatched")
 
-// calling cuts the present watch or listing short and remembers how to cut the next
+// replaceCall cuts the present watch or listing short and remembers how to cut the next
 // one.
-func (r *Runner) calling(next context.CancelCauseFunc) {
+func (r *Runner) replaceCall(next context.CancelCauseFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.unwatch != nil {
-		r.unwatch(errUnwatched)
+	if r.cancelCall != nil {
+		r.cancelCall(errCallCancelled)
 	}
-	r.unwatch = next
+	r.cancelCall = next
 }
 
 func (r *Runner) watch(ctx context.Context, e config.Watch) {
@@ -162,16 +162,16 @@
 	page, err := r.Source.Watch(bounded, e.Since, e.Wait)
 	switch {
 	case err == nil:
-		storeHeard.Set(time.Now().Unix())
+		storeAnswered.Set(time.Now().Unix())
 		r.Post(config.Watched{Now: time.Now(), Since: e.Since, Page: page})
-	case errors.Is(context.Cause(ctx), errUnwatched):
+	case errors.Is(context.Cause(ctx), errCallCancelled):
 		r.Post(config.CallCancelled{Now: time.Now()})
 	default:
-		r.failed(bounded, err)
+		r.storeFailed(bounded, err)
 	}
 }
 
-func (r *Runner) failed(ctx context.Context, err error) {
+func (r *Runner) storeFailed(ctx context.Context, err error) {
 	compacted := errors.Is(err, topo.ErrCompacted)
 	if compacted {
 		compactions.Inc()
@@ -179,7 +179,7 @@
 		storeFailures.Inc()
 	}
 	r.mu.Lock()
-	r.err = err.Error()
+	r.storeError = err.Error()
 	r.mu.Unlock()
 	r.Post(config.StoreFailed{
 		Now:       time.Now(),
@@ -192,14 +192,14 @@
 	all, err := r.Source.Snapshot(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(context.Cause(ctx), errUnwatched):
+	case errors.Is(context.Cause(ctx), errCallCancelled):
 		r.Post(config.CallCancelled{Now: time.Now()})
 		return
 	default:
-		r.failed(ctx, err)
+		r.storeFailed(ctx, err)
 		return
 	}
 	listings.Inc()
-	storeHeard.Set(time.Now().Unix())
+	storeAnswered.Set(time.Now().Unix())
 	r.Post(config.Listed{Now: time.Now(), Objects: all.Objects, Version: all.Version, Whole: all.Whole})
 }
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	seeds   = 40
-	phases  = 8
-	objects = 3
-	longest = 20 // of a phase, in seconds
+	seedCount       = 40
+	phaseCount      = 8
+	objectCount     = 3
+	maxPhaseSeconds = 20 // of a phase, in seconds
 
-	mostRouters = 4
+	maxRouters = 4
 )
 
 // faultKinds are the faults of a phase. Those in which the store gives no
 // answer at all block the news.
 var faultKinds = []struct {
-	faults  standin.ObjectFaults
-	blocks  bool
-	compact bool
-	gaps    bool
+	faults        standin.ObjectFaults
+	blocksChanges bool
+	compactsAfter bool
+	hasWatchGaps  bool
 }{
 	{},
-	{faults: standin.ObjectFaults{Down: true}, blocks: true, compact: true},
-	{faults: standin.ObjectFaults{Silent: true}, blocks: true},
+	{faults: standin.ObjectFaults{Down: true}, blocksChanges: true, compactsAfter: true},
+	{faults: standin.ObjectFaults{Silent: true}, blocksChanges: true},
 	{faults: standin.ObjectFaults{Delay: profile.Duration(800 * time.Millisecond)}},
 	{faults: standin.ObjectFaults{LoseAnswers: 12}},
 	{faults: standin.ObjectFaults{LoseAnswers: 6, LoseKind: topo.KindProfile, WritesPerSecond: 1}},
@@ -40,7 +40,7 @@
 	{faults: standin.ObjectFaults{LoseRequests: 1000, LoseKind: topo.KindProfile}},
 	{faults: standin.ObjectFaults{LoseRequests: 20}},
 	{faults: standin.ObjectFaults{StaleEvery: 2, StaleBy: profile.Duration(3 * time.Second)}},
-	{gaps: true},
+	{hasWatchGaps: true},
 	{faults: standin.ObjectFaults{SilentWatches: 1}},
 	{faults: standin.ObjectFaults{ReadsPerSecond: 8, WritesPerSecond: 3}},
 }
@@ -56,7 +56,7 @@
 // Each router's configuration must be one that was in force within the last 7 s,
 // and what operators were told must fit one order of the changes.
 func TestAcceptedChangesAreInForceAndStay(t *testing.T) {
-	for seed := range uint64(seeds) {
+	for seed := range uint64(seedCount) {
 		var f *fleet
 		synctest.Test(t, func(t *testing.T) { f = runFaults(t, seed) })
 		f.history.check(t, f.refs)
@@ -69,37 +69,37 @@
 // runFaults lets operators work through phases of faults.
 func runFaults(t *testing.T, seed uint64) *fleet {
 	ctx, stop := context.WithCancel(t.Context())
-	f := newFleet(t, ctx, seed, objects, 1+int(seed%mostRouters))
+	f := newFleet(t, ctx, seed, objectCount, 1+int(seed%maxRouters))
 	for range 3 {
-		go f.operate(ctx)
+		go f.runOperator(ctx)
 	}
-	go f.observe(ctx)
-	for range phases {
+	go f.recordReads(ctx)
+	for range phaseCount {
 		kind := faultKinds[f.intN(len(faultKinds))]
-		if kind.gaps {
+		if kind.hasWatchGaps {
 			// A change that all have missed is found by the next listing only.
 			kind.faults.WatchGaps = len(f.routers) - 1
 		}
 		f.store.SetFaults(kind.faults)
-		f.cut.Store(f.sidecars[f.intN(sidecarCount)])
+		f.isolated.Store(f.sidecars[f.intN(sidecarCount)])
 		from := f.now()
-		for range 1 + f.intN(longest) {
+		for range 1 + f.intN(maxPhaseSeconds) {
 			time.Sleep(time.Second)
-			if !kind.gaps && f.intN(4) == 0 {
+			if !kind.hasWatchGaps && f.intN(4) == 0 {
 				f.restart(ctx, f.intN(len(f.routers)))
 			}
 		}
-		if kind.compact {
+		if kind.compactsAfter {
 			f.store.Compact(0)
 		}
 		f.store.SetFaults(standin.ObjectFaults{})
-		f.cut.Store(nil)
-		if kind.blocks {
-			f.history.block(from, f.now())
+		f.isolated.Store(nil)
+		if kind.blocksChanges {
+			f.history.addBlocked(from, f.now())
 		}
 		time.Sleep(time.Duration(f.intN(5)) * time.Second)
 	}
-	time.Sleep(2 * promised)
+	time.Sleep(2 * maxPropagation)
 	stop()
 	synctest.Wait()
 	time.Sleep(time.Minute) // late writes and calls that were given up end
@@ -146,10 +146,10 @@
 		time.Sleep(30 * time.Second)
 		f.store.SetFaults(standin.ObjectFaults{})
 		f.put(ctx, "c")
-		time.Sleep(promised)
+		time.Sleep(maxPropagation)
 		for _, n := range f.routers {
 			if id, ready := n.inForce(f.refs[0]); id != "c" || !ready {
-				t.Errorf("%s has %q in force %s later, ready: %t", n.name, id, promised, ready)
+				t.Errorf("%s has %q in force %s later, ready: %t", n.name, id, maxPropagation, ready)
 			}
 		}
 		stop()
--- a/internal/config/follow/history_test.go
+++ b/internal/config/follow/history_test.go
@@ -14,8 +14,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// promised is how soon an accepted change is in force at every router.
-const promised = 7 * time.Second
+// maxPropagation is how soon an accepted change is in force at every router.
+const maxPropagation = 7 * time.Second
 
 // checkTimeout bounds the search for an order of a history's operations, which
 // takes milliseconds for one that fits. A search without an end is a failure.
@@ -50,9 +50,9 @@
 // output is the outcome of a commit, or the change that a read has returned,
 // which is none when the object does not exist.
 type output struct {
-	outcome change.Outcome
-	clash   bool // not applied because another change was faster
-	id      config.ChangeID
+	outcome    change.Outcome
+	isConflict bool // not applied because another change was faster
+	id         config.ChangeID
 }
 
 func (h *history) add(i input, o output, call, end time.Duration) {
@@ -66,7 +66,7 @@
 		end = math.MaxInt64 // it may take effect at any time
 	}
 	in := input{ref: ref, id: r.Change.ID, parent: r.Change.Parent, deletes: deletes}
-	h.add(in, output{outcome: r.Outcome, clash: r.Conflict != nil}, call, end)
+	h.add(in, output{outcome: r.Outcome, isConflict: r.Conflict != nil}, call, end)
 }
 
 // read records what a router has in force. Reads of a change are taken together
@@ -83,7 +83,7 @@
 	}
 	r := h.latest[router][ref]
 	if r == nil || r.id != id {
-		r = h.readsOf(ref, id)
+		r = h.findReads(ref, id)
 	}
 	if r == nil {
 		r = &reads{ref: ref, id: id, first: at}
@@ -93,7 +93,7 @@
 	h.latest[router][ref] = r
 }
 
-func (h *history) readsOf(ref topo.Ref, id config.ChangeID) *reads {
+func (h *history) findReads(ref topo.Ref, id config.ChangeID) *reads {
 	i := slices.IndexFunc(h.reads, func(r *reads) bool { return r.ref == ref && r.id == id && id != "" })
 	if i < 0 {
 		return nil
@@ -106,22 +106,22 @@
 	var out []porcupine.Operation
 	for _, r := range h.reads {
 		for _, at := range []time.Duration{r.first, r.last} {
-			out = append(out, porcupine.Operation{Input: input{ref: r.ref}, Output: output{id: r.id}, Call: int64(h.since(at)), Return: int64(at)})
+			out = append(out, porcupine.Operation{Input: input{ref: r.ref}, Output: output{id: r.id}, Call: int64(h.oldestVisible(at)), Return: int64(at)})
 		}
 	}
 	return out
 }
 
-func (h *history) block(from, to time.Duration) {
+func (h *history) addBlocked(from, to time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.blocked = append(h.blocked, span{from, to})
 }
 
-// since returns the earliest time whose state a read at a time may still show:
+// oldestVisible returns the earliest time whose state a read at a time may still show:
 // promised ago, not counting the time in which no path was open.
-func (h *history) since(at time.Duration) time.Duration {
-	left, end := promised, at
+func (h *history) oldestVisible(at time.Duration) time.Duration {
+	left, end := maxPropagation, at
 	for i := len(h.blocked) - 1; i >= 0; i-- {
 		b := h.blocked[i]
 		if b.from >= end {
@@ -144,20 +144,20 @@
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
 		Step: func(s, in, out any) []any {
-			now, i, o := s.(state), in.(input), out.(output)
+			current, i, o := s.(state), in.(input), out.(output)
 			next := state{last: i.id}
 			if !i.deletes {
 				next.visible = i.id
 			}
 			switch {
 			case i.id == "":
-				return then(now, o.id == now.visible)
+				return nextStates(current, o.id == current.visible)
 			case o.outcome == change.Applied:
-				return then(next, now.last == i.parent)
+				return nextStates(next, current.last == i.parent)
 			case o.outcome == change.NotApplied:
-				return then(now, !o.clash || now.last != i.parent)
+				return nextStates(current, !o.isConflict || current.last != i.parent)
 			default:
-				return append(then(next, now.last == i.parent), now)
+				return append(nextStates(next, current.last == i.parent), current)
 			}
 		},
 	}
@@ -168,7 +168,7 @@
 // after a deletion.
 type state struct{ last, visible config.ChangeID }
 
-func then(s state, legal bool) []any {
+func nextStates(s state, legal bool) []any {
 	if !legal {
 		return nil
 	}
--- a/internal/config/follow/join.go
+++ b/internal/config/follow/join.go
@@ -14,31 +14,31 @@
 // them tells all that it has when it tells anything, and so does the result: a page
 // without a change is not Whole.
 func Join(sources ...Source) Source {
-	return &joined{sources: sources}
+	return &joinedSource{sources: sources}
 }
 
 // probeWait is for how long a watch waits that is to find out whether the store answers.
 const probeWait = time.Millisecond
 
-// joined is several sources. A Runner calls it from one goroutine at a time.
-type joined struct {
-	sources []Source
-	failing atomic.Bool // the last call of the store was not answered
+// joinedSource is several sources. A Runner calls it from one goroutine at a time.
+type joinedSource struct {
+	sources      []Source
+	storeFailing atomic.Bool // the last call of the store was not answered
 }
 
 // Snapshot implements Source. The version is that of the oldest part.
-func (j *joined) Snapshot(ctx context.Context) (Snapshot, error) {
-	all, err := j.others(ctx, len(j.sources))
-	j.ended(ctx, err)
+func (j *joinedSource) Snapshot(ctx context.Context) (Snapshot, error) {
+	all, err := j.snapshotExcept(ctx, len(j.sources))
+	j.noteResult(ctx, err)
 	return all, err
 }
 
-// others returns the snapshot of all but one of the sources.
-func (j *joined) others(ctx context.Context, but int) (Snapshot, error) {
+// snapshotExcept returns the snapshot of all but one of the sources.
+func (j *joinedSource) snapshotExcept(ctx context.Context, except int) (Snapshot, error) {
 	all := Snapshot{Whole: true}
 	first := true
 	for i, s := range j.sources {
-		if i == but {
+		if i == except {
 			continue
 		}
 		part, err := s.Snapshot(ctx)
@@ -53,8 +53,8 @@
 	return all, nil
 }
 
-// watchEnd is what a watch of one of the sources has brought.
-type watchEnd struct {
+// watchResult is what a watch of one of the sources has brought.
+type watchResult struct {
 	source int
 	page   topo.Page
 	err    error
@@ -65,59 +65,59 @@
 //
 // While the store does not answer, the first source alone finds out whether it does again:
 // in an outage every router that depends on nobody else calls it, and each call costs.
-func (j *joined) Watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
-	if j.failing.Load() {
+func (j *joinedSource) Watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
+	if j.storeFailing.Load() {
 		if _, err := j.sources[0].Watch(ctx, since, probeWait); err != nil {
 			return topo.Page{}, err
 		}
 	}
 	page, err := j.watch(ctx, since, wait)
-	j.ended(ctx, err)
+	j.noteResult(ctx, err)
 	return page, err
 }
 
-// ended notes how a call ended. One that was cut short from here says nothing of the store.
-func (j *joined) ended(ctx context.Context, err error) {
+// noteResult notes how a call noteResult. One that was cut short from here says nothing of the store.
+func (j *joinedSource) noteResult(ctx context.Context, err error) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		j.failing.Store(err != nil)
+		j.storeFailing.Store(err != nil)
 	}
 }
 
-func (j *joined) watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
+func (j *joinedSource) watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan watchEnd, len(j.sources))
+	results := make(chan watchResult, len(j.sources))
 	for i, s := range j.sources {
 		go func() {
 			page, err := s.Watch(watching, since, wait)
-			ends <- watchEnd{source: i, page: page, err: err}
+			results <- watchResult{source: i, page: page, err: err}
 		}()
 	}
 	var out topo.Page
 	for n := range j.sources {
-		end := <-ends
+		result := <-results
 		switch {
-		case end.err != nil:
-			return topo.Page{}, end.err
-		case end.page.Whole:
+		case result.err != nil:
+			return topo.Page{}, result.err
+		case result.page.Whole:
 			cancel()
-			return j.complete(ctx, end)
-		case n == 0 || end.page.Version < out.Version:
-			out.Version = end.page.Version
+			return j.completePage(ctx, result)
+		case n == 0 || result.page.Version < out.Version:
+			out.Version = result.page.Version
 		}
 	}
 	return out, nil
 }
 
-// complete returns what one of the sources has told together with what the others hold.
-func (j *joined) complete(ctx context.Context, told watchEnd) (topo.Page, error) {
-	rest, err := j.others(ctx, told.source)
+// completePage returns what one of the sources has told together with what the others hold.
+func (j *joinedSource) completePage(ctx context.Context, changed watchResult) (topo.Page, error) {
+	rest, err := j.snapshotExcept(ctx, changed.source)
 	if err != nil {
 		return topo.Page{}, err
 	}
 	return topo.Page{
-		Objects: append(told.page.Objects, rest.Objects...),
-		Version: min(told.page.Version, rest.Version),
+		Objects: append(changed.page.Objects, rest.Objects...),
+		Version: min(changed.page.Version, rest.Version),
 		Whole:   true,
 	}, nil
 }
--- a/internal/config/follow/join_test.go
+++ b/internal/config/follow/join_test.go
@@ -12,8 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// part is a source of one kind of object. It tells all that it holds.
-type part struct {
+// partSource is a source of one kind of object. It tells all that it holds.
+type partSource struct {
 	kind    topo.Kind
 	names   []string
 	version topo.Version
@@ -22,7 +22,7 @@
 	calls   atomic.Int32
 }
 
-func (p *part) Snapshot(context.Context) (follow.Snapshot, error) {
+func (p *partSource) Snapshot(context.Context) (follow.Snapshot, error) {
 	p.calls.Add(1)
 	s := follow.Snapshot{Version: p.version, Whole: true}
 	for _, name := range p.names {
@@ -31,7 +31,7 @@
 	return s, p.err
 }
 
-func (p *part) Watch(ctx context.Context, _ topo.Version, wait time.Duration) (topo.Page, error) {
+func (p *partSource) Watch(ctx context.Context, _ topo.Version, wait time.Duration) (topo.Page, error) {
 	if p.err != nil {
 		p.calls.Add(1)
 		return topo.Page{}, p.err
@@ -48,17 +48,17 @@
 	}
 }
 
-func parts() (routes, orders *part, joined follow.Source) {
-	routes = &part{kind: topo.KindProfile, names: []string{"a", "b"}, version: 7, changes: make(chan struct{}, 1)}
-	orders = &part{kind: topo.KindDomainDrain, names: []string{"hall"}, version: 9, changes: make(chan struct{}, 1)}
+func newParts() (routes, orders *partSource, joined follow.Source) {
+	routes = &partSource{kind: topo.KindProfile, names: []string{"a", "b"}, version: 7, changes: make(chan struct{}, 1)}
+	orders = &partSource{kind: topo.KindDomainDrain, names: []string{"hall"}, version: 9, changes: make(chan struct{}, 1)}
 	return routes, orders, follow.Join(routes, orders)
 }
 
 // A hall is drained while routes stay as they are. What is told is all that exists: if the
 // routes were left out, every caller would be refused from then on.
-func TestAChangeOfOnePartTellsAll(t *testing.T) {
+func TestChangeOfOnePartReturnsAllObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, orders, joined := parts()
+		_, orders, joined := newParts()
 		orders.changes <- struct{}{}
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || !page.Whole || len(page.Objects) != 3 || page.Version != 7 {
@@ -69,9 +69,9 @@
 
 // Nothing changes. The version is that of the part which is known least far, or changes of
 // it would be skipped.
-func TestQuietPartsTellTheOldestVersion(t *testing.T) {
+func TestUnchangedPartsReturnOldestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, _, joined := parts()
+		_, _, joined := newParts()
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || page.Whole || len(page.Objects) != 0 || page.Version != 7 {
 			t.Errorf("%+v, %v", page, err)
@@ -81,9 +81,9 @@
 
 // The store is down, and each call of it costs. One part is enough to find out whether it
 // is back; then all are known again.
-func TestOnePartFindsOutWhetherTheStoreIsBack(t *testing.T) {
+func TestOnePartProbesUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		routes, orders, joined := parts()
+		routes, orders, joined := newParts()
 		down := errors.New("down")
 		routes.err, orders.err = down, down
 		for range 5 {
--- a/internal/config/follow/source.go
+++ b/internal/config/follow/source.go
@@ -14,12 +14,12 @@
 const (
 	// pageTimeout bounds the wait for a page of a listing.
 	pageTimeout = 3 * time.Second
-	// pageTries is how often a page of a listing is tried. A store that limits
+	// pageAttempts is how often a page of a listing is tried. A store that limits
 	// its rate refuses some of the pages when many routers start at once, and
 	// to start over would read the others again.
-	pageTries = 4
-	// pagePause is the mean pause before a page is tried again.
-	pagePause = 500 * time.Millisecond
+	pageAttempts = 4
+	// pageRetryPause is the mean pause before a page is tried again.
+	pageRetryPause = 500 * time.Millisecond
 )
 
 // Snapshot is all configuration of the store. What is not in it did not exist at
@@ -62,10 +62,10 @@
 // there.
 func (s storeSource) Snapshot(ctx context.Context) (Snapshot, error) {
 	parts := make([]Snapshot, len(s.kinds))
-	group, within := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	for i, kind := range s.kinds {
 		group.Go(func() (err error) {
-			parts[i], err = s.listKind(within, kind)
+			parts[i], err = s.listKind(groupCtx, kind)
 			return err
 		})
 	}
@@ -95,13 +95,13 @@
 // again here: there is nothing to start over, and the Follower knows better when to, since
 // the answer to another one's call tells it that the store is back.
 func (s storeSource) page(ctx context.Context, kind topo.Kind, cont string) (topo.Page, error) {
-	tries := pageTries
+	attempts := pageAttempts
 	if cont == "" && len(s.kinds) == 1 {
-		tries = 1
+		attempts = 1
 	}
 	page, err := s.tryPage(ctx, kind, cont)
-	for try := 1; err != nil && try < tries; try++ {
-		pause := time.NewTimer(pagePause/2 + rand.N(pagePause))
+	for attempt := 1; err != nil && attempt < attempts; attempt++ {
+		pause := time.NewTimer(pageRetryPause/2 + rand.N(pageRetryPause))
 		select {
 		case <-ctx.Done():
 			pause.Stop()
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -14,29 +14,29 @@
 	// WatchGrace is how much later than its wait a watch may answer.
 	WatchGrace = time.Second
 
-	// listSoon is when a router that began with what a peer had verifies it
+	// firstListDelay is when a router that began with what a peer had verifies it
 	// against the store. Later it does so every listEvery, or less often so that
 	// the values read stay within listRate in bytes a second. A change that all
 	// nodes have missed shows nowhere else.
-	listSoon  = 5 * time.Minute
-	listEvery = time.Minute
-	listRate  = 256
+	firstListDelay     = 5 * time.Minute
+	minListInterval    = time.Minute
+	listBytesPerSecond = 256
 
-	// checkEvery is how often a router compares with a peer that it draws.
-	checkEvery = 2500 * time.Millisecond
-	// checkOfCopy is how often a sidecar does so. Many routers ask it as well.
-	checkOfCopy = time.Minute
-	// checkWhileBlind is the same while the store does not answer.
-	checkWhileBlind = 500 * time.Millisecond
-	// watchPatience is how long a router lets its watch bring what a peer has.
-	watchPatience = 2 * time.Second
-	// askTimeout is after how long an Ask counts as failed.
-	askTimeout = 2 * time.Second
-	// enoughPeers is how many peers a router has compared with before it trusts
+	// peerCheckInterval is how often a router compares with a peer that it draws.
+	peerCheckInterval = 2500 * time.Millisecond
+	// sidecarCheckInterval is how often a sidecar does so. Many routers ask it as well.
+	sidecarCheckInterval = time.Minute
+	// outageCheckInterval is the same while the store does not answer.
+	outageCheckInterval = 500 * time.Millisecond
+	// watchHeadStart is how long a router lets its watch bring what a peer has.
+	watchHeadStart = 2 * time.Second
+	// queryTimeout is after how long an Ask counts as failed.
+	queryTimeout = 2 * time.Second
+	// minComparedPeers is how many peers a router has compared with before it trusts
 	// a configuration that the store has not confirmed.
-	enoughPeers = 3
-	// readyAfter is when it stops waiting for them.
-	readyAfter = 2 * time.Second
+	minComparedPeers = 3
+	// maxPeerWait is when it stops waiting for them.
+	maxPeerWait = 2 * time.Second
 )
 
 // Timing is how a Follower calls the store.
@@ -107,49 +107,49 @@
 // Follower keeps a Set up to date from the store and from peers. It is a
 // reducer: Step never blocks and takes the time from its events.
 type Follower struct {
-	set        *Set
-	pace       Timing
-	rand       *rand.Rand
-	storeHeard time.Time
+	set             *Set
+	timing          Timing
+	rand            *rand.Rand
+	storeAnsweredAt time.Time
 
-	relieved  bool // another router reads the store for this one
-	phase     storePhase
-	resume    time.Time
-	relist    bool // the next call of the store is a listing
-	nextList  time.Time
-	failures  int          // in a row
-	told      topo.Version // by the store, all changes up to here
-	confirmed bool         // the store has answered
-	lost      time.Time    // since when it does not answer; zero: it does
-	back      time.Time    // when it answered again after it had not
-	outdated  bool         // its last answer was older than what is known
-	era       topo.Era     // of the store
-	holdUntil time.Time    // orders that the store has lost hold until then
-	copy      topo.Version // of the edition that the store came back with, if it was older
+	delegated        bool // another router reads the store for this one
+	phase            storePhase
+	nextCall         time.Time
+	listNext         bool // the next call of the store is a listing
+	nextList         time.Time
+	failures         int          // in a row
+	storeVersion     topo.Version // by the store, all changes up to here
+	storeConfirmed   bool         // the store has answered
+	unavailableSince time.Time    // since when it does not answer; zero: it does
+	recoveredAt      time.Time    // when it answered again after it had not
+	storeIsStale     bool         // its last answer was older than what is known
+	era              topo.Era     // of the store
+	holdOrdersUntil  time.Time    // orders that the store has lost hold until then
+	restoredEdition  topo.Version // of the edition that the store came back with, if it was older
 
-	peers     []Peer
-	near      []Peer // of them, those with a connection
-	started   time.Time
-	waited    bool              // for peers, long enough
-	ready     bool              // the configuration has been trusted
-	heard     map[Peer]struct{} // peers that have answered, up to enoughPeers
-	pull      *pull
-	behind    Peer // said to know more than we do
-	futile    futile
-	news      news
-	nextPull  time.Time
-	nextCheck time.Time
-	repair    repair
+	peers         []Peer
+	connected     []Peer // of them, those with a connection
+	started       time.Time
+	peerWaitOver  bool              // for peers, long enough
+	ready         bool              // the configuration has been trusted
+	comparedPeers map[Peer]struct{} // peers that have answered, up to enoughPeers
+	pull          *pull
+	peerAhead     Peer // said to know more than we do
+	unobtainable  unobtainable
+	announced     announcement
+	nextPull      time.Time
+	nextCheck     time.Time
+	repair        repair
 
 	nextRefresh time.Time
 }
 
 // NewFollower returns the Follower of a router, which reads the store at a pace.
 // Seed sets its jitter.
-func NewFollower(seed uint64, pace Timing) *Follower {
+func NewFollower(seed uint64, timing Timing) *Follower {
 	f := NewSidecarFollower(seed)
 	f.phase = phaseWaiting
-	f.pace = pace
+	f.timing = timing
 	return f
 }
 
@@ -157,10 +157,10 @@
 // nothing until a router tells it of a version; see Copies.
 func NewSidecarFollower(seed uint64) *Follower {
 	return &Follower{
-		set:   NewSet(),
-		pace:  DefaultTiming(),
-		rand:  rand.New(rand.NewPCG(seed, 0)),
-		heard: make(map[Peer]struct{}),
+		set:           NewSet(),
+		timing:        DefaultTiming(),
+		rand:          rand.New(rand.NewPCG(seed, 0)),
+		comparedPeers: make(map[Peer]struct{}),
 	}
 }
 
@@ -176,9 +176,9 @@
 		CompleteUpTo:   f.set.CompleteUpTo(),
 		Objects:        f.set.Len(),
 		Bytes:          f.set.Bytes(),
-		StoreAnswered:  f.storeHeard,
+		StoreAnswered:  f.storeAnsweredAt,
 		Failures:       f.failures,
-		StoreRecovered: f.back,
+		StoreRecovered: f.recoveredAt,
 	}
 }
 
@@ -193,18 +193,18 @@
 	return f.ready
 }
 
-func (f *Follower) trusted() bool {
-	return f.set.CompleteUpTo() > 0 && (f.compared() || f.waited)
+func (f *Follower) isTrusted() bool {
+	return f.set.CompleteUpTo() > 0 && (f.hasComparedPeers() || f.peerWaitOver)
 }
 
-func (f *Follower) compared() bool {
-	return len(f.heard) >= min(enoughPeers, len(f.peers)) && (f.confirmed || len(f.heard) > 0)
+func (f *Follower) hasComparedPeers() bool {
+	return len(f.comparedPeers) >= min(minComparedPeers, len(f.peers)) && (f.storeConfirmed || len(f.comparedPeers) > 0)
 }
 
 // Step applies an event.
 func (f *Follower) Step(event Event) []Effect {
 	out := f.step(event)
-	f.ready = f.ready || f.trusted()
+	f.ready = f.ready || f.isTrusted()
 	return out
 }
 
@@ -215,29 +215,29 @@
 	case Hinted:
 		return f.hinted(e.Now)
 	case StoreReachable:
-		return f.storeWorks(e.Now)
+		return f.storeReachable(e.Now)
 	case StoreReadingSwitched:
-		return f.setDuty(e)
+		return f.switchStoreReading(e)
 	case CallCancelled:
-		f.phase, f.resume = phaseWaiting, e.Now
+		f.phase, f.nextCall = phaseWaiting, e.Now
 		return f.ticked(e.Now)
 	case PeersConnected:
-		f.near = e.Peers
+		f.connected = e.Peers
 	case PeersChanged:
 		f.peers = e.Peers
 		return f.ticked(e.Now)
 	case SummaryReceived:
 		return f.compare(e.Now, e.Peer, e.Summary)
 	case QueryAnswered:
-		return f.answered(e)
+		return f.queryAnswered(e)
 	case QueryFailed:
 		if f.pull != nil && f.pull.peer == e.Peer {
 			f.pull = nil
 		}
 	case Listed:
-		return f.listedStore(e)
+		return f.storeListed(e)
 	case Watched:
-		return f.watched(e)
+		return f.storeWatched(e)
 	case StoreFailed:
 		return f.storeFailed(e)
 	}
@@ -248,7 +248,7 @@
 	if f.started.IsZero() {
 		f.started = now
 	}
-	f.waited = f.waited || now.Sub(f.started) >= readyAfter
+	f.peerWaitOver = f.peerWaitOver || now.Sub(f.started) >= maxPeerWait
 	return append(f.tickStore(now), f.tickPeers(now)...)
 }
 
@@ -257,12 +257,12 @@
 	return d/2 + time.Duration(f.rand.Int64N(int64(d)))
 }
 
-// changed applies a batch and tells the role.
-func (f *Follower) changed(b Batch) []Effect {
-	return tell(f.set.Apply(b))
+// applyBatch applies a batch and tells the role.
+func (f *Follower) applyBatch(b Batch) []Effect {
+	return changedEffects(f.set.Apply(b))
 }
 
-func tell(objects []topo.Object) []Effect {
+func changedEffects(objects []topo.Object) []Effect {
 	if len(objects) == 0 {
 		return nil
 	}
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -9,19 +9,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-var object = topo.Ref{Kind: topo.KindProfile, Name: "chat"}
+var chatRef = topo.Ref{Kind: topo.KindProfile, Name: "chat"}
 
-func at(v topo.Version) topo.Object {
-	return topo.Object{Ref: object, Version: v, Value: value(int(v))}
+func chatAt(v topo.Version) topo.Object {
+	return topo.Object{Ref: chatRef, Version: v, Value: value(int(v))}
 }
 
 // A router has read its configuration from the store and serves callers when it learns
 // of another one that reads for all. Until it has heard that one it would be ready no
 // more, and refuse them for some milliseconds.
-func TestReadyStaysWhenAnotherReads(t *testing.T) {
+func TestStaysReadyWhenAnotherRouterReadsStore(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	if !f.Ready() {
 		t.Fatal("not ready after a listing")
 	}
@@ -48,10 +48,10 @@
 			continue
 		}
 		v := held[f.pull.peer]
-		d := Delta{Objects: []topo.Object{at(v)}, Summary: Summary{Version: v, CompleteUpTo: v}}
+		d := Delta{Objects: []topo.Object{chatAt(v)}, Summary: Summary{Version: v, CompleteUpTo: v}}
 		f.Step(QueryAnswered{Now: now, Peer: f.pull.peer, Delta: d})
 	}
-	if have := f.set.HeldVersion(object); have != 9 {
+	if have := f.set.HeldVersion(chatRef); have != 9 {
 		t.Errorf("ready at version %d although peers have 9", have)
 	}
 }
@@ -59,13 +59,13 @@
 // A profile is deleted from the store by hand, made again and deleted again. A
 // peer that has seen the first deletion and a later listing sends the first
 // deletion. The profile that a router has read in between must not stay.
-func TestDeletionThatCameBackIsTaken(t *testing.T) {
+func TestObjectDeletedAgainIsRemoved(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 1}})
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
-	gone := topo.Object{Ref: object, Version: 1, Deleted: true}
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
+	gone := topo.Object{Ref: chatRef, Version: 1, Deleted: true}
 	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Objects: []topo.Object{gone}, DeletionHorizon: 3, Summary: Summary{Version: 1, CompleteUpTo: 3}}})
-	if o, ok := f.set.Get(object); ok {
+	if o, ok := f.set.Get(chatRef); ok {
 		t.Errorf("version %d is still in force", o.Version)
 	}
 }
@@ -77,7 +77,7 @@
 func TestPeersDoNotMoveTheWatch(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.peers = []Peer{"a"}
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 5})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 5})
 	f.ask(now, "a", 2)
 	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Summary: Summary{Version: 2, CompleteUpTo: 9}}})
 	if f.set.CompleteUpTo() != 9 {
@@ -95,7 +95,7 @@
 // route that is missing there must go, or its callers are served by a rule that
 // the operators have taken back. What has not changed keeps its version, since
 // nodes compare by versions.
-func TestWholeSourceDropsWhatItDoesNotHold(t *testing.T) {
+func TestWholeSourceRemovesMissingObjects(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
 	ref := func(name string) topo.Ref { return topo.Ref{Kind: topo.KindProfile, Name: name} }
@@ -153,8 +153,8 @@
 	}
 }
 
-// exchange has a follower ask another one until it has nothing more to ask.
-func exchange(to, from *Follower, now time.Time, asks []Effect) {
+// answerAll has a follower ask another one until it has nothing more to ask.
+func answerAll(to, from *Follower, now time.Time, asks []Effect) {
 	for len(asks) > 0 {
 		asks = answerOnce(to, from, now, asks)
 	}
@@ -177,32 +177,32 @@
 // which tells no deletions. Those that rely on it must hear of each of them, or they
 // send requests to runners that are gone for as long as a minute. That holds also where
 // the router that is asked for everything ceases to answer then.
-func TestRemovalsThatAListingShowsArePulledAtOnce(t *testing.T) {
+func TestRemovalsFoundByListingArePulledAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
-	runner := func(i int, v topo.Version) topo.Object {
+	upstream := func(i int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: "runners", Name: fmt.Sprint(i)}, Version: v, Value: value(i)}
 	}
 	pace := DefaultTiming()
 	pace.Relayed = true
 	reader, to := NewFollower(1, pace), NewFollower(2, pace)
-	reader.Step(Listed{Now: now, Objects: []topo.Object{runner(1, 1), runner(2, 2), runner(3, 3), runner(4, 4)}, Version: 4})
+	reader.Step(Listed{Now: now, Objects: []topo.Object{upstream(1, 1), upstream(2, 2), upstream(3, 3), upstream(4, 4)}, Version: 4})
 	to.Step(Ticked{Now: now})
 	to.Step(StoreReadingSwitched{Now: now})
-	exchange(to, reader, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}}))
-	left := []topo.Object{runner(2, 2), runner(3, 3), runner(4, 4)}
+	answerAll(to, reader, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}}))
+	left := []topo.Object{upstream(2, 2), upstream(3, 3), upstream(4, 4)}
 	for gone := 1; gone <= 3; gone++ {
 		now = now.Add(2 * time.Second)
 		version := topo.Version(4 + gone)
 		reader.Step(Listed{Now: now, Objects: left, Version: version})
-		reader.set.Apply(Batch{Objects: []topo.Object{runner(4, version)}, Claim: &Claim{To: version}})
+		reader.set.Apply(Batch{Objects: []topo.Object{upstream(4, version)}, Claim: &Claim{To: version}})
 		left = left[1:]
 		mark := reader.set.Summary()
 		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: mark})
 		answerOnce(to, reader, now, first) // then it asks for everything, in vain
 		to.Step(QueryFailed{Now: now, Peer: "lost"})
 		now = now.Add(pace.PullInterval)
-		exchange(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: mark}))
-		if _, listed := to.set.Get(runner(gone, 1).Ref); listed {
+		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: mark}))
+		if _, listed := to.set.Get(upstream(gone, 1).Ref); listed {
 			t.Errorf("runner %d is still listed", gone)
 		}
 		if to.set.Version() != mark.Version {
@@ -216,7 +216,7 @@
 // it, which has never known that route. A third has pulled from the first and now pulls
 // from the second: the route must go, or its callers are served by it for good. What
 // has not changed is the same at both, so that nothing is pulled for the sake of it.
-func TestRouteThatAFreshReaderNeverKnewGoes(t *testing.T) {
+func TestRouteUnknownToNewReaderIsRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	route := func(name string, n int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: topo.KindProfile, Name: name}, Version: v, Value: value(n)}
@@ -228,12 +228,12 @@
 	after.Step(Listed{Now: now, Whole: true, Version: 225, Objects: []topo.Object{route("stays", 2, 224)}})
 	to.Step(Ticked{Now: now})
 	to.Step(StoreReadingSwitched{Now: now})
-	exchange(to, before, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"before"}}))
+	answerAll(to, before, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"before"}}))
 	if n := to.set.Len(); n != 2 {
 		t.Fatalf("%d routes from the first reader", n)
 	}
 	now = now.Add(time.Second)
-	exchange(to, after, now, to.Step(SummaryReceived{Now: now, Peer: "after", Summary: after.set.Summary()}))
+	answerAll(to, after, now, to.Step(SummaryReceived{Now: now, Peer: "after", Summary: after.set.Summary()}))
 	if _, held := to.set.Get(route("goes", 0, 0).Ref); held {
 		t.Error("a route that was taken away is in force")
 	}
@@ -247,9 +247,9 @@
 // A router has lost the store, and waits for its next try. Another of its calls is
 // answered meanwhile: it tries again at once, since a change may be in force that it
 // has not heard of.
-func TestStoreThatWorksIsCalledAtOnce(t *testing.T) {
+func TestReachableStoreIsCalledAtOnce(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	for range 5 {
 		f.phase = phaseWatching
 		f.Step(StoreFailed{Now: now})
@@ -274,8 +274,8 @@
 	pace := DefaultTiming()
 	pace.Relayed = true
 	f, now := NewFollower(1, pace), time.Unix(0, 0)
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
-	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 3, Objects: []topo.Object{at(3)}}})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
+	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 3, Objects: []topo.Object{chatAt(3)}}})
 	heard := now
 	for {
 		now = now.Add(TickInterval)
@@ -300,7 +300,7 @@
 // seconds.
 func TestNewReaderPullsUntilTheStoreAnswers(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	f.Step(StoreReadingSwitched{Now: now, On: false})
 	f.Step(StoreReadingSwitched{Now: now, On: true})
 	for _, e := range f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 3, CompleteUpTo: 3}}) {
@@ -314,13 +314,13 @@
 // A listing comes back empty, as from a store that has lost its memory or serves
 // another fleet. What is in force stays in force: no operator takes everything back
 // at once, and callers would be told that nothing is served here.
-func TestEmptySourceTakesNothingAway(t *testing.T) {
+func TestEmptyListingRemovesNothing(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Version: 1, Whole: true})
 	if !f.Ready() {
 		t.Error("a store without configuration keeps the router from following it")
 	}
-	f.Step(Listed{Now: now, Objects: []topo.Object{at(2)}, Version: 2, Whole: true})
+	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2, Whole: true})
 	f.Step(Listed{Now: now, Version: 3, Whole: true})
 	if f.set.Len() != 1 {
 		t.Errorf("%d objects are in force, want the one that was", f.set.Len())
@@ -331,7 +331,7 @@
 // a second of a small router's link. It learns of a stronger one that has read them and
 // hands them on in a twentieth. As long as its own listing goes on beside that, both
 // take the whole time, and its callers wait or are refused.
-func TestListingEndsWhenAnotherReads(t *testing.T) {
+func TestListingIsCancelledWhenAnotherRouterReads(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	now = now.Add(DefaultTiming().PeerWait)
 	f.Step(Ticked{Now: time.Unix(0, 0)})
@@ -344,9 +344,9 @@
 	f.Step(CallCancelled{Now: now})
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
 	f.Step(SummaryReceived{Now: now, Peer: "reader", Summary: Summary{Version: 2, CompleteUpTo: 2}})
-	f.Step(QueryAnswered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{at(2)}, Summary: Summary{Version: 2, CompleteUpTo: 2}}})
-	if f.Set().HeldVersion(object) != 2 || !f.Ready() {
-		t.Errorf("version %d is held, ready %v", f.Set().HeldVersion(object), f.Ready())
+	f.Step(QueryAnswered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{chatAt(2)}, Summary: Summary{Version: 2, CompleteUpTo: 2}}})
+	if f.Set().HeldVersion(chatRef) != 2 || !f.Ready() {
+		t.Errorf("version %d is held, ready %v", f.Set().HeldVersion(chatRef), f.Ready())
 	}
 	if got := f.Step(StoreReadingSwitched{Now: now, On: true}); !slices.Contains(got, Effect(List{})) {
 		t.Errorf("it does not list the store when it is to read again: %v", got)
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxUnpacked bounds what a packed delta may come to, in bytes.
-	maxUnpacked = 64 << 20
-	// keptDeltas is how many packed deltas are kept. Routers ask for the same one at
+	// maxUnpackedBytes bounds what a packed delta may come to, in bytes.
+	maxUnpackedBytes = 64 << 20
+	// maxCachedDeltas is how many packed deltas are kept. Routers ask for the same one at
 	// about the same time.
-	keptDeltas = 8
+	maxCachedDeltas = 8
 )
 
 // Delta is a config.Delta as it travels, in CBOR and compressed. A change that
@@ -38,8 +38,8 @@
 	compressor   *zstd.Encoder
 	decompressor *zstd.Decoder
 
-	mu   sync.Mutex
-	kept []keptDelta
+	mu     sync.Mutex
+	cached []cachedDelta
 }
 
 // New returns a Packer. Each call of it uses one goroutine and little memory.
@@ -48,19 +48,19 @@
 	if err != nil {
 		panic(err) // only for options that do not fit together
 	}
-	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked))
+	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		panic(err) // only for options that do not fit together
 	}
 	return &Packer{compressor: w, decompressor: r}
 }
 
-// keptDelta is a packed delta with what it answers.
-type keptDelta struct {
-	set    relay.Set
-	since  config.Query // without the asker's mark
-	mark   config.Summary
-	packed Delta
+// cachedDelta is a packed delta with what it answers.
+type cachedDelta struct {
+	set     relay.Set
+	query   config.Query // without the asker's mark
+	summary config.Summary
+	packed  Delta
 }
 
 // Pack returns the delta that answers a query of a set.
@@ -68,8 +68,8 @@
 	q.Summary = config.Summary{}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.kept {
-		if k.set == set && k.since == q && k.mark == d.Summary {
+	for _, k := range p.cached {
+		if k.set == set && k.query == q && k.summary == d.Summary {
 			return k.packed, nil
 		}
 	}
@@ -77,10 +77,10 @@
 	if err != nil {
 		return Delta{}, err
 	}
-	if len(p.kept) == keptDeltas {
-		p.kept = p.kept[1:]
+	if len(p.cached) == maxCachedDeltas {
+		p.cached = p.cached[1:]
 	}
-	p.kept = append(p.kept, keptDelta{set: set, since: q, mark: d.Summary, packed: packed})
+	p.cached = append(p.cached, cachedDelta{set: set, query: q, summary: d.Summary, packed: packed})
 	return packed, nil
 }
 
--- a/internal/config/pack/pack_test.go
+++ b/internal/config/pack/pack_test.go
@@ -27,7 +27,7 @@
 }
 
 // What a router pulls is what the other one has, whatever the values are.
-func TestDeltasArriveAsTheyAre(t *testing.T) {
+func TestPackedDeltasRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := delta(rapid.IntRange(0, 40).Draw(t, "objects"))
 		for i := range want.Objects {
@@ -51,7 +51,7 @@
 }
 
 // A packed delta that was cut short or is of another release is an error, no delta.
-func TestBrokenDeltasAreErrors(t *testing.T) {
+func TestTruncatedDeltasAreErrors(t *testing.T) {
 	p := New()
 	packed, err := p.compress(delta(20))
 	if err != nil {
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -7,58 +7,58 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// restoreHold is for how long an order holds that a store does not have which has come back
+// orderHoldTime is for how long an order holds that a store does not have which has come back
 // from an older copy. Its operators give it again.
-const restoreHold = 2 * time.Second
+const orderHoldTime = 2 * time.Second
 
-// entered takes in that the store is in an era.
-func (f *Follower) entered(now time.Time, era topo.Era) []Effect {
-	before := f.era
-	if era <= before {
+// enterEra takes in that the store is in an era.
+func (f *Follower) enterEra(now time.Time, era topo.Era) []Effect {
+	previous := f.era
+	if era <= previous {
 		return nil
 	}
 	f.era = era
-	if before == 0 {
+	if previous == 0 {
 		return nil
 	}
-	f.holdUntil = now.Add(restoreHold)
+	f.holdOrdersUntil = now.Add(orderHoldTime)
 	return []Effect{StoreRestored{Era: era}}
 }
 
-// outdatedPeer reports whether a peer has taken its configuration from an older copy.
-func (f *Follower) outdatedPeer(m Summary) bool {
-	return Edition{Number: m.Edition, Version: m.Version}.precedes(f.set.edition)
+// isOutdatedPeer reports whether a peer has taken its configuration from an older copy.
+func (f *Follower) isOutdatedPeer(m Summary) bool {
+	return Edition{Number: m.Edition, Version: m.Version}.isOlderCopyThan(f.set.edition)
 }
 
 // replacement returns what changes when objects are all that a source has at a version.
 // What is in force gives way to nothing that an older copy has, or has not.
 func (f *Follower) replacement(now time.Time, objects []topo.Object, version topo.Version) []topo.Object {
-	if f.copied(editionOf(objects), version) {
-		objects = f.set.overrule(objects)
+	if f.isOlderCopy(editionOf(objects), version) {
+		objects = f.set.withOrdersOf(objects)
 	}
-	if now.Before(f.holdUntil) {
+	if now.Before(f.holdOrdersUntil) {
 		objects = f.holdOrders(objects, version.Era())
 	}
 	return f.set.difference(objects, version)
 }
 
-// copied reports whether the configuration of a source is that of an older copy, which its
+// isOlderCopy reports whether the configuration of a source is that of an older copy, which its
 // operators have not yet written again. What they write later is in force, whichever number
 // they give it.
-func (f *Follower) copied(e Edition, version topo.Version) bool {
+func (f *Follower) isOlderCopy(e Edition, version topo.Version) bool {
 	if f.set.edition.Number == 0 {
 		return false
 	}
 	if e.Number == 0 { // the copy is of before the first
 		return version.Era() > f.set.edition.Version.Era()
 	}
-	if !e.precedes(f.set.edition) {
+	if !e.isOlderCopyThan(f.set.edition) {
 		return false
 	}
-	if f.copy.Era() != e.Version.Era() {
-		f.copy = e.Version
+	if f.restoredEdition.Era() != e.Version.Era() {
+		f.restoredEdition = e.Version
 	}
-	return e.Version <= f.copy
+	return e.Version <= f.restoredEdition
 }
 
 // holdOrders returns objects and the orders from before an era that are not among them, and
@@ -68,7 +68,7 @@
 	for _, held := range f.set.ordersBefore(era) {
 		if !slices.ContainsFunc(objects, func(o topo.Object) bool { return o.Ref == held.Ref }) {
 			out = append(out, held)
-			f.nextList = f.holdUntil
+			f.nextList = f.holdOrdersUntil
 		}
 	}
 	return out
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -8,43 +8,43 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// whole is a configuration that its operators write as a whole, with orders beside it.
-type whole struct {
+// configuration is a configuration that its operators write as a configuration, with orders beside it.
+type configuration struct {
 	edition int64
 	routes  map[string]string
 	drained []string
 }
 
-// at returns the objects of w as a source tells them, written at a version.
-func (w whole) at(written topo.Version) []topo.Object {
-	out := []topo.Object{Edition{Number: w.edition, Version: written}.Object()}
-	for name, value := range w.routes {
+// objects returns the objects of w as a source tells them, written objects a version.
+func (c configuration) objects(written topo.Version) []topo.Object {
+	out := []topo.Object{Edition{Number: c.edition, Version: written}.Object()}
+	for name, value := range c.routes {
 		out = append(out, topo.Object{Ref: topo.Ref{Kind: topo.KindProfile, Name: name}, Version: written, Value: json.RawMessage(value)})
 	}
-	for _, domain := range w.drained {
+	for _, domain := range c.drained {
 		out = append(out, topo.Object{Ref: topo.Ref{Kind: topo.KindDomainDrain, Name: domain}, Version: written, Value: json.RawMessage(`{}`)})
 	}
 	return out
 }
 
-// restored is a Follower of such a source.
-type restored struct {
+// testFollower is a Follower of such a source.
+type testFollower struct {
 	*Follower
 	now time.Time
 }
 
-func newRestored() *restored {
-	r := &restored{Follower: NewFollower(1, DefaultTiming()), now: time.Unix(0, 0)}
+func newTestFollower() *testFollower {
+	r := &testFollower{Follower: NewFollower(1, DefaultTiming()), now: time.Unix(0, 0)}
 	r.Step(Ticked{Now: r.now})
 	return r
 }
 
-func (r *restored) listed(w whole, written, version topo.Version) []Effect {
-	return r.Step(Listed{Now: r.now, Objects: w.at(written), Version: version, Whole: true})
+func (r *testFollower) list(c configuration, written, version topo.Version) []Effect {
+	return r.Step(Listed{Now: r.now, Objects: c.objects(written), Version: version, Whole: true})
 }
 
 // routes returns the routes in force.
-func (r *restored) routes() map[string]string {
+func (r *testFollower) routes() map[string]string {
 	out := make(map[string]string)
 	r.set.Objects(func(o topo.Object) {
 		if o.Kind == topo.KindProfile {
@@ -54,7 +54,7 @@
 	return out
 }
 
-func (r *restored) check(t *testing.T, routes map[string]string) {
+func (r *testFollower) check(t *testing.T, routes map[string]string) {
 	t.Helper()
 	got := r.routes()
 	if len(got) != len(routes) {
@@ -68,67 +68,67 @@
 }
 
 var (
-	olderCopy = whole{edition: 54, routes: map[string]string{"dropped": `1`, "changed": `1`}}
-	confirmed = whole{edition: 57, routes: map[string]string{"changed": `2`, "added": `2`}}
+	olderCopy = configuration{edition: 54, routes: map[string]string{"dropped": `1`, "changed": `1`}}
+	confirmed = configuration{edition: 57, routes: map[string]string{"changed": `2`, "added": `2`}}
 )
 
 // A configuration that was in force, and the older one of a store that comes back, told by
 // the store, after an unrelated change, or by a router that has started since.
-func TestOlderCopyDoesNotReplaceWhatIsInForce(t *testing.T) {
-	r := newRestored()
-	r.listed(olderCopy, topo.VersionAt(1, 30), topo.VersionAt(1, 30))
-	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
+func TestOlderCopyDoesNotReplaceNewerConfiguration(t *testing.T) {
+	r := newTestFollower()
+	r.list(olderCopy, topo.VersionAt(1, 30), topo.VersionAt(1, 30))
+	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	r.check(t, confirmed.routes)
-	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
+	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
 	r.check(t, confirmed.routes)
 
-	fresh := newRestored()
-	fresh.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
+	fresh := newTestFollower()
+	fresh.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
 	mark := fresh.set.Summary()
 	r.Step(SummaryReceived{Now: r.now, Peer: "fresh", Summary: mark})
 	if r.pull != nil {
 		t.Error("it pulls from a router with the older copy")
 	}
-	late := newRestored()
-	late.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	late := newTestFollower()
+	late.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	if late.Step(SummaryReceived{Now: late.now, Peer: "fresh", Summary: mark}); late.pull != nil {
 		t.Error("one that has not heard of the new era pulls from it")
 	}
 
-	next := whole{edition: 61, routes: map[string]string{"added": `3`}}
-	r.listed(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
+	next := configuration{edition: 61, routes: map[string]string{"added": `3`}}
+	r.list(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	r.check(t, next.routes)
 }
 
 // A store that comes back, and operators who go on in it with lower numbers than before:
 // what they write next is in force.
-func TestOperatorsMayNumberAnewAfterAReturn(t *testing.T) {
-	r := newRestored()
-	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
-	next := whole{edition: 55, routes: map[string]string{"added": `3`}}
-	r.listed(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
+func TestLowerEditionAfterRestoreTakesEffect(t *testing.T) {
+	r := newTestFollower()
+	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
+	next := configuration{edition: 55, routes: map[string]string{"added": `3`}}
+	r.list(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	r.check(t, next.routes)
 }
 
 // An order that the copy lacks: it holds until its operators have had time to give it
 // again, and not for longer.
-func TestLostOrderHoldsForAWhile(t *testing.T) {
-	r := newRestored()
+func TestOrderMissingFromCopyHoldsForOrderHoldTime(t *testing.T) {
+	r := newTestFollower()
 	ordered := confirmed
 	ordered.drained = []string{"hall"}
-	r.listed(ordered, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(ordered, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	hall := topo.Ref{Kind: topo.KindDomainDrain, Name: "hall"}
-	effects := r.listed(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
+	effects := r.list(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
 	if _, ok := effects[0].(StoreRestored); !ok {
 		t.Errorf("first %T", effects[0])
 	}
 	if _, held := r.set.Get(hall); !held {
 		t.Error("the order does not hold")
 	}
-	r.now = r.now.Add(restoreHold)
-	r.listed(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
+	r.now = r.now.Add(orderHoldTime)
+	r.list(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
 	if _, held := r.set.Get(hall); held {
 		t.Error("the order holds on")
 	}
@@ -136,7 +136,7 @@
 
 // A new era tells all objects again. Only those that differ are news: a large configuration
 // would else be taken in anew by all routers at the same moment.
-func TestNewEraTellsOnlyWhatDiffers(t *testing.T) {
+func TestNewEraReportsOnlyDifferences(t *testing.T) {
 	f := NewFollower(1, DefaultTiming())
 	now := time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
@@ -161,17 +161,17 @@
 // A router that has started with the older copy, and relies on one that knew the newer
 // configuration all the time: when that is written again it changes nothing there, and must
 // be told all the same.
-func TestWhatIsWrittenAgainReachesRoutersThatStartedWithTheCopy(t *testing.T) {
-	r, fresh := newRestored(), newRestored()
-	r.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	r.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
-	fresh.listed(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
-	r.listed(confirmed, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
-	relying := newRestored()
-	relying.listed(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	for _, to := range []*restored{relying, fresh} {
+func TestRewrittenConfigurationReachesRoutersStartedWithOlderCopy(t *testing.T) {
+	r, fresh := newTestFollower(), newTestFollower()
+	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
+	fresh.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
+	r.list(confirmed, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
+	relying := newTestFollower()
+	relying.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	for _, to := range []*testFollower{relying, fresh} {
 		for range 2 { // a reader waits a little for its own watch
-			to.now = to.now.Add(2 * watchPatience)
+			to.now = to.now.Add(2 * watchHeadStart)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
 		if to.pull == nil {
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -22,11 +22,11 @@
 const (
 	// maxTombstones bounds the deletions that a Set remembers.
 	maxTombstones = 4096
-	// pieceBytes bounds a Delta: small against a connection that answers share,
+	// maxPieceBytes bounds a Delta: small against a connection that answers share,
 	// large against the cost of a round trip.
-	pieceBytes = 128 << 10
-	// objectOverhead is what an object's name and version add to a Delta.
-	objectOverhead = 64
+	maxPieceBytes = 128 << 10
+	// objectOverheadBytes is what an object's name and version add to a Delta.
+	objectOverheadBytes = 64
 	// emptyDigest is the digest of a Set without objects; zero is no digest.
 	emptyDigest = 1
 )
@@ -37,49 +37,49 @@
 // The Set is complete up to a version: it holds the newest change of every
 // object that is at or below that version, or a later one.
 type Set struct {
-	objects map[topo.Ref]*topo.Object // deletions included, without value
-	order   []*topo.Object            // by version; may hold replaced objects
-	stale   int                       // replaced objects in order
-	dead    int                       // deletions in objects
-	bytes   int                       // of the values
-
-	newest   topo.Version // of all objects known
-	settled  topo.Version // see Version
-	complete topo.Version
-	floor    topo.Version // deletions at or below it may have been forgotten
-	listed   topo.Version // of the newest listing of the store
-	digest   uint64       // of the live objects
-	edition  Edition      // of a configuration that is written as a whole
-
-	tombstones int // how many deletions are remembered
-	pieceBytes int // bound of a Delta
+	objects   map[topo.Ref]*topo.Object // deletions included, without value
+	order     []*topo.Object            // by version; may hold replaced objects
+	replaced  int                       // replaced objects in order
+	deletions int                       // deletions in objects
+	bytes     int                       // of the values
+
+	newest        topo.Version // of all objects known
+	version       topo.Version // see Version
+	completeUpTo  topo.Version
+	forgottenUpTo topo.Version // deletions at or below it may have been forgotten
+	listedUpTo    topo.Version // of the newest listing of the store
+	digest        uint64       // of the live objects
+	edition       Edition      // of a configuration that is written as a whole
+
+	maxTombstones int // how many deletions are remembered
+	maxPieceBytes int // bound of a Delta
 }
 
 // NewSet returns an empty Set.
 func NewSet() *Set {
 	return &Set{
-		objects:    make(map[topo.Ref]*topo.Object),
-		digest:     emptyDigest,
-		tombstones: maxTombstones,
-		pieceBytes: pieceBytes,
+		objects:       make(map[topo.Ref]*topo.Object),
+		digest:        emptyDigest,
+		maxTombstones: maxTombstones,
+		maxPieceBytes: maxPieceBytes,
 	}
 }
 
 // Version is the newest object's version up to which the Set is complete. It
 // never falls. Two nodes that are up to date have the same.
 func (s *Set) Version() topo.Version {
-	return s.settled
+	return s.version
 }
 
 // CompleteUpTo is the store's version up to which the Set is complete. It is at
 // least Version, since most changes of the store are not configuration.
 func (s *Set) CompleteUpTo() topo.Version {
-	return s.complete
+	return s.completeUpTo
 }
 
 // Len is the number of objects that exist.
 func (s *Set) Len() int {
-	return len(s.objects) - s.dead
+	return len(s.objects) - s.deletions
 }
 
 // Bytes is the size of all values.
@@ -142,7 +142,7 @@
 	sorted := true
 	for _, o := range b.Objects {
 		if b.Raw {
-			o = normal(o)
+			o = normalise(o)
 		}
 		if !s.accepts(o, b) {
 			continue
@@ -150,26 +150,26 @@
 		if o.Version < s.newest {
 			sorted = false
 		}
-		news := !s.repeats(o)
+		isChange := !s.isRepeat(o)
 		s.insert(o)
-		if news {
+		if isChange {
 			changed = append(changed, o)
 		}
 	}
 	if !sorted {
-		s.sort()
+		s.sortOrder()
 	}
 	if b.Claim != nil {
-		s.claim(*b.Claim)
+		s.applyClaim(*b.Claim)
 	}
-	s.settle()
+	s.advanceVersion()
 	s.trim()
 	return changed
 }
 
-// normal returns o with a deletion that is written as a revision without a
+// normalise returns o with a deletion that is written as a revision without a
 // spec in the same form as one that the store made.
-func normal(o topo.Object) topo.Object {
+func normalise(o topo.Object) topo.Object {
 	if !o.Deleted {
 		r, err := Decode(o.Value)
 		o.Deleted = err == nil && r.Deleted()
@@ -192,11 +192,11 @@
 	// or listed has been deleted, and comes from a source that has missed it. It
 	// shows as an organisation that works again after its deletion. Only one
 	// who has listed the store later knows better.
-	return o.Version > s.known() || (b.DeletionHorizon >= s.known() && !o.Deleted)
+	return o.Version > s.deletionHorizon() || (b.DeletionHorizon >= s.deletionHorizon() && !o.Deleted)
 }
 
-// repeats reports whether o is what is held, told anew in another era of the store.
-func (s *Set) repeats(o topo.Object) bool {
+// isRepeat reports whether o is what is held, told anew in another era of the store.
+func (s *Set) isRepeat(o topo.Object) bool {
 	have, ok := s.Get(o.Ref)
 	return ok && !o.Deleted && o.Version.Era() > have.Version.Era() && bytes.Equal(o.Value, have.Value)
 }
@@ -206,24 +206,24 @@
 		s.edition = decodeEdition(o)
 	}
 	if have := s.objects[o.Ref]; have != nil {
-		s.forget(have)
-		s.stale++
+		s.uncount(have)
+		s.replaced++
 	}
 	s.objects[o.Ref] = &o
 	s.order = append(s.order, &o)
 	s.newest = max(s.newest, o.Version)
 	if o.Deleted {
-		s.dead++
+		s.deletions++
 		return
 	}
 	s.digest ^= fingerprint(o)
 	s.bytes += len(o.Value)
 }
 
-// forget takes o out of the counts, before it is replaced or dropped.
-func (s *Set) forget(o *topo.Object) {
+// uncount takes o out of the counts, before it is replaced or dropped.
+func (s *Set) uncount(o *topo.Object) {
 	if o.Deleted {
-		s.dead--
+		s.deletions--
 		return
 	}
 	s.digest ^= fingerprint(*o)
@@ -242,62 +242,62 @@
 	return h.Sum64()
 }
 
-// claim raises complete when the claim joins what the Set is complete up to. A
-// claim that begins later would skip the changes between.
-func (s *Set) claim(c Claim) {
-	if c.From <= s.complete {
-		s.complete = max(s.complete, c.To)
+// applyClaim raises complete when the applyClaim joins what the Set is complete up to. A
+// applyClaim that begins later would skip the changes between.
+func (s *Set) applyClaim(c Claim) {
+	if c.From <= s.completeUpTo {
+		s.completeUpTo = max(s.completeUpTo, c.To)
 	}
 }
 
-// settle brings Version up to date.
-func (s *Set) settle() {
+// advanceVersion brings Version up to date.
+func (s *Set) advanceVersion() {
 	for i := len(s.order) - 1; i >= 0; i-- {
 		o := s.order[i]
-		if o.Version <= s.complete && s.current(o) {
-			s.settled = max(s.settled, o.Version)
+		if o.Version <= s.completeUpTo && s.isCurrent(o) {
+			s.version = max(s.version, o.Version)
 			return
 		}
 	}
 }
 
-func (s *Set) current(o *topo.Object) bool {
+func (s *Set) isCurrent(o *topo.Object) bool {
 	return s.objects[o.Ref] == o
 }
 
-// sort restores the order by version and drops what has been replaced.
-func (s *Set) sort() {
-	s.order = slices.DeleteFunc(s.order, func(o *topo.Object) bool { return !s.current(o) })
+// sortOrder restores the order by version and drops what has been replaced.
+func (s *Set) sortOrder() {
+	s.order = slices.DeleteFunc(s.order, func(o *topo.Object) bool { return !s.isCurrent(o) })
 	slices.SortFunc(s.order, func(x, y *topo.Object) int { return cmp.Compare(x.Version, y.Version) })
-	s.stale = 0
+	s.replaced = 0
 }
 
 // trim bounds the memory: replaced objects, and tombstones.
 func (s *Set) trim() {
-	if s.dead > s.tombstones {
+	if s.deletions > s.maxTombstones {
 		s.dropTombstones()
 	}
-	const fewest = 64
-	if s.stale > fewest && s.stale > len(s.order)/4 {
-		s.sort()
+	const minReplaced = 64
+	if s.replaced > minReplaced && s.replaced > len(s.order)/4 {
+		s.sortOrder()
 	}
 }
 
 // dropTombstones forgets the older half of the deletions. Whoever asks for what
 // has changed since before floor gets everything instead.
 func (s *Set) dropTombstones() {
-	drop := s.dead - s.tombstones/2
+	drop := s.deletions - s.maxTombstones/2
 	for _, o := range s.order {
 		if drop == 0 {
 			break
 		}
-		if !o.Deleted || !s.current(o) || o.Version > s.complete {
+		if !o.Deleted || !s.isCurrent(o) || o.Version > s.completeUpTo {
 			continue
 		}
-		s.forget(o)
-		s.stale++
+		s.uncount(o)
+		s.replaced++
 		delete(s.objects, o.Ref)
-		s.floor = max(s.floor, o.Version)
+		s.forgottenUpTo = max(s.forgottenUpTo, o.Version)
 		drop--
 	}
 }
@@ -310,17 +310,17 @@
 		if _, ok := seen[ref]; ok || o.Deleted || o.Version > upTo {
 			continue
 		}
-		s.forget(o)
-		s.stale++
+		s.uncount(o)
+		s.replaced++
 		delete(s.objects, ref)
 		removed = append(removed, topo.Object{Ref: ref, Version: upTo, Deleted: true})
 	}
 	if len(removed) > 0 {
 		// Without a tombstone of its own, a removal cannot be told to those who
 		// ask for the changes since before it.
-		s.floor = max(s.floor, upTo)
+		s.forgottenUpTo = max(s.forgottenUpTo, upTo)
 	}
-	s.listed = max(s.listed, upTo)
+	s.listedUpTo = max(s.listedUpTo, upTo)
 	return removed
 }
 
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -22,22 +22,22 @@
 
 // world is a store with its whole past, and nodes that follow it by rumour.
 type world struct {
-	t     *rapid.T
-	now   time.Time
-	log   []topo.Object // log[i] has version i+1
-	nodes []*Follower
-	asks  []question
-	seen  []map[topo.Ref]topo.Version // the highest in force, by node
-	gaps  bool                        // watches may leave out changes
+	t       *rapid.T
+	now     time.Time
+	log     []topo.Object // log[i] has version i+1
+	nodes   []*Follower
+	queries []pendingQuery
+	inForce []map[topo.Ref]topo.Version // the highest in force, by node
+	hasGaps bool                        // watches may leave out changes
 }
 
 // sidecar is the node that has no store.
 const sidecar = 1
 
-// question is an Ask on its way.
-type question struct {
-	from int
-	ask  SendQuery
+// pendingQuery is an Ask on its way.
+type pendingQuery struct {
+	from  int
+	query SendQuery
 }
 
 func newWorld(t *rapid.T, nodes int) *world {
@@ -47,10 +47,10 @@
 		if i == sidecar {
 			f = NewSidecarFollower(uint64(i))
 		}
-		f.set.tombstones = 2
-		f.set.pieceBytes = 3 * objectOverhead
+		f.set.maxTombstones = 2
+		f.set.maxPieceBytes = 3 * objectOverheadBytes
 		w.nodes = append(w.nodes, f)
-		w.seen = append(w.seen, make(map[topo.Ref]topo.Version))
+		w.inForce = append(w.inForce, make(map[topo.Ref]topo.Version))
 	}
 	return w
 }
@@ -94,8 +94,8 @@
 	return rapid.SampledFrom([]int{0, 2}).Draw(w.t, "router")
 }
 
-// past draws a version of the store at which a lagging replica may be.
-func (w *world) past() topo.Version {
+// replicaVersion draws a version of the store at which a lagging replica may be.
+func (w *world) replicaVersion() topo.Version {
 	return topo.Version(rapid.IntRange(0, len(w.log)).Draw(w.t, "replica"))
 }
 
@@ -112,7 +112,7 @@
 	page := topo.Page{Version: v}
 	if v > since {
 		page.Objects = rapid.Permutation(w.log[since:v]).Draw(w.t, "events")
-		if w.gaps && rapid.Bool().Draw(w.t, "gap") {
+		if w.hasGaps && rapid.Bool().Draw(w.t, "gap") {
 			page.Objects = page.Objects[len(page.Objects)/2:]
 		}
 	}
@@ -133,37 +133,37 @@
 // overtake delivers changes with a claim that may begin after what the node
 // has, as when an answer overtakes the one before it.
 func (w *world) overtake(i int) {
-	from := w.past()
-	to := max(from, w.past())
+	from := w.replicaVersion()
+	to := max(from, w.replicaVersion())
 	w.nodes[i].set.Apply(Batch{Objects: w.log[from:to], Claim: &Claim{From: from, To: to}, Raw: true})
 }
 
-func (w *world) hear(i, from int) {
+func (w *world) exchangeSummary(i, from int) {
 	m := w.nodes[from].set.Summary()
-	w.step(i, SummaryReceived{Now: w.now, Peer: name(from), Summary: m})
+	w.step(i, SummaryReceived{Now: w.now, Peer: peerOf(from), Summary: m})
 }
 
-func name(i int) Peer { return Peer(fmt.Sprint(i)) }
+func peerOf(i int) Peer { return Peer(fmt.Sprint(i)) }
 
 // answer delivers a question that is on its way, or loses it.
 func (w *world) answer() {
-	if len(w.asks) == 0 {
+	if len(w.queries) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.asks)-1).Draw(w.t, "question")
-	q := w.asks[i]
-	w.asks = slices.Delete(w.asks, i, i+1)
+	i := rapid.IntRange(0, len(w.queries)-1).Draw(w.t, "question")
+	q := w.queries[i]
+	w.queries = slices.Delete(w.queries, i, i+1)
 	if rapid.IntRange(0, 9).Draw(w.t, "lost") == 0 {
-		w.step(q.from, QueryFailed{Now: w.now, Peer: q.ask.Peer})
+		w.step(q.from, QueryFailed{Now: w.now, Peer: q.query.Peer})
 		return
 	}
 	w.deliver(q)
 }
 
-func (w *world) deliver(q question) {
+func (w *world) deliver(q pendingQuery) {
 	for i, f := range w.nodes {
-		if name(i) == q.ask.Peer {
-			w.step(q.from, QueryAnswered{Now: w.now, Peer: q.ask.Peer, Delta: f.set.Answer(q.ask.Query)})
+		if peerOf(i) == q.query.Peer {
+			w.step(q.from, QueryAnswered{Now: w.now, Peer: q.query.Peer, Delta: f.set.Answer(q.query.Query)})
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func (w *world) step(i int, e Event) {
 	for _, effect := range w.nodes[i].Step(e) {
 		if ask, ok := effect.(SendQuery); ok {
-			w.asks = append(w.asks, question{from: i, ask: ask})
+			w.queries = append(w.queries, pendingQuery{from: i, query: ask})
 		}
 	}
 }
@@ -180,18 +180,18 @@
 // complete up to a version whose changes it does not have.
 func (w *world) check(*rapid.T) {
 	for i, f := range w.nodes {
-		for ref := range w.seen[i] {
-			if o, ok := f.set.Get(ref); ok && o.Version < w.seen[i][ref] {
-				w.t.Fatalf("node %d: %s went back from %d to %d", i, ref, w.seen[i][ref], o.Version)
+		for ref := range w.inForce[i] {
+			if o, ok := f.set.Get(ref); ok && o.Version < w.inForce[i][ref] {
+				w.t.Fatalf("node %d: %s went back from %d to %d", i, ref, w.inForce[i][ref], o.Version)
 			}
 		}
-		f.set.Objects(func(o topo.Object) { w.seen[i][o.Ref] = o.Version })
-		if w.gaps {
+		f.set.Objects(func(o topo.Object) { w.inForce[i][o.Ref] = o.Version })
+		if w.hasGaps {
 			continue
 		}
 		newest := make(map[topo.Ref]topo.Object)
 		for _, o := range w.log[:f.set.CompleteUpTo()] {
-			newest[o.Ref] = normal(o)
+			newest[o.Ref] = normalise(o)
 		}
 		for ref, o := range newest {
 			_, ok := f.set.Get(ref)
@@ -209,11 +209,11 @@
 	return map[string]func(*rapid.T){
 		"":         w.check,
 		"write":    func(*rapid.T) { w.write() },
-		"list":     func(*rapid.T) { w.list(w.router(), w.past()) },
-		"watch":    func(*rapid.T) { w.watch(w.router(), w.past()) },
+		"list":     func(*rapid.T) { w.list(w.router(), w.replicaVersion()) },
+		"watch":    func(*rapid.T) { w.watch(w.router(), w.replicaVersion()) },
 		"overtake": func(*rapid.T) { w.overtake(w.node()) },
 		"replay":   func(*rapid.T) { w.replay(w.node()) },
-		"hear":     func(*rapid.T) { w.hear(w.node(), w.node()) },
+		"hear":     func(*rapid.T) { w.exchangeSummary(w.node(), w.node()) },
 		"answer":   func(*rapid.T) { w.answer() },
 	}
 }
@@ -222,7 +222,7 @@
 // events come twice and in any order, and from peers that are behind. A caller
 // must never see a former configuration come back, and a node that says it is
 // complete must be, or a change that was accepted would be missing for good.
-func TestNothingGoesBackAndClaimsHold(t *testing.T) {
+func TestVersionsNeverDecreaseAndClaimsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3)
 		t.Repeat(w.actions())
@@ -235,13 +235,13 @@
 func TestGapsOfWatchesAreRepaired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3)
-		w.gaps = true
+		w.hasGaps = true
 		t.Repeat(w.actions())
 		w.converge()
 		want := w.at(topo.Version(len(w.log)))
 		for i, f := range w.nodes {
 			for ref, o := range want {
-				if have, ok := f.set.Get(ref); ok == normal(o).Deleted || (ok && have.Version != o.Version) {
+				if have, ok := f.set.Get(ref); ok == normalise(o).Deleted || (ok && have.Version != o.Version) {
 					t.Fatalf("node %d has %s at %d, want %d", i, ref, have.Version, o.Version)
 				}
 			}
@@ -256,13 +256,13 @@
 	end := topo.Version(len(w.log))
 	w.list(2, end)
 	for range 4 * len(w.nodes) {
-		w.now = w.now.Add(resyncEvery)
+		w.now = w.now.Add(resyncInterval)
 		for i, f := range w.nodes {
 			for from := range w.nodes {
-				w.hear(i, from)
-				for len(w.asks) > 0 {
-					q := w.asks[0]
-					w.asks = w.asks[1:]
+				w.exchangeSummary(i, from)
+				for len(w.queries) > 0 {
+					q := w.queries[0]
+					w.queries = w.queries[1:]
 					w.deliver(q)
 				}
 			}
@@ -271,7 +271,7 @@
 			}
 			since := f.set.CompleteUpTo()
 			w.step(i, Watched{Now: w.now, Since: since, Page: topo.Page{Version: end, Objects: w.log[since:]}})
-			if f.relist || since == 0 {
+			if f.listNext || since == 0 {
 				w.list(i, end)
 			}
 		}
