--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -89,7 +89,7 @@
 			for b.Loop() {
 				size, pieces := 0.0, 0
 				to := NewFollower(1, DefaultTiming())
-				effects := to.ask(time.Unix(0, 0), "peer", 0)
+				effects := to.startPull(time.Unix(0, 0), "peer", 0)
 				for to.pull != nil {
 					d := s.Answer(effects[len(effects)-1].(SendQuery).Query)
 					size += encodedBytes(d)
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -68,7 +68,7 @@
 		f.pull = nil
 	}
 	if f.pull == nil && f.peerAhead != "" && now.After(f.nextPull) {
-		return f.ask(now, f.peerAhead, f.set.Version())
+		return f.startPull(now, f.peerAhead, f.set.Version())
 	}
 	if f.pull != nil || len(f.peers) == 0 || now.Before(f.nextCheck) {
 		return nil
@@ -77,7 +77,7 @@
 		return nil // no router wants this sidecar to keep a copy
 	}
 	f.nextCheck = now.Add(f.jitter(f.checkInterval()))
-	return f.ask(now, f.randomPeer(), f.set.Version())
+	return f.startPull(now, f.randomPeer(), f.set.Version())
 }
 
 // randomPeer returns a peer at random: at the start one that has not been heard,
@@ -107,9 +107,9 @@
 	}
 }
 
-// ask begins a pull of everything newer than since. One pull runs at a time:
+// startPull begins a pull of everything newer than since. One pull runs at a time:
 // many peers say at once that there is news, and one of them is enough.
-func (f *Follower) ask(now time.Time, peer Peer, since topo.Version) []Effect {
+func (f *Follower) startPull(now time.Time, peer Peer, since topo.Version) []Effect {
 	f.peerAhead = ""
 	f.nextPull = now.Add(f.timing.PullInterval)
 	f.pull = &pull{
@@ -175,7 +175,7 @@
 	case f.isWatchingStore() && now.Sub(f.announced.received) < watchHeadStart:
 		return nil
 	}
-	return f.ask(now, peer, f.set.Version())
+	return f.startPull(now, peer, f.set.Version())
 }
 
 // refresh asks, now and then, a peer with the same objects how far it is
@@ -186,7 +186,7 @@
 		return nil
 	}
 	f.nextRefresh = now.Add(refreshInterval)
-	return f.ask(now, peer, f.set.Version())
+	return f.startPull(now, peer, f.set.Version())
 }
 
 func (f *Follower) isUnobtainable(now time.Time, v topo.Version) bool {
@@ -210,14 +210,14 @@
 	if f.repair.nextWidth < len(repairWidths) {
 		since := min(f.set.versionBefore(repairWidths[f.repair.nextWidth]), f.set.Version())
 		f.repair.nextWidth++
-		return append(out, f.ask(now, peer, since)...)
+		return append(out, f.startPull(now, peer, since)...)
 	}
 	if now.Before(f.repair.nextResync) {
 		return nil
 	}
 	f.repair.nextResync = now.Add(resyncInterval)
 	if f.reliesOnPeers() {
-		return append(out, f.ask(now, peer, 0)...)
+		return append(out, f.startPull(now, peer, 0)...)
 	}
 	f.listNext = true
 	return out
@@ -299,7 +299,7 @@
 		return nil
 	default:
 		f.repair.nextFullPull = e.Now.Add(fullPullInterval)
-		return f.ask(e.Now, p.peer, 0)
+		return f.startPull(e.Now, p.peer, 0)
 	}
 	return append(out, f.applyBatch(Batch{Claim: &Claim{From: p.query.Since, To: p.completeUpTo}})...)
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -40,7 +40,7 @@
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	held := map[Peer]topo.Version{"cut": 3, "a": 9, "b": 9, "c": 9}
 	f.peers = []Peer{"cut", "a", "b", "c"}
-	f.ask(now, "cut", 0)
+	f.startPull(now, "cut", 0)
 	for !f.Ready() {
 		if f.pull == nil {
 			now = now.Add(TickInterval)
@@ -78,7 +78,7 @@
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.peers = []Peer{"a"}
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 5})
-	f.ask(now, "a", 2)
+	f.startPull(now, "a", 2)
 	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Summary: Summary{Version: 2, CompleteUpTo: 9}}})
 	if f.set.CompleteUpTo() != 9 {
 		t.Fatalf("complete up to %d, want what the peer claims", f.set.CompleteUpTo())
@@ -182,9 +182,9 @@
 	upstream := func(i int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: "runners", Name: fmt.Sprint(i)}, Version: v, Value: value(i)}
 	}
-	pace := DefaultTiming()
-	pace.Relayed = true
-	reader, to := NewFollower(1, pace), NewFollower(2, pace)
+	timing := DefaultTiming()
+	timing.Relayed = true
+	reader, to := NewFollower(1, timing), NewFollower(2, timing)
 	reader.Step(Listed{Now: now, Objects: []topo.Object{upstream(1, 1), upstream(2, 2), upstream(3, 3), upstream(4, 4)}, Version: 4})
 	to.Step(Ticked{Now: now})
 	to.Step(StoreReadingSwitched{Now: now})
@@ -200,7 +200,7 @@
 		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: mark})
 		answerOnce(to, reader, now, first) // then it asks for everything, in vain
 		to.Step(QueryFailed{Now: now, Peer: "lost"})
-		now = now.Add(pace.PullInterval)
+		now = now.Add(timing.PullInterval)
 		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: mark}))
 		if _, listed := to.set.Get(upstream(gone, 1).Ref); listed {
 			t.Errorf("runner %d is still listed", gone)
@@ -221,9 +221,9 @@
 	route := func(name string, n int, v topo.Version) topo.Object {
 		return topo.Object{Ref: topo.Ref{Kind: topo.KindProfile, Name: name}, Version: v, Value: value(n)}
 	}
-	pace := DefaultTiming()
-	pace.Relayed = true
-	before, after, to := NewFollower(1, pace), NewFollower(2, pace), NewFollower(3, pace)
+	timing := DefaultTiming()
+	timing.Relayed = true
+	before, after, to := NewFollower(1, timing), NewFollower(2, timing), NewFollower(3, timing)
 	before.Step(Listed{Now: now, Whole: true, Version: 223, Objects: []topo.Object{route("goes", 1, 220), route("stays", 2, 220)}})
 	after.Step(Listed{Now: now, Whole: true, Version: 225, Objects: []topo.Object{route("stays", 2, 224)}})
 	to.Step(Ticked{Now: now})
@@ -237,7 +237,7 @@
 	if _, held := to.set.Get(route("goes", 0, 0).Ref); held {
 		t.Error("a route that was taken away is in force")
 	}
-	late := NewFollower(4, pace)
+	late := NewFollower(4, timing)
 	late.Step(Listed{Now: now, Whole: true, Version: 230, Objects: []topo.Object{route("stays", 2, 224)}})
 	if late.set.Summary().Digest != after.set.Summary().Digest {
 		t.Error("two readers of the same configuration take each other for different")
@@ -271,9 +271,9 @@
 // watch finds nothing new. It hears of the store no less often than without the
 // pause: the others would take it for cut off, and all read the store themselves.
 func TestPauseIsPartOfTheWatch(t *testing.T) {
-	pace := DefaultTiming()
-	pace.Relayed = true
-	f, now := NewFollower(1, pace), time.Unix(0, 0)
+	timing := DefaultTiming()
+	timing.Relayed = true
+	f, now := NewFollower(1, timing), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 3, Objects: []topo.Object{chatAt(3)}}})
 	heard := now
@@ -287,8 +287,8 @@
 		if !ok {
 			t.Fatalf("effects %v", effects)
 		}
-		if silence := now.Sub(heard) + w.Wait; silence > pace.WatchWait {
-			t.Errorf("the store is silent for %v, want %v", silence, pace.WatchWait)
+		if silence := now.Sub(heard) + w.Wait; silence > timing.WatchWait {
+			t.Errorf("the store is silent for %v, want %v", silence, timing.WatchWait)
 		}
 		return
 	}
