--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -1,8 +1,8 @@
 // Package change writes configuration to the store for operators.
 //
-// A change is accepted exactly when the store has committed it. Operators race
-// each other and answers get lost, so a Commit ends in one of three ways:
-// applied, not applied, or unknown; it never guesses.
+// A change is accepted exactly when the store has committed it. Operators make concurrent
+// changes and answers get lost, so a Commit ends in one of three ways: applied, not applied,
+// or unknown. It never guesses.
 package change
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome string
 
 // Outcomes of a change.
@@ -30,10 +30,10 @@
 	Unknown Outcome = "unknown"
 )
 
-// StoredObject is an object as it was read from the store.
+// StoredObject is an object as read from the store.
 type StoredObject struct {
 	Ref topo.Ref
-	// Version in the store; zero when the store has no such object.
+	// Version in the store; zero if the store has no such object.
 	Version  topo.Version
 	Revision config.Revision
 }
@@ -44,10 +44,10 @@
 	return c.Version != 0 && !c.Revision.Deleted()
 }
 
-// Edit is a change that an operator asks for.
+// Edit is a change that an operator requests.
 type Edit struct {
-	// Base is what the operator has seen. The change applies only if the store
-	// still has it.
+	// Base is the object as the operator has read it. The change applies only if the
+	// store still holds that version.
 	Base StoredObject
 	// Spec is the new content; nil deletes the object.
 	Spec   json.RawMessage
@@ -55,31 +55,31 @@
 	Reason string
 }
 
-// Result says what became of an Edit.
+// Result is the outcome of an Edit.
 type Result struct {
 	Outcome Outcome
 	Change  config.Change
-	// Version at which an applied change was committed; zero when it was
-	// replaced by a later one before its version could be read.
+	// Version at which an applied change was committed; zero if a later change replaced
+	// it before its version could be read.
 	Version topo.Version
-	// Superseded says that an applied change has been replaced already.
+	// Superseded reports whether an applied change has already been replaced.
 	Superseded bool
-	// Conflict is why a change was not applied: another operator was faster.
+	// Conflict describes the concurrent change that prevented this one; nil if there was none.
 	Conflict *Conflict
-	// Cause is why an outcome is unknown, or what kept a change from being
-	// applied when it was no conflict.
+	// Cause is why an outcome is unknown, or why a change was not applied if there
+	// was no conflict.
 	Cause error
 }
 
-// Conflict is the three sides of a race: what both operators began from, what
-// this one wanted and what the store has now.
+// Conflict is the three sides of a conflict: the version that both operators started from,
+// what this one wanted to write and what the store holds now.
 type Conflict struct {
 	Base   StoredObject
 	Mine   config.Revision
-	Theirs StoredObject // Version is zero when it could not be read
+	Theirs StoredObject // Version is zero if it could not be read
 }
 
-// Editor makes changes in a store.
+// Editor writes changes to a store.
 type Editor struct {
 	store topo.Store
 	now   func() time.Time
@@ -95,8 +95,8 @@
 	}
 }
 
-// Read returns an object as the store has it. An object that does not exist is
-// no error.
+// Read returns an object as the store holds it. For an object that does not exist, it
+// returns a StoredObject without a version and no error.
 func (e *Editor) Read(ctx context.Context, ref topo.Ref) (StoredObject, error) {
 	o, err := e.store.Get(ctx, ref)
 	if errors.Is(err, topo.ErrNotFound) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// Commit makes a change. It returns when the outcome is certain, or Unknown
-// when ctx ends before.
+// Commit writes a change. It returns when the outcome is certain, or with outcome Unknown
+// when ctx ends first.
 func (e *Editor) Commit(ctx context.Context, edit Edit) Result {
 	r := config.Revision{
 		Change: config.Change{
@@ -157,8 +157,8 @@
 	if err != nil {
 		return Result{Outcome: NotApplied, Change: r.Change, Cause: err}
 	}
-	// The history goes first: a change that is in force always has one, and
-	// that of a change that loses its race is not on the chain.
+	// The history is written first: a change in force always has a history entry,
+	// and the entry of a change that is not applied is not on the chain of ancestors.
 	ancestors, err := e.writeHistory(ctx, edit.Base, r)
 	if err != nil {
 		return Result{Outcome: NotApplied, Change: r.Change, Cause: err}
@@ -174,7 +174,7 @@
 	return result
 }
 
-// Rollback makes a new revision with the spec of a former one.
+// Rollback commits a new revision with the spec of an earlier one.
 func (e *Editor) Rollback(ctx context.Context, base StoredObject, to config.Revision, author, reason string) Result {
 	return e.Commit(ctx, Edit{Base: base, Spec: to.Spec, Author: author, Reason: reason})
 }
--- a/internal/config/change/commit.go
+++ b/internal/config/change/commit.go
@@ -13,27 +13,26 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// retryPause is the mean pause between tries of a call that failed.
+// retryPause is the mean pause between attempts of a call that failed.
 const retryPause = 300 * time.Millisecond
 
-// commit is the write of one change and the search for its fate.
+// commit writes one change and determines its outcome.
 type commit struct {
 	editor *Editor
 	base   StoredObject
 	mine   config.Revision
 	value  json.RawMessage
-	// answerLost says that a write may be under way: its answer was lost, so it may
-	// have taken effect, or take effect later.
+	// answerLost is set if a write may still be under way: its answer was lost, so it
+	// may have taken effect or may take effect later.
 	answerLost bool
 }
 
 // run writes until the outcome is certain or ctx ends.
 //
-// When an answer is lost, reading the old version back proves nothing: the
-// write may still be on its way, in a proxy or a queue. So the same write is
-// made again. All copies have the same condition, hence at most one of them
-// takes effect, and once any write on top of the base has been committed no
-// further copy can be.
+// When an answer is lost, reading the old version back proves nothing: the write may still
+// be on its way, in a proxy or a queue. So run repeats the same write. All copies have the
+// same condition, so at most one of them takes effect, and none can once any write on top
+// of the base has been committed.
 func (c *commit) run(ctx context.Context) Result {
 	for {
 		o, err := c.editor.store.Put(ctx, c.base.Ref, c.value, c.base.Version)
@@ -55,9 +54,9 @@
 	}
 }
 
-// resolveConflict finds out who has replaced the base: this change, by a copy whose
-// answer was lost, or another one. It also asks when no answer was lost, since
-// something between here and the store may have sent the write twice.
+// resolveConflict determines which change replaced the base: this one, through a copy of the
+// write whose answer was lost, or another one. It also does so when no answer was lost,
+// since a proxy between here and the store may have sent the write twice.
 func (c *commit) resolveConflict(ctx context.Context, cause error) Result {
 	for {
 		latest, err := c.editor.Read(ctx, c.base.Ref)
@@ -67,7 +66,7 @@
 		case latest.Version == 0 && c.base.Version != 0:
 			return c.objectRemoved()
 		case latest.Version <= c.base.Version:
-			// A replica that lags. The conflict has shown that there is more.
+			// The answer is from a lagging replica: the conflict proves that there is a newer version.
 		case latest.Revision.Change.ID == c.mine.Change.ID:
 			return c.applied(latest.Version, false)
 		default:
@@ -78,7 +77,7 @@
 		}
 		if !pause(ctx) {
 			if !c.answerLost {
-				// No answer was lost, so the conflict was the answer.
+				// No answer was lost, so the conflict is the answer.
 				return c.notApplied(&Conflict{Base: c.base, Mine: c.mine}, nil)
 			}
 			return c.unknown(cause)
@@ -86,8 +85,8 @@
 	}
 }
 
-// objectRemoved answers when the object has been taken out of the store by other
-// means than a change: then nothing is left that tells what came before.
+// objectRemoved returns the result for an object that was removed from the store by other
+// means than a change: nothing remains that shows what came before.
 func (c *commit) objectRemoved() Result {
 	if !c.answerLost {
 		return c.notApplied(&Conflict{Base: c.base, Mine: c.mine, Theirs: StoredObject{Ref: c.base.Ref}}, nil)
@@ -95,9 +94,9 @@
 	return c.unknown(errors.Errorf("change: %s has been removed from the store", c.base.Ref))
 }
 
-// fromHistory looks for this change among the ancestors of what is in force
-// now. Each of them was written on condition of the one before, so the
-// ancestor next to the base is the one that replaced it.
+// fromHistory looks for this change among the ancestors of the revision in force. Each of
+// them was written on condition that the previous one was in force, so the ancestor that
+// follows the base is the one that replaced it.
 func (c *commit) fromHistory(ctx context.Context, latest StoredObject) (Result, bool) {
 	conflict := &Conflict{Base: c.base, Mine: c.mine, Theirs: latest}
 	if latest.Revision.Change.Parent == c.base.Revision.Change.ID {
@@ -131,7 +130,7 @@
 	return Result{Outcome: Unknown, Change: c.mine.Change, Cause: cause}
 }
 
-// pause waits between tries. It reports false when ctx has ended.
+// pause waits between attempts. It returns false if ctx has ended.
 func pause(ctx context.Context) bool {
 	t := time.NewTimer(retryPause/2 + rand.N(retryPause))
 	defer t.Stop()
--- a/internal/config/change/history.go
+++ b/internal/config/change/history.go
@@ -11,21 +11,20 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// MaxHistory is how many former revisions of an object are kept.
+// MaxHistory is how many previous revisions of an object are kept.
 const MaxHistory = 20
 
-// HistoryEntry is a revision in an object's history.
+// HistoryEntry is a revision in the history of an object.
 type HistoryEntry struct {
 	config.Revision
-	// Ancestors are the changes before this one, the latest first, at most
-	// MaxHistory.
+	// Ancestors are the changes before this one, newest first, at most MaxHistory.
 	Ancestors []config.ChangeID `json:"ancestors,omitempty"`
-	// Complete says that the ancestors reach back to the object's first change.
+	// Complete reports whether the ancestors reach back to the object's first change.
 	Complete bool `json:"whole,omitempty"`
 }
 
-// History returns the revisions of an object, the newest first. It follows the
-// links from the revision in force, so changes that lost a race do not show.
+// History returns the revisions of an object, newest first. It follows the links from the
+// revision in force, so changes that were not applied do not appear.
 func (e *Editor) History(ctx context.Context, current StoredObject) ([]config.Revision, error) {
 	if current.Version == 0 {
 		return nil, nil
@@ -86,8 +85,8 @@
 	for {
 		_, err = e.store.Put(ctx, historyRef(base.Ref, r.Change.ID), value, 0)
 		if err == nil || errors.Is(err, topo.ErrConflict) {
-			// The name is drawn at random: whoever has written it is a former
-			// try of ours whose answer was lost.
+			// The name is random, so an existing entry was written by an earlier
+			// attempt whose answer was lost.
 			return ancestors, nil
 		}
 		if !errors.Is(err, topo.ErrUnknown) || !pause(ctx) {
@@ -96,15 +95,15 @@
 	}
 }
 
-// trimHistory removes the entries that have fallen off the end.
+// trimHistory removes the entries beyond the newest MaxHistory ancestors.
 func (e *Editor) trimHistory(ctx context.Context, ref topo.Ref, ancestors []config.ChangeID) {
 	for _, id := range ancestors[min(len(ancestors), MaxHistory):] {
 		e.dropHistory(ctx, ref, id)
 	}
 }
 
-// dropHistory removes an entry. A failure leaves an object behind that no chain
-// names.
+// dropHistory removes an entry. If that fails, the object stays in the store, but no chain of
+// ancestors refers to it.
 func (e *Editor) dropHistory(ctx context.Context, ref topo.Ref, id config.ChangeID) {
 	o, err := e.store.Get(ctx, historyRef(ref, id))
 	if err == nil {
--- a/internal/config/copies.go
+++ b/internal/config/copies.go
@@ -8,13 +8,13 @@
 )
 
 // maxCopyHolders is how many sidecars keep a copy of the configuration. Each change
-// is sent to each of them, so that a copy at all 2,900 of a large fleet would
-// take a third of what the routers may spend on control traffic.
+// is sent to each of them, so copies at all 2,900 sidecars of a large fleet would
+// take a third of the routers' budget for control traffic.
 const maxCopyHolders = 64
 
-// CopyHolders returns which sidecars keep a copy of the configuration: the first by a
-// hash of their names. Routers whose lists of VMs differ by a few VMs agree on
-// nearly all of them, and one more or less does no harm.
+// CopyHolders returns the sidecars that keep a copy of the configuration: the first
+// maxCopyHolders by a hash of their names. Routers whose lists of VMs differ by a few
+// VMs agree on nearly all of them, and a few copies more or less do no harm.
 func CopyHolders(sidecars []Peer) []Peer {
 	out := slices.Clone(sidecars)
 	slices.SortFunc(out, func(x, y Peer) int {
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -6,41 +6,41 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Summary is a node's summary of its Set, by which two nodes find that they
-// differ. A zero Digest says nothing.
+// Summary describes the contents of a node's Set. Two nodes compare their summaries to
+// find out whether they differ. A zero Digest means that there is none to compare.
 type Summary struct {
 	Version      topo.Version `json:"version"`
 	CompleteUpTo topo.Version `json:"complete,omitempty"`
 	Digest       uint64       `json:"digest,omitempty"`
-	Edition      int64        `json:"edition,omitempty"` // of a configuration that is written as a whole
+	Edition      int64        `json:"edition,omitempty"` // number of the configuration's Edition
 }
 
-// Query asks a node for the objects newer than Since. Mark is the asker's, so
-// that the node asked learns in passing when it is the one behind.
+// Query requests the objects newer than Since. Summary is that of the requesting node,
+// so that the node that answers learns whether it lacks something itself.
 type Query struct {
 	Since   topo.Version `json:"since"`
-	After   topo.Version `json:"after,omitempty"` // the last object of the former piece
+	After   topo.Version `json:"after,omitempty"` // version of the last object in the previous piece
 	Summary Summary      `json:"mark"`
 }
 
-// Delta is a piece of the answer to a Query. Objects are in order of version.
+// Delta is a piece of the answer to a Query. Objects are sorted by version.
 type Delta struct {
 	Objects []topo.Object `json:"objects,omitempty"`
-	More    bool          `json:"more,omitempty"` // ask again, after the last of Objects
+	More    bool          `json:"more,omitempty"` // more pieces follow: query again with After set to the last object's version
 	Summary Summary       `json:"mark"`
 	// DeletionHorizon is the version up to which an object that the sender does not hold
-	// does not exist. Deletions up to there are not among Objects.
+	// does not exist. Objects does not list deletions up to it.
 	DeletionHorizon topo.Version `json:"known,omitempty"`
 }
 
-// PiggybackedSummary returns the mark of a node as it travels on the back of traffic: its
-// version and digest. The node is complete at least up to its version.
+// PiggybackedSummary returns the summary of a node whose version and digest arrived with
+// other traffic. The node is complete at least up to its version.
 func PiggybackedSummary(v topo.Version, digest uint64) Summary {
 	return Summary{Version: v, CompleteUpTo: v, Digest: digest}
 }
 
-// Summary returns the Set's summary. The digest is left out while the Set holds
-// objects beyond those up to which it is complete: equal sets would differ.
+// Summary returns the summary of the Set. It has no digest while the Set holds objects
+// newer than the version up to which it is complete: equal sets would seem to differ.
 func (s *Set) Summary() Summary {
 	m := Summary{Version: s.version, CompleteUpTo: s.completeUpTo, Edition: s.edition.Number}
 	if s.newest <= s.completeUpTo {
@@ -49,9 +49,9 @@
 	return m
 }
 
-// Answer returns a piece of what the asker lacks. Objects of one version come in
-// one piece: the next piece begins behind a version, so that those of it that are
-// left would never be told.
+// Answer returns a piece of what the requesting node lacks. All objects of one version
+// are in the same piece: the next piece begins after a version, so the remaining objects
+// of that version would never be sent.
 func (s *Set) Answer(q Query) Delta {
 	d := Delta{Summary: s.Summary(), DeletionHorizon: s.deletionHorizon()}
 	from := max(q.Since, q.After)
@@ -72,7 +72,7 @@
 	return d
 }
 
-// versionBefore returns the version that lies n changes before the newest, or zero.
+// versionBefore returns the version n changes before the newest, or zero.
 func (s *Set) versionBefore(n int) topo.Version {
 	if n >= len(s.order) {
 		return 0
@@ -80,25 +80,25 @@
 	return s.order[len(s.order)-1-n].Version
 }
 
-// deletionHorizon is the version up to which what is not held does not exist.
+// deletionHorizon returns the version up to which objects that are not held do not exist.
 func (s *Set) deletionHorizon() topo.Version {
 	return max(s.forgottenUpTo, s.listedUpTo)
 }
 
-// CaughtUp reports whether a node lacks nothing that another one knows.
+// CaughtUp reports whether a node with summary m holds everything that other describes.
 func (m Summary) CaughtUp(other Summary) bool {
 	return m.Version >= other.Version || m.sameObjects(other)
 }
 
-// sameObjects reports whether two nodes hold the sameObjects objects.
+// sameObjects reports whether two nodes hold the same objects.
 func (m Summary) sameObjects(other Summary) bool {
 	return m.Digest != 0 && m.Digest == other.Digest
 }
 
-// isComparableTo reports whether both nodes are complete up to the newest object of
-// the other, so that they hold the same objects unless something went missing.
-// The versions may differ even so: a removal from the store is the newest object of
-// a node that has watched it, and unknown to one that has listed since.
+// isComparableTo reports whether each node is complete up to the newest object of the
+// other, so that they hold the same objects unless a change was missed. Their versions
+// may differ even then: the removal of an object from the store is the newest change at a
+// node that saw it in a watch, and has no version at a node that listed the store later.
 func (m Summary) isComparableTo(other Summary) bool {
 	bothHaveDigests := m.Digest != 0 && other.Digest != 0
 	return bothHaveDigests && m.CompleteUpTo >= other.Version && other.CompleteUpTo >= m.Version
--- a/internal/config/edition.go
+++ b/internal/config/edition.go
@@ -6,18 +6,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// editionRef names the object that holds the edition of a configuration that its operators
+// editionRef names the object that holds the edition of a configuration that operators
 // write as a whole.
 var editionRef = topo.Ref{Kind: topo.KindEdition, Name: "main"}
 
-// Edition is the number that operators give a configuration which they write as a whole,
-// and the version of that write. The number rises with each. Zero: there is none.
+// Edition is the number that operators give to a configuration that they write as a
+// whole, and the version of that write. Each write has a higher number than the one
+// before. A zero Number means that the configuration has no edition.
 type Edition struct {
 	Number  int64
 	Version topo.Version
 }
 
-// Object returns the edition as an object beside the parts of its configuration.
+// Object returns the edition as an object, to be stored with the rest of its configuration.
 func (e Edition) Object() topo.Object {
 	return topo.Object{Ref: editionRef, Version: e.Version, Value: strconv.AppendInt(nil, e.Number, 10)}
 }
@@ -30,7 +31,7 @@
 	return Edition{Number: number, Version: o.Version}
 }
 
-// editionOf returns the edition among the objects of a source.
+// editionOf returns the edition found among objects, or a zero Edition.
 func editionOf(objects []topo.Object) Edition {
 	for _, o := range objects {
 		if o.Ref == editionRef {
@@ -40,19 +41,19 @@
 	return Edition{}
 }
 
-// isOlderCopyThan reports whether e is of an older copy of the store than held: a later era tells
-// of it, and it has the lower number.
+// isOlderCopyThan reports whether e belongs to a store that was restored from an older
+// copy than held: its era is later and its number is lower.
 func (e Edition) isOlderCopyThan(held Edition) bool {
 	return e.Number < held.Number && e.Version.Era() > held.Version.Era()
 }
 
-// isOrder reports whether objects of a kind are operators' orders, which have no edition:
-// each is written by itself.
+// isOrder reports whether objects of a kind are operators' orders. Orders are written one
+// by one and have no edition.
 func isOrder(kind topo.Kind) bool {
 	return kind == topo.KindDrain || kind == topo.KindDomainDrain
 }
 
-// withOrdersOf returns the held configuration with the orders among the objects of a copy.
+// withOrdersOf returns the held configuration with its orders replaced by those of fromCopy.
 func (s *Set) withOrdersOf(fromCopy []topo.Object) []topo.Object {
 	var out []topo.Object
 	s.Objects(func(o topo.Object) {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// ordersBefore returns the orders that are held since before an era.
+// ordersBefore returns the held orders that were written before an era.
 func (s *Set) ordersBefore(era topo.Era) []topo.Object {
 	var out []topo.Object
 	s.Objects(func(o topo.Object) {
--- a/internal/config/event.go
+++ b/internal/config/event.go
@@ -6,48 +6,48 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Peer names a node that can be asked: a sidecar for a router, a connected
-// router for a sidecar. The role that runs the Follower gives the names.
+// Peer names a node that can be queried: a sidecar for a router, a connected router for
+// a sidecar. The role that runs the Follower assigns the names.
 type Peer string
 
-// Event is something that has happened to a Follower.
+// Event is an input of a Follower.
 type Event interface {
-	// When returns the time of the event, on the monotonic clock; zero: it does not
+	// When returns the time of the event on the monotonic clock, or zero if it does not
 	// matter.
 	When() time.Time
 }
 
-// Ticked is the passing of time, every TickEvery.
+// Ticked reports the passing of time. It occurs every TickInterval.
 type Ticked struct{ Now time.Time }
 
-// PeersChanged replaces the peers that can be asked.
+// PeersChanged replaces the peers that can be queried.
 type PeersChanged struct {
 	Now   time.Time
 	Peers []Peer
 }
 
-// SummaryReceived is a peer's mark, from a query or on the back of traffic. Traffic
-// carries the version only.
+// SummaryReceived is a peer's summary, from a query or piggybacked on other traffic, which
+// carries only the version and the digest.
 type SummaryReceived struct {
 	Now     time.Time
 	Peer    Peer
 	Summary Summary
 }
 
-// QueryAnswered is a peer's answer to an Ask.
+// QueryAnswered is a peer's answer to a SendQuery.
 type QueryAnswered struct {
 	Now   time.Time
 	Peer  Peer
 	Delta Delta
 }
 
-// QueryFailed is an Ask without an answer.
+// QueryFailed reports that a SendQuery was not answered.
 type QueryFailed struct {
 	Now  time.Time
 	Peer Peer
 }
 
-// Listed is a whole listing of the store. Version is that of its oldest page.
+// Listed is a complete listing of the store. Version is that of its oldest page.
 type Listed struct {
 	Now     time.Time
 	Objects []topo.Object
@@ -55,41 +55,41 @@
 	Whole   bool // as in topo.Page
 }
 
-// Watched is the end of a watch that the store has answered.
+// Watched is the result of a watch that the store answered.
 type Watched struct {
 	Now   time.Time
 	Since topo.Version
 	Page  topo.Page
 }
 
-// StoreFailed is a listing or a watch that has failed.
+// StoreFailed reports a listing or a watch that failed.
 type StoreFailed struct {
 	Now       time.Time
-	Compacted bool // the store no longer holds the changes that were asked for
-	Silent    bool // no answer came in time
+	Compacted bool // the store no longer has the changes that were requested
+	Silent    bool // the call timed out
 }
 
-// PeersConnected names the peers that a connection is open to. Routine comparisons
-// prefer them: a new connection costs more than what is compared.
+// PeersConnected names the peers to which a connection is open. Routine comparisons
+// prefer them: opening a connection costs more than the comparison itself.
 type PeersConnected struct{ Peers []Peer }
 
-// Hinted is word from an operator's command that the store has news. It ends
-// the pause before the next watch, or the watch that waits: that one may have
-// gone silent.
+// Hinted reports, on behalf of an operator's command, that the store has changed. It ends
+// the pause before the next watch, or cancels the current watch, whose connection may have
+// stopped responding.
 type Hinted struct{ Now time.Time }
 
-// StoreReachable is word that another call of the same store has just been answered
-// again. It ends the pause of a Follower that has lost it.
+// StoreReachable reports that another call to the same store has been answered after an
+// outage. It ends the pause of a Follower whose own calls fail.
 type StoreReachable struct{ Now time.Time }
 
-// StoreReadingSwitched starts or ends the reading of the store. While it is off, another router
-// reads it for this one, which asks its peers.
+// StoreReadingSwitched starts or stops the reading of the store. While it is off, another
+// router reads the store and this one queries its peers.
 type StoreReadingSwitched struct {
 	Now time.Time
 	On  bool
 }
 
-// CallCancelled is the end of a watch or listing that Unwatch has cut short.
+// CallCancelled reports that CancelCall has ended a watch or listing.
 type CallCancelled struct{ Now time.Time }
 
 // When implements Event.
@@ -131,48 +131,48 @@
 // When implements Event.
 func (e StoreFailed) When() time.Time { return e.Now }
 
-// Effect is something that a Follower is to do.
+// Effect is an action that a Follower requests.
 type Effect interface{ isConfigEffect() }
 
 // List reads all configuration from the store. Listed or StoreFailed follows.
 type List struct{}
 
-// Watch waits for changes in the store. Watched or StoreFailed follows, the
-// latter also when no answer has come watchGrace after Wait.
+// Watch waits for changes in the store. Watched or StoreFailed follows. StoreFailed also
+// follows when the store has not answered within WatchGrace after Wait.
 type Watch struct {
 	Since topo.Version
 	Wait  time.Duration
 }
 
-// CancelCall cuts the present watch or listing short. Unwatched follows, unless it ends
-// by itself before.
+// CancelCall cancels the current watch or listing. CallCancelled follows, unless the call
+// ends by itself first.
 type CancelCall struct{}
 
-// SendQuery sends a query to a peer. Answered or AskFailed follows.
+// SendQuery sends a query to a peer. QueryAnswered or QueryFailed follows.
 type SendQuery struct {
 	Peer  Peer
 	Query Query
 }
 
-// DifferenceFound tells that a peer that is as complete holds other objects: somewhere a
-// change went missing. Asks that settle it follow.
+// DifferenceFound reports that a peer that is equally complete holds other objects: one
+// of the two has missed a change. Queries that repair the difference follow.
 type DifferenceFound struct{ Peer Peer }
 
-// StoreUnavailable tells that the store does not answer any more.
+// StoreUnavailable reports that the store has stopped answering.
 type StoreUnavailable struct{}
 
-// StoreRecovered tells that the store answers again.
+// StoreRecovered reports that the store answers again, and how long it did not.
 type StoreRecovered struct{ After time.Duration }
 
-// StoreStale tells that the store answers, with what is older than what is known. It
-// is told once until the store is used again.
+// StoreStale reports that the store's answers are older than what is known here. It is
+// emitted once until an answer of the store is accepted again.
 type StoreStale struct{ Received, Known topo.Version }
 
-// StoreRestored tells that the store has come back from an older copy, in a new era. What
-// was written there since the copy is gone, the node's own objects too.
+// StoreRestored reports that the store was restored from an older copy, in a new era.
+// Everything written since that copy is lost, including this node's own objects.
 type StoreRestored struct{ Era topo.Era }
 
-// Changed tells the role which objects have changed. They are in force from now.
+// Changed reports the objects that have changed. They are in force from now on.
 type Changed struct{ Objects []topo.Object }
 
 func (List) isConfigEffect()             {}
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow carries out what a config.Follower asks for: it reads the
-// store and asks peers, and brings back what they say as events.
+// Package follow carries out the effects of a config.Follower: it reads the store, queries
+// peers, and returns the results as events.
 package follow
 
 import (
@@ -16,7 +16,7 @@
 )
 
 const (
-	// queryTimeout bounds a call of a peer. It is the Follower's own patience.
+	// queryTimeout bounds a query of a peer. It equals the Follower's own timeout.
 	queryTimeout = 2 * time.Second
 )
 
@@ -43,17 +43,17 @@
 type Runner struct {
 	// Source is nil for a sidecar.
 	Source Source
-	// SendQuery puts a query to a peer.
+	// SendQuery sends a query to a peer.
 	SendQuery func(ctx context.Context, peer config.Peer, q config.Query) (config.Delta, error)
-	// Post gives an event to the goroutine that owns the Follower.
+	// Post passes an event to the goroutine that owns the Follower.
 	Post func(config.Event)
-	// Subject is what is followed, for the log; empty: the configuration.
+	// Subject names in the log what is followed. Empty means the configuration.
 	Subject string
 
 	mu         sync.Mutex
-	cancelCall context.CancelCauseFunc // of the present watch or listing
-	storeError string                  // of the last call of the Source that failed
-	peerSilent bool                    // the last question to a peer failed
+	cancelCall context.CancelCauseFunc // of the current watch or listing; nil: none
+	storeError string                  // of the last failed call to the Source
+	peerSilent bool                    // the last query to a peer failed
 }
 
 func (r *Runner) subject() string {
@@ -69,7 +69,7 @@
 	return r.storeError
 }
 
-// Run posts the passing of time until ctx ends.
+// Run posts a Ticked event every config.TickInterval until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	tick := time.NewTicker(config.TickInterval)
 	defer tick.Stop()
@@ -84,7 +84,7 @@
 	}
 }
 
-// Do starts what e asks for and returns. Changed is for the role and ignored.
+// Do starts the effect e and returns at once. It ignores Changed, which the role handles.
 func (r *Runner) Do(ctx context.Context, e config.Effect) {
 	switch e := e.(type) {
 	case config.List:
@@ -127,7 +127,7 @@
 	r.Post(config.QueryAnswered{Now: time.Now(), Peer: e.Peer, Delta: d})
 }
 
-// noteQueryResult tells when peers cease to answer, and when they do again.
+// noteQueryResult logs when peers stop answering and when they answer again.
 func (r *Runner) noteQueryResult(peer config.Peer, err error) {
 	r.mu.Lock()
 	changed := r.peerSilent != (err != nil)
@@ -142,11 +142,10 @@
 	}
 }
 
-// errCallCancelled is why a watch was cut short.
-var errCallCancelled = errors.New("follow: unwatched")
+// errCallCancelled is the cause with which a watch or listing is cancelled.
+var errCallCancelled = errors.New("follow: call cancelled")
 
-// replaceCall cuts the present watch or listing short and remembers how to cut the next
-// one.
+// replaceCall cancels the current watch or listing and stores how to cancel the next one.
 func (r *Runner) replaceCall(next context.CancelCauseFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/config/follow/join.go
+++ b/internal/config/follow/join.go
@@ -10,30 +10,30 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Join returns the Source of everything that several sources of one store hold. Each of
-// them tells all that it has when it tells anything, and so does the result: a page
-// without a change is not Whole.
+// Join returns a Source of the objects of several sources of one store. Each source returns all
+// its objects once any of them has changed, and so does the result: a page without a change is
+// not Whole.
 func Join(sources ...Source) Source {
 	return &joinedSource{sources: sources}
 }
 
-// probeWait is for how long a watch waits that is to find out whether the store answers.
+// probeWait is the wait of a watch that only checks whether the store answers.
 const probeWait = time.Millisecond
 
-// joinedSource is several sources. A Runner calls it from one goroutine at a time.
+// joinedSource combines several sources. A Runner calls it from one goroutine at a time.
 type joinedSource struct {
 	sources      []Source
-	storeFailing atomic.Bool // the last call of the store was not answered
+	storeFailing atomic.Bool // the last call to the store failed
 }
 
-// Snapshot implements Source. The version is that of the oldest part.
+// Snapshot implements Source. Its version is the oldest one among the sources.
 func (j *joinedSource) Snapshot(ctx context.Context) (Snapshot, error) {
 	all, err := j.snapshotExcept(ctx, len(j.sources))
 	j.noteResult(ctx, err)
 	return all, err
 }
 
-// snapshotExcept returns the snapshot of all but one of the sources.
+// snapshotExcept returns the snapshot of all sources but one.
 func (j *joinedSource) snapshotExcept(ctx context.Context, except int) (Snapshot, error) {
 	all := Snapshot{Whole: true}
 	first := true
@@ -53,18 +53,18 @@
 	return all, nil
 }
 
-// watchResult is what a watch of one of the sources has brought.
+// watchResult is the result of a watch of one of the sources.
 type watchResult struct {
 	source int
 	page   topo.Page
 	err    error
 }
 
-// Watch implements Source. It watches all sources at the same time; once one tells of a
-// change, the others are read, since what they hold at that version is not known yet.
+// Watch implements Source. It watches all sources at the same time. When one of them returns
+// a change, the others are read as well, because what they hold at that version is unknown.
 //
-// While the store does not answer, the first source alone finds out whether it does again:
-// in an outage every router that depends on nobody else calls it, and each call costs.
+// While the store does not answer, only the first source checks whether it does again: in an
+// outage, every router that reads the store itself calls it, and each call has a cost.
 func (j *joinedSource) Watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
 	if j.storeFailing.Load() {
 		if _, err := j.sources[0].Watch(ctx, since, probeWait); err != nil {
@@ -76,7 +76,8 @@
 	return page, err
 }
 
-// noteResult notes how a call noteResult. One that was cut short from here says nothing of the store.
+// noteResult records how a call ended. A call cancelled by the caller shows nothing about the
+// store.
 func (j *joinedSource) noteResult(ctx context.Context, err error) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		j.storeFailing.Store(err != nil)
@@ -109,7 +110,7 @@
 	return out, nil
 }
 
-// completePage returns what one of the sources has told together with what the others hold.
+// completePage returns the objects of the source that changed together with those of the others.
 func (j *joinedSource) completePage(ctx context.Context, changed watchResult) (topo.Page, error) {
 	rest, err := j.snapshotExcept(ctx, changed.source)
 	if err != nil {
--- a/internal/config/follow/source.go
+++ b/internal/config/follow/source.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// pageTimeout bounds the wait for a page of a listing.
+	// pageTimeout bounds the wait for one page of a listing.
 	pageTimeout = 3 * time.Second
-	// pageAttempts is how often a page of a listing is tried. A store that limits
-	// its rate refuses some of the pages when many routers start at once, and
-	// to start over would read the others again.
+	// pageAttempts is how often a page of a listing is requested. A store that limits its
+	// request rate refuses some pages when many routers start at once, and starting over
+	// would read the other pages again.
 	pageAttempts = 4
-	// pageRetryPause is the mean pause before a page is tried again.
+	// pageRetryPause is the mean pause before a page is requested again.
 	pageRetryPause = 500 * time.Millisecond
 )
 
-// Snapshot is all configuration of the store. What is not in it did not exist at
+// Snapshot is all configuration in the store. An object that it lacks did not exist at
 // Version.
 type Snapshot struct {
 	Objects []topo.Object
@@ -30,16 +30,16 @@
 	Whole   bool // as in topo.Page
 }
 
-// Source is where a Runner reads configuration.
+// Source is what a Runner reads configuration from.
 type Source interface {
 	// Snapshot reads all configuration.
 	Snapshot(ctx context.Context) (Snapshot, error)
-	// Watch waits up to wait for changes after since, as topo.Store does.
+	// Watch waits up to wait for changes after since, like topo.Store.
 	Watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error)
 }
 
-// FromStore returns the Source that reads the objects of some kinds from a store;
-// without any, those of package config.
+// FromStore returns a Source that reads the objects of the given kinds from a store; without
+// kinds, those of package config.
 func FromStore(s topo.Store, kinds ...topo.Kind) Source {
 	if len(kinds) == 0 {
 		kinds = config.Kinds()
@@ -57,9 +57,9 @@
 	return s.store.Watch(ctx, s.kinds, since, wait)
 }
 
-// Snapshot implements Source. It reads all kinds at the same time. The version of the whole is that of its
-// oldest page: an object that changed while listing is told by the watch from
-// there.
+// Snapshot implements Source. It lists all kinds at the same time. The version of the result
+// is that of its oldest page: the watch from there returns objects that changed during the
+// listing.
 func (s storeSource) Snapshot(ctx context.Context) (Snapshot, error) {
 	parts := make([]Snapshot, len(s.kinds))
 	group, groupCtx := errgroup.WithContext(ctx)
@@ -91,9 +91,9 @@
 	return out, err
 }
 
-// page reads a page, several times if need be. The only first page there is is not tried
-// again here: there is nothing to start over, and the Follower knows better when to, since
-// the answer to another one's call tells it that the store is back.
+// page reads a page, with several attempts if needed. If there is only one kind, its first
+// page is not tried again here: there is no other page to read again, and the Follower picks
+// a better time, since it learns from the answer to another call that the store is back.
 func (s storeSource) page(ctx context.Context, kind topo.Kind, cont string) (topo.Page, error) {
 	attempts := pageAttempts
 	if cont == "" && len(s.kinds) == 1 {
@@ -113,8 +113,8 @@
 	return page, err
 }
 
-// tryPage reads a page. Without a bound of its own, a store that takes a call
-// and never answers would hold up the node for good.
+// tryPage reads a page within pageTimeout. Without that bound, a store that accepts a call
+// and never answers would block the node for good.
 func (s storeSource) tryPage(ctx context.Context, kind topo.Kind, cont string) (topo.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -6,63 +6,63 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// pull is the taking over of what a peer has and we lack, piece by piece.
+// pull is the transfer, piece by piece, of objects that a peer has and this node lacks.
 type pull struct {
 	peer            Peer
 	query           Query
-	deletionHorizon topo.Version // of the peer, the same for all pieces
-	completeUpTo    topo.Version // of the peer at the first piece
+	deletionHorizon topo.Version // of the peer; the same for all pieces
+	completeUpTo    topo.Version // of the peer when it sent the first piece
 	seen            map[topo.Ref]struct{}
 	deadline        time.Time
 }
 
-// isFull reports whether the pull takes everything that the peer has.
+// isFull reports whether the pull requests all objects of the peer.
 func (p *pull) isFull() bool {
 	return p.query.Since == 0
 }
 
-// Widths of a repair: how many changes before the newest a pull begins.
+// repairWidths are the steps of a repair: how many changes before the newest its pull begins.
 var repairWidths = [...]int{64, 1024}
 
-// repairInterval is the time between the steps of a repair. The peer repairs itself
-// at the same time, and one of the two has nothing to gain.
+// repairInterval is the time between the steps of a repair. The peer starts a repair at
+// the same time, and one of the two lacks nothing.
 const repairInterval = time.Second
 
-// resyncInterval bounds how often a difference that pulls do not settle leads to
-// everything being read again.
+// resyncInterval bounds how often a difference that pulls do not repair makes this node
+// read everything again.
 const resyncInterval = 10 * time.Minute
 
-// refreshInterval is how often a node whose objects are up to date learns how far
-// it is complete.
+// refreshInterval is how often a node whose objects are up to date learns up to which
+// version it is complete.
 const refreshInterval = time.Minute
 
-// fullPullInterval bounds how often everything is pulled because the peers have
-// forgotten deletions that this node may not know of. Where hundreds of routers list
-// the store, one of them always has listed it a moment ago. Where one does for all,
-// each of its listings is pulled once by those that were behind.
+// fullPullInterval bounds how often all objects are pulled because the peers have
+// forgotten deletions that this node may have missed. Where hundreds of routers list the
+// store, there is always one that listed it a moment ago. Where one router reads it for
+// all, each of its listings is pulled once by the routers that were behind.
 const fullPullInterval = time.Minute
 
-// repair is what has been tried about a peer whose objects differ from ours
-// although its version is the same.
+// repair is the state of the repair of a difference from a peer that is equally complete
+// but holds other objects.
 type repair struct {
 	digest          uint64 // of the peer
 	nextStep        time.Time
-	nextWidth       int // index of the next width
+	nextWidth       int // index in repairWidths
 	nextResync      time.Time
 	nextFullPull    time.Time
-	fullPullHorizon topo.Version // of the peer from which everything was pulled last
+	fullPullHorizon topo.Version // of the peer of the last full pull
 }
 
-// unobtainable is a version that a peer has claimed and not made good: it holds an
-// object that we know to be deleted. Without this, each message of that peer
+// unobtainable is a version that a peer reports but does not supply, because it belongs to
+// an object that this node knows to be deleted. Without it, each message of that peer
 // would start a pull.
 type unobtainable struct {
 	version topo.Version
 	until   time.Time
 }
 
-// tickPeers compares with a peer now and then. It bounds how long a node that
-// hears no traffic stays behind, or keeps a gap that its watch has left.
+// tickPeers compares this node with a peer from time to time. This bounds how long a node
+// without traffic stays behind, or keeps a gap that its watch has left.
 func (f *Follower) tickPeers(now time.Time) []Effect {
 	if f.pull != nil && now.After(f.pull.deadline) {
 		f.pull = nil
@@ -74,14 +74,14 @@
 		return nil
 	}
 	if f.phase == phaseNone && f.set.CompleteUpTo() == 0 {
-		return nil // no router wants this sidecar to keep a copy
+		return nil // no router has chosen this sidecar to keep a copy
 	}
 	f.nextCheck = now.Add(f.jitter(f.checkInterval()))
 	return f.startPull(now, f.randomPeer(), f.set.Version())
 }
 
-// randomPeer returns a peer at random: at the start one that has not been heard,
-// later one that there is a connection to.
+// randomPeer returns a peer at random. Until the node is ready, it favours a peer that has
+// not answered yet; after that, it picks among the connected peers, if there are any.
 func (f *Follower) randomPeer() Peer {
 	if f.Ready() && len(f.connected) > 0 {
 		return f.connected[f.rand.IntN(len(f.connected))]
@@ -107,8 +107,8 @@
 	}
 }
 
-// startPull begins a pull of everything newer than since. One pull runs at a time:
-// many peers say at once that there is news, and one of them is enough.
+// startPull begins a pull of everything newer than since. One pull runs at a time: many
+// peers report the same change at once, and one of them is enough.
 func (f *Follower) startPull(now time.Time, peer Peer, since topo.Version) []Effect {
 	f.peerAhead = ""
 	f.nextPull = now.Add(f.timing.PullInterval)
@@ -121,7 +121,7 @@
 	return []Effect{SendQuery{Peer: peer, Query: f.pull.query}}
 }
 
-// compare decides what a peer's mark calls for.
+// compare handles a summary received from a peer.
 func (f *Follower) compare(now time.Time, peer Peer, m Summary) []Effect {
 	out := f.enterEra(now, m.CompleteUpTo.Era())
 	if f.isOutdatedPeer(m) {
@@ -130,7 +130,7 @@
 	return append(out, f.pullMissing(now, peer, m)...)
 }
 
-// pullMissing asks a peer for what its mark shows that it knows.
+// pullMissing starts a pull if a peer's summary shows objects that this node lacks.
 func (f *Follower) pullMissing(now time.Time, peer Peer, m Summary) []Effect {
 	if f.pull != nil {
 		if m.Version > f.set.Version() {
@@ -141,7 +141,7 @@
 	mine := f.set.Summary()
 	switch {
 	case m.sameObjects(mine) && m.Version.Era() > mine.Version.Era():
-		return f.catchUp(now, peer, m.Version) // others may rely on this node's versions
+		return f.catchUp(now, peer, m.Version) // peers may rely on this node's versions
 	case m.sameObjects(mine):
 		return f.refresh(now, peer, m)
 	case m.isComparableTo(mine):
@@ -152,17 +152,17 @@
 	return nil
 }
 
-// announcement is a version that a peer has and this node has not.
+// announcement is a version that a peer has reported and this node lacks.
 type announcement struct {
 	version  topo.Version
 	received time.Time
 }
 
-// catchUp asks a peer for what is new there. While the store answers, its watch
-// is about to tell the same, so a router waits a little: in a burst of changes
-// it would otherwise take each of them twice. One that has just begun to read does
-// not: the store may refuse it, and it would stay behind for as long as it waits.
-// Sidecars collect the changes of a moment into one pull.
+// catchUp pulls a newer version from a peer. While the store answers, a router's own watch
+// is about to return the same changes, so the router waits for watchHeadStart: in a burst
+// it would otherwise receive each change twice. A router that has just begun to read the
+// store does not wait: the store may refuse it, and it would stay behind for that long.
+// Sidecars collect the changes of a short period into one pull.
 func (f *Follower) catchUp(now time.Time, peer Peer, v topo.Version) []Effect {
 	switch {
 	case f.reliesOnPeers() && now.Before(f.nextPull):
@@ -178,9 +178,9 @@
 	return f.startPull(now, peer, f.set.Version())
 }
 
-// refresh asks, now and then, a peer with the same objects how far it is
-// complete. Without it, the store may have compacted the changes since what a
-// sidecar knows, and a router that starts from there must list everything.
+// refresh occasionally queries a peer with the same objects for the version up to which it
+// is complete. Without it, the store may have compacted the changes since the version that
+// a sidecar holds, and a router that starts from there would have to list everything.
 func (f *Follower) refresh(now time.Time, peer Peer, m Summary) []Effect {
 	if m.CompleteUpTo <= f.set.CompleteUpTo() || now.Before(f.nextRefresh) {
 		return nil
@@ -193,10 +193,10 @@
 	return v <= f.unobtainable.version && now.Before(f.unobtainable.until)
 }
 
-// repairDifference handles a peer that is as complete but has other objects: one of the
-// two has missed a change. It shows as a change that took effect in most
-// places. Both take over what the other has, recent changes first, and since
-// the newer version of each object wins, both end with the same.
+// repairDifference handles a peer that is equally complete but holds other objects: one of
+// the two has missed a change, so that the change took effect in most places but not in
+// all. Each pulls what the other has, recent changes first. Since the newer version of each
+// object wins, both end with the same objects.
 func (f *Follower) repairDifference(now time.Time, peer Peer, m Summary) []Effect {
 	if f.repair.digest != m.Digest {
 		f.repair.digest = m.Digest
@@ -226,20 +226,20 @@
 func (f *Follower) queryAnswered(e QueryAnswered) []Effect {
 	p, d := f.pull, e.Delta
 	if p == nil || p.peer != e.Peer {
-		return nil // of a pull that was given up
+		return nil // belongs to a pull that was abandoned
 	}
 	if f.isOutdatedPeer(d.Summary) {
 		f.pull = nil
 		return nil
 	}
 	if p.query.After > 0 && p.deletionHorizon != d.DeletionHorizon {
-		// The peer has forgotten deletions since the first piece.
+		// The peer has forgotten more deletions since it sent the first piece.
 		clear(p.seen)
 		return f.nextPiece(e.Now, 0)
 	}
 	if p.query.After == 0 {
-		// Later pieces do not make up for what the peer has learnt meanwhile
-		// below the place that the pieces have reached.
+		// Later pieces do not include what the peer has learnt since the first one
+		// below the version that the pull has reached.
 		p.deletionHorizon, p.completeUpTo = d.DeletionHorizon, d.Summary.CompleteUpTo
 	}
 	b := Batch{Objects: d.Objects}
@@ -258,7 +258,7 @@
 	return append(out, f.finishPull(e, p)...)
 }
 
-// nextPiece asks for the next nextPiece of a pull.
+// nextPiece requests the next piece of a pull, which starts after a version.
 func (f *Follower) nextPiece(now time.Time, after topo.Version) []Effect {
 	p := f.pull
 	p.query.After = after
@@ -282,18 +282,19 @@
 	return out
 }
 
-// adoptCompleteness takes over how far the peer is complete, if that follows.
+// adoptCompleteness adopts the version up to which the peer is complete, if the pull proves
+// that this node is complete up to there as well.
 func (f *Follower) adoptCompleteness(e QueryAnswered, p *pull) []Effect {
 	d := e.Delta
 	var out []Effect
 	switch {
 	case p.query.Summary.CompleteUpTo >= d.DeletionHorizon:
-		// No deletion that the peer has forgotten is news to us.
+		// This node knows all deletions that the peer has forgotten.
 	case p.isFull():
 		f.repair.fullPullHorizon = d.DeletionHorizon
 		out = changedEffects(f.set.Retain(p.seen, d.DeletionHorizon))
 	case f.set.Summary().sameObjects(d.Summary):
-		// None of the deletions mattered to us.
+		// None of the forgotten deletions concerned objects of this node.
 		f.set.listedUpTo = max(f.set.listedUpTo, d.DeletionHorizon)
 	case e.Now.Before(f.repair.nextFullPull) && !(f.timing.Relayed && d.DeletionHorizon > f.repair.fullPullHorizon):
 		return nil
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -6,7 +6,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// tickStore starts the next call of the store when it is due.
+// tickStore starts the next call to the store when it is due.
 func (f *Follower) tickStore(now time.Time) []Effect {
 	if f.phase != phaseWaiting || f.delegated {
 		return nil
@@ -15,7 +15,7 @@
 		f.nextCall = f.started.Add(f.timing.PeerWait)
 	}
 	if !f.storeConfirmed && f.failures == 0 && f.pull == nil && f.hasComparedPeers() {
-		f.nextCall = now // the peers have said what they know
+		f.nextCall = now // the peers have reported their state
 	}
 	if now.Before(f.nextCall) {
 		return nil
@@ -30,17 +30,17 @@
 	}
 	f.phase = phaseWatching
 	if !f.storeConfirmed {
-		f.storeVersion = f.set.CompleteUpTo() // by a peer, at the start
+		f.storeVersion = f.set.CompleteUpTo() // from a peer, at the start
 	}
 	return []Effect{Watch{Since: f.storeVersion, Wait: f.watchWait(now)}}
 }
 
-// minWatchFraction is the least part of its wait that a watch lasts after a pause.
+// minWatchFraction is the smallest fraction of WatchWait for which a watch waits after a pause.
 const minWatchFraction = 0.5
 
-// watchWait returns for how long the next watch waits. For a router that reads for
-// others, a pause before it is part of that: they go by how long ago the store
-// answered, and if that took a pause and a whole wait, they would read it themselves.
+// watchWait returns for how long the next watch waits. For a router that reads for others,
+// the pause before a watch counts as part of the wait: the others go by the time since the
+// store last answered, and after a pause and a full wait they would read it themselves.
 func (f *Follower) watchWait(now time.Time) time.Duration {
 	switch {
 	case f.failures > 0:
@@ -52,10 +52,11 @@
 	return max(f.timing.WatchWait-now.Sub(f.storeAnsweredAt), minWait)
 }
 
-// switchStoreReading begins or ends the reading of the store. It begins with a listing: what
-// the store told last lies far back, and its history may be gone since. A listing that is
-// under way when it ends is cut short: a router that is relied on hands its objects on
-// in a twentieth of the bytes, which would share the link with it.
+// switchStoreReading starts or stops the reading of the store. It starts with a listing,
+// because the last answer of the store is old and its change history may have been compacted
+// since. A listing in progress is cancelled when the reading stops: the router that reads
+// the store passes the objects on in a twentieth of the bytes, and both transfers would
+// share the link.
 func (f *Follower) switchStoreReading(e StoreReadingSwitched) []Effect {
 	if f.delegated == !e.On {
 		return nil
@@ -72,49 +73,49 @@
 	return nil
 }
 
-// reliesOnPeers reports whether only peers tell this node of news.
+// reliesOnPeers reports whether this node receives changes from peers only.
 func (f *Follower) reliesOnPeers() bool {
 	return f.phase == phaseNone || f.delegated
 }
 
-// isWatchingStore reports whether the store brings this node what is new.
+// isWatchingStore reports whether this node receives changes from its watch of the store.
 func (f *Follower) isWatchingStore() bool {
 	return f.storeConfirmed && f.failures == 0 && !f.listNext
 }
 
-// The watch goes on from what the store itself has told, not from what peers
-// make the Set complete up to. Else one router's gap becomes that of others:
-// they hear from a peer that there is nothing new up to a version, and watch
-// from there.
+// advanceStoreVersion records a version up to which the store itself has returned all
+// changes. The next watch starts there, and not at the version up to which peers have made
+// the Set complete. Otherwise a gap at one router would spread to others: a peer would
+// report that nothing is new up to a version, and they would watch from there.
 func (f *Follower) advanceStoreVersion(v topo.Version) {
 	f.storeVersion = max(f.storeVersion, v)
 }
 
-// pause makes the next call of the store wait for about d.
+// pause delays the next call to the store by about d.
 func (f *Follower) pause(now time.Time, d time.Duration) {
 	f.phase = phaseWaiting
 	f.nextCall = now.Add(f.jitter(d))
 }
 
-// maxFirstRetryFactor is how many times longer than the first one a pause between failed calls
-// of the store is at most while a router knows nothing. Pauses that grow as usual let it
-// be refused up to a second after the store is back; with this, within .3 s.
+// maxFirstRetryFactor bounds the pause between failed calls to the store while a router has
+// no configuration, as a multiple of RetryInitial. With the usual backoff, a router was
+// refused for up to 1 s after the store was back; with this bound, for at most .3 s.
 const maxFirstRetryFactor = 2
 
-// backOff makes the next call of the store wait longer after each failure.
+// backOff delays the next call to the store longer after each failure.
 func (f *Follower) backOff(now time.Time) {
 	d := f.timing.RetryMax
 	if f.failures < 4 {
 		d = min(f.timing.RetryMax, f.timing.RetryInitial<<f.failures)
 	}
 	if !f.storeConfirmed && f.set.CompleteUpTo() == 0 {
-		d = min(d, maxFirstRetryFactor*f.timing.RetryInitial) // callers wait for this answer
+		d = min(d, maxFirstRetryFactor*f.timing.RetryInitial) // the router cannot serve callers before this answer
 	}
 	f.failures++
 	f.pause(now, d)
 }
 
-// hinted looks for news at once, unless the store has failed just now.
+// hinted looks for changes at once, unless the last call to the store failed.
 func (f *Follower) hinted(now time.Time) []Effect {
 	switch {
 	case f.phase == phaseWatching:
@@ -126,14 +127,14 @@
 	return nil
 }
 
-// storeReachable calls a store at once that had been lost. A router follows two sets of
-// objects in one store: without this, the second learns up to RetryMost later than
+// storeReachable calls the store at once if it was unavailable. A router follows two sets
+// of objects in one store: without this, the second would learn up to RetryMax later than
 // the first that an outage is over.
 func (f *Follower) storeReachable(now time.Time) []Effect {
 	switch {
 	case f.unavailableSince.IsZero():
 	case f.phase == phaseWatching:
-		return []Effect{CancelCall{}} // it may wait on a connection that has gone silent
+		return []Effect{CancelCall{}} // its connection may have stopped responding
 	case f.phase == phaseWaiting:
 		f.nextCall = now
 		return f.tickStore(now)
@@ -144,12 +145,12 @@
 func (f *Follower) storeFailed(e StoreFailed) []Effect {
 	switch {
 	case e.Compacted:
-		// The store's watches begin later than what we know. It shows as a watch
-		// that is refused however often it is tried; a listing starts anew.
+		// The store's change history begins after the version held here. A watch
+		// would be refused at each try; a listing starts afresh.
 		f.listNext = true
 		f.pause(e.Now, f.timing.RetryInitial)
 	case e.Silent:
-		// The wait was pause enough: the next connection may work at once.
+		// The timeout was pause enough: the next connection may work at once.
 		f.failures++
 		f.pause(e.Now, f.timing.RetryInitial)
 	default:
@@ -165,8 +166,8 @@
 func (f *Follower) storeListed(e Listed) []Effect {
 	f.listNext = false
 	if e.Whole {
-		// Of what it does not hold, this node may never have known that it is gone: it
-		// has no deletion to tell of it, and those that pull from it need them all.
+		// This node may never have held an object that the listing lacks, so it has no
+		// deletion to report for it: nodes that pull from it must pull all its objects.
 		return f.replaceAll(e.Now, e.Objects, e.Version, e.Version)
 	}
 	f.advanceStoreVersion(e.Version)
@@ -180,7 +181,7 @@
 	}
 	out = append(out, changedEffects(f.set.Retain(seen, e.Version))...)
 	if stale {
-		// A listing by a replica that lags proves nothing about the present. If
+		// A listing by a lagging replica proves nothing about the present state. If
 		// the watch is refused again, the next listing waits longer.
 		return append(out, f.rejectStale(e.Now, e.Version)...)
 	}
@@ -189,7 +190,7 @@
 	return append(out, f.afterListing(e.Now, first)...)
 }
 
-// afterListing goes on after a listing.
+// afterListing schedules the first watch after a listing.
 func (f *Follower) afterListing(now time.Time, first bool) []Effect {
 	f.phase, f.nextCall = phaseWaiting, now
 	if first {
@@ -198,12 +199,12 @@
 	return f.tickStore(now)
 }
 
-// listInterval is the time between listings: what keeps them within listRate.
+// listInterval returns the time between listings that keeps them within listBytesPerSecond.
 func (f *Follower) listInterval() time.Duration {
 	return max(minListInterval, time.Duration(f.set.Bytes())*time.Second/listBytesPerSecond)
 }
 
-// rejectStale passes over an answer of the store that is older than what is known.
+// rejectStale handles an answer of the store that is older than what is known here.
 func (f *Follower) rejectStale(now time.Time, received topo.Version) []Effect {
 	f.backOff(now)
 	if f.storeIsStale {
@@ -227,7 +228,7 @@
 
 func (f *Follower) storeWatched(e Watched) []Effect {
 	if e.Page.Version < e.Since {
-		// A replica that lags behind what is in force here.
+		// The answer is from a replica that lags behind what is in force here.
 		out := f.rejectStale(e.Now, e.Page.Version)
 		return append(out, f.applyBatch(Batch{Objects: e.Page.Objects, Raw: true})...)
 	}
@@ -246,15 +247,15 @@
 	return append(out, f.tickStore(e.Now)...)
 }
 
-// replaceAll takes all objects that exist at a version, from a source that does not
-// know when each of them changed last. known is as in Batch.
+// replaceAll takes over all objects that exist at a version, from a source that does not
+// record when each of them last changed. horizon is the DeletionHorizon of the Batch.
 func (f *Follower) replaceAll(now time.Time, objects []topo.Object, version, horizon topo.Version) []Effect {
 	if version < f.set.CompleteUpTo() {
-		return f.rejectStale(now, version) // a replica that lags
+		return f.rejectStale(now, version) // a lagging replica
 	}
 	if len(objects) == 0 && f.set.Len() > 0 {
-		// Nothing is what a source holds before its first configuration, and never
-		// after it. Taken at its word, it would refuse every caller.
+		// A source holds nothing before its first configuration, and never after it.
+		// Applying an empty one would make the router refuse every caller.
 		f.backOff(now)
 		return nil
 	}
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -7,70 +7,72 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Times of a Follower.
+// Intervals and limits of a Follower.
 const (
-	// TickInterval is the pace of Ticked.
+	// TickInterval is the time between Ticked events.
 	TickInterval = 100 * time.Millisecond
-	// WatchGrace is how much later than its wait a watch may answer.
+	// WatchGrace is how long after the end of its wait a watch may still answer.
 	WatchGrace = time.Second
 
-	// firstListDelay is when a router that began with what a peer had verifies it
-	// against the store. Later it does so every listEvery, or less often so that
-	// the values read stay within listRate in bytes a second. A change that all
-	// nodes have missed shows nowhere else.
+	// firstListDelay is when a router that started with a peer's configuration
+	// verifies it against the store. Later it does so every minListInterval, or less
+	// often, so that the values read stay within listBytesPerSecond. Only a listing
+	// shows a change that all nodes have missed.
 	firstListDelay     = 5 * time.Minute
 	minListInterval    = time.Minute
 	listBytesPerSecond = 256
 
-	// peerCheckInterval is how often a router compares with a peer that it draws.
+	// peerCheckInterval is how often a router compares itself with a random peer.
 	peerCheckInterval = 2500 * time.Millisecond
-	// sidecarCheckInterval is how often a sidecar does so. Many routers ask it as well.
+	// sidecarCheckInterval is how often a node that does not read the store does so.
+	// Many routers query a sidecar as well.
 	sidecarCheckInterval = time.Minute
-	// outageCheckInterval is the same while the store does not answer.
+	// outageCheckInterval is how often a router does so while the store does not answer.
 	outageCheckInterval = 500 * time.Millisecond
-	// watchHeadStart is how long a router lets its watch bring what a peer has.
+	// watchHeadStart is how long a router waits for its own watch to return a change
+	// that a peer has reported.
 	watchHeadStart = 2 * time.Second
-	// queryTimeout is after how long an Ask counts as failed.
+	// queryTimeout is the time after which a SendQuery counts as failed.
 	queryTimeout = 2 * time.Second
-	// minComparedPeers is how many peers a router has compared with before it trusts
-	// a configuration that the store has not confirmed.
+	// minComparedPeers is how many peers a router compares itself with before it
+	// trusts a configuration that the store has not confirmed.
 	minComparedPeers = 3
-	// maxPeerWait is when it stops waiting for them.
+	// maxPeerWait is how long it waits for them.
 	maxPeerWait = 2 * time.Second
 )
 
-// Timing is how a Follower calls the store.
+// Timing sets how a Follower calls the store and its peers.
 type Timing struct {
-	// WatchWait is how long a watch of the store waits for a change. It is what
-	// a router pays for in calls when nothing happens.
+	// WatchWait is how long a watch of the store waits for a change. It determines how
+	// many calls a router makes while nothing changes.
 	WatchWait time.Duration
-	// WatchWaitAfterFailure is the wait of the first watch after a failed one,
-	// so that two silent connections in a row cost less than two full waits.
+	// WatchWaitAfterFailure is the wait of the first watch after a failed one, so that
+	// two unresponsive connections in a row cost less than two full waits.
 	WatchWaitAfterFailure time.Duration
-	// WatchPause is the mean pause after a watch that brought changes. Without
-	// it a burst of changes would wake every router for each of them, which at
-	// 330 routers is more than the store serves.
+	// WatchPause is the mean pause after a watch that returned changes. Without it, a
+	// burst of changes would make every router call the store for each of them, which
+	// with 330 routers is more than the store can serve.
 	WatchPause time.Duration
-	// Relayed is set where routers rely on what one of them reads. A pause is then
-	// part of the watch that follows it, which costs a tenth more calls; and what a
-	// listing has shown to be gone is pulled at once, since few routers list.
+	// Relayed is set where routers rely on one of them to read the store. A pause is then
+	// part of the watch that follows it, which costs a tenth more calls. Removals that a
+	// listing has shown are pulled at once, because few routers list the store.
 	Relayed bool
-	// RetryInitial and RetryMax bound the pause after a failed call of the store.
+	// RetryInitial and RetryMax bound the pause after a failed call to the store.
 	RetryInitial, RetryMax time.Duration
-	// PeerWait is how long a new router waits for peers to give it a
-	// configuration, before it takes the listing of the store's many pages.
+	// PeerWait is how long a new router waits for a configuration from its peers before
+	// it lists the store, which takes many pages.
 	PeerWait time.Duration
-	// FirstWatchDelay is how long after its first listing a router waits before it watches,
-	// in case that another one reads the store for it.
+	// FirstWatchDelay is how long a router waits between its first listing and its first
+	// watch, in case another router reads the store for it.
 	FirstWatchDelay time.Duration
-	// PullInterval is the least time between the pulls of a node that does not read
-	// the store.
+	// PullInterval is the minimum time between pulls of a node that does not read the
+	// store.
 	PullInterval time.Duration
 }
 
-// DefaultTiming keeps a change that the store has accepted within 7 s of being in
-// force: a watch that has gone silent is given up after WatchWait and
-// WatchGrace, and the next one answers at once.
+// DefaultTiming returns the Timing that brings a change into force within 7 s after the
+// store has accepted it: an unresponsive watch is abandoned after WatchWait and
+// WatchGrace, and the next one is answered at once.
 func DefaultTiming() Timing {
 	return Timing{
 		WatchWait:             2500 * time.Millisecond,
@@ -83,29 +85,29 @@
 	}
 }
 
-// Status is what a Follower knows about its own state.
+// Status describes the state of a Follower.
 type Status struct {
 	Version        topo.Version `json:"version"`
 	CompleteUpTo   topo.Version `json:"complete"`
 	Objects        int          `json:"objects"`
 	Bytes          int          `json:"bytes"`
-	StoreAnswered  time.Time    `json:"store_heard"`         // of the last answer that was not stale
-	Failures       int          `json:"failures"`            // of calls of the store, in a row
-	StoreRecovered time.Time    `json:"store_back,omitzero"` // when it answered again after an outage
+	StoreAnswered  time.Time    `json:"store_heard"`         // when it last gave an answer that was not stale
+	Failures       int          `json:"failures"`            // consecutive failed calls to the store
+	StoreRecovered time.Time    `json:"store_back,omitzero"` // when it last answered again after an outage
 }
 
-// storePhase says what a Follower is doing at the store.
+// storePhase is what a Follower is doing with the store.
 type storePhase uint8
 
 const (
-	phaseNone    storePhase = iota // there is no store: a sidecar
-	phaseWaiting                   // until resume
+	phaseNone    storePhase = iota // no access to the store: a sidecar
+	phaseWaiting                   // until nextCall
 	phaseListing
 	phaseWatching
 )
 
-// Follower keeps a Set up to date from the store and from peers. It is a
-// reducer: Step never blocks and takes the time from its events.
+// Follower keeps a Set up to date from the store and from peers. It is a reducer: Step
+// never blocks and takes the time from its events.
 type Follower struct {
 	set             *Set
 	timing          Timing
@@ -115,26 +117,26 @@
 	delegated        bool // another router reads the store for this one
 	phase            storePhase
 	nextCall         time.Time
-	listNext         bool // the next call of the store is a listing
+	listNext         bool // the next call to the store is a listing
 	nextList         time.Time
-	failures         int          // in a row
-	storeVersion     topo.Version // by the store, all changes up to here
-	storeConfirmed   bool         // the store has answered
-	unavailableSince time.Time    // since when it does not answer; zero: it does
-	recoveredAt      time.Time    // when it answered again after it had not
-	storeIsStale     bool         // its last answer was older than what is known
+	failures         int          // consecutive failed calls to the store
+	storeVersion     topo.Version // the store has returned all changes up to it
+	storeConfirmed   bool         // the store has answered at least once
+	unavailableSince time.Time    // when the store stopped answering; zero: it answers
+	recoveredAt      time.Time    // when the store last answered again after an outage
+	storeIsStale     bool         // the store's last answer was older than what is known here
 	era              topo.Era     // of the store
-	holdOrdersUntil  time.Time    // orders that the store has lost hold until then
-	restoredEdition  topo.Version // of the edition that the store came back with, if it was older
+	holdOrdersUntil  time.Time    // orders that a restored store lacks hold until then
+	restoredEdition  topo.Version // of the edition in a store restored from an older copy
 
 	peers         []Peer
-	connected     []Peer // of them, those with a connection
+	connected     []Peer // the peers to which a connection is open
 	started       time.Time
-	peerWaitOver  bool              // for peers, long enough
-	ready         bool              // the configuration has been trusted
-	comparedPeers map[Peer]struct{} // peers that have answered, up to enoughPeers
+	peerWaitOver  bool              // maxPeerWait has passed
+	ready         bool              // see Ready
+	comparedPeers map[Peer]struct{} // peers that have answered, up to minComparedPeers
 	pull          *pull
-	peerAhead     Peer // said to know more than we do
+	peerAhead     Peer // has reported a newer version than this node's
 	unobtainable  unobtainable
 	announced     announcement
 	nextPull      time.Time
@@ -144,8 +146,8 @@
 	nextRefresh time.Time
 }
 
-// NewFollower returns the Follower of a router, which reads the store at a pace.
-// Seed sets its jitter.
+// NewFollower returns the Follower of a router, which reads the store. The seed determines
+// its jitter.
 func NewFollower(seed uint64, timing Timing) *Follower {
 	f := NewSidecarFollower(seed)
 	f.phase = phaseWaiting
@@ -153,8 +155,8 @@
 	return f
 }
 
-// NewSidecarFollower returns the Follower of a sidecar, which only asks its peers. It keeps
-// nothing until a router tells it of a version; see Copies.
+// NewSidecarFollower returns the Follower of a sidecar, which only queries its peers. It
+// holds no objects until a router sends it a version; see CopyHolders.
 func NewSidecarFollower(seed uint64) *Follower {
 	return &Follower{
 		set:           NewSet(),
@@ -164,12 +166,12 @@
 	}
 }
 
-// Set returns the configuration, for reading.
+// Set returns the configuration. The caller must not modify it.
 func (f *Follower) Set() *Set {
 	return f.set
 }
 
-// Status returns how far the Follower is.
+// Status returns the current state.
 func (f *Follower) Status() Status {
 	return Status{
 		Version:        f.set.Version(),
@@ -182,13 +184,12 @@
 	}
 }
 
-// Ready reports whether the configuration can be trusted to be a recent one:
-// a router that starts has compared it with a few peers, so that neither a
-// store that lags nor a single peer that was cut off makes it serve by rules
-// that are no longer in force.
+// Ready reports whether the configuration is likely to be recent. A router that starts
+// first compares it with a few peers, so that neither a lagging store nor a single
+// disconnected peer makes it serve by rules that are no longer in force.
 //
-// Once it is trusted it stays so. A router that has just begun to rely on another
-// one, which it has yet to hear, would else refuse callers for a moment.
+// Once true, it stays true. Otherwise a router that has just begun to rely on another one
+// would refuse callers until that one answers.
 func (f *Follower) Ready() bool {
 	return f.ready
 }
@@ -201,7 +202,7 @@
 	return len(f.comparedPeers) >= min(minComparedPeers, len(f.peers)) && (f.storeConfirmed || len(f.comparedPeers) > 0)
 }
 
-// Step applies an event.
+// Step applies an event and returns the effects to carry out.
 func (f *Follower) Step(event Event) []Effect {
 	out := f.step(event)
 	f.ready = f.ready || f.isTrusted()
@@ -252,12 +253,12 @@
 	return append(f.tickStore(now), f.tickPeers(now)...)
 }
 
-// jitter returns a time between half of d and one and a half.
+// jitter returns a random duration from half of d to one and a half times d.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(f.rand.Int64N(int64(d)))
 }
 
-// applyBatch applies a batch and tells the role.
+// applyBatch applies a batch to the Set and reports the objects that have changed.
 func (f *Follower) applyBatch(b Batch) []Effect {
 	return changedEffects(f.set.Apply(b))
 }
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -1,7 +1,7 @@
-// Package pack puts deltas of a configuration into few bytes, for their way between routers.
+// Package pack encodes deltas of a configuration compactly for transfer between routers.
 //
-// A router that others pull from packs, and one that pulls unpacks. A Packer is safe for
-// concurrent use; what it returns is not to be changed.
+// A router that others pull from packs deltas, and a router that pulls unpacks them. A
+// Packer is safe for concurrent use; its results must not be modified.
 package pack
 
 import (
@@ -16,24 +16,24 @@
 )
 
 const (
-	// maxUnpackedBytes bounds what a packed delta may come to, in bytes.
+	// maxUnpackedBytes bounds the size of an unpacked delta.
 	maxUnpackedBytes = 64 << 20
-	// maxCachedDeltas is how many packed deltas are kept. Routers ask for the same one at
-	// about the same time.
+	// maxCachedDeltas is how many packed deltas are cached. Routers request the same one
+	// at about the same time.
 	maxCachedDeltas = 8
 )
 
-// Delta is a config.Delta as it travels, in CBOR and compressed. A change that
-// adds a thousand routes comes to 650 KB of JSON, half a second of a link of 10 Mbit/s,
-// and a twentieth of that compressed. The values of objects are bytes to CBOR: JSON
-// would read each of them on either side (BenchmarkPackedDelta: .6 ms on
-// either side in place of 3.6 and 4.9 as JSON in gzip).
+// Delta is the encoded form of a config.Delta: CBOR, compressed with zstd. A change that
+// adds a thousand routes is 650 KB of JSON, half a second on a link of 10 Mbit/s, and
+// compresses to a twentieth of that. CBOR treats the values of objects as bytes, where JSON
+// would parse each of them on both sides (BenchmarkPackedDelta: .6 ms to pack and to
+// unpack, instead of 3.6 and 4.9 ms as JSON in gzip).
 type Delta struct {
 	Zstd []byte `json:"zstd"`
 }
 
-// Packer packs deltas, and keeps the last few: the others ask for the same. It also
-// unpacks those of others.
+// Packer packs deltas, and unpacks those of other routers. It caches the last few that it
+// packed, because several routers request the same one.
 type Packer struct {
 	compressor   *zstd.Encoder
 	decompressor *zstd.Decoder
@@ -42,28 +42,28 @@
 	cached []cachedDelta
 }
 
-// New returns a Packer. Each call of it uses one goroutine and little memory.
+// New returns a Packer, which uses one goroutine per call and little memory.
 func New() *Packer {
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		panic(err) // only for options that do not fit together
+		panic(err) // fails only for incompatible options
 	}
 	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
-		panic(err) // only for options that do not fit together
+		panic(err) // fails only for incompatible options
 	}
 	return &Packer{compressor: w, decompressor: r}
 }
 
-// cachedDelta is a packed delta with what it answers.
+// cachedDelta is a packed delta and the query that it answers.
 type cachedDelta struct {
 	set     relay.Set
-	query   config.Query // without the asker's mark
+	query   config.Query // without a Summary
 	summary config.Summary
 	packed  Delta
 }
 
-// Pack returns the delta that answers a query of a set.
+// Pack returns d, the answer to query q of a set, in packed form.
 func (p *Packer) Pack(set relay.Set, q config.Query, d config.Delta) (Delta, error) {
 	q.Summary = config.Summary{}
 	p.mu.Lock()
@@ -87,7 +87,7 @@
 func (p *Packer) compress(d config.Delta) (Delta, error) {
 	plain, err := cbor.Marshal(d)
 	if err != nil {
-		return Delta{}, errors.Wrap(err, "pack: delta")
+		return Delta{}, errors.Wrap(err, "pack: encode delta")
 	}
 	return Delta{Zstd: p.compressor.EncodeAll(plain, nil)}, nil
 }
@@ -96,9 +96,9 @@
 func (p *Packer) Unpack(packed Delta) (config.Delta, error) {
 	plain, err := p.decompressor.DecodeAll(packed.Zstd, nil)
 	if err != nil {
-		return config.Delta{}, errors.Wrap(err, "pack: packed delta")
+		return config.Delta{}, errors.Wrap(err, "pack: decompress delta")
 	}
 	var d config.Delta
 	err = cbor.Unmarshal(plain, &d)
-	return d, errors.Wrap(err, "pack: packed delta")
+	return d, errors.Wrap(err, "pack: decode delta")
 }
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -7,11 +7,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// orderHoldTime is for how long an order holds that a store does not have which has come back
-// from an older copy. Its operators give it again.
+// orderHoldTime is how long an order that a store restored from an older copy lacks stays
+// in force. Its operators are expected to give it again within that time.
 const orderHoldTime = 2 * time.Second
 
-// enterEra takes in that the store is in an era.
+// enterEra records the era of the store.
 func (f *Follower) enterEra(now time.Time, era topo.Era) []Effect {
 	previous := f.era
 	if era <= previous {
@@ -25,13 +25,14 @@
 	return []Effect{StoreRestored{Era: era}}
 }
 
-// isOutdatedPeer reports whether a peer has taken its configuration from an older copy.
+// isOutdatedPeer reports whether a peer has its configuration from an older copy of the store.
 func (f *Follower) isOutdatedPeer(m Summary) bool {
 	return Edition{Number: m.Edition, Version: m.Version}.isOlderCopyThan(f.set.edition)
 }
 
-// replacement returns what changes when objects are all that a source has at a version.
-// What is in force gives way to nothing that an older copy has, or has not.
+// replacement returns what changes when objects are all that a source holds at a version.
+// If the source was restored from an older copy, the configuration in force stays, whether
+// the copy holds other objects or lacks some.
 func (f *Follower) replacement(now time.Time, objects []topo.Object, version topo.Version) []topo.Object {
 	if f.isOlderCopy(editionOf(objects), version) {
 		objects = f.set.withOrdersOf(objects)
@@ -42,14 +43,14 @@
 	return f.set.difference(objects, version)
 }
 
-// isOlderCopy reports whether the configuration of a source is that of an older copy, which its
-// operators have not yet written again. What they write later is in force, whichever number
-// they give it.
+// isOlderCopy reports whether the configuration of a source comes from an older copy and
+// its operators have not written it since. What they write later takes effect, whatever
+// edition number they give it.
 func (f *Follower) isOlderCopy(e Edition, version topo.Version) bool {
 	if f.set.edition.Number == 0 {
 		return false
 	}
-	if e.Number == 0 { // the copy is of before the first
+	if e.Number == 0 { // the copy was made before the first edition
 		return version.Era() > f.set.edition.Version.Era()
 	}
 	if !e.isOlderCopyThan(f.set.edition) {
@@ -61,8 +62,8 @@
 	return e.Version <= f.restoredEdition
 }
 
-// holdOrders returns objects and the orders from before an era that are not among them, and
-// has the source read again when these need not be held any more.
+// holdOrders returns objects together with the orders from before an era that are missing
+// among them. If there are any, the source is read again once they need no longer be held.
 func (f *Follower) holdOrders(objects []topo.Object, era topo.Era) []topo.Object {
 	out := slices.Clone(objects)
 	for _, held := range f.set.ordersBefore(era) {
--- a/internal/config/revision.go
+++ b/internal/config/revision.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// kinds are the kinds of object that are configuration.
+// kinds are the kinds of configuration objects.
 var kinds = []topo.Kind{
 	topo.KindProfile,
 	topo.KindOrganisation,
@@ -20,31 +20,29 @@
 	topo.KindLimits,
 }
 
-// Kinds returns the kinds of object that are configuration.
+// Kinds returns the kinds of configuration objects.
 func Kinds() []topo.Kind {
 	return slices.Clone(kinds)
 }
 
-// ChangeID tells changes apart. It is drawn at random by the one who makes the
-// change, before it is written, so that its fate can be looked up when the
-// answer to the write is lost.
+// ChangeID identifies a change. The author of a change draws it at random before the write,
+// so that the outcome can be looked up if the answer to the write is lost.
 type ChangeID string
 
-// Change says who changed an object, when and why.
+// Change records who changed an object, when and why.
 type Change struct {
 	ID     ChangeID  `json:"id"`
 	Author string    `json:"author,omitempty"`
 	Time   time.Time `json:"time"`
 	Reason string    `json:"reason,omitempty"`
-	// Parent is the change that this one replaces; empty for an object's first.
+	// Parent is the change that this one replaces; empty for the first change of an object.
 	Parent ChangeID `json:"parent,omitempty"`
 }
 
 // Revision is the value of a configuration object in the store.
 //
-// A deletion is a revision without a spec rather than a removal from the store:
-// its change id can be read back like any other, it has a history, and whoever
-// lists the store learns of it.
+// A deletion is a revision without a spec rather than a removal from the store: its change
+// ID can be read back like any other, it has a history, and a listing of the store shows it.
 type Revision struct {
 	Change Change          `json:"change"`
 	Spec   json.RawMessage `json:"spec,omitempty"`
@@ -55,16 +53,16 @@
 	return len(r.Spec) == 0
 }
 
-// Encode returns the revision as a value for the store.
+// Encode returns the revision as a value to store.
 func (r Revision) Encode() (json.RawMessage, error) {
 	b, err := json.Marshal(r)
 	return b, errors.WithStack(err)
 }
 
-// errNoChange is a value that is no revision.
-var errNoChange = errors.New("config: the value carries no change: it was not written by parsleyctl")
+// errNoChange reports a value that is not a revision.
+var errNoChange = errors.New("config: value has no change ID: it was not written by parsleyctl")
 
-// Decode reads a revision from the value of an object.
+// Decode parses the value of an object as a revision.
 func Decode(value json.RawMessage) (Revision, error) {
 	var r Revision
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -76,7 +74,7 @@
 	return r, nil
 }
 
-// Spec returns the spec within an object of a Set: what the operator wrote.
+// Spec returns the spec of an object in a Set, as its operator wrote it.
 func Spec(o topo.Object) (json.RawMessage, error) {
 	r, err := Decode(o.Value)
 	return r.Spec, err
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -1,12 +1,12 @@
 // Package config decides which configuration a node has in force.
 //
-// A Set holds the newest version that the node has seen of each object, from
-// whoever it came: the store, a router or a sidecar. A Follower decides whom to
-// ask for what is missing. Both are free of I/O, goroutines and clocks; package
-// follow carries out what a Follower asks for, and package change writes.
+// A Set holds the newest version that the node has seen of each object, whether it came
+// from the store, a router or a sidecar. A Follower decides which node to query for missing
+// objects. Both are free of I/O, goroutines and clocks; package follow carries out the
+// effects of a Follower, and package change writes configuration.
 //
-// Versions order the changes of the whole store, across objects. That is an
-// assumption about the platform, see docs/design/0004-configuration.md.
+// Versions order the changes of the whole store, across objects. This is an assumption
+// about the platform, see docs/design/0004-configuration.md.
 package config
 
 import (
@@ -22,37 +22,37 @@
 const (
 	// maxTombstones bounds the deletions that a Set remembers.
 	maxTombstones = 4096
-	// maxPieceBytes bounds a Delta: small against a connection that answers share,
-	// large against the cost of a round trip.
+	// maxPieceBytes bounds a Delta. It is small for a connection that also carries
+	// responses, and large compared with the cost of a round trip.
 	maxPieceBytes = 128 << 10
-	// objectOverheadBytes is what an object's name and version add to a Delta.
+	// objectOverheadBytes is the size of an object's name and version in a Delta.
 	objectOverheadBytes = 64
-	// emptyDigest is the digest of a Set without objects; zero is no digest.
+	// emptyDigest is the digest of a Set without objects. Zero means no digest.
 	emptyDigest = 1
 )
 
-// Set is the configuration objects that a node knows. Its zero value is not
-// usable; see NewSet. It is owned by one goroutine.
+// Set holds the configuration objects that a node has received. Use NewSet; the zero value
+// is not usable. A Set is owned by one goroutine.
 //
 // The Set is complete up to a version: it holds the newest change of every
 // object that is at or below that version, or a later one.
 type Set struct {
-	objects   map[topo.Ref]*topo.Object // deletions included, without value
-	order     []*topo.Object            // by version; may hold replaced objects
-	replaced  int                       // replaced objects in order
-	deletions int                       // deletions in objects
-	bytes     int                       // of the values
+	objects   map[topo.Ref]*topo.Object // includes deletions, without values
+	order     []*topo.Object            // sorted by version; may include replaced objects
+	replaced  int                       // number of replaced objects in order
+	deletions int                       // number of deletions in objects
+	bytes     int                       // total size of the values
 
-	newest        topo.Version // of all objects known
+	newest        topo.Version // of all objects held
 	version       topo.Version // see Version
 	completeUpTo  topo.Version
-	forgottenUpTo topo.Version // deletions at or below it may have been forgotten
-	listedUpTo    topo.Version // of the newest listing of the store
+	forgottenUpTo topo.Version // deletions at or below this version may have been forgotten
+	listedUpTo    topo.Version // version of the newest listing of the store
 	digest        uint64       // of the live objects
-	edition       Edition      // of a configuration that is written as a whole
+	edition       Edition      // of a configuration written as a whole
 
-	maxTombstones int // how many deletions are remembered
-	maxPieceBytes int // bound of a Delta
+	maxTombstones int // deletions that are remembered
+	maxPieceBytes int // upper bound of the size of a Delta
 }
 
 // NewSet returns an empty Set.
@@ -65,29 +65,29 @@
 	}
 }
 
-// Version is the newest object's version up to which the Set is complete. It
-// never falls. Two nodes that are up to date have the same.
+// Version returns the version of the newest object up to which the Set is complete. It
+// never decreases. Two nodes that are up to date have the same Version.
 func (s *Set) Version() topo.Version {
 	return s.version
 }
 
-// CompleteUpTo is the store's version up to which the Set is complete. It is at
-// least Version, since most changes of the store are not configuration.
+// CompleteUpTo returns the store's version up to which the Set is complete. It is at least
+// Version, since most changes in the store are not configuration.
 func (s *Set) CompleteUpTo() topo.Version {
 	return s.completeUpTo
 }
 
-// Len is the number of objects that exist.
+// Len returns the number of objects that exist.
 func (s *Set) Len() int {
 	return len(s.objects) - s.deletions
 }
 
-// Bytes is the size of all values.
+// Bytes returns the total size of all values.
 func (s *Set) Bytes() int {
 	return s.bytes
 }
 
-// Get returns an object. Its version tells whether a change is in force.
+// Get returns an object and whether it exists. Its version shows which change is in force.
 func (s *Set) Get(ref topo.Ref) (topo.Object, bool) {
 	o := s.objects[ref]
 	if o == nil || o.Deleted {
@@ -96,8 +96,8 @@
 	return *o, true
 }
 
-// HeldVersion returns the version in force of an object, deleted or not; zero when it
-// is not known.
+// HeldVersion returns the version in force of an object, deleted or not; zero if the
+// object is unknown.
 func (s *Set) HeldVersion(ref topo.Ref) topo.Version {
 	if o := s.objects[ref]; o != nil {
 		return o.Version
@@ -105,7 +105,7 @@
 	return 0
 }
 
-// Objects calls f for each object that exists, in no order.
+// Objects calls f for each object that exists, in no particular order.
 func (s *Set) Objects(f func(topo.Object)) {
 	for _, o := range s.objects {
 		if !o.Deleted {
@@ -114,29 +114,29 @@
 	}
 }
 
-// Claim is what the source of objects says about them: with them it has told
-// every object whose newest change is after From and at or below To.
+// Claim states which changes a source has returned: every object whose newest change is
+// after From and at or below To.
 type Claim struct {
 	From, To topo.Version
 }
 
-// Batch is objects from one source. A nil Claim claims nothing.
+// Batch is a set of objects from one source. A nil Claim claims nothing.
 type Batch struct {
 	Objects []topo.Object
 	Claim   *Claim
-	// Raw tells that Objects are as the store holds them, where a deletion may be a
-	// revision without a spec. Those of other nodes are past that.
+	// Raw is set if Objects are as the store holds them, where a deletion may be a
+	// revision without a spec. Objects from other nodes are already normalised.
 	Raw bool
-	// DeletionHorizon is the version up to which the source decides which objects exist:
-	// that of a listing of the store. Zero for sources that may have missed a
+	// DeletionHorizon is the version up to which the source determines which objects
+	// exist: that of a listing of the store. Zero for a source that may have missed a
 	// deletion.
 	DeletionHorizon topo.Version
 }
 
-// Apply takes what is newer in b and returns the objects that have changed; what another
-// era of the store only tells again has not.
-// An object is never replaced by an older one, so nothing that has been in
-// force comes back, whichever stale source says so.
+// Apply takes over the objects in b that are newer and returns those that have changed.
+// An object that only repeats its value in another era of the store has not changed.
+// An object is never replaced by an older version, so no stale source can bring a former
+// version back into force.
 func (s *Set) Apply(b Batch) []topo.Object {
 	var changed []topo.Object
 	sorted := true
@@ -167,8 +167,8 @@
 	return changed
 }
 
-// normalise returns o with a deletion that is written as a revision without a
-// spec in the same form as one that the store made.
+// normalise returns o in the form of a deletion by the store if it is a revision without
+// a spec, and unchanged otherwise. A deletion has no value.
 func normalise(o topo.Object) topo.Object {
 	if !o.Deleted {
 		r, err := Decode(o.Value)
@@ -188,14 +188,14 @@
 	if have != nil && !have.Deleted {
 		return true
 	}
-	// An object that does not exist here and is older than what was forgotten
-	// or listed has been deleted, and comes from a source that has missed it. It
-	// shows as an organisation that works again after its deletion. Only one
-	// who has listed the store later knows better.
+	// An object that does not exist here and is older than the forgotten deletions or the
+	// last listing has been deleted, and its source has missed the deletion. Accepting it
+	// would, for example, make a deleted organisation work again. Only a source that has
+	// listed the store later can prove that the object exists.
 	return o.Version > s.deletionHorizon() || (b.DeletionHorizon >= s.deletionHorizon() && !o.Deleted)
 }
 
-// isRepeat reports whether o is what is held, told anew in another era of the store.
+// isRepeat reports whether o repeats the value held, in a later era of the store.
 func (s *Set) isRepeat(o topo.Object) bool {
 	have, ok := s.Get(o.Ref)
 	return ok && !o.Deleted && o.Version.Era() > have.Version.Era() && bytes.Equal(o.Value, have.Value)
@@ -220,7 +220,7 @@
 	s.bytes += len(o.Value)
 }
 
-// uncount takes o out of the counts, before it is replaced or dropped.
+// uncount subtracts o from the counts, before it is replaced or dropped.
 func (s *Set) uncount(o *topo.Object) {
 	if o.Deleted {
 		s.deletions--
@@ -230,8 +230,8 @@
 	s.bytes -= len(o.Value)
 }
 
-// fingerprint is of what an object holds and not of its version: two nodes that hold the
-// same may have heard of it at different versions, where a source tells only the whole.
+// fingerprint covers the value of an object and not its version: nodes that hold the same
+// value may have received it at different versions if a source always returns all objects.
 func fingerprint(o topo.Object) uint64 {
 	h := xxh3.New()
 	_, _ = h.WriteString(string(o.Kind))
@@ -242,15 +242,15 @@
 	return h.Sum64()
 }
 
-// applyClaim raises complete when the applyClaim joins what the Set is complete up to. A
-// applyClaim that begins later would skip the changes between.
+// applyClaim raises completeUpTo if the claim begins at or before it. A claim that begins
+// later would skip the changes between.
 func (s *Set) applyClaim(c Claim) {
 	if c.From <= s.completeUpTo {
 		s.completeUpTo = max(s.completeUpTo, c.To)
 	}
 }
 
-// advanceVersion brings Version up to date.
+// advanceVersion updates the result of Version.
 func (s *Set) advanceVersion() {
 	for i := len(s.order) - 1; i >= 0; i-- {
 		o := s.order[i]
@@ -265,14 +265,14 @@
 	return s.objects[o.Ref] == o
 }
 
-// sortOrder restores the order by version and drops what has been replaced.
+// sortOrder sorts order by version and drops replaced objects.
 func (s *Set) sortOrder() {
 	s.order = slices.DeleteFunc(s.order, func(o *topo.Object) bool { return !s.isCurrent(o) })
 	slices.SortFunc(s.order, func(x, y *topo.Object) int { return cmp.Compare(x.Version, y.Version) })
 	s.replaced = 0
 }
 
-// trim bounds the memory: replaced objects, and tombstones.
+// trim bounds the memory used by replaced objects and tombstones.
 func (s *Set) trim() {
 	if s.deletions > s.maxTombstones {
 		s.dropTombstones()
@@ -283,8 +283,8 @@
 	}
 }
 
-// dropTombstones forgets the older half of the deletions. Whoever asks for what
-// has changed since before floor gets everything instead.
+// dropTombstones forgets the older half of the deletions. A node that queries for the
+// changes since before forgottenUpTo then needs all objects.
 func (s *Set) dropTombstones() {
 	drop := s.deletions - s.maxTombstones/2
 	for _, o := range s.order {
@@ -302,8 +302,8 @@
 	}
 }
 
-// Retain removes the objects at or below upTo that are not in seen: a source
-// that knows all objects up to there did not name them. It returns them.
+// Retain removes and returns the objects at or below upTo that are not in seen, where seen
+// names the objects of a source that holds all objects up to that version.
 func (s *Set) Retain(seen map[topo.Ref]struct{}, upTo topo.Version) []topo.Object {
 	var removed []topo.Object
 	for ref, o := range s.objects {
@@ -316,22 +316,22 @@
 		removed = append(removed, topo.Object{Ref: ref, Version: upTo, Deleted: true})
 	}
 	if len(removed) > 0 {
-		// Without a tombstone of its own, a removal cannot be told to those who
-		// ask for the changes since before it.
+		// A removal has no tombstone, so it cannot be reported to nodes that query for
+		// the changes since before it.
 		s.forgottenUpTo = max(s.forgottenUpTo, upTo)
 	}
 	s.listedUpTo = max(s.listedUpTo, upTo)
 	return removed
 }
 
-// difference returns what has changed when objects are all that exist at a
-// version: those with another value than the Set holds, and as deleted those that
-// are not among them. What is the same keeps the version at which it changed, so
-// that nodes which have seen different stages of the source still agree. Only a later era of
-// the store gives it another: nodes that have begun in that era take nothing for newer that
-// has a version of the one before. What is new
-// has the version that the source gives it, the one at which the source changed last:
-// two nodes that begin to read it at different times agree as well.
+// difference returns what changes if objects are all that exist at a version: objects with
+// another value than the Set holds, and deletions of those missing among them.
+//
+// Unchanged objects keep the version at which they changed, so that nodes that have seen
+// different stages of the source still agree. Only a later era of the store gives them a new
+// version: nodes that started in that era do not accept versions of the era before as newer.
+// A new object has the version given by the source, at which the source last changed: two
+// nodes that begin to read it at different times agree as well.
 func (s *Set) difference(objects []topo.Object, version topo.Version) []topo.Object {
 	var out []topo.Object
 	seen := make(map[topo.Ref]bool, len(objects))
@@ -344,7 +344,7 @@
 		if ok && bytes.Equal(have.Value, o.Value) && o.Version.Era() <= have.Version.Era() {
 			continue
 		}
-		// The value may be a part of a text that would be kept for its sake.
+		// The value may be part of a larger text, which it would keep in memory.
 		o.Value = bytes.Clone(o.Value)
 		out = append(out, o)
 	}
