--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -196,17 +196,17 @@
 		reader.Step(Listed{Now: now, Objects: left, Version: version})
 		reader.set.Apply(Batch{Objects: []topo.Object{upstream(4, version)}, Claim: &Claim{To: version}})
 		left = left[1:]
-		mark := reader.set.Summary()
-		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: mark})
+		summary := reader.set.Summary()
+		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: summary})
 		answerOnce(to, reader, now, first) // then it asks for everything, in vain
 		to.Step(QueryFailed{Now: now, Peer: "lost"})
 		now = now.Add(timing.PullInterval)
-		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: mark}))
+		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: summary}))
 		if _, listed := to.set.Get(upstream(gone, 1).Ref); listed {
 			t.Errorf("runner %d is still listed", gone)
 		}
-		if to.set.Version() != mark.Version {
-			t.Errorf("after removal %d: up to version %d, want %d", gone, to.set.Version(), mark.Version)
+		if to.set.Version() != summary.Version {
+			t.Errorf("after removal %d: up to version %d, want %d", gone, to.set.Version(), summary.Version)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 	f, now := NewFollower(1, timing), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 3, Objects: []topo.Object{chatAt(3)}}})
-	heard := now
+	lastAnswer := now
 	for {
 		now = now.Add(TickInterval)
 		effects := f.Step(Ticked{Now: now})
@@ -287,7 +287,7 @@
 		if !ok {
 			t.Fatalf("effects %v", effects)
 		}
-		if silence := now.Sub(heard) + w.Wait; silence > timing.WatchWait {
+		if silence := now.Sub(lastAnswer) + w.Wait; silence > timing.WatchWait {
 			t.Errorf("the store is silent for %v, want %v", silence, timing.WatchWait)
 		}
 		return
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -68,8 +68,8 @@
 }
 
 var (
-	olderCopy = configuration{edition: 54, routes: map[string]string{"dropped": `1`, "changed": `1`}}
-	confirmed = configuration{edition: 57, routes: map[string]string{"changed": `2`, "added": `2`}}
+	olderCopy          = configuration{edition: 54, routes: map[string]string{"dropped": `1`, "changed": `1`}}
+	newerConfiguration = configuration{edition: 57, routes: map[string]string{"changed": `2`, "added": `2`}}
 )
 
 // A configuration that was in force, and the older one of a store that comes back, told by
@@ -77,22 +77,22 @@
 func TestOlderCopyDoesNotReplaceNewerConfiguration(t *testing.T) {
 	r := newTestFollower()
 	r.list(olderCopy, topo.VersionAt(1, 30), topo.VersionAt(1, 30))
-	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
-	r.check(t, confirmed.routes)
+	r.check(t, newerConfiguration.routes)
 	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
-	r.check(t, confirmed.routes)
+	r.check(t, newerConfiguration.routes)
 
 	fresh := newTestFollower()
 	fresh.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
-	mark := fresh.set.Summary()
-	r.Step(SummaryReceived{Now: r.now, Peer: "fresh", Summary: mark})
+	summary := fresh.set.Summary()
+	r.Step(SummaryReceived{Now: r.now, Peer: "fresh", Summary: summary})
 	if r.pull != nil {
 		t.Error("it pulls from a router with the older copy")
 	}
 	late := newTestFollower()
-	late.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	if late.Step(SummaryReceived{Now: late.now, Peer: "fresh", Summary: mark}); late.pull != nil {
+	late.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	if late.Step(SummaryReceived{Now: late.now, Peer: "fresh", Summary: summary}); late.pull != nil {
 		t.Error("one that has not heard of the new era pulls from it")
 	}
 
@@ -105,7 +105,7 @@
 // what they write next is in force.
 func TestLowerEditionAfterRestoreTakesEffect(t *testing.T) {
 	r := newTestFollower()
-	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	next := configuration{edition: 55, routes: map[string]string{"added": `3`}}
 	r.list(next, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
@@ -116,20 +116,20 @@
 // again, and not for longer.
 func TestOrderMissingFromCopyHoldsForOrderHoldTime(t *testing.T) {
 	r := newTestFollower()
-	ordered := confirmed
+	ordered := newerConfiguration
 	ordered.drained = []string{"hall"}
 	r.list(ordered, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	hall := topo.Ref{Kind: topo.KindDomainDrain, Name: "hall"}
-	effects := r.list(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
+	drain := topo.Ref{Kind: topo.KindDomainDrain, Name: "hall"}
+	effects := r.list(newerConfiguration, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
 	if _, ok := effects[0].(StoreRestored); !ok {
 		t.Errorf("first %T", effects[0])
 	}
-	if _, held := r.set.Get(hall); !held {
+	if _, held := r.set.Get(drain); !held {
 		t.Error("the order does not hold")
 	}
 	r.now = r.now.Add(orderHoldTime)
-	r.list(confirmed, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
-	if _, held := r.set.Get(hall); held {
+	r.list(newerConfiguration, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
+	if _, held := r.set.Get(drain); held {
 		t.Error("the order holds on")
 	}
 }
@@ -163,12 +163,12 @@
 // be told all the same.
 func TestRewrittenConfigurationReachesRoutersStartedWithOlderCopy(t *testing.T) {
 	r, fresh := newTestFollower(), newTestFollower()
-	r.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	fresh.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
-	r.list(confirmed, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
+	r.list(newerConfiguration, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
 	relying := newTestFollower()
-	relying.list(confirmed, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	relying.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*testFollower{relying, fresh} {
 		for range 2 { // a reader waits a little for its own watch
 			to.now = to.now.Add(2 * watchHeadStart)
@@ -180,7 +180,7 @@
 		for pulls := 0; to.pull != nil && pulls < 3; pulls++ {
 			to.Step(QueryAnswered{Now: to.now, Peer: "r", Delta: r.set.Answer(to.pull.query)})
 		}
-		to.check(t, confirmed.routes)
+		to.check(t, newerConfiguration.routes)
 		if got, want := to.set.Summary(), r.set.Summary(); got.Version != want.Version {
 			t.Errorf("at %s, want %s", got.Version, want.Version)
 		}
