--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// valueBytes is about what an organisation with its change takes in the store.
+// valueBytes is about the size in the store of an organisation with its change.
 const valueBytes = 600
 
-// objectCounts are numbers of objects; the last is the target's.
+// objectCounts are the numbers of objects to measure; the last one is the design target.
 var objectCounts = []int{1400, 4700, 14000}
 
 func organisation(i int, v topo.Version) topo.Object {
@@ -26,7 +26,7 @@
 	return topo.Object{Ref: topo.Ref{Kind: topo.KindOrganisation, Name: fmt.Sprintf("organisation-%05d", i)}, Version: v, Value: value}
 }
 
-// filledSet returns a Set of n objects, as after a listing.
+// filledSet returns a Set of n objects, in the state after a listing.
 func filledSet(n int) *Set {
 	s := NewSet()
 	var all []topo.Object
@@ -45,8 +45,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSet measures a node's configuration: what it holds, what a change
-// costs, and what is sent to one who lacks a change or everything.
+// BenchmarkSet measures the memory that a node's configuration uses, the cost of a change,
+// and the size of the answer to a node that lacks one change or everything.
 func BenchmarkSet(b *testing.B) {
 	for _, n := range objectCounts {
 		b.Run(fmt.Sprintf("hold/objects=%d", n), func(b *testing.B) {
--- a/internal/config/change/change_test.go
+++ b/internal/config/change/change_test.go
@@ -13,10 +13,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// A profile is changed 30 times, and now and then another operator loses the
-// race. The next morning someone asks who changed what: the history must show
-// the changes that were in force and no others, and must not grow for ever.
-// Then they roll back, which must not make the later changes disappear.
+// A profile is changed 30 times, and some of the changes have a concurrent one that conflicts.
+// The history must contain the changes that were in force and no others, and must not grow
+// without bound. A rollback must not remove the later changes from it.
 func TestHistoryListsChangesThatWereInForce(t *testing.T) {
 	ctx, store := context.Background(), standin.NewObjectAPI()
 	e := change.NewEditor(store)
@@ -41,7 +40,7 @@
 		}
 		late := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(`"late"`)})
 		if late.Conflict == nil || late.Conflict.Theirs.Revision.Change.ID != r.Change.ID || string(late.Conflict.Mine.Spec) != `"late"` {
-			t.Fatalf("the slower operator is told %+v", late)
+			t.Fatalf("the operator of the conflicting change gets %+v", late)
 		}
 	}
 	history, err := e.History(ctx, read())
@@ -58,11 +57,11 @@
 		t.Errorf("history is %v, want %v", got, want)
 	}
 	if page, _ := store.List(ctx, topo.KindHistory, ""); len(page.Objects) > change.MaxHistory+1 {
-		t.Errorf("%d entries are kept", len(page.Objects))
+		t.Errorf("%d history entries are stored", len(page.Objects))
 	}
 	back := e.Rollback(ctx, read(), history[4], "a", "undo")
 	current := read()
 	if back.Outcome != change.Applied || string(current.Revision.Spec) != "25" || current.Revision.Change.Parent != inForce[0] {
-		t.Errorf("after the rollback: %+v, %+v", back, current)
+		t.Errorf("after the rollback: result %+v, object %+v", back, current)
 	}
 }
--- a/internal/config/follow/calls_test.go
+++ b/internal/config/follow/calls_test.go
@@ -13,13 +13,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// scenario is what the fleet is put through while its calls are counted.
+// scenario is the load or fault of a fleet while its calls to the store are counted.
 type scenario struct {
 	name     string
-	changes  int // by operators
+	changes  int // made by operators
 	down     bool
 	duration time.Duration
-	maxReads float64 // of the store, at most, per router and second
+	maxReads float64 // reads of the store per router and second
 }
 
 var scenarios = []scenario{
@@ -28,11 +28,11 @@
 	{name: "store down", down: true, duration: 10 * time.Minute, maxReads: 1},
 }
 
-// The store serves about two thousand reads a second, a waiting watch counted
-// as one, and 330 routers share it with everything else. If each router called
-// as often as there are changes, or hammered a store that is down, the store
-// would refuse the operators' own calls. The calls of a router do not grow with
-// the fleet, and a burst of changes or an outage does not multiply them.
+// The store serves about two thousand reads a second, where a waiting watch counts as one, and
+// 330 routers share it with everything else. If each router called it once per change, or
+// retried without pause while it is down, the store would refuse the operators' own calls. The
+// calls of a router must not grow with the size of the fleet, nor multiply in a burst of
+// changes or an outage.
 func TestCallsOfTheStoreAreBounded(t *testing.T) {
 	for _, l := range scenarios {
 		for _, routers := range []int{4, 12, 36} {
@@ -67,10 +67,10 @@
 	seconds := l.duration.Seconds()
 	perRouter := func(n int) float64 { return float64(n) / seconds / float64(routers) }
 	reads := perRouter(after.Reads - before.Reads)
-	t.Logf("a router and second: %.2f reads (%d watches now waiting), %.2f questions to peers; %.2f writes a change",
+	t.Logf("per router and second: %.2f reads (%d watches now waiting), %.2f queries to peers; %.2f writes per change",
 		reads, after.Waiting, perRouter(int(f.queries.Load()-queries)), float64(after.Writes-before.Writes)/float64(max(l.changes, 1)))
 	if reads > l.maxReads {
-		t.Errorf("%.2f reads of the store a router and second, want at most %.2f", reads, l.maxReads)
+		t.Errorf("%.2f reads of the store per router and second, want at most %.2f", reads, l.maxReads)
 	}
 	stop()
 	time.Sleep(time.Second) // all goroutines end
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -19,15 +19,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// fleet is routers and sidecars around a store, in virtual time. Only their
-// configuration is there.
+// fleet is a store with routers and sidecars, in virtual time. It simulates only the transfer
+// of their configuration.
 type fleet struct {
 	t         *testing.T
 	store     *standin.ObjectAPI
 	refs      []topo.Ref
 	startTime time.Time
 
-	isolated atomic.Pointer[node] // a sidecar that hears no news, but can be asked
+	isolated atomic.Pointer[node] // a sidecar that receives no events but answers queries
 	queries  atomic.Int64         // queries between nodes
 
 	mu           sync.Mutex
@@ -108,7 +108,7 @@
 	return n
 }
 
-// restart ends a router without warning and starts another in its place.
+// restart stops a router without warning and starts another in its place.
 func (f *fleet) restart(ctx context.Context, i int) {
 	n := f.routers[i]
 	n.stop()
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkVersionsNeverDecrease checks that no object is at a lower version than before.
+// checkVersionsNeverDecrease checks that no object has a lower version than before.
 func (n *node) checkVersionsNeverDecrease() {
 	for _, ref := range n.fleet.refs {
 		v := n.follower.Set().HeldVersion(ref)
@@ -155,7 +155,7 @@
 	}
 }
 
-// ask puts a query to another node, which hears this one's mark in passing.
+// ask sends a query to another node, which also receives the summary of this one.
 func (n *node) ask(_ context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 	n.fleet.queries.Add(1)
 	time.Sleep(linkDelay)
@@ -170,7 +170,7 @@
 	return d, nil
 }
 
-// traffic exchanges marks with sidecars on the back of requests.
+// traffic exchanges summaries with sidecars, piggybacked on requests.
 func (n *node) traffic() {
 	for n.ctx.Err() == nil {
 		time.Sleep(trafficInterval)
@@ -187,8 +187,8 @@
 	return config.PiggybackedSummary(m.Version, m.Digest)
 }
 
-// inForce returns the change in force of an object, which is none when it does
-// not exist, and whether the router is ready to serve.
+// inForce returns the change in force of an object, or an empty ID if the object does not
+// exist, and whether the router is ready to serve.
 func (n *node) inForce(ref topo.Ref) (id config.ChangeID, ready bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -200,7 +200,7 @@
 	return r.Change.ID, n.follower.Ready()
 }
 
-// recordReads records each second what every router has in force.
+// recordReads records every second what each router has in force.
 func (f *fleet) recordReads(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
@@ -229,8 +229,8 @@
 	}
 }
 
-// runOperator lets an operator change objects now and then. Each change begins with
-// what the operator reads, as parsleyctl does.
+// runOperator simulates an operator that changes objects from time to time. Each change starts
+// from the revision that the operator has read, as in parsleyctl.
 func (f *fleet) runOperator(ctx context.Context) {
 	e := change.NewEditor(f.store)
 	for ctx.Err() == nil {
@@ -239,7 +239,7 @@
 		limited, cancel := context.WithTimeout(ctx, 10*time.Second)
 		base, err := e.Read(limited, ref)
 		if err == nil {
-			time.Sleep(time.Duration(f.intN(2000)) * time.Millisecond) // to edit it
+			time.Sleep(time.Duration(f.intN(2000)) * time.Millisecond) // the time taken to edit it
 			call := f.now()
 			edit := change.Edit{Base: base, Spec: json.RawMessage(`{}`), Author: "a"}
 			if f.intN(5) == 0 {
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -21,8 +21,8 @@
 	maxRouters = 4
 )
 
-// faultKinds are the faults of a phase. Those in which the store gives no
-// answer at all block the news.
+// faultKinds are the faults of a phase. A fault in which the store gives no answer at all
+// blocks the propagation of changes.
 var faultKinds = []struct {
 	faults        standin.ObjectFaults
 	blocksChanges bool
@@ -45,16 +45,15 @@
 	{faults: standin.ObjectFaults{ReadsPerSecond: 8, WritesPerSecond: 3}},
 }
 
-// Operators change profiles while the store is down, slow, lags, loses answers
-// and lets watches miss changes, and routers restart. An operator whom
-// parsleyctl told "applied" finds a router that still serves by the former
-// profile, or one that comes back to it: because its watch went silent, missed
-// the change or began anew from a listing that lags, or because the router
-// started from a sidecar that had not heard. Or one who was told "not applied"
-// finds the change in force.
+// Operators change profiles while the store is down, slow or lagging, loses answers or lets
+// watches miss changes, and while routers restart. An operator who was told "applied" by
+// parsleyctl must not find a router that still serves by the former profile or returns to it:
+// because its watch stopped responding, missed the change or was restarted from a lagging
+// listing, or because the router started from a sidecar that lacked the change. Nor may an
+// operator who was told "not applied" find the change in force.
 //
-// Each router's configuration must be one that was in force within the last 7 s,
-// and what operators were told must fit one order of the changes.
+// Each router's configuration must have been in force within the last 7 s, and the outcomes
+// that operators got must fit one order of the changes.
 func TestAcceptedChangesAreInForceAndStay(t *testing.T) {
 	for seed := range uint64(seedCount) {
 		var f *fleet
@@ -66,7 +65,7 @@
 	}
 }
 
-// runFaults lets operators work through phases of faults.
+// runFaults runs operators through a sequence of phases with random faults.
 func runFaults(t *testing.T, seed uint64) *fleet {
 	ctx, stop := context.WithCancel(t.Context())
 	f := newFleet(t, ctx, seed, objectCount, 1+int(seed%maxRouters))
@@ -77,7 +76,7 @@
 	for range phaseCount {
 		kind := faultKinds[f.intN(len(faultKinds))]
 		if kind.hasWatchGaps {
-			// A change that all have missed is found by the next listing only.
+			// A change that all routers have missed is found only by the next listing.
 			kind.faults.WatchGaps = len(f.routers) - 1
 		}
 		f.store.SetFaults(kind.faults)
@@ -102,13 +101,13 @@
 	time.Sleep(2 * maxPropagation)
 	stop()
 	synctest.Wait()
-	time.Sleep(time.Minute) // late writes and calls that were given up end
+	time.Sleep(time.Minute) // for late writes and abandoned calls to end
 	return f
 }
 
-// An operator applies a change and waits for it. The watch of a router has gone
-// silent just then, and apply --wait would have to sit out its whole wait. A
-// hint begins a new watch at once.
+// An operator applies a change and waits for it with apply --wait just after the watch of a
+// router has stopped responding. Without a hint, the command would take as long as that watch's
+// wait. The hint must start a new watch at once.
 func TestHintEndsSilentWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -128,16 +127,16 @@
 		failures := n.follower.Status().Failures
 		n.mu.Unlock()
 		if failures != 0 {
-			t.Errorf("%d failures of the store are counted", failures)
+			t.Errorf("%d failed calls to the store are counted, want 0", failures)
 		}
 		stop()
 		time.Sleep(time.Second) // all goroutines end
 	})
 }
 
-// All routers start while the store takes calls and answers none. Half a minute
-// later it works again, but the routers wait for the listings that they began
-// then, and never serve.
+// All routers start while the store accepts calls and does not answer them. Half a minute later
+// the store works again. The routers must not keep waiting for the listings that they started
+// before, or they would never serve.
 func TestStartWhileStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -149,7 +148,7 @@
 		time.Sleep(maxPropagation)
 		for _, n := range f.routers {
 			if id, ready := n.inForce(f.refs[0]); id != "c" || !ready {
-				t.Errorf("%s has %q in force %s later, ready: %t", n.name, id, maxPropagation, ready)
+				t.Errorf("%s has %q in force %s later, ready: %t; want \"c\", ready: true", n.name, id, maxPropagation, ready)
 			}
 		}
 		stop()
--- a/internal/config/follow/history_test.go
+++ b/internal/config/follow/history_test.go
@@ -14,24 +14,24 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// maxPropagation is how soon an accepted change is in force at every router.
+// maxPropagation is the time within which an accepted change is in force at every router.
 const maxPropagation = 7 * time.Second
 
-// checkTimeout bounds the search for an order of a history's operations, which
-// takes milliseconds for one that fits. A search without an end is a failure.
+// checkTimeout bounds the search for an order of a history's operations. The search takes
+// milliseconds if there is one. A search that does not end counts as a failure.
 const checkTimeout = time.Minute
 
-// history is what operators and routers have seen, in virtual time.
+// history records what operators and routers have observed, in virtual time.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 	reads      []*reads
 	latest     map[config.Peer]map[topo.Ref]*reads
-	blocked    []span // when neither store nor peer could tell the news
+	blocked    []span // when changes could reach routers from neither store nor peers
 }
 
-// reads are those that have returned the same. If the first and the last of
-// them fit, all between them do.
+// reads are reads that returned the same change. If the first and the last of them are valid,
+// all reads between them are.
 type reads struct {
 	ref         topo.Ref
 	id          config.ChangeID
@@ -40,18 +40,18 @@
 
 type span struct{ from, to time.Duration }
 
-// input is an operation: a commit on top of parent, or a read when id is empty.
+// input is an operation: a commit on top of parent, or a read if id is empty.
 type input struct {
 	ref        topo.Ref
 	id, parent config.ChangeID
 	deletes    bool
 }
 
-// output is the outcome of a commit, or the change that a read has returned,
-// which is none when the object does not exist.
+// output is the outcome of a commit, or the change that a read returned, which is empty if the
+// object does not exist.
 type output struct {
 	outcome    change.Outcome
-	isConflict bool // not applied because another change was faster
+	isConflict bool // not applied because another change was committed first
 	id         config.ChangeID
 }
 
@@ -69,9 +69,9 @@
 	h.add(in, output{outcome: r.Outcome, isConflict: r.Conflict != nil}, call, end)
 }
 
-// read records what a router has in force. Reads of a change are taken together
-// for all routers; of a deletion, which has no name, only those of one router
-// that follow each other.
+// read records what a router has in force. Reads of the same change are combined for all
+// routers. Deletions have no change ID here, so only consecutive reads of one router are
+// combined.
 func (h *history) read(ref topo.Ref, router config.Peer, id config.ChangeID, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,7 +101,7 @@
 	return h.reads[i]
 }
 
-// readOperations returns the first and the last of each reads.
+// readOperations returns the first and the last operation of each group of reads.
 func (h *history) readOperations() []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, r := range h.reads {
@@ -118,8 +118,8 @@
 	h.blocked = append(h.blocked, span{from, to})
 }
 
-// oldestVisible returns the earliest time whose state a read at a time may still show:
-// promised ago, not counting the time in which no path was open.
+// oldestVisible returns the earliest time whose state a read at a time may still return:
+// maxPropagation before it, not counting the time in which changes were blocked.
 func (h *history) oldestVisible(at time.Duration) time.Duration {
 	left, end := maxPropagation, at
 	for i := len(h.blocked) - 1; i >= 0; i-- {
@@ -137,9 +137,8 @@
 	return end - left
 }
 
-// model is a register of revisions. A commit takes effect only on top of its
-// parent; a read returns the last change. A commit without a known outcome may
-// take effect or not.
+// model is a register of revisions. A commit takes effect only on top of its parent, and a read
+// returns the last change. A commit with unknown outcome may or may not take effect.
 func model() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{state{}} },
@@ -164,8 +163,8 @@
 	return m.ToModel()
 }
 
-// state is the last change of an object, and what a reader sees of it: nothing
-// after a deletion.
+// state is the last change of an object, and the change that a reader sees: none after a
+// deletion.
 type state struct{ last, visible config.ChangeID }
 
 func nextStates(s state, legal bool) []any {
--- a/internal/config/follow/join_test.go
+++ b/internal/config/follow/join_test.go
@@ -12,12 +12,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// partSource is a source of one kind of object. It tells all that it holds.
+// partSource is a Source of one kind of object. It returns all its objects at once.
 type partSource struct {
 	kind    topo.Kind
 	names   []string
 	version topo.Version
-	changes chan struct{} // a value: something changes while a watch waits
+	changes chan struct{} // a value makes a waiting watch return a change
 	err     error
 	calls   atomic.Int32
 }
@@ -54,8 +54,8 @@
 	return routes, orders, follow.Join(routes, orders)
 }
 
-// A hall is drained while routes stay as they are. What is told is all that exists: if the
-// routes were left out, every caller would be refused from then on.
+// A failure domain is drained and the routes stay as they are. A page contains all objects that
+// exist: if it lacked the routes, every caller would be refused from then on.
 func TestChangeOfOnePartReturnsAllObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, orders, joined := newParts()
@@ -67,8 +67,8 @@
 	})
 }
 
-// Nothing changes. The version is that of the part which is known least far, or changes of
-// it would be skipped.
+// Nothing changes. The version must be that of the source with the oldest one, or changes of
+// that source would be skipped.
 func TestUnchangedPartsReturnOldestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, _, joined := newParts()
@@ -79,8 +79,8 @@
 	})
 }
 
-// The store is down, and each call of it costs. One part is enough to find out whether it
-// is back; then all are known again.
+// While the store is down, one source must be enough to check whether it answers again, because
+// each call has a cost. After that, all sources are read again.
 func TestOnePartProbesUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routes, orders, joined := newParts()
@@ -93,13 +93,13 @@
 		}
 		synctest.Wait()
 		if n := routes.calls.Load() + orders.calls.Load(); n > 6 {
-			t.Errorf("%d calls of a store that is down in 5 watches", n)
+			t.Errorf("%d calls to an unavailable store in 5 watches, want at most 6", n)
 		}
 		routes.err, orders.err = nil, nil
 		orders.changes <- struct{}{}
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || !page.Whole || len(page.Objects) != 3 {
-			t.Errorf("back: %+v, %v", page, err)
+			t.Errorf("after recovery: %+v, %v", page, err)
 		}
 	})
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -15,27 +15,26 @@
 	return topo.Object{Ref: chatRef, Version: v, Value: value(int(v))}
 }
 
-// A router has read its configuration from the store and serves callers when it learns
-// of another one that reads for all. Until it has heard that one it would be ready no
-// more, and refuse them for some milliseconds.
+// A router that serves callers with its own configuration learns of another router that
+// reads the store for all. If it became unready until it had received a summary from that
+// router, it would refuse callers for some milliseconds.
 func TestStaysReadyWhenAnotherRouterReadsStore(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
 	if !f.Ready() {
-		t.Fatal("not ready after a listing")
+		t.Fatal("the router is not ready after a listing")
 	}
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
 	f.Step(StoreReadingSwitched{Now: now})
 	if !f.Ready() {
-		t.Error("not ready any more")
+		t.Error("the router is no longer ready")
 	}
 }
 
-// The store is down and a router starts. The first sidecar that it asks has
-// been cut off for an hour, and callers are served by the rules of an hour ago
-// until the router happens to ask another. It is ready only when it has
-// compared a few.
+// A router starts while the store is down, and the first sidecar that it queries has been
+// disconnected for an hour. If the router were ready before it had compared several peers,
+// it would serve callers by rules that are an hour old.
 func TestReadyAfterComparingPeers(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	held := map[Peer]topo.Version{"cut": 3, "a": 9, "b": 9, "c": 9}
@@ -56,9 +55,9 @@
 	}
 }
 
-// A profile is deleted from the store by hand, made again and deleted again. A
-// peer that has seen the first deletion and a later listing sends the first
-// deletion. The profile that a router has read in between must not stay.
+// A profile is deleted from the store by hand, created again and deleted again. A peer that
+// has seen the first deletion and a later listing sends the first deletion. The profile that
+// a router has read between the two deletions must be removed.
 func TestObjectDeletedAgainIsRemoved(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 1}})
@@ -70,10 +69,10 @@
 	}
 }
 
-// The watches of two routers of three leave out a change. The third has not
-// been told yet when it hears from a sidecar, which one of the two has brought
-// up to date, that there is nothing new. If it then watched from there, the
-// change would be in force nowhere.
+// The watches of two of three routers miss a change. A sidecar that one of the two has
+// updated reports to the third, before its own watch has returned the change, that nothing
+// is new. If the third router continued its watch from there, the change would be in force
+// nowhere.
 func TestPeersDoNotMoveTheWatch(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.peers = []Peer{"a"}
@@ -81,20 +80,19 @@
 	f.startPull(now, "a", 2)
 	f.Step(QueryAnswered{Now: now, Peer: "a", Delta: Delta{Summary: Summary{Version: 2, CompleteUpTo: 9}}})
 	if f.set.CompleteUpTo() != 9 {
-		t.Fatalf("complete up to %d, want what the peer claims", f.set.CompleteUpTo())
+		t.Fatalf("complete up to %d, want the version that the peer claims", f.set.CompleteUpTo())
 	}
 	for _, e := range f.Step(Watched{Now: now, Since: 5, Page: topo.Page{Version: 5}}) {
 		if w, ok := e.(Watch); ok && w.Since != 5 {
-			t.Errorf("watches from %d, want from what the store has told", w.Since)
+			t.Errorf("watches from %d, want from the version that the store has returned", w.Since)
 		}
 	}
 }
 
-// A router has its configuration from another one when it begins to read the
-// store itself. The store keeps everything in one object and tells no deletions: a
-// route that is missing there must go, or its callers are served by a rule that
-// the operators have taken back. What has not changed keeps its version, since
-// nodes compare by versions.
+// A router that has its configuration from another one begins to read a store that keeps
+// everything in one object and does not report deletions. A route that is missing there must
+// be removed, or callers would be served by a rule that operators have withdrawn. Unchanged
+// objects keep their versions, because nodes compare by version.
 func TestWholeSourceRemovesMissingObjects(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Ticked{Now: now})
@@ -107,25 +105,24 @@
 	f.phase = phaseWatching
 	f.Step(Watched{Now: now, Since: 5, Page: page})
 	if _, ok := f.set.Get(ref("goes")); ok {
-		t.Error("what the store does not hold is in force")
+		t.Error("an object that the store does not hold is in force")
 	}
 	if v := f.set.HeldVersion(ref("stays")); v != 3 {
-		t.Errorf("what has not changed is at version %d", v)
+		t.Errorf("the unchanged object is at version %d, want 3", v)
 	}
 	if v := f.set.HeldVersion(ref("new")); v != 9 || f.set.CompleteUpTo() != 9 {
-		t.Errorf("what is new is at version %d, complete up to %d", v, f.set.CompleteUpTo())
+		t.Errorf("the new object is at version %d and the set is complete up to %d, want 9", v, f.set.CompleteUpTo())
 	}
 	f.phase = phaseWatching
 	f.Step(Watched{Now: now, Since: 9, Page: topo.Page{Version: 12, Whole: true}})
 	if _, ok := f.set.Get(ref("stays")); !ok || f.set.CompleteUpTo() != 12 {
-		t.Error("a watch without news took something away")
+		t.Error("a watch without changes removed an object")
 	}
 }
 
-// The operator adds hundreds of routes with one change. They have one version and
-// do not fit into one piece of what a router pulls from another; those of the
-// second piece must come too, or their callers get 404 for as long as the router
-// lives.
+// An operator adds hundreds of routes in one change. They have the same version and do not
+// fit into one piece of a pull. If a router missed those of the second piece, their callers
+// would get 404 for as long as the router runs.
 func TestManyObjectsOfOneVersionAreAllPulled(t *testing.T) {
 	const many = 500
 	from, to := NewFollower(1, DefaultTiming()), NewFollower(2, DefaultTiming())
@@ -153,15 +150,15 @@
 	}
 }
 
-// answerAll has a follower ask another one until it has nothing more to ask.
+// answerAll answers the queries of a follower from another one until it sends no more.
 func answerAll(to, from *Follower, now time.Time, asks []Effect) {
 	for len(asks) > 0 {
 		asks = answerOnce(to, from, now, asks)
 	}
 }
 
-// answerOnce has a follower's questions answered by another one, and returns what it
-// wants then.
+// answerOnce answers the queries of a follower from another one and returns the effects of
+// the answers.
 func answerOnce(to, from *Follower, now time.Time, asks []Effect) []Effect {
 	var next []Effect
 	for _, e := range asks {
@@ -172,15 +169,15 @@
 	return next
 }
 
-// Three runners are removed from the store, one after the other, and each time another
-// router has begun to read for all meanwhile: it knows the removal from its listing,
-// which tells no deletions. Those that rely on it must hear of each of them, or they
-// send requests to runners that are gone for as long as a minute. That holds also where
-// the router that is asked for everything ceases to answer then.
+// Three upstreams are removed from the store one after the other, and each time another
+// router has taken over reading the store. It detects the removal in its listing, which
+// contains no deletions. The routers that rely on it must learn of each removal, or they
+// send requests to removed upstreams for up to a minute. The same holds if the router that
+// they query for all objects stops answering.
 func TestRemovalsFoundByListingArePulledAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	upstream := func(i int, v topo.Version) topo.Object {
-		return topo.Object{Ref: topo.Ref{Kind: "runners", Name: fmt.Sprint(i)}, Version: v, Value: value(i)}
+		return topo.Object{Ref: topo.Ref{Kind: "upstreams", Name: fmt.Sprint(i)}, Version: v, Value: value(i)}
 	}
 	timing := DefaultTiming()
 	timing.Relayed = true
@@ -198,12 +195,12 @@
 		left = left[1:]
 		summary := reader.set.Summary()
 		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: summary})
-		answerOnce(to, reader, now, first) // then it asks for everything, in vain
+		answerOnce(to, reader, now, first) // the query for all objects that follows is not answered
 		to.Step(QueryFailed{Now: now, Peer: "lost"})
 		now = now.Add(timing.PullInterval)
 		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: summary}))
 		if _, listed := to.set.Get(upstream(gone, 1).Ref); listed {
-			t.Errorf("runner %d is still listed", gone)
+			t.Errorf("upstream %d is still listed", gone)
 		}
 		if to.set.Version() != summary.Version {
 			t.Errorf("after removal %d: up to version %d, want %d", gone, to.set.Version(), summary.Version)
@@ -211,11 +208,11 @@
 	}
 }
 
-// All routers lose power. Two of them read the whole configuration from the store when
-// they are back, one just before a change that takes a route away and one just after
-// it, which has never known that route. A third has pulled from the first and now pulls
-// from the second: the route must go, or its callers are served by it for good. What
-// has not changed is the same at both, so that nothing is pulled for the sake of it.
+// After a power failure of all routers, two of them read the whole configuration from the
+// store, one just before a change that removes a route and one just after it. The second has
+// never held that route. A third router has pulled from the first and now pulls from the
+// second: the route must be removed, or callers are served by it for good. Unchanged routes
+// are the same at both readers, so that nothing is pulled because of them.
 func TestRouteUnknownToNewReaderIsRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	route := func(name string, n int, v topo.Version) topo.Object {
@@ -230,23 +227,22 @@
 	to.Step(StoreReadingSwitched{Now: now})
 	answerAll(to, before, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"before"}}))
 	if n := to.set.Len(); n != 2 {
-		t.Fatalf("%d routes from the first reader", n)
+		t.Fatalf("%d routes from the first reader, want 2", n)
 	}
 	now = now.Add(time.Second)
 	answerAll(to, after, now, to.Step(SummaryReceived{Now: now, Peer: "after", Summary: after.set.Summary()}))
 	if _, held := to.set.Get(route("goes", 0, 0).Ref); held {
-		t.Error("a route that was taken away is in force")
+		t.Error("a removed route is in force")
 	}
 	late := NewFollower(4, timing)
 	late.Step(Listed{Now: now, Whole: true, Version: 230, Objects: []topo.Object{route("stays", 2, 224)}})
 	if late.set.Summary().Digest != after.set.Summary().Digest {
-		t.Error("two readers of the same configuration take each other for different")
+		t.Error("two readers of the same configuration have different digests")
 	}
 }
 
-// A router has lost the store, and waits for its next try. Another of its calls is
-// answered meanwhile: it tries again at once, since a change may be in force that it
-// has not heard of.
+// A router whose calls to the store fail waits for its next attempt. When another of its
+// calls is answered, it tries again at once, since a change that it lacks may be in force.
 func TestReachableStoreIsCalledAtOnce(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
@@ -259,17 +255,17 @@
 		t.Fatalf("no pause after failures: %v", effects)
 	}
 	if effects := f.Step(StoreReachable{Now: now}); len(effects) != 1 {
-		t.Errorf("effects %v, want a call", effects)
+		t.Errorf("effects %v, want one call to the store", effects)
 	}
 	f.Step(Watched{Now: now, Since: 2, Page: topo.Page{Version: 2}})
 	if effects := f.Step(StoreReachable{Now: now}); len(effects) > 0 {
-		t.Errorf("a watch that works is disturbed: %v", effects)
+		t.Errorf("a working watch is interrupted: %v", effects)
 	}
 }
 
-// The router that reads the store for others pauses after each change, and its next
-// watch finds nothing new. It hears of the store no less often than without the
-// pause: the others would take it for cut off, and all read the store themselves.
+// The router that reads the store for others pauses after each change, and its next watch
+// finds nothing new. The store must not answer it less often than without the pause:
+// otherwise the other routers would take it for disconnected and all read the store.
 func TestPauseIsPartOfTheWatch(t *testing.T) {
 	timing := DefaultTiming()
 	timing.Relayed = true
@@ -288,16 +284,15 @@
 			t.Fatalf("effects %v", effects)
 		}
 		if silence := now.Sub(lastAnswer) + w.Wait; silence > timing.WatchWait {
-			t.Errorf("the store is silent for %v, want %v", silence, timing.WatchWait)
+			t.Errorf("the store does not answer for %v, want at most %v", silence, timing.WatchWait)
 		}
 		return
 	}
 }
 
-// A router begins to read the store, which refuses it alone, and hears from another one
-// that there is news. Waiting for its own watch, which is about to tell the same where
-// the store answers, would leave a runner that is about to go in its list for two
-// seconds.
+// A router begins to read the store, which refuses only this router, and learns from a peer
+// that there is a change. If it waited for its own watch, as it does while the store answers,
+// it would keep an upstream that is about to leave in its list for two seconds.
 func TestNewReaderPullsUntilTheStoreAnswers(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
@@ -308,47 +303,47 @@
 			return
 		}
 	}
-	t.Error("the router does not ask for the news")
+	t.Error("the router does not query the peer for the change")
 }
 
-// A listing comes back empty, as from a store that has lost its memory or serves
-// another fleet. What is in force stays in force: no operator takes everything back
-// at once, and callers would be told that nothing is served here.
+// A listing is empty, as from a store that has lost its data or serves another fleet. The
+// configuration must stay in force: operators do not remove everything at once, and callers
+// would be told that nothing is served here.
 func TestEmptyListingRemovesNothing(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Version: 1, Whole: true})
 	if !f.Ready() {
-		t.Error("a store without configuration keeps the router from following it")
+		t.Error("the router is not ready with a store without configuration")
 	}
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2, Whole: true})
 	f.Step(Listed{Now: now, Version: 3, Whole: true})
 	if f.set.Len() != 1 {
-		t.Errorf("%d objects are in force, want the one that was", f.set.Len())
+		t.Errorf("%d objects are in force, want 1", f.set.Len())
 	}
 }
 
-// All routers start after a loss of power, and a thousand routes lie in the store: half
-// a second of a small router's link. It learns of a stronger one that has read them and
-// hands them on in a twentieth. As long as its own listing goes on beside that, both
-// take the whole time, and its callers wait or are refused.
+// All routers start after a power failure, and the store holds a thousand routes, which take
+// a small router's link half a second. The router learns of one with more capacity that has
+// read them and sends them in a twentieth of the bytes. If its own listing continued, both
+// transfers would take the whole time and its callers would wait or be refused.
 func TestListingIsCancelledWhenAnotherRouterReads(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	now = now.Add(DefaultTiming().PeerWait)
 	f.Step(Ticked{Now: time.Unix(0, 0)})
 	if got := f.Step(Ticked{Now: now}); !slices.Contains(got, Effect(List{})) {
-		t.Fatalf("no listing is begun: %v", got)
+		t.Fatalf("no listing was started: %v", got)
 	}
 	if got := f.Step(StoreReadingSwitched{Now: now}); !slices.Contains(got, Effect(CancelCall{})) {
-		t.Fatalf("the listing goes on: %v", got)
+		t.Fatalf("the listing was not cancelled: %v", got)
 	}
 	f.Step(CallCancelled{Now: now})
 	f.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}})
 	f.Step(SummaryReceived{Now: now, Peer: "reader", Summary: Summary{Version: 2, CompleteUpTo: 2}})
 	f.Step(QueryAnswered{Now: now, Peer: "reader", Delta: Delta{Objects: []topo.Object{chatAt(2)}, Summary: Summary{Version: 2, CompleteUpTo: 2}}})
 	if f.Set().HeldVersion(chatRef) != 2 || !f.Ready() {
-		t.Errorf("version %d is held, ready %v", f.Set().HeldVersion(chatRef), f.Ready())
+		t.Errorf("version %d is held, want 2; ready: %v, want true", f.Set().HeldVersion(chatRef), f.Ready())
 	}
 	if got := f.Step(StoreReadingSwitched{Now: now, On: true}); !slices.Contains(got, Effect(List{})) {
-		t.Errorf("it does not list the store when it is to read again: %v", got)
+		t.Errorf("the store is not listed when reading is switched on again: %v", got)
 	}
 }
--- a/internal/config/pack/pack_test.go
+++ b/internal/config/pack/pack_test.go
@@ -26,7 +26,7 @@
 	return d
 }
 
-// What a router pulls is what the other one has, whatever the values are.
+// A packed delta must unpack to the same delta, whatever the values of its objects.
 func TestPackedDeltasRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := delta(rapid.IntRange(0, 40).Draw(t, "objects"))
@@ -45,12 +45,12 @@
 		}
 		got, err := p.Unpack(packed)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v arrives as %+v, %v", want, got, err)
+			t.Fatalf("%+v is unpacked as %+v, %v", want, got, err)
 		}
 	})
 }
 
-// A packed delta that was cut short or is of another release is an error, no delta.
+// Unpacking a truncated delta, or one without content as from another release, must fail.
 func TestTruncatedDeltasAreErrors(t *testing.T) {
 	p := New()
 	packed, err := p.compress(delta(20))
@@ -59,16 +59,16 @@
 	}
 	for n := range len(packed.Zstd) {
 		if _, err := p.Unpack(Delta{Zstd: packed.Zstd[:n]}); err == nil && n > 0 {
-			t.Errorf("the first %d bytes are read as a delta", n)
+			t.Errorf("the first %d bytes are unpacked without an error", n)
 		}
 	}
 	if _, err := p.Unpack(Delta{}); err == nil {
-		t.Error("nothing is read as a delta")
+		t.Error("an empty delta is unpacked without an error")
 	}
 }
 
-// BenchmarkPackedDelta is what a change that adds a thousand routes costs the router
-// that tells it and the one that is told: .6 ms each, 3.6 and 4.9 ms as JSON in gzip.
+// BenchmarkPackedDelta measures a change that adds a thousand routes, at the router that sends
+// it and at the one that receives it: .6 ms each, and 3.6 and 4.9 ms as JSON in gzip.
 func BenchmarkPackedDelta(b *testing.B) {
 	d := delta(1000)
 	p := New()
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -8,14 +8,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// configuration is a configuration that its operators write as a configuration, with orders beside it.
+// configuration is a configuration that operators write as a whole, with orders beside it.
 type configuration struct {
 	edition int64
 	routes  map[string]string
 	drained []string
 }
 
-// objects returns the objects of w as a source tells them, written objects a version.
+// objects returns the objects of c as a source returns them, written at a version.
 func (c configuration) objects(written topo.Version) []topo.Object {
 	out := []topo.Object{Edition{Number: c.edition, Version: written}.Object()}
 	for name, value := range c.routes {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// testFollower is a Follower of such a source.
+// testFollower is a Follower of a source that returns such configurations.
 type testFollower struct {
 	*Follower
 	now time.Time
@@ -72,8 +72,9 @@
 	newerConfiguration = configuration{edition: 57, routes: map[string]string{"changed": `2`, "added": `2`}}
 )
 
-// A configuration that was in force, and the older one of a store that comes back, told by
-// the store, after an unrelated change, or by a router that has started since.
+// The store is restored with an older configuration than the one in force. It must not
+// replace the newer one, whether it comes from the store, at once or after an unrelated
+// change, or from a router that has started since.
 func TestOlderCopyDoesNotReplaceNewerConfiguration(t *testing.T) {
 	r := newTestFollower()
 	r.list(olderCopy, topo.VersionAt(1, 30), topo.VersionAt(1, 30))
@@ -88,12 +89,12 @@
 	summary := fresh.set.Summary()
 	r.Step(SummaryReceived{Now: r.now, Peer: "fresh", Summary: summary})
 	if r.pull != nil {
-		t.Error("it pulls from a router with the older copy")
+		t.Error("the follower pulls from a router with the older copy")
 	}
 	late := newTestFollower()
 	late.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	if late.Step(SummaryReceived{Now: late.now, Peer: "fresh", Summary: summary}); late.pull != nil {
-		t.Error("one that has not heard of the new era pulls from it")
+		t.Error("a follower that does not know of the new era pulls from it")
 	}
 
 	next := configuration{edition: 61, routes: map[string]string{"added": `3`}}
@@ -101,8 +102,8 @@
 	r.check(t, next.routes)
 }
 
-// A store that comes back, and operators who go on in it with lower numbers than before:
-// what they write next is in force.
+// Operators continue in a restored store with lower edition numbers than before. Their next
+// configuration must take effect.
 func TestLowerEditionAfterRestoreTakesEffect(t *testing.T) {
 	r := newTestFollower()
 	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
@@ -112,8 +113,8 @@
 	r.check(t, next.routes)
 }
 
-// An order that the copy lacks: it holds until its operators have had time to give it
-// again, and not for longer.
+// The restored store lacks an order. The order must hold until operators have had time to
+// give it again, and no longer.
 func TestOrderMissingFromCopyHoldsForOrderHoldTime(t *testing.T) {
 	r := newTestFollower()
 	ordered := newerConfiguration
@@ -122,20 +123,20 @@
 	drain := topo.Ref{Kind: topo.KindDomainDrain, Name: "hall"}
 	effects := r.list(newerConfiguration, topo.VersionAt(2, 45), topo.VersionAt(2, 46))
 	if _, ok := effects[0].(StoreRestored); !ok {
-		t.Errorf("first %T", effects[0])
+		t.Errorf("the first effect is %T, want StoreRestored", effects[0])
 	}
 	if _, held := r.set.Get(drain); !held {
-		t.Error("the order does not hold")
+		t.Error("the order is not in force")
 	}
 	r.now = r.now.Add(orderHoldTime)
 	r.list(newerConfiguration, topo.VersionAt(2, 45), topo.VersionAt(2, 47))
 	if _, held := r.set.Get(drain); held {
-		t.Error("the order holds on")
+		t.Error("the order is still in force")
 	}
 }
 
-// A new era tells all objects again. Only those that differ are news: a large configuration
-// would else be taken in anew by all routers at the same moment.
+// In a new era, the store returns all objects again. Only those that differ may count as
+// changed: otherwise all routers would process a large configuration again at the same moment.
 func TestNewEraReportsOnlyDifferences(t *testing.T) {
 	f := NewFollower(1, DefaultTiming())
 	now := time.Unix(0, 0)
@@ -154,13 +155,13 @@
 	list(topo.VersionAt(1, 20), entry("a", `1`, topo.VersionAt(1, 11)), entry("b", `1`, topo.VersionAt(1, 12)), entry("c", `1`, topo.VersionAt(1, 19)))
 	changed := list(topo.VersionAt(2, 15), entry("a", `1`, topo.VersionAt(2, 11)), entry("b", `2`, topo.VersionAt(2, 14)))
 	if len(changed) != 2 || changed[0].Name != "b" || !changed[1].Deleted || changed[1].Name != "c" {
-		t.Errorf("%+v", changed)
+		t.Errorf("%+v changed, want b and the deletion of c", changed)
 	}
 }
 
-// A router that has started with the older copy, and relies on one that knew the newer
-// configuration all the time: when that is written again it changes nothing there, and must
-// be told all the same.
+// A router has started with the older copy, or relies on a router that has held the newer
+// configuration all the time. Writing the newer configuration again changes nothing at that
+// router, but must still reach the routers that pull from it.
 func TestRewrittenConfigurationReachesRoutersStartedWithOlderCopy(t *testing.T) {
 	r, fresh := newTestFollower(), newTestFollower()
 	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
@@ -170,12 +171,12 @@
 	relying := newTestFollower()
 	relying.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*testFollower{relying, fresh} {
-		for range 2 { // a reader waits a little for its own watch
+		for range 2 { // a reader gives its own watch a head start
 			to.now = to.now.Add(2 * watchHeadStart)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
 		if to.pull == nil {
-			t.Fatal("it does not pull")
+			t.Fatal("the router does not pull")
 		}
 		for pulls := 0; to.pull != nil && pulls < 3; pulls++ {
 			to.Step(QueryAnswered{Now: to.now, Peer: "r", Delta: r.set.Answer(to.pull.query)})
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -20,21 +20,21 @@
 	_ = flag.Set("rapid.steps", "60")
 }
 
-// world is a store with its whole past, and nodes that follow it by rumour.
+// world is a store with its whole history, and nodes that follow it and one another.
 type world struct {
 	t       *rapid.T
 	now     time.Time
 	log     []topo.Object // log[i] has version i+1
 	nodes   []*Follower
 	queries []pendingQuery
-	inForce []map[topo.Ref]topo.Version // the highest in force, by node
+	inForce []map[topo.Ref]topo.Version // the highest version in force, by node
 	hasGaps bool                        // watches may leave out changes
 }
 
-// sidecar is the node that has no store.
+// sidecar is the index of the node without access to the store.
 const sidecar = 1
 
-// pendingQuery is an Ask on its way.
+// pendingQuery is a SendQuery that has not been delivered yet.
 type pendingQuery struct {
 	from  int
 	query SendQuery
@@ -74,7 +74,7 @@
 	w.log = append(w.log, o)
 }
 
-// at returns the objects of the store at a version, a few of them removed.
+// at returns the objects that the store holds at a version.
 func (w *world) at(v topo.Version) map[topo.Ref]topo.Object {
 	out := make(map[topo.Ref]topo.Object)
 	for _, o := range w.log[:v] {
@@ -94,7 +94,7 @@
 	return rapid.SampledFrom([]int{0, 2}).Draw(w.t, "router")
 }
 
-// replicaVersion draws a version of the store at which a lagging replica may be.
+// replicaVersion draws a version of the store that a lagging replica may have.
 func (w *world) replicaVersion() topo.Version {
 	return topo.Version(rapid.IntRange(0, len(w.log)).Draw(w.t, "replica"))
 }
@@ -119,7 +119,7 @@
 	w.step(i, Watched{Now: w.now, Since: since, Page: page})
 }
 
-// replay delivers old objects once more, without any claim.
+// replay delivers old objects again, without a claim.
 func (w *world) replay(i int) {
 	if len(w.log) == 0 {
 		return
@@ -130,8 +130,8 @@
 	w.nodes[i].set.Apply(Batch{Objects: objects[:len(objects)/2], Raw: true})
 }
 
-// overtake delivers changes with a claim that may begin after what the node
-// has, as when an answer overtakes the one before it.
+// overtake delivers changes with a claim that may begin after what the node holds, as when
+// one answer overtakes the previous one.
 func (w *world) overtake(i int) {
 	from := w.replicaVersion()
 	to := max(from, w.replicaVersion())
@@ -145,7 +145,7 @@
 
 func peerOf(i int) Peer { return Peer(fmt.Sprint(i)) }
 
-// answer delivers a question that is on its way, or loses it.
+// answer delivers or drops a pending query.
 func (w *world) answer() {
 	if len(w.queries) == 0 {
 		return
@@ -176,8 +176,8 @@
 	}
 }
 
-// check holds after every step: nothing goes back, and no node claims to be
-// complete up to a version whose changes it does not have.
+// check runs after every step: no object returns to an older version, and no node claims to
+// be complete up to a version whose changes it lacks.
 func (w *world) check(*rapid.T) {
 	for i, f := range w.nodes {
 		for ref := range w.inForce[i] {
@@ -218,10 +218,10 @@
 	}
 }
 
-// A router takes its configuration from a store that lags, from watches whose
-// events come twice and in any order, and from peers that are behind. A caller
-// must never see a former configuration come back, and a node that says it is
-// complete must be, or a change that was accepted would be missing for good.
+// Routers receive their configuration from a lagging store, from watches whose events are
+// repeated and in any order, and from peers that are behind. No former configuration may come
+// back into force, and a node that claims to be complete must be, or an accepted change would
+// be missing for good.
 func TestVersionsNeverDecreaseAndClaimsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3)
@@ -229,9 +229,9 @@
 	})
 }
 
-// A watch leaves out a change and goes on as if nothing were missing: the
-// change takes effect at most routers and, without a comparison between nodes,
-// never at one of them. Nodes of the same version compare what they hold.
+// A watch skips a change and continues as if nothing were missing. The change takes effect at
+// most routers and, unless nodes compare their objects, never at one of them. Nodes at the same
+// version must detect and repair the difference.
 func TestGapsOfWatchesAreRepaired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3)
@@ -249,9 +249,9 @@
 	})
 }
 
-// converge gives one router a listing. Then all compare in turn, and routers
-// have an honest view of the store from now on: watches from where they are,
-// and listings if they ask.
+// converge lists the store at one router. Then all nodes compare with each other in turn, and
+// the routers receive correct answers from the store: watches from where they are, and listings
+// on request.
 func (w *world) converge() {
 	end := topo.Version(len(w.log))
 	w.list(2, end)
