--- a/internal/config/follow/calls_test.go
+++ b/internal/config/follow/calls_test.go
@@ -34,16 +34,16 @@
 // calls of a router must not grow with the size of the fleet, nor multiply in a burst of
 // changes or an outage.
 func TestCallsOfTheStoreAreBounded(t *testing.T) {
-	for _, l := range scenarios {
+	for _, s := range scenarios {
 		for _, routers := range []int{4, 12, 36} {
-			t.Run(fmt.Sprintf("%s/routers=%d", l.name, routers), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { countCalls(t, l, routers) })
+			t.Run(fmt.Sprintf("%s/routers=%d", s.name, routers), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { countCalls(t, s, routers) })
 			})
 		}
 	}
 }
 
-func countCalls(t *testing.T, l scenario, routers int) {
+func countCalls(t *testing.T, s scenario, routers int) {
 	ctx, stop := context.WithCancel(t.Context())
 	f := newFleet(t, ctx, 1, 1, routers)
 	e := change.NewEditor(f.store)
@@ -52,25 +52,25 @@
 	}
 	time.Sleep(time.Minute)
 	before, queries := f.store.Counts(), f.queries.Load()
-	f.store.SetFaults(standin.ObjectFaults{Down: l.down})
-	for i := range l.changes {
+	f.store.SetFaults(standin.ObjectFaults{Down: s.down})
+	for i := range s.changes {
 		base := change.StoredObject{Ref: topo.Ref{Kind: topo.KindProfile, Name: fmt.Sprint("new-", i)}}
 		if r := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(`1`)}); r.Outcome != change.Applied {
 			t.Fatalf("%s: %v", r.Outcome, r.Cause)
 		}
-		time.Sleep(l.duration / time.Duration(l.changes))
+		time.Sleep(s.duration / time.Duration(s.changes))
 	}
-	if l.changes == 0 {
-		time.Sleep(l.duration)
+	if s.changes == 0 {
+		time.Sleep(s.duration)
 	}
 	after := f.store.Counts()
-	seconds := l.duration.Seconds()
+	seconds := s.duration.Seconds()
 	perRouter := func(n int) float64 { return float64(n) / seconds / float64(routers) }
 	reads := perRouter(after.Reads - before.Reads)
 	t.Logf("per router and second: %.2f reads (%d watches now waiting), %.2f queries to peers; %.2f writes per change",
-		reads, after.Waiting, perRouter(int(f.queries.Load()-queries)), float64(after.Writes-before.Writes)/float64(max(l.changes, 1)))
-	if reads > l.maxReads {
-		t.Errorf("%.2f reads of the store per router and second, want at most %.2f", reads, l.maxReads)
+		reads, after.Waiting, perRouter(int(f.queries.Load()-queries)), float64(after.Writes-before.Writes)/float64(max(s.changes, 1)))
+	if reads > s.maxReads {
+		t.Errorf("%.2f reads of the store per router and second, want at most %.2f", reads, s.maxReads)
 	}
 	stop()
 	time.Sleep(time.Second) // all goroutines end
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -101,7 +101,7 @@
 		lastVersions: make(map[topo.Ref]topo.Version),
 	}
 	n.ctx, n.stop = context.WithCancel(ctx)
-	n.runner = follow.Runner{Source: follow.FromStore(store), SendQuery: n.ask, Post: n.step}
+	n.runner = follow.Runner{Source: follow.FromStore(store), SendQuery: n.sendQuery, Post: n.step}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nodes[n.name] = n
@@ -155,8 +155,8 @@
 	}
 }
 
-// ask sends a query to another node, which also receives the summary of this one.
-func (n *node) ask(_ context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
+// sendQuery sends a query to another node, which also receives the summary of this one.
+func (n *node) sendQuery(_ context.Context, peer config.Peer, q config.Query) (config.Delta, error) {
 	n.fleet.queries.Add(1)
 	time.Sleep(linkDelay)
 	to := n.fleet.node(peer)
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -172,7 +172,7 @@
 	case f.isWatchingStore() && f.announced.version <= f.set.Version():
 		f.announced = announcement{version: v, received: now}
 		return nil
-	case f.isWatchingStore() && now.Sub(f.announced.received) < watchHeadStart:
+	case f.isWatchingStore() && now.Sub(f.announced.received) < pullDelay:
 		return nil
 	}
 	return f.startPull(now, peer, f.set.Version())
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -29,9 +29,9 @@
 	sidecarCheckInterval = time.Minute
 	// outageCheckInterval is how often a router does so while the store does not answer.
 	outageCheckInterval = 500 * time.Millisecond
-	// watchHeadStart is how long a router waits for its own watch to return a change
+	// pullDelay is how long a router waits for its own watch to return a change
 	// that a peer has reported.
-	watchHeadStart = 2 * time.Second
+	pullDelay = 2 * time.Second
 	// queryTimeout is the time after which a SendQuery counts as failed.
 	queryTimeout = 2 * time.Second
 	// minComparedPeers is how many peers a router compares itself with before it
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -135,15 +135,15 @@
 	now := time.Unix(0, 0)
 	to.Step(Ticked{Now: now})
 	to.Step(StoreReadingSwitched{Now: now})
-	asks := to.Step(PeersChanged{Now: now, Peers: []Peer{"from"}})
+	effects := to.Step(PeersChanged{Now: now, Peers: []Peer{"from"}})
 	for range many {
 		var next []Effect
-		for _, e := range asks {
-			if ask, ok := e.(SendQuery); ok {
-				next = append(next, to.Step(QueryAnswered{Now: now, Peer: "from", Delta: from.set.Answer(ask.Query)})...)
+		for _, e := range effects {
+			if query, ok := e.(SendQuery); ok {
+				next = append(next, to.Step(QueryAnswered{Now: now, Peer: "from", Delta: from.set.Answer(query.Query)})...)
 			}
 		}
-		asks = next
+		effects = next
 	}
 	if n := to.set.Len(); n != many {
 		t.Errorf("%d of %d objects were pulled", n, many)
@@ -151,19 +151,19 @@
 }
 
 // answerAll answers the queries of a follower from another one until it sends no more.
-func answerAll(to, from *Follower, now time.Time, asks []Effect) {
-	for len(asks) > 0 {
-		asks = answerOnce(to, from, now, asks)
+func answerAll(to, from *Follower, now time.Time, effects []Effect) {
+	for len(effects) > 0 {
+		effects = answerOnce(to, from, now, effects)
 	}
 }
 
 // answerOnce answers the queries of a follower from another one and returns the effects of
 // the answers.
-func answerOnce(to, from *Follower, now time.Time, asks []Effect) []Effect {
+func answerOnce(to, from *Follower, now time.Time, effects []Effect) []Effect {
 	var next []Effect
-	for _, e := range asks {
-		if ask, ok := e.(SendQuery); ok {
-			next = append(next, to.Step(QueryAnswered{Now: now, Peer: ask.Peer, Delta: from.set.Answer(ask.Query)})...)
+	for _, e := range effects {
+		if query, ok := e.(SendQuery); ok {
+			next = append(next, to.Step(QueryAnswered{Now: now, Peer: query.Peer, Delta: from.set.Answer(query.Query)})...)
 		}
 	}
 	return next
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -172,7 +172,7 @@
 	relying.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*testFollower{relying, fresh} {
 		for range 2 { // a reader gives its own watch a head start
-			to.now = to.now.Add(2 * watchHeadStart)
+			to.now = to.now.Add(2 * pullDelay)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
 		if to.pull == nil {
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -138,7 +138,7 @@
 	w.nodes[i].set.Apply(Batch{Objects: w.log[from:to], Claim: &Claim{From: from, To: to}, Raw: true})
 }
 
-func (w *world) exchangeSummary(i, from int) {
+func (w *world) sendSummary(i, from int) {
 	m := w.nodes[from].set.Summary()
 	w.step(i, SummaryReceived{Now: w.now, Peer: peerOf(from), Summary: m})
 }
@@ -170,8 +170,8 @@
 
 func (w *world) step(i int, e Event) {
 	for _, effect := range w.nodes[i].Step(e) {
-		if ask, ok := effect.(SendQuery); ok {
-			w.queries = append(w.queries, pendingQuery{from: i, query: ask})
+		if query, ok := effect.(SendQuery); ok {
+			w.queries = append(w.queries, pendingQuery{from: i, query: query})
 		}
 	}
 }
@@ -213,7 +213,7 @@
 		"watch":    func(*rapid.T) { w.watch(w.router(), w.replicaVersion()) },
 		"overtake": func(*rapid.T) { w.overtake(w.node()) },
 		"replay":   func(*rapid.T) { w.replay(w.node()) },
-		"hear":     func(*rapid.T) { w.exchangeSummary(w.node(), w.node()) },
+		"hear":     func(*rapid.T) { w.sendSummary(w.node(), w.node()) },
 		"answer":   func(*rapid.T) { w.answer() },
 	}
 }
@@ -259,7 +259,7 @@
 		w.now = w.now.Add(resyncInterval)
 		for i, f := range w.nodes {
 			for from := range w.nodes {
-				w.exchangeSummary(i, from)
+				w.sendSummary(i, from)
 				for len(w.queries) > 0 {
 					q := w.queries[0]
 					w.queries = w.queries[1:]
