--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -16,7 +16,7 @@
 	seedCount       = 40
 	phaseCount      = 8
 	objectCount     = 3
-	maxPhaseSeconds = 20 // of a phase, in seconds
+	maxPhaseSeconds = 20
 
 	maxRouters = 4
 )
--- a/internal/config/follow/source.go
+++ b/internal/config/follow/source.go
@@ -114,7 +114,7 @@
 }
 
 // tryPage reads a page within pageTimeout. Without that bound, a store that accepts a call
-// and never answers would block the node for good.
+// and never answers would block the node indefinitely.
 func (s storeSource) tryPage(ctx context.Context, kind topo.Kind, cont string) (topo.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -159,8 +159,8 @@
 }
 
 // catchUp pulls a newer version from a peer. While the store answers, a router's own watch
-// is about to return the same changes, so the router waits for watchHeadStart: in a burst
-// it would otherwise receive each change twice. A router that has just begun to read the
+// is about to return the same changes, so the router waits for pullDelay: in a burst it
+// would otherwise receive each change twice. A router that has just begun to read the
 // store does not wait: the store may refuse it, and it would stay behind for that long.
 // Sidecars collect the changes of a short period into one pull.
 func (f *Follower) catchUp(now time.Time, peer Peer, v topo.Version) []Effect {
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -39,7 +39,7 @@
 const minWatchFraction = 0.5
 
 // watchWait returns for how long the next watch waits. For a router that reads for others,
-// the pause before a watch counts as part of the wait: the others go by the time since the
+// the pause before a watch counts as part of the wait: the others rely on how long ago the
 // store last answered, and after a pause and a full wait they would read it themselves.
 func (f *Follower) watchWait(now time.Time) time.Duration {
 	switch {
@@ -52,11 +52,11 @@
 	return max(f.timing.WatchWait-now.Sub(f.storeAnsweredAt), minWait)
 }
 
-// switchStoreReading starts or stops the reading of the store. It starts with a listing,
+// switchStoreReading starts or stops the reading of the store. Reading starts with a listing,
 // because the last answer of the store is old and its change history may have been compacted
-// since. A listing in progress is cancelled when the reading stops: the router that reads
-// the store passes the objects on in a twentieth of the bytes, and both transfers would
-// share the link.
+// since. When reading stops, a listing in progress is cancelled: the router that reads the
+// store passes the objects on in a twentieth of the bytes, and both transfers would share the
+// link.
 func (f *Follower) switchStoreReading(e StoreReadingSwitched) []Effect {
 	if f.delegated == !e.On {
 		return nil
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -30,7 +30,7 @@
 	// outageCheckInterval is how often a router does so while the store does not answer.
 	outageCheckInterval = 500 * time.Millisecond
 	// pullDelay is how long a router waits for its own watch to return a change
-	// that a peer has reported.
+	// that a peer has reported, before it pulls the change.
 	pullDelay = 2 * time.Second
 	// queryTimeout is the time after which a SendQuery counts as failed.
 	queryTimeout = 2 * time.Second
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -211,8 +211,8 @@
 // After a power failure of all routers, two of them read the whole configuration from the
 // store, one just before a change that removes a route and one just after it. The second has
 // never held that route. A third router has pulled from the first and now pulls from the
-// second: the route must be removed, or callers are served by it for good. Unchanged routes
-// are the same at both readers, so that nothing is pulled because of them.
+// second: the route must be removed, or callers are served by it indefinitely. Unchanged
+// routes are the same at both readers, so that nothing is pulled because of them.
 func TestRouteUnknownToNewReaderIsRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	route := func(name string, n int, v topo.Version) topo.Object {
@@ -324,8 +324,8 @@
 
 // All routers start after a power failure, and the store holds a thousand routes, which take
 // a small router's link half a second. The router learns of one with more capacity that has
-// read them and sends them in a twentieth of the bytes. If its own listing continued, both
-// transfers would take the whole time and its callers would wait or be refused.
+// read them and sends them in a twentieth of the bytes. If its own listing continued, the
+// transfer would take as long as the listing and its callers would wait or be refused.
 func TestListingIsCancelledWhenAnotherRouterReads(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	now = now.Add(DefaultTiming().PeerWait)
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -8,7 +8,7 @@
 )
 
 // orderHoldTime is how long an order that a store restored from an older copy lacks stays
-// in force. Its operators are expected to give it again within that time.
+// in force. Its operators are expected to issue it again within that time.
 const orderHoldTime = 2 * time.Second
 
 // enterEra records the era of the store.
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -114,7 +114,7 @@
 }
 
 // The restored store lacks an order. The order must hold until operators have had time to
-// give it again, and no longer.
+// issue it again, and no longer.
 func TestOrderMissingFromCopyHoldsForOrderHoldTime(t *testing.T) {
 	r := newTestFollower()
 	ordered := newerConfiguration
@@ -171,7 +171,7 @@
 	relying := newTestFollower()
 	relying.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*testFollower{relying, fresh} {
-		for range 2 { // a reader gives its own watch a head start
+		for range 2 { // a reader waits for its own watch first
 			to.now = to.now.Add(2 * pullDelay)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
--- a/internal/config/revision.go
+++ b/internal/config/revision.go
@@ -25,8 +25,8 @@
 	return slices.Clone(kinds)
 }
 
-// ChangeID identifies a change. The author of a change draws it at random before the write,
-// so that the outcome can be looked up if the answer to the write is lost.
+// ChangeID identifies a change. It is generated at random before the write, so that the
+// outcome can be looked up if the answer to the write is lost.
 type ChangeID string
 
 // Change records who changed an object, when and why.
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -221,7 +221,7 @@
 // Routers receive their configuration from a lagging store, from watches whose events are
 // repeated and in any order, and from peers that are behind. No former configuration may come
 // back into force, and a node that claims to be complete must be, or an accepted change would
-// be missing for good.
+// be missing permanently.
 func TestVersionsNeverDecreaseAndClaimsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 3)
