--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -110,8 +110,8 @@
 	return len(q.running) + q.foreign
 }
 
-// SetForeign says how many requests run at the upstream that this queue did not start.
-func (q *Queue) SetForeign(n int) {
+// SetExternal says how many requests run at the upstream that this queue did not start.
+func (q *Queue) SetExternal(n int) {
 	q.foreign = max(0, n)
 }
 
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -92,10 +92,10 @@
 }
 
 // newRing returns a Ring with a secret of this process.
-func newRing() (*token.Ring, error) {
+func newRing() (*token.Keyring, error) {
 	secret := make([]byte, sha256.Size)
 	rand.Read(secret) // never fails, as crypto/rand documents
-	return token.NewRing(token.Secret{ID: 1, Value: secret})
+	return token.NewKeyring(token.Secret{ID: 1, Value: secret})
 }
 
 func devUsage(base, addr, admin, key string) string {
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -209,7 +209,7 @@
 		Decode:       platform.Decode,
 		ConfigTiming: pace,
 		Mesh: &router.Mesh{
-			Self:          relay.Node{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
+			Self:          relay.Router{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
 			Timing:        relay.TimingFor(bound),
 			Packets:       n.Packets,
 			Calls:         n.Calls,
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -44,7 +44,7 @@
 	vm       []*vm
 	stop     context.CancelFunc
 	ctx      context.Context
-	ring     *token.Ring
+	ring     *token.Keyring
 	slots    int
 }
 
@@ -61,7 +61,7 @@
 // newFleet starts a fleet whose upstreams take so many requests at a time, and
 // let as many wait.
 func newFleet(vms, routers, slots int) *fleet {
-	ring, _ := token.NewRing(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
+	ring, _ := token.NewKeyring(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
 	f := &fleet{net: newNetwork(), slots: slots, store: newStore(), vms: &vmList{}, ring: ring}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	for _, name := range []string{booking, clips} {
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -73,7 +73,7 @@
 	s.put(topo.KindOrganisation, "club", profile.Organisation{
 		Name: "club", Weight: 1, Profiles: []string{"chat", clips}, Keys: []profile.APIKey{{ID: "k", SHA256: profile.HashKey(apiKey)}},
 	})
-	ring, err := token.NewRing(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
+	ring, err := token.NewKeyring(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/order/desk.go
+++ b/internal/order/desk.go
@@ -38,13 +38,13 @@
 	Upstream Upstream
 	// Token reads the current fencing token from the store; nil: there is none.
 	Token func(ctx context.Context) (wire.FencingToken, error)
-	// Empty takes the upstream out of service and returns when nothing runs;
+	// Drain takes the upstream out of service and returns when nothing runs;
 	// resume puts it back.
-	Empty func(ctx context.Context) (resume func(), err error)
+	Drain func(ctx context.Context) (resume func(), err error)
 }
 
-// Desk takes orders.
-type Desk struct {
+// Handler takes orders.
+type Handler struct {
 	config Config
 	ctx    context.Context
 
@@ -57,14 +57,14 @@
 	cancel context.CancelFunc // of what empties the upstream
 }
 
-// NewDesk returns a Desk that works until ctx ends.
-func NewDesk(ctx context.Context, c Config) *Desk {
-	return &Desk{config: c, ctx: ctx}
+// NewHandler returns a Desk that works until ctx ends.
+func NewHandler(ctx context.Context, c Config) *Handler {
+	return &Handler{config: c, ctx: ctx}
 }
 
-// Take handles an order. A refusal is in the status, with what the controller
+// Handle handles an order. A refusal is in the status, with what the controller
 // needs to know besides.
-func (d *Desk) Take(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
+func (d *Handler) Handle(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ctx, done := context.WithTimeout(ctx, callTimeout)
@@ -95,7 +95,7 @@
 // check applies the fence. A sidecar that has just started knows no token and
 // reads it from the store first; without it, an order that a former holder sent
 // before the restart would be taken.
-func (d *Desk) check(ctx context.Context, t wire.FencingToken) *verdict.Error {
+func (d *Handler) check(ctx context.Context, t wire.FencingToken) *verdict.Error {
 	if !d.fence.Known() && d.config.Token != nil {
 		if current, err := d.config.Token(ctx); err == nil {
 			d.fence.Learn(current)
@@ -106,7 +106,7 @@
 
 // status tells how far the order at hand is; what is at the upstream, the
 // upstream tells, so a restarted sidecar knows it as well.
-func (d *Desk) status(ctx context.Context) (wire.OrderStatus, error) {
+func (d *Handler) status(ctx context.Context) (wire.OrderStatus, error) {
 	status, err := d.config.Upstream.OrderStatus(ctx)
 	status.Token = d.fence.Highest()
 	if d.id != "" {
@@ -116,7 +116,7 @@
 }
 
 // prepare begins to empty the upstream, or goes on with that under a new id.
-func (d *Desk) prepare(o wire.Order) {
+func (d *Handler) prepare(o wire.Order) {
 	started := d.id != ""
 	d.id = o.ID
 	if started {
@@ -129,8 +129,8 @@
 	go d.empty(ctx)
 }
 
-func (d *Desk) empty(ctx context.Context) {
-	resume, err := d.config.Empty(ctx)
+func (d *Handler) empty(ctx context.Context) {
+	resume, err := d.config.Drain(ctx)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
@@ -142,7 +142,7 @@
 }
 
 // renew lets the upstream wait for its load for another while.
-func (d *Desk) renew() {
+func (d *Handler) renew() {
 	if d.phase != wire.PhaseReady {
 		return
 	}
@@ -152,7 +152,7 @@
 	d.lapse = time.AfterFunc(readyFor, d.giveUp)
 }
 
-func (d *Desk) giveUp() {
+func (d *Handler) giveUp() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.phase == wire.PhaseReady {
@@ -161,7 +161,7 @@
 }
 
 // release puts the upstream back into service.
-func (d *Desk) release() {
+func (d *Handler) release() {
 	d.lapse.Stop()
 	d.cancel()
 	d.resume()
@@ -170,7 +170,7 @@
 
 // load hands a prepared order to the upstream. One that is not at hand, or is
 // on its way already, is left: the status tells.
-func (d *Desk) load(ctx context.Context, o wire.Order) error {
+func (d *Handler) load(ctx context.Context, o wire.Order) error {
 	if d.id != o.ID || d.phase != wire.PhaseReady {
 		return nil
 	}
@@ -185,7 +185,7 @@
 }
 
 // follow waits until the upstream has finished the load.
-func (d *Desk) follow(id string) {
+func (d *Handler) follow(id string) {
 	tick := time.NewTicker(pollEvery)
 	defer tick.Stop()
 	for {
@@ -200,7 +200,7 @@
 	}
 }
 
-func (d *Desk) finished(id string) bool {
+func (d *Handler) finished(id string) bool {
 	ctx, done := context.WithTimeout(d.ctx, callTimeout)
 	defer done()
 	status, err := d.config.Upstream.OrderStatus(ctx)
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -38,7 +38,7 @@
 
 // vm is a sidecar's desk with what it works with.
 type vm struct {
-	*Desk
+	*Handler
 	engine  engine
 	serving atomic.Bool
 	stored  wire.FencingToken // zero: the store is out
@@ -47,7 +47,7 @@
 func newVM(t *testing.T) *vm {
 	v := &vm{stored: 5}
 	v.serving.Store(true)
-	v.Desk = NewDesk(t.Context(), Config{
+	v.Handler = NewHandler(t.Context(), Config{
 		Upstream: &v.engine,
 		Token: func(context.Context) (wire.FencingToken, error) {
 			if v.stored == 0 {
@@ -55,7 +55,7 @@
 			}
 			return v.stored, nil
 		},
-		Empty: func(context.Context) (func(), error) {
+		Drain: func(context.Context) (func(), error) {
 			v.serving.Store(false)
 			time.Sleep(10 * time.Second) // until the longest answer has ended
 			return func() { v.serving.Store(true) }, nil
@@ -66,7 +66,7 @@
 
 func (v *vm) take(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
 	t.Helper()
-	status, err := v.Take(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.Loaded{Model: "m"}})
+	status, err := v.Handle(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.Loaded{Model: "m"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,19 +12,19 @@
 var benchSizes = []int{50, 500, 4000}
 
 // filled returns a Book of n entries, 50 to a crash.
-func filled(n int) *Book {
+func filled(n int) *Table {
 	b := New("vm-123", 1)
 	for i := 0; i < n; i += 50 {
-		running := make([]Running, 50)
+		running := make([]RunningRequest, 50)
 		for j := range running {
-			running[j] = Running{Print: Print(uint64(i+j+1) * 0x9E3779B97F4A7C15), Started: epoch}
+			running[j] = RunningRequest{Fingerprint: Fingerprint(uint64(i+j+1) * 0x9E3779B97F4A7C15), Started: epoch}
 		}
-		b.Crashed(epoch.Add(time.Second), running)
+		b.RecordCrash(epoch.Add(time.Second), running)
 	}
 	return b
 }
 
-func benchBooks(b *testing.B, f func(b *testing.B, book *Book)) {
+func benchBooks(b *testing.B, f func(b *testing.B, book *Table)) {
 	for _, n := range benchSizes {
 		book := filled(n)
 		b.Run(fmt.Sprint("entries=", n), func(b *testing.B) { f(b, book) })
@@ -33,7 +33,7 @@
 
 // A request that is no suspect: what every request costs.
 func BenchmarkDecideFree(b *testing.B) {
-	benchBooks(b, func(b *testing.B, book *Book) {
+	benchBooks(b, func(b *testing.B, book *Table) {
 		for b.Loop() {
 			book.Decide(epoch, 1, false)
 		}
@@ -41,16 +41,16 @@
 }
 
 func BenchmarkDecideSuspect(b *testing.B) {
-	benchBooks(b, func(b *testing.B, book *Book) {
+	benchBooks(b, func(b *testing.B, book *Table) {
 		for b.Loop() {
-			book.Decide(epoch, Print(0x9E3779B97F4A7C15), false)
+			book.Decide(epoch, Fingerprint(0x9E3779B97F4A7C15), false)
 		}
 	})
 }
 
 // One message of 256 bytes, written and merged; with bytes an entry on the wire.
 func BenchmarkGossip(b *testing.B) {
-	benchBooks(b, func(b *testing.B, book *Book) {
+	benchBooks(b, func(b *testing.B, book *Table) {
 		now := epoch
 		for b.Loop() {
 			now = now.Add(time.Second)
@@ -64,7 +64,7 @@
 
 func BenchmarkMerge(b *testing.B) {
 	message := filled(50).All(epoch)
-	benchBooks(b, func(b *testing.B, book *Book) {
+	benchBooks(b, func(b *testing.B, book *Table) {
 		for b.Loop() {
 			_ = book.Merge(epoch, message)
 		}
@@ -76,7 +76,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("entries=", n), func(b *testing.B) {
 			var before, after runtime.MemStats
-			var book *Book
+			var book *Table
 			for b.Loop() {
 				book = nil
 				runtime.GC()
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -9,27 +9,27 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Book is what one node knows of crashes.
-type Book struct {
+// Table is what one node knows of crashes.
+type Table struct {
 	vm          string // of the node; empty for a router
 	incarnation uint64
 	crashes     uint64 // seen by this incarnation
-	byPrint     map[Print][]*Entry
+	byPrint     map[Fingerprint][]*Entry
 	byCrash     map[Crash][]*Entry
 	size        int
-	grants      map[Print]time.Time // when leave to run alone ends
+	grants      map[Fingerprint]time.Time // when leave to run alone ends
 	tell        teller
 }
 
 // New returns an empty Book. vm and incarnation are those of a sidecar; a
 // router's Book has neither.
-func New(vm string, incarnation uint64) *Book {
-	return &Book{
+func New(vm string, incarnation uint64) *Table {
+	return &Table{
 		vm:          vm,
 		incarnation: incarnation,
-		byPrint:     make(map[Print][]*Entry),
+		byPrint:     make(map[Fingerprint][]*Entry),
 		byCrash:     make(map[Crash][]*Entry),
-		grants:      make(map[Print]time.Time),
+		grants:      make(map[Fingerprint]time.Time),
 		tell:        newTeller(),
 	}
 }
@@ -38,23 +38,23 @@
 type Action uint8
 
 const (
-	// Free may run beside others.
-	Free Action = iota
-	// Alone may run when nothing else does; nothing else may start until it has
+	// Allow may run beside others.
+	Allow Action = iota
+	// RunAlone may run when nothing else does; nothing else may start until it has
 	// ended or Released reports true.
-	Alone
-	// Elsewhere may run alone at the VM that Ruling.Site names, and nowhere else.
-	Elsewhere
+	RunAlone
+	// Redirect may run alone at the VM that Ruling.Site names, and nowhere else.
+	Redirect
 	// Wait may run alone here, but a copy of it has leave to do so already.
 	Wait
 	// Refuse never runs: it is convicted.
 	Refuse
 )
 
-// Ruling is the answer to Decide.
-type Ruling struct {
+// Decision is the answer to Decide.
+type Decision struct {
 	Action  Action
-	Site    string // for Elsewhere
+	VM      string // for Elsewhere
 	Crashes int    // crashes at which the fingerprint was running
 }
 
@@ -65,39 +65,39 @@
 // that knows of the suspicion knows that VM, whatever list of VMs it has, so
 // all copies of the request meet one sidecar and run one after the other. That
 // upstream has just lost its cache and its work, so it costs least there.
-func (b *Book) Decide(now time.Time, p Print, leave bool) Ruling {
+func (b *Table) Decide(now time.Time, p Fingerprint, leave bool) Decision {
 	entries := b.byPrint[p]
 	if len(entries) == 0 && !leave {
-		return Ruling{Action: Free}
+		return Decision{Action: Allow}
 	}
-	r := Ruling{Crashes: b.count(now, entries)}
+	r := Decision{Crashes: b.count(now, entries)}
 	first := b.first(now, entries)
 	switch {
 	case b.convicted(now, p):
 		r.Action = Refuse
 	case first == nil && (len(entries) > 0 || !leave):
-		r.Action = Free
-	case !leave && first.Site != b.vm:
-		r.Action, r.Site = Elsewhere, first.Site
+		r.Action = Allow
+	case !leave && first.VM != b.vm:
+		r.Action, r.VM = Redirect, first.VM
 	case b.granted(now, p):
 		r.Action = Wait
 	default:
-		r.Action = Alone
+		r.Action = RunAlone
 	}
 	return r
 }
 
 // Recheck rules anew on a request with leave to run alone here that is about
 // to start: it may have been convicted or cleared while it waited.
-func (b *Book) Recheck(now time.Time, p Print) Action {
+func (b *Table) Recheck(now time.Time, p Fingerprint) Action {
 	entries := b.byPrint[p]
 	switch {
 	case b.convicted(now, p):
 		return Refuse
 	case len(entries) > 0 && b.first(now, entries) == nil:
-		return Free
+		return Allow
 	default:
-		return Alone
+		return RunAlone
 	}
 }
 
@@ -105,14 +105,14 @@
 // to which the site sends it while its own upstream is down. Until the outcome
 // is known or the time has passed, Decide answers Wait to other copies, so
 // that no two of them take an upstream with them.
-func (b *Book) Grant(p Print, until time.Time) {
+func (b *Table) Grant(p Fingerprint, until time.Time) {
 	b.grants[p] = until
 }
 
-// Lent reports whether some suspect has leave to run alone elsewhere or here.
+// HasGrant reports whether some suspect has leave to run alone elsewhere or here.
 // A site lends to one VM at a time, so that one crash of a busy upstream does
 // not empty many others.
-func (b *Book) Lent(now time.Time) bool {
+func (b *Table) HasGrant(now time.Time) bool {
 	for p := range b.grants {
 		if b.granted(now, p) {
 			return true
@@ -121,13 +121,13 @@
 	return false
 }
 
-// Withdraw ends the leave of p without an outcome: its run was cancelled or
+// Revoke ends the leave of p without an outcome: its run was cancelled or
 // never began.
-func (b *Book) Withdraw(p Print) {
+func (b *Table) Revoke(p Fingerprint) {
 	delete(b.grants, p)
 }
 
-func (b *Book) granted(now time.Time, p Print) bool {
+func (b *Table) granted(now time.Time, p Fingerprint) bool {
 	until, ok := b.grants[p]
 	if ok && !now.Before(until) {
 		delete(b.grants, p)
@@ -136,77 +136,77 @@
 	return ok
 }
 
-// Running is a request at the upstream when it crashed.
-type Running struct {
-	Print   Print
-	Started time.Time
+// RunningRequest is a request at the upstream when it crashed.
+type RunningRequest struct {
+	Fingerprint Fingerprint
+	Started     time.Time
 }
 
-// Crashed enters a crash of this sidecar's upstream and returns what it
+// RecordCrash enters a crash of this sidecar's upstream and returns what it
 // entered. A crash with one fingerprint running convicts it only if it is a
 // suspect of an earlier crash: upstreams also fail for reasons of their own.
-func (b *Book) Crashed(now time.Time, running []Running) []Entry {
+func (b *Table) RecordCrash(now time.Time, running []RunningRequest) []Entry {
 	b.crashes++
 	c := crashID(b.vm, b.incarnation, b.crashes)
 	at := now.Truncate(time.Millisecond)
 	alone := alone(running)
 	standing := Suspect
-	if alone && len(running) > 0 && b.suspected(now, running[0].Print) {
+	if alone && len(running) > 0 && b.suspected(now, running[0].Fingerprint) {
 		standing = Convicted
 	}
 	var out []Entry
 	for _, r := range running {
 		exposure := max(0, now.Sub(r.Started)).Truncate(time.Millisecond)
-		e := Entry{Print: r.Print, Crash: c, Site: b.vm, At: at, Alone: alone, Exposure: exposure, Standing: standing}
+		e := Entry{Fingerprint: r.Fingerprint, Crash: c, VM: b.vm, At: at, Alone: alone, RunTime: exposure, Status: standing}
 		b.enter(now, e)
-		b.Withdraw(r.Print)
+		b.Revoke(r.Fingerprint)
 		out = append(out, e)
 	}
 	return out
 }
 
 // alone reports whether only one fingerprint was running, if in several copies.
-func alone(running []Running) bool {
-	return !slices.ContainsFunc(running, func(r Running) bool { return r.Print != running[0].Print })
+func alone(running []RunningRequest) bool {
+	return !slices.ContainsFunc(running, func(r RunningRequest) bool { return r.Fingerprint != running[0].Fingerprint })
 }
 
 // suspected reports whether p was running at a crash that nothing explains, or
 // has leave to run alone from a sidecar that knows of one.
-func (b *Book) suspected(now time.Time, p Print) bool {
+func (b *Table) suspected(now time.Time, p Fingerprint) bool {
 	return b.first(now, b.byPrint[p]) != nil || b.granted(now, p)
 }
 
-// Finished enters that p has run to its end. Whatever crashed the upstreams,
+// RecordFinished enters that p has run to its end. Whatever crashed the upstreams,
 // it is not a request that crashes each upstream that runs it.
-func (b *Book) Finished(now time.Time, p Print) {
-	b.Withdraw(p)
+func (b *Table) RecordFinished(now time.Time, p Fingerprint) {
+	b.Revoke(p)
 	for _, e := range b.byPrint[p] {
 		b.raise(now, e, Cleared)
 	}
 }
 
-// Released reports whether p has run alone, since started, for so long that
+// ClearIfSurvived reports whether p has run alone, since started, for so long that
 // it counts as finished, and enters it as such. It must have outlived twice
 // the time after which it last was part of a crash. Without this a bystander
 // with a long answer would hold the upstream, and all other suspects, until
 // its end.
-func (b *Book) Released(now time.Time, p Print, started time.Time) bool {
+func (b *Table) ClearIfSurvived(now time.Time, p Fingerprint, started time.Time) bool {
 	need := minAlone
 	for _, e := range b.byPrint[p] {
-		need = max(need, 2*e.Exposure)
+		need = max(need, 2*e.RunTime)
 	}
 	if now.Sub(started) < need {
 		return false
 	}
-	b.Finished(now, p)
+	b.RecordFinished(now, p)
 	return true
 }
 
-// MoreLikely orders suspects that wait to run alone: it reports whether p is a
+// IsLikelierCause orders suspects that wait to run alone: it reports whether p is a
 // likelier culprit than q. What was running at more crashes is, and then what
 // had started last, since a request that crashes its upstream mostly does so
 // soon.
-func (b *Book) MoreLikely(now time.Time, p, q Print) bool {
+func (b *Table) IsLikelierCause(now time.Time, p, q Fingerprint) bool {
 	ep, eq := b.byPrint[p], b.byPrint[q]
 	if n, m := b.count(now, ep), b.count(now, eq); n != m {
 		return n > m
@@ -217,8 +217,8 @@
 func shortest(entries []*Entry) time.Duration {
 	var d time.Duration
 	for i, e := range entries {
-		if i == 0 || e.Exposure < d {
-			d = e.Exposure
+		if i == 0 || e.RunTime < d {
+			d = e.RunTime
 		}
 	}
 	return d
@@ -226,17 +226,17 @@
 
 // Case is what operators are told of a fingerprint.
 type Case struct {
-	Print     Print
-	Convicted bool // else a suspect
-	Crashes   int
-	Until     time.Time
+	Fingerprint Fingerprint
+	Convicted   bool // else a suspect
+	Crashes     int
+	Until       time.Time
 }
 
 // Cases returns the suspects and convicts, in the order of their fingerprints.
-func (b *Book) Cases(now time.Time) []Case {
+func (b *Table) Cases(now time.Time) []Case {
 	var out []Case
 	for p, entries := range b.byPrint {
-		c := Case{Print: p, Convicted: b.convicted(now, p), Crashes: b.count(now, entries)}
+		c := Case{Fingerprint: p, Convicted: b.convicted(now, p), Crashes: b.count(now, entries)}
 		if !c.Convicted && b.first(now, entries) == nil {
 			continue
 		}
@@ -247,13 +247,13 @@
 		}
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(x, y Case) int { return cmp.Compare(x.Print, y.Print) })
+	slices.SortFunc(out, func(x, y Case) int { return cmp.Compare(x.Fingerprint, y.Fingerprint) })
 	return out
 }
 
 // Convicted returns the convicted fingerprints.
-func (b *Book) Convicted(now time.Time) []Print {
-	var out []Print
+func (b *Table) Convicted(now time.Time) []Fingerprint {
+	var out []Fingerprint
 	for p := range b.byPrint {
 		if b.convicted(now, p) {
 			out = append(out, p)
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// Print is the fingerprint of a request: a hash of its organisation and call.
-type Print uint64
+// Fingerprint is the fingerprint of a request: a hash of its organisation and call.
+type Fingerprint uint64
 
 // String returns the fingerprint in hexadecimal, as operators see it.
-func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
 
 // Crash names one crash of one upstream.
 type Crash uint64
 
-// Standing is what is known of a fingerprint in respect of one crash. Higher
+// Status is what is known of a fingerprint in respect of one crash. Higher
 // values replace lower ones, so Books that merge in any order agree.
-type Standing uint8
+type Status uint8
 
 const (
 	// Suspect was running when the upstream crashed.
-	Suspect Standing = iota
+	Suspect Status = iota
 	// Cleared has since run without a crash.
 	Cleared
 	// Convicted crashed the upstream while it ran alone, as a suspect of another crash.
@@ -36,29 +36,29 @@
 // Entry is one fingerprint that was running at one crash. All but Standing
 // are fixed by the sidecar that saw the crash.
 type Entry struct {
-	Print    Print
-	Crash    Crash
-	Site     string        // VM of the crash
-	At       time.Time     // of the crash, whole milliseconds
-	Exposure time.Duration // for which it had run, whole milliseconds
-	Alone    bool          // nothing else was running
-	Standing Standing
+	Fingerprint Fingerprint
+	Crash       Crash
+	VM          string        // VM of the crash
+	At          time.Time     // of the crash, whole milliseconds
+	RunTime     time.Duration // for which it had run, whole milliseconds
+	Alone       bool          // nothing else was running
+	Status      Status
 }
 
 // key identifies an Entry.
 type key struct {
-	print Print
+	print Fingerprint
 	crash Crash
 }
 
-func (e *Entry) key() key { return key{e.Print, e.Crash} }
+func (e *Entry) key() key { return key{e.Fingerprint, e.Crash} }
 
 // ttl is how long the entry counts, from the crash on.
 func (e *Entry) ttl() time.Duration {
-	if e.Standing == Convicted {
-		return ConvictedFor
+	if e.Status == Convicted {
+		return ConvictionTTL
 	}
-	return SuspectFor
+	return SuspectTTL
 }
 
 // Expires is when the entry ceases to count.
@@ -73,10 +73,10 @@
 }
 
 const (
-	// SuspectFor is how long after a crash its suspects count as such.
-	SuspectFor = 15 * time.Minute
-	// ConvictedFor is how long a conviction stands.
-	ConvictedFor = 24 * time.Hour
+	// SuspectTTL is how long after a crash its suspects count as such.
+	SuspectTTL = 15 * time.Minute
+	// ConvictionTTL is how long a conviction stands.
+	ConvictionTTL = 24 * time.Hour
 	// RetryAfter is when a caller should come back whose request waits for its
 	// turn to run alone.
 	RetryAfter = time.Second
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	poison   Print = 1
-	lastGood Print = 8
+	poison   Fingerprint = 1
+	lastGood Fingerprint = 8
 
 	leaveFor = time.Minute
 	maxHops  = 6
@@ -20,14 +20,14 @@
 
 // node is a sidecar or, without an upstream, a router.
 type node struct {
-	book    *Book
+	book    *Table
 	down    bool // the upstream
 	running []run
 	queue   []run // wait to run alone
 }
 
 type run struct {
-	Running
+	RunningRequest
 	router *node
 	alone  bool
 }
@@ -41,12 +41,12 @@
 	gossip   []json.RawMessage
 	losses   int  // upstreams that the poison crashed
 	spoiled  bool // an upstream has failed for a reason of its own
-	finished map[Print]int
-	crashed  map[Print]bool // has been running at a crash
+	finished map[Fingerprint]int
+	crashed  map[Fingerprint]bool // has been running at a crash
 }
 
 func newFleet() *fleet {
-	f := &fleet{now: epoch, finished: make(map[Print]int), crashed: make(map[Print]bool)}
+	f := &fleet{now: epoch, finished: make(map[Fingerprint]int), crashed: make(map[Fingerprint]bool)}
 	for i := range 4 {
 		f.sidecars = append(f.sidecars, &node{book: New(fmt.Sprint("vm-", i), uint64(i))})
 	}
@@ -57,7 +57,7 @@
 }
 
 // order returns where p is offered, its home first, or its ticket's VM.
-func (f *fleet) order(p Print, ticket bool) []*node {
+func (f *fleet) order(p Fingerprint, ticket bool) []*node {
 	home := int(p) % len(f.sidecars)
 	if ticket {
 		home++
@@ -73,39 +73,39 @@
 
 // send offers p to sidecars through r until one accepts or refuses it for good.
 // busy says for each whether it refuses for its load.
-func (f *fleet) send(r *node, p Print, order []*node, busy func() bool) {
+func (f *fleet) send(r *node, p Fingerprint, order []*node, busy func() bool) {
 	leave := false
 	told := r.book.Decide(f.now, p, false)
 	if told.Action == Refuse {
 		return
 	}
-	if told.Action == Elsewhere {
-		order = append([]*node{f.site(told.Site)}, order...)
+	if told.Action == Redirect {
+		order = append([]*node{f.site(told.VM)}, order...)
 	}
 	for hops := 0; hops < maxHops && len(order) > 0; hops++ {
 		s := order[0]
 		order = order[1:]
-		_ = s.book.Merge(f.now, r.book.About(f.now, p))
+		_ = s.book.Merge(f.now, r.book.EvidenceFor(f.now, p))
 		ruling := s.book.Decide(f.now, p, leave)
-		_ = r.book.Merge(f.now, s.book.About(f.now, p))
+		_ = r.book.Merge(f.now, s.book.EvidenceFor(f.now, p))
 		switch ruling.Action {
-		case Free:
+		case Allow:
 			if s.down || len(s.queue) > 0 || s.lonely() || busy() {
 				continue
 			}
-			s.running = append(s.running, run{Running: Running{p, f.now}, router: r})
+			s.running = append(s.running, run{RunningRequest: RunningRequest{p, f.now}, router: r})
 			return
-		case Elsewhere:
-			order = append([]*node{f.site(ruling.Site)}, order...)
-		case Alone:
-			if s.down && (leave || !s.book.Lent(f.now)) {
+		case Redirect:
+			order = append([]*node{f.site(ruling.VM)}, order...)
+		case RunAlone:
+			if s.down && (leave || !s.book.HasGrant(f.now)) {
 				s.book.Grant(p, f.now.Add(leaveFor))
 				leave = true
 				continue
 			}
 			if !s.down {
 				s.book.Grant(p, f.now.Add(leaveFor))
-				s.queue = append(s.queue, run{Running: Running{Print: p}, router: r, alone: true})
+				s.queue = append(s.queue, run{RunningRequest: RunningRequest{Fingerprint: p}, router: r, alone: true})
 				f.schedule(s)
 			}
 			return
@@ -121,22 +121,22 @@
 
 // mixed reports whether more than one fingerprint is running.
 func (s *node) mixed() bool {
-	return slices.ContainsFunc(s.running, func(r run) bool { return r.Print != s.running[0].Print })
+	return slices.ContainsFunc(s.running, func(r run) bool { return r.Fingerprint != s.running[0].Fingerprint })
 }
 
 // schedule starts the likeliest suspect once nothing runs.
 func (f *fleet) schedule(s *node) {
 	for len(s.running) == 0 && len(s.queue) > 0 && !s.down {
 		slices.SortFunc(s.queue, func(x, y run) int {
-			if s.book.MoreLikely(f.now, x.Print, y.Print) {
+			if s.book.IsLikelierCause(f.now, x.Fingerprint, y.Fingerprint) {
 				return -1
 			}
 			return 1
 		})
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		if s.book.Recheck(f.now, next.Print) == Refuse {
-			s.book.Withdraw(next.Print)
+		if s.book.Recheck(f.now, next.Fingerprint) == Refuse {
+			s.book.Revoke(next.Fingerprint)
 			continue
 		}
 		next.Started = f.now
@@ -146,8 +146,8 @@
 
 // end ends a run well.
 func (f *fleet) end(s *node, i int) {
-	p := s.running[i].Print
-	s.book.Finished(f.now, p)
+	p := s.running[i].Fingerprint
+	s.book.RecordFinished(f.now, p)
 	f.finished[p]++
 	s.running = slices.Delete(s.running, i, i+1)
 	f.schedule(s)
@@ -158,43 +158,43 @@
 	running := s.running
 	waiting := s.queue
 	s.running, s.queue, s.down = nil, nil, true
-	at := make([]Running, len(running))
+	at := make([]RunningRequest, len(running))
 	for i, r := range running {
-		at[i] = r.Running
-		f.crashed[r.Print] = true
+		at[i] = r.RunningRequest
+		f.crashed[r.Fingerprint] = true
 	}
-	s.book.Crashed(f.now, at)
+	s.book.RecordCrash(f.now, at)
 	for _, w := range waiting {
-		s.book.Withdraw(w.Print)
+		s.book.Revoke(w.Fingerprint)
 	}
 	for _, r := range running {
-		_ = r.router.book.Merge(f.now, s.book.About(f.now, r.Print))
+		_ = r.router.book.Merge(f.now, s.book.EvidenceFor(f.now, r.Fingerprint))
 		for _, ticket := range []bool{true, false} {
-			_ = f.order(r.Print, ticket)[0].book.Merge(f.now, r.router.book.About(f.now, r.Print))
+			_ = f.order(r.Fingerprint, ticket)[0].book.Merge(f.now, r.router.book.EvidenceFor(f.now, r.Fingerprint))
 		}
-		for _, first := range s.book.byPrint[r.Print] {
-			_ = f.site(first.Site).book.Merge(f.now, r.router.book.About(f.now, r.Print))
+		for _, first := range s.book.byPrint[r.Fingerprint] {
+			_ = f.site(first.VM).book.Merge(f.now, r.router.book.EvidenceFor(f.now, r.Fingerprint))
 		}
 	}
 }
 
-func (s *node) runs(p Print) bool {
-	return slices.ContainsFunc(s.running, func(r run) bool { return r.Print == p })
+func (s *node) runs(p Fingerprint) bool {
+	return slices.ContainsFunc(s.running, func(r run) bool { return r.Fingerprint == p })
 }
 
-func (f *fleet) inFlight(p Print) bool {
+func (f *fleet) inFlight(p Fingerprint) bool {
 	return slices.ContainsFunc(f.sidecars, func(s *node) bool { return s.runs(p) })
 }
 
 func (f *fleet) actions(t *rapid.T) map[string]func(*rapid.T) {
 	all := slices.Concat(f.sidecars, f.routers)
 	pick := func(t *rapid.T, of []*node) *node { return rapid.SampledFrom(of).Draw(t, "node") }
-	send := func(t *rapid.T, p Print) {
+	send := func(t *rapid.T, p Fingerprint) {
 		busy := func() bool { return rapid.IntRange(0, 3).Draw(t, "busy") == 0 }
 		f.send(pick(t, f.routers), p, f.order(p, rapid.Bool().Draw(t, "ticket")), busy)
 	}
 	return map[string]func(*rapid.T){
-		"innocent": func(t *rapid.T) { send(t, Print(rapid.IntRange(int(poison)+1, int(lastGood)).Draw(t, "print"))) },
+		"innocent": func(t *rapid.T) { send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastGood)).Draw(t, "print"))) },
 		"poison": func(t *rapid.T) {
 			if f.losses > 0 || !f.inFlight(poison) {
 				send(t, poison)
@@ -215,7 +215,7 @@
 		},
 		"fail": func(t *rapid.T) { // for a reason of its own
 			s := pick(t, f.sidecars)
-			if len(s.running) > 0 && (s.mixed() || !f.crashed[s.running[0].Print]) && !s.runs(poison) {
+			if len(s.running) > 0 && (s.mixed() || !f.crashed[s.running[0].Fingerprint]) && !s.runs(poison) {
 				f.spoiled = true
 				f.crash(s)
 			}
@@ -227,7 +227,7 @@
 		},
 		"end": func(t *rapid.T) {
 			s := pick(t, f.sidecars)
-			if i := len(s.running) - 1; i >= 0 && s.running[i].Print != poison {
+			if i := len(s.running) - 1; i >= 0 && s.running[i].Fingerprint != poison {
 				f.end(s, i)
 			}
 		},
@@ -286,7 +286,7 @@
 	}
 	f.check(t, f.sidecars)
 	f.drain()
-	f.finished = make(map[Print]int)
+	f.finished = make(map[Fingerprint]int)
 	for range 2 * int(lastGood) {
 		f.now = f.now.Add(leaveFor / 4)
 		f.drain()
@@ -317,7 +317,7 @@
 	}
 	for _, n := range all {
 		for p := poison + 1; p <= lastGood; p++ {
-			if a := n.book.Decide(f.now, p, false).Action; a != Free && a != Wait {
+			if a := n.book.Decide(f.now, p, false).Action; a != Allow && a != Wait {
 				t.Fatalf("%d %s and is still ruled %d at %q", p, why, a, n.book.vm)
 			}
 		}
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -71,7 +71,7 @@
 // Gossip returns what to tell another node on the back of a message, in at
 // most budget bytes, or nil when there is nothing new or it would come to more
 // than the node's rate.
-func (b *Book) Gossip(now time.Time, budget int) json.RawMessage {
+func (b *Table) Gossip(now time.Time, budget int) json.RawMessage {
 	if len(b.tell.news) == 0 {
 		return nil
 	}
@@ -103,7 +103,7 @@
 	slices.SortFunc(fresh, func(x, y *news) int {
 		return cmp.Or(
 			cmp.Compare(x.told, y.told),
-			cmp.Compare(y.entry.Standing, x.entry.Standing),
+			cmp.Compare(y.entry.Status, x.entry.Status),
 			compare(x.entry, y.entry),
 		)
 	})
@@ -121,16 +121,16 @@
 	return 1
 }
 
-// About returns what the ruling on p rests on, whether others were told or
+// EvidenceFor returns what the ruling on p rests on, whether others were told or
 // not: all of p, and all of those whose guilt explains its crashes. It goes
 // with reports, and with the refusal or submission of p itself, so that two
 // nodes that disagree about p agree after one exchange.
-func (b *Book) About(now time.Time, p Print) json.RawMessage {
+func (b *Table) EvidenceFor(now time.Time, p Fingerprint) json.RawMessage {
 	entries := b.liveOf(now, p)
 	for _, e := range entries {
 		for _, o := range b.byCrash[e.Crash] {
-			if o.Print != p && b.convicted(now, o.Print) && !slices.Contains(entries, o) {
-				entries = append(entries, b.liveOf(now, o.Print)...)
+			if o.Fingerprint != p && b.convicted(now, o.Fingerprint) && !slices.Contains(entries, o) {
+				entries = append(entries, b.liveOf(now, o.Fingerprint)...)
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 	return out
 }
 
-func (b *Book) liveOf(now time.Time, p Print) []*Entry {
+func (b *Table) liveOf(now time.Time, p Fingerprint) []*Entry {
 	var out []*Entry
 	for _, e := range b.byPrint[p] {
 		if e.live(now) {
@@ -150,7 +150,7 @@
 
 // All returns all that counts at now: for a node that has just started, and
 // for a sidecar that leaves.
-func (b *Book) All(now time.Time) json.RawMessage {
+func (b *Table) All(now time.Time) json.RawMessage {
 	var entries []*Entry
 	for _, known := range b.byPrint {
 		for _, e := range known {
@@ -166,7 +166,7 @@
 
 // Merge takes in what another node told. Merging commutes, associates and is
 // idempotent, so it does not matter in which order and how often news arrive.
-func (b *Book) Merge(now time.Time, told json.RawMessage) error {
+func (b *Table) Merge(now time.Time, told json.RawMessage) error {
 	if len(told) == 0 {
 		return nil
 	}
@@ -187,13 +187,13 @@
 
 func (c *crashJSON) entry(s [3]int64) Entry {
 	return Entry{
-		Print:    Print(s[0]),
-		Crash:    c.Crash,
-		Site:     c.Site,
-		At:       time.UnixMilli(c.At),
-		Exposure: time.Duration(s[1]) * time.Millisecond,
-		Alone:    c.Alone,
-		Standing: min(Standing(s[2]), Convicted),
+		Fingerprint: Fingerprint(s[0]),
+		Crash:       c.Crash,
+		VM:          c.Site,
+		At:          time.UnixMilli(c.At),
+		RunTime:     time.Duration(s[1]) * time.Millisecond,
+		Alone:       c.Alone,
+		Status:      min(Status(s[2]), Convicted),
 	}
 }
 
@@ -205,11 +205,11 @@
 	size, n := len("[]"), 0
 	for _, e := range entries {
 		i, known := at[e.Crash]
-		suspect := [3]int64{int64(e.Print), e.Exposure.Milliseconds(), int64(e.Standing)}
+		suspect := [3]int64{int64(e.Fingerprint), e.RunTime.Milliseconds(), int64(e.Status)}
 		size += jsonSize(suspect) + len(",")
 		if !known {
 			i = len(crashes)
-			c := crashJSON{Crash: e.Crash, Site: e.Site, At: e.At.UnixMilli(), Alone: e.Alone, Suspects: [][3]int64{}}
+			c := crashJSON{Crash: e.Crash, Site: e.VM, At: e.At.UnixMilli(), Alone: e.Alone, Suspects: [][3]int64{}}
 			size += jsonSize(c) + len(",")
 			at[e.Crash] = i
 			crashes = append(crashes, c)
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -6,7 +6,7 @@
 )
 
 // count returns at how many crashes the entries' fingerprint was running.
-func (b *Book) count(now time.Time, entries []*Entry) int {
+func (b *Table) count(now time.Time, entries []*Entry) int {
 	n := 0
 	for _, e := range entries {
 		if e.live(now) {
@@ -18,24 +18,24 @@
 
 // convicted reports whether p is convicted: by the word of the sidecar that
 // saw it, or because two sidecars each saw a part of it.
-func (b *Book) convicted(now time.Time, p Print) bool {
+func (b *Table) convicted(now time.Time, p Fingerprint) bool {
 	return b.pronounced(now, p) || b.proved(now, p)
 }
 
 // pronounced reports whether a sidecar has convicted p.
-func (b *Book) pronounced(now time.Time, p Print) bool {
+func (b *Table) pronounced(now time.Time, p Fingerprint) bool {
 	return slices.ContainsFunc(b.byPrint[p], func(e *Entry) bool {
-		return e.Standing == Convicted && e.live(now)
+		return e.Status == Convicted && e.live(now)
 	})
 }
 
 // proved reports whether p was alone at a crash after it had been running at
 // another that no other convict explains. Two sidecars saw one crash each here,
 // and neither knew of the other's.
-func (b *Book) proved(now time.Time, p Print) bool {
+func (b *Table) proved(now time.Time, p Fingerprint) bool {
 	var first, alone *Entry
 	for _, e := range b.byPrint[p] {
-		if e.Standing != Suspect || !e.live(now) || b.explainedBy(now, e, b.pronounced) {
+		if e.Status != Suspect || !e.live(now) || b.explainedBy(now, e, b.pronounced) {
 			continue
 		}
 		if first == nil || earlier(e, first) {
@@ -52,17 +52,17 @@
 // crash is guilty. This clears all bystanders of a crash at once, and because
 // it is worked out from what the Book holds, not stored, Books that hold the
 // same agree whatever they heard first.
-func (b *Book) explainedBy(now time.Time, e *Entry, guilty func(time.Time, Print) bool) bool {
+func (b *Table) explainedBy(now time.Time, e *Entry, guilty func(time.Time, Fingerprint) bool) bool {
 	return slices.ContainsFunc(b.byCrash[e.Crash], func(o *Entry) bool {
-		return o.Print != e.Print && guilty(now, o.Print)
+		return o.Fingerprint != e.Fingerprint && guilty(now, o.Fingerprint)
 	})
 }
 
 // first returns the earliest entry that makes its fingerprint a suspect, or nil.
-func (b *Book) first(now time.Time, entries []*Entry) *Entry {
+func (b *Table) first(now time.Time, entries []*Entry) *Entry {
 	var first *Entry
 	for _, e := range entries {
-		if e.Standing != Suspect || !e.live(now) || b.explainedBy(now, e, b.convicted) {
+		if e.Status != Suspect || !e.live(now) || b.explainedBy(now, e, b.convicted) {
 			continue
 		}
 		if first == nil || earlier(e, first) {
@@ -80,17 +80,17 @@
 	if x.Crash != y.Crash {
 		return x.Crash < y.Crash
 	}
-	return x.Print < y.Print
+	return x.Fingerprint < y.Fingerprint
 }
 
 // enter merges an entry.
-func (b *Book) enter(now time.Time, e Entry) {
+func (b *Table) enter(now time.Time, e Entry) {
 	if !e.live(now) {
 		return
 	}
-	for _, known := range b.byPrint[e.Print] {
+	for _, known := range b.byPrint[e.Fingerprint] {
 		if known.Crash == e.Crash {
-			b.raise(now, known, e.Standing)
+			b.raise(now, known, e.Status)
 			return
 		}
 	}
@@ -98,24 +98,24 @@
 		return
 	}
 	b.size++
-	b.byPrint[e.Print] = append(b.byPrint[e.Print], &e)
+	b.byPrint[e.Fingerprint] = append(b.byPrint[e.Fingerprint], &e)
 	b.byCrash[e.Crash] = append(b.byCrash[e.Crash], &e)
 	b.tell.add(now, &e)
 }
 
 // raise lifts an entry's standing. An outcome ends the leave to run alone,
 // also when it was another sidecar that saw it.
-func (b *Book) raise(now time.Time, e *Entry, to Standing) {
-	if to <= e.Standing {
+func (b *Table) raise(now time.Time, e *Entry, to Status) {
+	if to <= e.Status {
 		return
 	}
-	e.Standing = to
-	b.Withdraw(e.Print)
+	e.Status = to
+	b.Revoke(e.Fingerprint)
 	b.tell.add(now, e)
 }
 
 // Expire forgets what has aged out.
-func (b *Book) Expire(now time.Time) {
+func (b *Table) Expire(now time.Time) {
 	for _, entries := range b.byPrint {
 		for _, e := range slices.Clone(entries) {
 			if !e.live(now) {
@@ -129,7 +129,7 @@
 // whether e has a place among the rest. Convictions go last: forgetting one
 // costs upstreams. Entries leave many at a time, because to find the oldest
 // means to look at all.
-func (b *Book) makeRoom(now time.Time, e *Entry) bool {
+func (b *Table) makeRoom(now time.Time, e *Entry) bool {
 	b.Expire(now)
 	if b.size < maxEntries {
 		return true
@@ -155,17 +155,17 @@
 
 // lesser orders entries by what a full Book gives up first.
 func lesser(x, y *Entry) bool {
-	xc, yc := x.Standing == Convicted, y.Standing == Convicted
+	xc, yc := x.Status == Convicted, y.Status == Convicted
 	if xc != yc {
 		return yc
 	}
 	return earlier(x, y)
 }
 
-func (b *Book) forget(e *Entry) {
+func (b *Table) forget(e *Entry) {
 	b.size--
 	b.tell.drop(e)
-	remove(b.byPrint, e.Print, e)
+	remove(b.byPrint, e.Fingerprint, e)
 	remove(b.byCrash, e.Crash, e)
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -21,11 +21,11 @@
 
 // picture is what a Book rules on each fingerprint, and what it would tell a
 // node that has just started.
-func picture(b *Book, now time.Time) string {
+func picture(b *Table, now time.Time) string {
 	out := string(b.All(now))
-	for p := Print(1); p <= 6; p++ {
+	for p := Fingerprint(1); p <= 6; p++ {
 		r := b.Decide(now, p, false)
-		out += string(rune('0'+int(r.Action))) + r.Site
+		out += string(rune('0'+int(r.Action))) + r.VM
 	}
 	return out
 }
@@ -36,19 +36,19 @@
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var told [][]byte
-		sites := []*Book{New("a", 1), New("b", 2), New("c", 3)}
+		sites := []*Table{New("a", 1), New("b", 2), New("c", 3)}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			b := rapid.SampledFrom(sites).Draw(t, "site")
-			p := Print(rapid.IntRange(1, 6).Draw(t, "print"))
+			p := Fingerprint(rapid.IntRange(1, 6).Draw(t, "print"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				running := []Running{{Print: p, Started: epoch}}
+				running := []RunningRequest{{Fingerprint: p, Started: epoch}}
 				if rapid.Bool().Draw(t, "beside") {
-					running = append(running, Running{Print: p%6 + 1, Started: epoch})
+					running = append(running, RunningRequest{Fingerprint: p%6 + 1, Started: epoch})
 				}
-				b.Crashed(epoch.Add(time.Second), running)
+				b.RecordCrash(epoch.Add(time.Second), running)
 			case 2:
-				b.Finished(epoch, p)
+				b.RecordFinished(epoch, p)
 			case 3:
 				_ = b.Merge(epoch, rapid.SampledFrom(sites).Draw(t, "from").All(epoch))
 			}
@@ -64,7 +64,7 @@
 		rng.Shuffle(len(again), func(i, j int) { again[i], again[j] = again[j], again[i] })
 		half := New("", 0)
 		for i, m := range again {
-			_ = []*Book{two, half}[i%2].Merge(epoch, m)
+			_ = []*Table{two, half}[i%2].Merge(epoch, m)
 		}
 		_ = two.Merge(epoch, half.All(epoch))
 		if a, b := picture(one, epoch), picture(two, epoch); a != b {
@@ -79,14 +79,14 @@
 func TestFullBookKeepsConvictions(t *testing.T) {
 	b := New("a", 1)
 	for range 2 {
-		b.Crashed(epoch, []Running{{Print: 1, Started: epoch}})
+		b.RecordCrash(epoch, []RunningRequest{{Fingerprint: 1, Started: epoch}})
 	}
 	for i := range 200 {
-		running := make([]Running, 50)
+		running := make([]RunningRequest, 50)
 		for j := range running {
-			running[j] = Running{Print: Print(100 + 50*i + j), Started: epoch}
+			running[j] = RunningRequest{Fingerprint: Fingerprint(100 + 50*i + j), Started: epoch}
 		}
-		b.Crashed(epoch.Add(time.Duration(i)*time.Second), running)
+		b.RecordCrash(epoch.Add(time.Duration(i)*time.Second), running)
 	}
 	if b.size > maxEntries || b.size < maxEntries-maxEntries/evictShare {
 		t.Fatalf("%d entries, of %d", b.size, maxEntries)
@@ -94,7 +94,7 @@
 	if r := b.Decide(epoch, 1, false); r.Action != Refuse {
 		t.Fatalf("the convict is ruled %d", r.Action)
 	}
-	b.Expire(epoch.Add(ConvictedFor))
+	b.Expire(epoch.Add(ConvictionTTL))
 	if b.size != 0 || len(b.byPrint) != 0 || len(b.byCrash) != 0 || len(b.tell.news) != 0 {
 		t.Fatalf("%d entries are left after a day", b.size)
 	}
@@ -104,11 +104,11 @@
 // must stay within what a node may spend on control, and end.
 func TestGossipKeepsToItsRate(t *testing.T) {
 	b := New("a", 1)
-	running := make([]Running, 500)
+	running := make([]RunningRequest, 500)
 	for i := range running {
-		running[i] = Running{Print: Print(i), Started: epoch}
+		running[i] = RunningRequest{Fingerprint: Fingerprint(i), Started: epoch}
 	}
-	b.Crashed(epoch, running)
+	b.RecordCrash(epoch, running)
 	told, heard := 0, New("b", 2)
 	for ms := range 60_000 {
 		m := b.Gossip(epoch.Add(time.Duration(ms)*time.Millisecond), 256)
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -33,23 +33,23 @@
 
 // registration is the value of a router's entry in the store.
 type registration struct {
-	Node    relay.Node `json:"node"`
-	Written int64      `json:"written"` // Unix seconds
+	Node    relay.Router `json:"node"`
+	Written int64        `json:"written"` // Unix seconds
 }
 
 // Registrar maintains one router's entry.
 type Registrar struct {
 	store          topo.Store
-	self           relay.Node
+	self           relay.Router
 	isReader       func() bool
-	onRouters      func([]relay.Node)
+	onRouters      func([]relay.Router)
 	hasEntry       bool          // used by Run only
 	checkRequested chan struct{} // buffer of one: the store may have lost this router's entry
 }
 
 // New returns the Registrar of the router self. isReader reports whether this router reads
 // the store for others, and onRouters receives the other routers after each read.
-func New(store topo.Store, self relay.Node, isReader func() bool, onRouters func([]relay.Node)) *Registrar {
+func New(store topo.Store, self relay.Router, isReader func() bool, onRouters func([]relay.Router)) *Registrar {
 	return &Registrar{store: store, self: self, isReader: isReader, onRouters: onRouters, checkRequested: make(chan struct{}, 1)}
 }
 
@@ -138,7 +138,7 @@
 // entries. It returns the version of this router's own entry, and whether that entry is
 // up to date.
 func (reg *Registrar) readAll(ctx context.Context) (own topo.Version, upToDate bool, err error) {
-	var nodes []relay.Node
+	var nodes []relay.Router
 	cont := ""
 	for {
 		page, err := reg.store.List(ctx, topo.KindRouter, cont)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -9,14 +9,14 @@
 // more than usual.
 func (s *State) fresh(now time.Time, p *peer, patience time.Duration) bool {
 	since := now.Sub(p.beatAt)
-	if p.beatAt.IsZero() || since > s.timing.Silence+patience {
+	if p.beatAt.IsZero() || since > s.timing.HeartbeatTimeout+patience {
 		return false
 	}
-	if !p.behind.IsZero() && now.Sub(p.behind) > s.timing.Pull+patience {
+	if !p.behind.IsZero() && now.Sub(p.behind) > s.timing.PullTimeout+patience {
 		return false // its messages arrive, and what is pulled from it does not
 	}
-	for _, k := range p.beat.Knowledge {
-		if k.Age < 0 || milliseconds(k.Age)+since > s.timing.Fresh+patience {
+	for _, k := range p.beat.Progress {
+		if k.Age < 0 || milliseconds(k.Age)+since > s.timing.MaxAge+patience {
 			return false
 		}
 	}
@@ -49,7 +49,7 @@
 		return true
 	}
 	for _, k := range s.own {
-		if k.Age < 0 || milliseconds(k.Age)+now.Sub(s.ownAt) > s.timing.Fresh {
+		if k.Age < 0 || milliseconds(k.Age)+now.Sub(s.ownAt) > s.timing.MaxAge {
 			return true
 		}
 	}
@@ -67,7 +67,7 @@
 	if parent == nil && slices.Contains(candidates, s.parent) && s.fresh(now, s.parent, s.patience(now, candidates)) {
 		parent = s.parent
 	}
-	if parent != nil && parent.beat.Failing && (s.eager(now, candidates) || !s.lagging(now)) {
+	if parent != nil && parent.beat.StoreFailing && (s.eager(now, candidates) || !s.lagging(now)) {
 		parent = nil
 	}
 	if parent == nil {
@@ -79,15 +79,15 @@
 	var out []Effect
 	if parent != s.parent {
 		s.parent = parent
-		rely := Rely{}
+		rely := SetParent{}
 		if parent != nil {
-			rely.On = parent.node
+			rely.Parent = parent.node
 		}
 		out = append(out, rely)
 	}
 	if reading != s.reading {
 		s.reading = reading
-		out = append(out, Read{On: reading})
+		out = append(out, SwitchStoreReading{On: reading})
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 	for _, p := range candidates {
 		switch {
 		case !s.fresh(now, p, 0) || slices.Contains(p.beat.Path, s.self.Name):
-		case !p.beat.Failing:
+		case !p.beat.StoreFailing:
 			return p
 		case failing == nil:
 			failing = p
@@ -112,7 +112,7 @@
 func (s *State) eager(now time.Time, candidates []*peer) bool {
 	ahead := 0
 	for _, p := range candidates {
-		if !now.Before(p.suspect) && !(p.beat.Failing && s.fresh(now, p, 0)) {
+		if !now.Before(p.suspect) && !(p.beat.StoreFailing && s.fresh(now, p, 0)) {
 			ahead++
 		}
 	}
--- a/internal/relay/event.go
+++ b/internal/relay/event.go
@@ -15,33 +15,33 @@
 
 // Registered names routers that the store knows.
 type Registered struct {
-	Now   time.Time
-	Nodes []Node
+	Now     time.Time
+	Routers []Router
 }
 
-// BeatHeard is a beat of another router.
-type BeatHeard struct {
-	Now  time.Time
-	Beat Beat
+// HeartbeatReceived is a beat of another router.
+type HeartbeatReceived struct {
+	Now       time.Time
+	Heartbeat Heartbeat
 }
 
-// SubscribeHeard is a subscription of another router.
-type SubscribeHeard struct {
+// SubscribeReceived is a subscription of another router.
+type SubscribeReceived struct {
 	Now       time.Time
 	Subscribe Subscribe
 }
 
-// Followed is how far this router follows the sets. The ages are those of its own
+// ProgressUpdated is how far this router follows the sets. The ages are those of its own
 // reading of the store.
-type Followed struct {
-	Now       time.Time
-	Knowledge Sets[Knowledge]
-	Failing   bool // the store does not answer it
+type ProgressUpdated struct {
+	Now          time.Time
+	Progress     Sets[Progress]
+	StoreFailing bool // the store does not answer it
 }
 
-// Woke is the end of a time in which the router did not run and its clock may
+// Resumed is the end of a time in which the router did not run and its clock may
 // have stood still: ages that were worked out before mean nothing.
-type Woke struct{ Now time.Time }
+type Resumed struct{ Now time.Time }
 
 // When implements Event.
 func (e Ticked) When() time.Time { return e.Now }
@@ -50,59 +50,59 @@
 func (e Registered) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e BeatHeard) When() time.Time { return e.Now }
+func (e HeartbeatReceived) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e SubscribeHeard) When() time.Time { return e.Now }
+func (e SubscribeReceived) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e Followed) When() time.Time { return e.Now }
+func (e ProgressUpdated) When() time.Time { return e.Now }
 
 // When implements Event.
-func (e Woke) When() time.Time { return e.Now }
+func (e Resumed) When() time.Time { return e.Now }
 
 // Effect is something that a State wants done.
 type Effect interface{ isRelayEffect() }
 
-// SendBeat sends a beat to a router.
-type SendBeat struct {
-	To   Node
-	Beat Beat
+// SendHeartbeat sends a beat to a router.
+type SendHeartbeat struct {
+	To        Router
+	Heartbeat Heartbeat
 }
 
 // SendSubscribe sends a subscription to a router.
 type SendSubscribe struct {
-	To        Node
+	To        Router
 	Subscribe Subscribe
 }
 
-// SendShare sends a router what this one has heard, or knows, beside the sets.
-type SendShare struct {
-	To    Node
-	Share Share
+// SendReport sends a router what this one has heard, or knows, beside the sets.
+type SendReport struct {
+	To     Router
+	Report Report
 }
 
-// Read starts or ends the reading of the store.
-type Read struct{ On bool }
+// SwitchStoreReading starts or ends the reading of the store.
+type SwitchStoreReading struct{ On bool }
 
-// Rely names the router to pull from what a beat shows to be missing; an empty
+// SetParent names the router to pull from what a beat shows to be missing; an empty
 // Node: none.
-type Rely struct{ On Node }
+type SetParent struct{ Parent Router }
 
-// Told is what the parent knows.
-type Told struct {
-	Parent    Node
-	Knowledge Sets[Knowledge]
+// ParentProgress is what the parent knows.
+type ParentProgress struct {
+	Parent   Router
+	Progress Sets[Progress]
 }
 
-func (SendBeat) isRelayEffect() {}
+func (SendHeartbeat) isRelayEffect() {}
 
 func (SendSubscribe) isRelayEffect() {}
 
-func (SendShare) isRelayEffect() {}
+func (SendReport) isRelayEffect() {}
 
-func (Read) isRelayEffect() {}
+func (SwitchStoreReading) isRelayEffect() {}
 
-func (Rely) isRelayEffect() {}
+func (SetParent) isRelayEffect() {}
 
-func (Told) isRelayEffect() {}
+func (ParentProgress) isRelayEffect() {}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,8 +35,8 @@
 // Sets is something for each of the sets.
 type Sets[T any] [setCount]T
 
-// Node is a router as others know it.
-type Node struct {
+// Router is a router as others know it.
+type Router struct {
 	Name   string `cbor:"1,keyasint" json:"name"`
 	Addr   string `cbor:"2,keyasint" json:"addr"` // of its messages and calls, host:port
 	Domain string `cbor:"3,keyasint" json:"domain"`
@@ -46,68 +46,68 @@
 	Capacity int `cbor:"4,keyasint" json:"capacity"`
 }
 
-// Knowledge is how far a router follows one set.
-type Knowledge struct {
-	Mark config.Summary `cbor:"1,keyasint"`
+// Progress is how far a router follows one set.
+type Progress struct {
+	Summary config.Summary `cbor:"1,keyasint"`
 	// Age is how long ago the store confirmed that nothing newer existed, in
 	// milliseconds; negative: not known.
 	Age int64 `cbor:"2,keyasint"`
-	// Back is how long ago the store answered again after an outage, in
+	// SinceRecovery is how long ago the store answered again after an outage, in
 	// milliseconds; negative: there was none lately.
-	Back int64 `cbor:"3,keyasint"`
+	SinceRecovery int64 `cbor:"3,keyasint"`
 }
 
-// Beat is what a router tells its subscribers.
-type Beat struct {
-	From Node `cbor:"1,keyasint"`
+// Heartbeat is what a router tells its subscribers.
+type Heartbeat struct {
+	From Router `cbor:"1,keyasint"`
 	// Path names the routers that the ages have come through since they were read
 	// from the store, the one that read them first; empty: the sender itself. Without
 	// it routers that lost the store would rely on each other in a circle, until what
 	// one of them knew before has grown too old.
 	Path []string `cbor:"4,keyasint,omitempty"`
-	// Failing tells that the store does not answer the sender, which is to read it, and
+	// StoreFailing tells that the store does not answer the sender, which is to read it, and
 	// nobody else does in its place: what it knows only grows older. Those who only
 	// pass that on do not say so, or a whole region would read at once.
-	Failing   bool            `cbor:"5,keyasint,omitempty"`
-	Knowledge Sets[Knowledge] `cbor:"2,keyasint"`
+	StoreFailing bool           `cbor:"5,keyasint,omitempty"`
+	Progress     Sets[Progress] `cbor:"2,keyasint"`
 }
 
 // Subscribe asks a router for its beats. One without Wanted only makes its sender
 // known.
 type Subscribe struct {
-	From   Node `cbor:"1,keyasint"`
-	Wanted bool `cbor:"2,keyasint"`
+	From           Router `cbor:"1,keyasint"`
+	WantHeartbeats bool   `cbor:"2,keyasint"`
 }
 
-// Share tells what the sender has heard beside the sets, to the router that it relies
+// Report tells what the sender has heard beside the sets, to the router that it relies
 // on, or what it knows, to its subscribers. A State does not look at it.
-type Share struct {
+type Report struct {
 	From    string `cbor:"1,keyasint"`
-	Sharing []byte `cbor:"2,keyasint"`
-	// Known tells that the sender is relied on.
-	Known bool `cbor:"3,keyasint,omitempty"`
+	Payload []byte `cbor:"2,keyasint"`
+	// IsSummary tells that the sender is relied on.
+	IsSummary bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Timing is the times of a State.
 type Timing struct {
-	// Beat is how often subscribers hear of what has not changed.
-	Beat time.Duration
-	// Share is how often routers tell each other what they know beside the sets.
-	Share time.Duration
-	// Silence is after how long without a beat a parent counts as gone.
-	Silence time.Duration
-	// Pull is for how long a parent may know what this router has not pulled from it.
-	Pull time.Duration
-	// Fresh is how old knowledge may be of which a router relies on a parent.
-	Fresh time.Duration
+	// HeartbeatInterval is how often subscribers hear of what has not changed.
+	HeartbeatInterval time.Duration
+	// ReportInterval is how often routers tell each other what they know beside the sets.
+	ReportInterval time.Duration
+	// HeartbeatTimeout is after how long without a beat a parent counts as gone.
+	HeartbeatTimeout time.Duration
+	// PullTimeout is for how long a parent may know what this router has not pulled from it.
+	PullTimeout time.Duration
+	// MaxAge is how old knowledge may be of which a router relies on a parent.
+	MaxAge time.Duration
 	// Stagger is added to Fresh and Silence for those that are not the next to read,
 	// once, twice or three times. Without it all would give up a reader at the same
 	// moment, and each would list the whole store.
 	Stagger time.Duration
-	// Renew is how often a subscription is renewed. It lasts three times as long.
-	Renew time.Duration
-	// Suspect is how long a router that did not answer is not tried again.
-	Suspect time.Duration
+	// RenewInterval is how often a subscription is renewed. It lasts three times as long.
+	RenewInterval time.Duration
+	// SuspectTime is how long a router that did not answer is not tried again.
+	SuspectTime time.Duration
 }
 
 // shareEvery is how often routers tell each other what they know beside the sets. It goes
@@ -125,14 +125,14 @@
 // least every half of the bound and passes that on an eighth of it later.
 func TimingFor(bound time.Duration) Timing {
 	return Timing{
-		Beat:    bound / 8,
-		Share:   min(bound/8, shareEvery),
-		Silence: bound / 3,
-		Pull:    bound / 5,
-		Fresh:   bound * 70 / 100,
-		Stagger: bound * 6 / 100,
-		Renew:   bound / 2,
-		Suspect: 3 * bound,
+		HeartbeatInterval: bound / 8,
+		ReportInterval:    min(bound/8, shareEvery),
+		HeartbeatTimeout:  bound / 3,
+		PullTimeout:       bound / 5,
+		MaxAge:            bound * 70 / 100,
+		Stagger:           bound * 6 / 100,
+		RenewInterval:     bound / 2,
+		SuspectTime:       3 * bound,
 	}
 }
 
@@ -149,7 +149,7 @@
 	name     string
 }
 
-func orderOf(n Node) order {
+func orderOf(n Router) order {
 	return order{capacity: n.Capacity, hash: xxh3.HashString(n.Name), name: n.Name}
 }
 
@@ -161,9 +161,9 @@
 
 // peer is another router and what has been heard of it.
 type peer struct {
-	node       Node
+	node       Router
 	order      order
-	beat       Beat
+	beat       Heartbeat
 	beatAt     time.Time // zero: no beat was heard
 	heard      time.Time // when anything was heard of it
 	asked      time.Time // when a subscription was sent last
@@ -180,7 +180,7 @@
 
 // State is what one router knows of the others.
 type State struct {
-	self   Node
+	self   Router
 	order  order
 	timing Timing
 	peers  map[string]*peer // of the router's region, by name
@@ -190,7 +190,7 @@
 	listed    bool  // the register was read
 	reading   bool  // the store is read by this router now
 	failing   bool  // and does not answer it
-	own       Sets[Knowledge]
+	own       Sets[Progress]
 	ownAt     time.Time // when own was true
 	nextBeat  time.Time
 	nextShare time.Time
@@ -199,10 +199,10 @@
 }
 
 // New returns the State of a router that knows of no other. It reads the store.
-func New(self Node, t Timing) *State {
+func New(self Router, t Timing) *State {
 	s := &State{self: self, order: orderOf(self), timing: t, peers: make(map[string]*peer), reading: true}
 	for i := range s.own {
-		s.own[i] = Knowledge{Age: -1, Back: -1}
+		s.own[i] = Progress{Age: -1, SinceRecovery: -1}
 	}
 	return s
 }
@@ -213,16 +213,16 @@
 }
 
 // Parent returns the router that this one relies on, if it does.
-func (s *State) Parent() (Node, bool) {
+func (s *State) Parent() (Router, bool) {
 	if s.parent == nil {
-		return Node{}, false
+		return Router{}, false
 	}
 	return s.parent.node, true
 }
 
-// Listed is how many routers of the region are listed, this one included, whether they
+// ListedRouters is how many routers of the region are listed, this one included, whether they
 // answer or not; zero: the register was not read yet.
-func (s *State) Listed() int {
+func (s *State) ListedRouters() int {
 	if !s.listed {
 		return 0
 	}
@@ -251,7 +251,7 @@
 }
 
 // learn takes in that a router exists.
-func (s *State) learn(now time.Time, n Node) *peer {
+func (s *State) learn(now time.Time, n Router) *peer {
 	if n.Name == s.self.Name || topo.Region(n.Domain) != topo.Region(s.self.Domain) {
 		return nil
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -51,9 +51,9 @@
 // testNode is a router in the world.
 type testNode struct {
 	state   *State
-	node    Node
+	node    Router
 	version topo.Version // that it knows, of both sets
-	relies  Node
+	relies  Router
 	reading bool
 
 	frozen    bool
@@ -79,7 +79,7 @@
 	w := &world{now: time.Unix(1000, 0), version: 1, cut: make(map[[2]string]bool), loss: func() bool { return false }}
 	w.written = []time.Time{w.now, w.now}
 	for i := range n {
-		node := Node{Name: fmt.Sprintf("front-%d", i), Addr: fmt.Sprint(i), Domain: fmt.Sprintf("r/%d", i%domains)}
+		node := Router{Name: fmt.Sprintf("front-%d", i), Addr: fmt.Sprint(i), Domain: fmt.Sprintf("r/%d", i%domains)}
 		w.nodes = append(w.nodes, &testNode{node: node, state: New(node, TimingFor(bound)), reading: true})
 	}
 	for _, n := range w.nodes {
@@ -89,11 +89,11 @@
 }
 
 func (w *world) register(n *testNode) {
-	var all []Node
+	var all []Router
 	for _, o := range w.nodes {
 		all = append(all, o.node)
 	}
-	w.act(n, n.state.Step(Registered{Now: w.now, Nodes: all}))
+	w.act(n, n.state.Step(Registered{Now: w.now, Routers: all}))
 }
 
 func (w *world) find(name string) *testNode {
@@ -108,31 +108,31 @@
 func (w *world) act(n *testNode, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case SendBeat:
-			w.send(n, e.To, func(now time.Time) Event { return BeatHeard{Now: now, Beat: e.Beat} })
+		case SendHeartbeat:
+			w.send(n, e.To, func(now time.Time) Event { return HeartbeatReceived{Now: now, Heartbeat: e.Heartbeat} })
 		case SendSubscribe:
-			w.send(n, e.To, func(now time.Time) Event { return SubscribeHeard{Now: now, Subscribe: e.Subscribe} })
-		case SendShare:
+			w.send(n, e.To, func(now time.Time) Event { return SubscribeReceived{Now: now, Subscribe: e.Subscribe} })
+		case SendReport:
 			switch {
 			case w.shares == nil:
-			case e.Share.Known:
+			case e.Report.IsSummary:
 				w.told[e.To.Name]++
 			case e.To.Name == n.relies.Name:
 				w.shares[n.node.Name]++
 			}
-		case Read:
+		case SwitchStoreReading:
 			n.reading = e.On
 			w.turns++
 			n.since = 0 // a listing, then watches
-		case Rely:
-			n.relies = e.On
-		case Told:
+		case SetParent:
+			n.relies = e.Parent
+		case ParentProgress:
 			w.pull(n, e)
 		}
 	}
 }
 
-func (w *world) send(from *testNode, to Node, e func(time.Time) Event) {
+func (w *world) send(from *testNode, to Router, e func(time.Time) Event) {
 	if w.cut[pair(from.node.Name, to.Name)] || w.loss() {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // pull takes over what the parent has, unless the way is cut.
-func (w *world) pull(n *testNode, e Told) {
+func (w *world) pull(n *testNode, e ParentProgress) {
 	p := w.find(e.Parent.Name)
 	if p.frozen || p.mute || w.cut[pair(n.node.Name, p.node.Name)] {
 		return
@@ -159,12 +159,12 @@
 }
 
 func (w *world) followed(n *testNode) {
-	k := Knowledge{Mark: config.Summary{Version: n.version}, Age: -1, Back: -1}
+	k := Progress{Summary: config.Summary{Version: n.version}, Age: -1, SinceRecovery: -1}
 	if !n.answered.IsZero() {
 		k.Age = w.now.Sub(n.answered).Milliseconds()
 	}
 	failing := n.reading && n.failures >= 2
-	w.act(n, n.state.Step(Followed{Now: w.now, Knowledge: Sets[Knowledge]{k, k}, Failing: failing}))
+	w.act(n, n.state.Step(ProgressUpdated{Now: w.now, Progress: Sets[Progress]{k, k}, StoreFailing: failing}))
 }
 
 // read plays a router's calls of the store.
@@ -321,7 +321,7 @@
 	w.run(5 * time.Second)
 	w.shares, w.told = make(map[string]int), make(map[string]int)
 	const turns = 8
-	w.run(turns * TimingFor(bound).Share)
+	w.run(turns * TimingFor(bound).ReportInterval)
 	for _, n := range w.nodes {
 		if got := w.shares[n.node.Name]; n.reading && got > 0 || !n.reading && (got < turns-1 || got > turns) {
 			t.Errorf("%s shares %d times in %d turns (reads: %v)", n.node.Name, got, turns, n.reading)
@@ -338,7 +338,7 @@
 func TestLoadsArriveWithinASecondHoweverLongTheBound(t *testing.T) {
 	const hops = 4
 	for _, bound := range []time.Duration{time.Second, 4 * time.Second, 7 * time.Second} {
-		if worst := hops * TimingFor(bound).Share; worst > time.Second {
+		if worst := hops * TimingFor(bound).ReportInterval; worst > time.Second {
 			t.Errorf("a bound of %v: a load is %v on its way", bound, worst)
 		}
 	}
@@ -464,10 +464,10 @@
 		reader := w.nodes[slices.IndexFunc(w.nodes, func(n *testNode) bool { return n.reading })]
 		reader.frozen = true
 		w.write()
-		w.run(TimingFor(bound).Silence + 5*hop)
+		w.run(TimingFor(bound).HeartbeatTimeout + 5*hop)
 		for _, n := range w.nodes {
 			if n != reader && n.version != w.version {
-				t.Fatalf("%s does not know after %v", n.node.Name, TimingFor(bound).Silence+5*hop)
+				t.Fatalf("%s does not know after %v", n.node.Name, TimingFor(bound).HeartbeatTimeout+5*hop)
 			}
 		}
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -11,28 +11,28 @@
 		return s.tick(e.Now)
 	case Registered:
 		return s.registered(e)
-	case BeatHeard:
+	case HeartbeatReceived:
 		return s.beatHeard(e)
-	case SubscribeHeard:
+	case SubscribeReceived:
 		return s.subscribeHeard(e)
-	case Followed:
+	case ProgressUpdated:
 		return s.followed(e)
-	case Woke:
+	case Resumed:
 		return s.woke(e.Now)
 	}
 	return nil
 }
 
-func (s *State) followed(e Followed) []Effect {
-	news := e.Failing != s.failing
-	s.own, s.ownAt, s.failing = e.Knowledge, e.Now, e.Failing
+func (s *State) followed(e ProgressUpdated) []Effect {
+	news := e.StoreFailing != s.failing
+	s.own, s.ownAt, s.failing = e.Progress, e.Now, e.StoreFailing
 	s.compare(e.Now)
 	return s.beats(e.Now, s.changed(e.Now) || news)
 }
 
-// Relies reports whether this router relies on another one, whose knowledge is
+// HasParent reports whether this router relies on another one, whose knowledge is
 // fresh.
-func (s *State) Relies() bool {
+func (s *State) HasParent() bool {
 	return s.parent != nil
 }
 
@@ -40,7 +40,7 @@
 func (s *State) registered(e Registered) []Effect {
 	var out []Effect
 	s.listed = true
-	for _, n := range e.Nodes {
+	for _, n := range e.Routers {
 		if s.peers[n.Name] == nil && s.learn(e.Now, n) != nil {
 			out = append(out, SendSubscribe{To: n, Subscribe: Subscribe{From: s.self}})
 		}
@@ -48,36 +48,36 @@
 	return append(out, s.tick(e.Now)...)
 }
 
-func (s *State) subscribeHeard(e SubscribeHeard) []Effect {
+func (s *State) subscribeHeard(e SubscribeReceived) []Effect {
 	p := s.learn(e.Now, e.Subscribe.From)
 	if p == nil {
 		return nil
 	}
 	p.suspect = time.Time{}
-	if !e.Subscribe.Wanted {
+	if !e.Subscribe.WantHeartbeats {
 		return nil
 	}
 	news := e.Now.After(p.wants)
-	p.wants = e.Now.Add(3 * s.timing.Renew)
+	p.wants = e.Now.Add(3 * s.timing.RenewInterval)
 	if news { // the first beat is awaited
-		return []Effect{SendBeat{To: p.node, Beat: s.beat(e.Now)}}
+		return []Effect{SendHeartbeat{To: p.node, Heartbeat: s.beat(e.Now)}}
 	}
 	return nil
 }
 
-func (s *State) beatHeard(e BeatHeard) []Effect {
-	p := s.learn(e.Now, e.Beat.From)
+func (s *State) beatHeard(e HeartbeatReceived) []Effect {
+	p := s.learn(e.Now, e.Heartbeat.From)
 	if p == nil {
 		return nil
 	}
-	p.beat, p.beatAt = e.Beat, e.Now
+	p.beat, p.beatAt = e.Heartbeat, e.Now
 	p.unanswered, p.suspect = time.Time{}, time.Time{}
 	s.compare(e.Now)
 	out := s.choose(e.Now)
 	if p != s.parent {
 		return out
 	}
-	out = append(out, Told{Parent: p.node, Knowledge: e.Beat.Knowledge})
+	out = append(out, ParentProgress{Parent: p.node, Progress: e.Heartbeat.Progress})
 	return append(out, s.beats(e.Now, s.changed(e.Now))...)
 }
 
@@ -87,8 +87,8 @@
 	if p == nil {
 		return
 	}
-	for i, k := range p.beat.Knowledge {
-		if s.own[i].Mark.CaughtUp(k.Mark) {
+	for i, k := range p.beat.Progress {
+		if s.own[i].Summary.CaughtUp(k.Summary) {
 			continue
 		}
 		if p.behind.IsZero() {
@@ -123,14 +123,14 @@
 	if now.Before(s.nextShare) {
 		return nil
 	}
-	s.nextShare = now.Add(s.timing.Share)
+	s.nextShare = now.Add(s.timing.ReportInterval)
 	var out []Effect
 	if s.parent != nil {
-		out = append(out, SendShare{To: s.parent.node, Share: Share{From: s.self.Name}})
+		out = append(out, SendReport{To: s.parent.node, Report: Report{From: s.self.Name}})
 	}
 	for _, p := range s.sorted {
 		if now.Before(p.wants) {
-			out = append(out, SendShare{To: p.node, Share: Share{From: s.self.Name, Known: true}})
+			out = append(out, SendReport{To: p.node, Report: Report{From: s.self.Name, IsSummary: true}})
 		}
 	}
 	return out
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -111,7 +111,7 @@
 		if c.Convicted {
 			state = convicted
 		}
-		out = append(out, admin.Quarantined{Fingerprint: c.Print.String(), State: state, Crashes: c.Crashes, Until: c.Until})
+		out = append(out, admin.Quarantined{Fingerprint: c.Fingerprint.String(), State: state, Crashes: c.Crashes, Until: c.Until})
 	}
 	return out
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -95,7 +95,7 @@
 // it (fingerprint and candidates), and the dispatch steps of a request without failure.
 func BenchmarkDecision(b *testing.B) {
 	for _, upstreams := range []int{130, 1000, 2900} {
-		ring, _ := token.NewRing(token.Secret{ID: 1, Value: make([]byte, 16)})
+		ring, _ := token.NewKeyring(token.Secret{ID: 1, Value: make([]byte, 16)})
 		r := &Router{config: Config{Ring: ring}, limits: newLimits(), suspects: newSuspects(), conditions: condition.NewObservations()}
 		v := benchState(1, upstreams).View()
 		r.view.Store(v)
@@ -154,7 +154,7 @@
 func openAnswers(b *testing.B, n int) int64 {
 	ctx, stop := context.WithCancel(b.Context())
 	defer stop()
-	ring, _ := token.NewRing(token.Secret{ID: 1, Value: make([]byte, 16)})
+	ring, _ := token.NewKeyring(token.Secret{ID: 1, Value: make([]byte, 16)})
 	dial := func(context.Context, topo.VM) (net.Conn, error) {
 		near, far := net.Pipe()
 		wire.NewConn(ctx, far, idleSidecar{})
--- a/internal/router/conviction.go
+++ b/internal/router/conviction.go
@@ -41,11 +41,11 @@
 // storeConviction writes the conviction of a request to the store. A conflict
 // means that another router has written it already.
 func (r *Router) storeConviction(fingerprint uint64) {
-	p := quarantine.Print(fingerprint)
+	p := quarantine.Fingerprint(fingerprint)
 	now := time.Now()
 	value, err := json.Marshal(Conviction{
 		Suspects:  r.suspects.evidence(now, fingerprint),
-		KeepUntil: now.Add(quarantine.ConvictedFor).Unix(),
+		KeepUntil: now.Add(quarantine.ConvictionTTL).Unix(),
 	})
 	if err != nil {
 		return
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -24,7 +24,7 @@
 
 // Mesh configures how the routers of a fleet communicate, and what they relay.
 type Mesh struct {
-	Self   relay.Node
+	Self   relay.Router
 	Timing relay.Timing
 	// Packets carries messages between routers. Calls accepts connections of routers
 	// that pull objects. Without them this router reads the store itself.
@@ -65,8 +65,8 @@
 	Mesh
 	router     *Router
 	members    *follow.Runner
-	parent     relay.Node  // owned by the control loop
-	readsStore atomic.Bool // this router reads the store
+	parent     relay.Router // owned by the control loop
+	readsStore atomic.Bool  // this router reads the store
 	packer     *pack.Packer
 	register   *register.Registrar
 
@@ -80,8 +80,8 @@
 
 func newMesh(r *Router, m Mesh) *mesh {
 	out := &mesh{Mesh: m, router: r, packer: pack.New()}
-	out.register = register.New(r.config.Store, m.Self, out.readsStore.Load, func(nodes []relay.Node) {
-		r.loop.Post(RelayEvent{Event: relay.Registered{Now: time.Now(), Nodes: nodes}})
+	out.register = register.New(r.config.Store, m.Self, out.readsStore.Load, func(nodes []relay.Router) {
+		r.loop.Post(RelayEvent{Event: relay.Registered{Now: time.Now(), Routers: nodes}})
 	})
 	out.members = &follow.Runner{
 		Source:  follow.FromStore(r.config.Store, m.MemberDecoder.Kind()),
@@ -114,7 +114,7 @@
 
 // receiveMessages handles the messages of other routers until the socket is closed.
 func (m *mesh) receiveMessages() {
-	buf := make([]byte, 2*relay.MaxMessage)
+	buf := make([]byte, 2*relay.MaxMessageBytes)
 	for {
 		n, _, err := m.Packets.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -140,49 +140,49 @@
 	}
 	now := time.Now()
 	switch e := message.(type) {
-	case *relay.Beat:
+	case *relay.Heartbeat:
 		meshBytes.Add(meshBeatReceived, int64(len(b)))
-		m.router.loop.Post(RelayEvent{Event: relay.BeatHeard{Now: now, Beat: *e}})
+		m.router.loop.Post(RelayEvent{Event: relay.HeartbeatReceived{Now: now, Heartbeat: *e}})
 	case *relay.Subscribe:
 		meshBytes.Add(meshSubscribeReceived, int64(len(b)))
-		m.router.loop.Post(RelayEvent{Event: relay.SubscribeHeard{Now: now, Subscribe: *e}})
-	case *relay.Share:
+		m.router.loop.Post(RelayEvent{Event: relay.SubscribeReceived{Now: now, Subscribe: *e}})
+	case *relay.Report:
 		meshBytes.Add(meshShareReceived, int64(len(b)))
 		from := fromFollower
-		if e.Known {
+		if e.IsSummary {
 			from = fromReader
 		}
-		m.mergeSharing(now, e.Sharing, from)
+		m.mergeSharing(now, e.Payload, from)
 	}
 }
 
 // execute carries out an effect, on the goroutine of the control loop.
 func (m *mesh) execute(e relay.Effect) {
 	switch e := e.(type) {
-	case relay.SendBeat:
+	case relay.SendHeartbeat:
 		m.send(e.To, e, meshBeatSent)
-	case relay.SendShare:
+	case relay.SendReport:
 		m.sendShare(e)
 	case relay.SendSubscribe:
 		m.send(e.To, e, meshSubscribeSent)
-	case relay.Rely:
-		m.setParent(e.On)
-	case relay.Read:
+	case relay.SetParent:
+		m.setParent(e.Parent)
+	case relay.SwitchStoreReading:
 		m.setReading(e.On)
 		slog.Info("reading of the platform's store changes", "reads", e.On)
 	}
 }
 
 // sendShare sends a router the loads and outcomes of upstreams that this one knows.
-func (m *mesh) sendShare(e relay.SendShare) {
+func (m *mesh) sendShare(e relay.SendReport) {
 	now := time.Now()
 	messages := [][]byte{m.reportForFollowers(now)}
-	if !e.Share.Known {
+	if !e.Report.IsSummary {
 		messages = m.reportsForReader(now)
 	}
 	for _, b := range messages {
 		if b != nil {
-			e.Share.Sharing = b
+			e.Report.Payload = b
 			m.send(e.To, e, meshShareSent)
 		}
 	}
@@ -199,7 +199,7 @@
 }
 
 // setParent sets and logs the router that reads the store for this one; zero: none.
-func (m *mesh) setParent(node relay.Node) {
+func (m *mesh) setParent(node relay.Router) {
 	if m.parent.Name != "" && node.Name == "" {
 		slog.Warn("the router that read the store for this one is not relied on any more", "router", m.parent.Name)
 	}
@@ -211,7 +211,7 @@
 }
 
 // send sends a message. There are no retries: the next message replaces one that is lost.
-func (m *mesh) send(to relay.Node, e relay.Effect, kind meshKind) {
+func (m *mesh) send(to relay.Router, e relay.Effect, kind meshKind) {
 	b, err := relay.Encode(e)
 	if err != nil {
 		slog.Error("a message to another router could not be encoded", "error", err)
@@ -289,14 +289,14 @@
 			if total := m.SuspendedTime(); total > suspended+suspendSlack {
 				slog.Warn("the VM was suspended", "for", total-suspended)
 				suspended = total
-				m.router.loop.Post(RelayEvent{Event: relay.Woke{Now: now}})
+				m.router.loop.Post(RelayEvent{Event: relay.Resumed{Now: now}})
 			}
 		}
 	}
 }
 
 // setParent sets the router that this one pulls objects from.
-func (r *Router) setParent(n relay.Node) {
+func (r *Router) setParent(n relay.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.parent = n
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -82,17 +82,17 @@
 	var out []Effect
 	for _, effect := range s.relayState.relay.Step(e) {
 		switch effect := effect.(type) {
-		case relay.Read:
+		case relay.SwitchStoreReading:
 			out = append(out, s.stepConfig(config.StoreReadingSwitched{Now: now, On: effect.On})...)
 			out = append(out, s.stepMembers(now, config.StoreReadingSwitched{Now: now, On: effect.On})...)
-		case relay.Rely:
+		case relay.SetParent:
 			var peers []config.Peer
-			if effect.On.Name != "" {
-				peers = []config.Peer{config.Peer(effect.On.Name)}
+			if effect.Parent.Name != "" {
+				peers = []config.Peer{config.Peer(effect.Parent.Name)}
 			}
 			out = append(out, s.stepConfig(config.PeersChanged{Now: now, Peers: peers})...)
 			out = append(out, s.stepMembers(now, config.PeersChanged{Now: now, Peers: peers})...)
-		case relay.Told:
+		case relay.ParentProgress:
 			out = append(out, s.onParentReport(now, effect)...)
 		}
 		out = append(out, RelayEffect{Effect: effect})
@@ -105,18 +105,18 @@
 	if s.relayState == nil {
 		return 0
 	}
-	return s.relayState.relay.Listed()
+	return s.relayState.relay.ListedRouters()
 }
 
 // onParentReport passes the parent's marks of both sets to the followers.
-func (s *State) onParentReport(now time.Time, e relay.Told) []Effect {
+func (s *State) onParentReport(now time.Time, e relay.ParentProgress) []Effect {
 	peer := config.Peer(e.Parent.Name)
-	out := s.stepConfig(config.SummaryReceived{Now: now, Peer: peer, Summary: e.Knowledge[relay.SetConfig].Mark})
-	members := e.Knowledge[relay.SetMembers]
-	if members.Back >= 0 {
-		s.relayState.entries.StoreRecovered(now.Add(-time.Duration(members.Back) * time.Millisecond))
+	out := s.stepConfig(config.SummaryReceived{Now: now, Peer: peer, Summary: e.Progress[relay.SetConfig].Summary})
+	members := e.Progress[relay.SetMembers]
+	if members.SinceRecovery >= 0 {
+		s.relayState.entries.StoreRecovered(now.Add(-time.Duration(members.SinceRecovery) * time.Millisecond))
 	}
-	return append(out, s.stepMembers(now, config.SummaryReceived{Now: now, Peer: peer, Summary: members.Mark})...)
+	return append(out, s.stepMembers(now, config.SummaryReceived{Now: now, Peer: peer, Summary: members.Summary})...)
 }
 
 // stepMembers passes an event to the follower of entries and applies what has changed.
@@ -141,7 +141,7 @@
 			// was no outage and no entry has expired. If entries were kept as after an
 			// outage, an upstream whose entry is removed now would get new work for longer
 			// than it serves.
-			if !r.relay.Relies() {
+			if !r.relay.HasParent() {
 				r.entries.StoreRecovered(now)
 			}
 			out = append(out, s.stepConfig(config.StoreReachable{Now: now})...)
@@ -198,20 +198,20 @@
 	if s.relayState == nil || now.IsZero() {
 		return nil
 	}
-	var k relay.Sets[relay.Knowledge]
+	var k relay.Sets[relay.Progress]
 	failing := false
 	for set, f := range [...]*config.Follower{relay.SetConfig: s.follower, relay.SetMembers: s.relayState.members} {
 		status := f.Status()
 		failing = failing || status.Failures >= failingStoreCalls
-		k[set] = relay.Knowledge{Mark: f.Set().Summary(), Age: -1, Back: -1}
+		k[set] = relay.Progress{Summary: f.Set().Summary(), Age: -1, SinceRecovery: -1}
 		if !status.StoreAnswered.IsZero() {
 			k[set].Age = now.Sub(status.StoreAnswered).Milliseconds()
 		}
 	}
 	if back := s.relayState.entries.StoreRecoveredAt(); !back.IsZero() {
-		k[relay.SetMembers].Back = now.Sub(back).Milliseconds()
+		k[relay.SetMembers].SinceRecovery = now.Sub(back).Milliseconds()
 	}
-	return s.stepRelay(now, relay.Followed{Now: now, Knowledge: k, Failing: failing})
+	return s.stepRelay(now, relay.ProgressUpdated{Now: now, Progress: k, StoreFailing: failing})
 }
 
 // tickRelay passes the present time to the relay and the follower of entries.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -52,7 +52,7 @@
 	// VMListInterval is the interval between two readings of the list of VMs; zero:
 	// defaultVMListInterval.
 	VMListInterval time.Duration
-	Ring           *token.Ring
+	Ring           *token.Keyring
 	// Dial connects to the sidecar of a VM and verifies its identity.
 	Dial func(ctx context.Context, vm topo.VM) (net.Conn, error)
 	// Direct calls upstreams that have no sidecar; nil if all have one.
@@ -124,7 +124,7 @@
 	conditions *condition.Observations // of upstreams, by their id
 
 	mu              sync.Mutex
-	parent          relay.Node                   // the router that reads the store for this one; zero: none
+	parent          relay.Router                 // the router that reads the store for this one; zero: none
 	pendingQueries  map[uint64]chan config.Delta // calls of peers that wait for a reply, by ticket
 	lastQueryTicket uint64
 	peers           map[endpoint]*wire.Peer
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -48,12 +48,12 @@
 	now := time.Unix(1000, 0)
 	first, reader, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
 	first.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	up, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "first", Sharing: first.reportsForReader(now)[0]}})
+	up, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "first", Payload: first.reportsForReader(now)[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	reader.handleMessage(up)
-	down, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "reader", Known: true, Sharing: reader.reportForFollowers(time.Now())}})
+	down, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "reader", IsSummary: true, Payload: reader.reportForFollowers(time.Now())}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 			}
 		}
 		report := reader.reportForFollowers(now)
-		if _, err := relay.Encode(relay.SendShare{Share: relay.Share{From: "router-1", Known: true, Sharing: report}}); err != nil {
+		if _, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "router-1", IsSummary: true, Payload: report}}); err != nil {
 			t.Fatal(err)
 		}
 		other.mergeSharing(now, report, fromReader)
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -46,7 +46,7 @@
 // suspects is the router's quarantine.Book. It is safe for concurrent use.
 type suspects struct {
 	mu   sync.Mutex
-	book *quarantine.Book
+	book *quarantine.Table
 }
 
 func newSuspects() *suspects {
@@ -66,22 +66,22 @@
 
 // decide returns how a request may run, and the suspects to send to its sidecar:
 // those about the request if it is a suspect, else some of the others.
-func (s *suspects) decide(now time.Time, fingerprint uint64) (quarantine.Ruling, json.RawMessage) {
+func (s *suspects) decide(now time.Time, fingerprint uint64) (quarantine.Decision, json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := quarantine.Print(fingerprint)
+	p := quarantine.Fingerprint(fingerprint)
 	r := s.book.Decide(now, p, false)
-	if r.Action == quarantine.Free {
+	if r.Action == quarantine.Allow {
 		return r, s.book.Gossip(now, maxSuspectsBytes)
 	}
-	return r, s.book.About(now, p)
+	return r, s.book.EvidenceFor(now, p)
 }
 
 // evidence returns all that is known about a request's crashes; empty: nothing.
 func (s *suspects) evidence(now time.Time, fingerprint uint64) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.About(now, quarantine.Print(fingerprint))
+	return s.book.EvidenceFor(now, quarantine.Fingerprint(fingerprint))
 }
 
 func (s *suspects) expire(now time.Time) {
@@ -101,9 +101,9 @@
 		err := verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", ruling.Crashes)
 		err.EarlierUnknown = a.req.Key != nil
 		return err
-	case quarantine.Elsewhere:
+	case quarantine.Redirect:
 		a.suspect = true
-		site, known := a.view.VMs[ruling.Site]
+		site, known := a.view.VMs[ruling.VM]
 		if known {
 			a.restrictToSite(site)
 		} else {
@@ -140,10 +140,10 @@
 // is listed, else vm.
 func (a *Response) reassign(vm topo.VM) topo.VM {
 	ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint)
-	if ruling.Action != quarantine.Elsewhere {
+	if ruling.Action != quarantine.Redirect {
 		return vm
 	}
-	if site, ok := a.view.VMs[ruling.Site]; ok {
+	if site, ok := a.view.VMs[ruling.VM]; ok {
 		return site
 	}
 	return vm
--- a/internal/secure/secrets.go
+++ b/internal/secure/secrets.go
@@ -17,7 +17,7 @@
 
 // Secrets are the token secrets of a file, whose first line signs.
 type Secrets struct {
-	Ring  *token.Ring
+	Ring  *token.Keyring
 	files *Files
 	now   func() time.Time
 
@@ -54,7 +54,7 @@
 	}
 	if s.Ring == nil {
 		s.inUse, s.wanted = secrets, secrets
-		s.Ring, err = token.NewRing(secrets...)
+		s.Ring, err = token.NewKeyring(secrets...)
 		return err
 	}
 	signer := s.signerKept(secrets)
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -313,6 +313,6 @@
 
 func mustSeal(t *testing.T, secrets string) string {
 	s, err := token.ParseSecrets(secrets)
-	r, err2 := token.NewRing(must(t, s, err)...)
+	r, err2 := token.NewKeyring(must(t, s, err)...)
 	return must(t, r, err2).Seal(token.Token{Purpose: token.PurposeKey})
 }
--- a/internal/sidecar/finish.go
+++ b/internal/sidecar/finish.go
@@ -34,7 +34,7 @@
 	}
 	switch {
 	case e.Err == nil:
-		s.book.Finished(e.Now, r.print())
+		s.book.RecordFinished(e.Now, r.print())
 		s.table.Finish(e.Nonce, verdict.Ran, s.keepUntil(e.Now, r))
 		return s.close(e.Now, r, Finish{Nonce: e.Nonce})
 	case e.Err.Verdict == verdict.NotRun:
@@ -53,12 +53,12 @@
 // failed closes a request that may have run.
 func (s *State) failed(now time.Time, r *request, err *verdict.Error) []Effect {
 	if !r.crashed {
-		s.book.Withdraw(r.print())
+		s.book.Revoke(r.print())
 	}
 	s.table.Finish(r.nonce(), err.Verdict, s.keepUntil(now, r))
 	f := Finish{Nonce: r.nonce(), Error: err}
 	if r.crashed {
-		f.Control.Suspects = s.book.About(now, r.print())
+		f.Control.Suspects = s.book.EvidenceFor(now, r.print())
 	}
 	return s.close(now, r, f)
 }
@@ -131,7 +131,7 @@
 		ours := s.queue.Running() - s.probe.foreign
 		s.probe.foreign = max(0, min(s.probe.foreign, h.Running-ours))
 	}
-	s.queue.SetForeign(s.probe.foreign)
+	s.queue.SetExternal(s.probe.foreign)
 }
 
 // settleBroken answers the calls that broke off, now that it is known whether
@@ -155,16 +155,16 @@
 
 // enterCrash returns how many calls were under way.
 func (s *State) enterCrash(now time.Time, victims []*request) int {
-	var entries []quarantine.Running
+	var entries []quarantine.RunningRequest
 	all := append(s.inPhase(running), victims...)
 	for _, r := range all {
 		r.crashed = true
 		if r.print() != 0 {
-			entries = append(entries, quarantine.Running{Print: r.print(), Started: r.started})
+			entries = append(entries, quarantine.RunningRequest{Fingerprint: r.print(), Started: r.started})
 		}
 	}
 	if len(entries) > 0 {
-		s.book.Crashed(now, entries)
+		s.book.RecordCrash(now, entries)
 	}
 	return len(all)
 }
--- a/internal/sidecar/order.go
+++ b/internal/sidecar/order.go
@@ -29,18 +29,18 @@
 }
 
 // newDesk returns what takes the controller's orders.
-func (s *Sidecar) newDesk() *order.Desk {
+func (s *Sidecar) newDesk() *order.Handler {
 	if s.config.Orders == nil {
 		return nil
 	}
-	return order.NewDesk(s.ctx, order.Config{Upstream: s.config.Orders, Token: s.config.Token, Empty: s.empty})
+	return order.NewHandler(s.ctx, order.Config{Upstream: s.config.Orders, Token: s.config.Token, Drain: s.empty})
 }
 
 func (s *Sidecar) order(ctx context.Context, o wire.Order) (any, error) {
 	if s.desk == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoOrders, "the upstream takes no orders")
 	}
-	return s.desk.Take(ctx, o)
+	return s.desk.Handle(ctx, o)
 }
 
 // empty takes the upstream out of service and waits until nothing runs.
--- a/internal/sidecar/schedule.go
+++ b/internal/sidecar/schedule.go
@@ -36,7 +36,7 @@
 	if s.solo == nil {
 		return false
 	}
-	if s.book.Released(now, s.solo.print(), s.solo.started) {
+	if s.book.ClearIfSurvived(now, s.solo.print(), s.solo.started) {
 		s.solo = nil
 		return false
 	}
@@ -53,7 +53,7 @@
 		return nil
 	}
 	r := slices.MinFunc(s.lane, func(x, y *request) int {
-		if s.book.MoreLikely(now, x.print(), y.print()) {
+		if s.book.IsLikelierCause(now, x.print(), y.print()) {
 			return -1
 		}
 		return 1
@@ -93,7 +93,7 @@
 	s.queue.Remove(r.nonce())
 	if r.alone {
 		s.removeFromLane(r)
-		s.book.Withdraw(r.print())
+		s.book.Revoke(r.print())
 	}
 	f := Finish{Nonce: r.nonce(), Error: err}
 	if r.cancelled {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -48,7 +48,7 @@
 	follow  follow.Runner
 	timer   *time.Timer // posts Ticked; owned by the loop's goroutine
 	answers *answers
-	desk    *order.Desk // nil: the upstream takes no orders
+	desk    *order.Handler // nil: the upstream takes no orders
 	spans   spans
 
 	peering sync.Mutex
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -49,7 +49,7 @@
 	table    *idempotency.Table
 	queue    *admission.Queue
 	loads    *load.Table
-	book     *quarantine.Book
+	book     *quarantine.Table
 	config   *config.Follower // a copy, for routers
 	requests map[token.Nonce]*request
 	arrived  uint64 // requests admitted so far
@@ -100,8 +100,8 @@
 	keepUntil time.Time
 }
 
-func (r *request) nonce() token.Nonce      { return r.submit.Key.Nonce }
-func (r *request) print() quarantine.Print { return quarantine.Print(r.submit.Fingerprint) }
+func (r *request) nonce() token.Nonce            { return r.submit.Key.Nonce }
+func (r *request) print() quarantine.Fingerprint { return quarantine.Fingerprint(r.submit.Fingerprint) }
 
 // NewState returns the State of a sidecar that has just started. It starts no
 // request before it has heard from its upstream.
@@ -196,7 +196,7 @@
 	if u := e.Report.Unused; u != nil && s.lent == *u {
 		// No sidecar has started it. Without this word all copies would have to
 		// wait until the deadline of that one has passed.
-		s.book.Withdraw(quarantine.Print(u.Fingerprint))
+		s.book.Revoke(quarantine.Fingerprint(u.Fingerprint))
 		s.lent = wire.Leave{}
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -111,7 +111,7 @@
 	if len(s.lane) >= maxLane || s.load() >= bound {
 		return false, refuse(verdict.ReasonSuspect, "too many suspects wait to run alone").later(quarantine.RetryAfter)
 	}
-	s.book.Grant(quarantine.Print(sub.Fingerprint), s.grantEnds(now, sub))
+	s.book.Grant(quarantine.Fingerprint(sub.Fingerprint), s.grantEnds(now, sub))
 	return true, nil
 }
 
@@ -121,17 +121,17 @@
 	if sub.Fingerprint == 0 {
 		return false, nil
 	}
-	p := quarantine.Print(sub.Fingerprint)
+	p := quarantine.Fingerprint(sub.Fingerprint)
 	switch r := s.book.Decide(now, p, sub.Leave); r.Action {
 	case quarantine.Refuse:
 		return false, refuse(verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", r.Crashes)
 	case quarantine.Wait:
 		return false, refuse(verdict.ReasonSuspect, "a copy of this request is running alone").later(quarantine.RetryAfter)
-	case quarantine.Elsewhere:
-		no := refuse(verdict.ReasonSuspect, "the request may run alone at %s only", r.Site).later(quarantine.RetryAfter)
-		no.suspects = s.book.About(now, p)
+	case quarantine.Redirect:
+		no := refuse(verdict.ReasonSuspect, "the request may run alone at %s only", r.VM).later(quarantine.RetryAfter)
+		no.suspects = s.book.EvidenceFor(now, p)
 		return false, no
-	case quarantine.Alone:
+	case quarantine.RunAlone:
 		if s.mayLend(now, sub) {
 			no := refuse(verdict.ReasonMoved, "the request may run alone at %s", sub.Successor.VM)
 			no.leave = true
@@ -147,7 +147,7 @@
 	if d := sub.Treatment.Deadline; d > 0 {
 		return now.Add(d)
 	}
-	return now.Add(quarantine.SuspectFor)
+	return now.Add(quarantine.SuspectTTL)
 }
 
 // bound is the load that the upstream may have, by the loads of its pool.
@@ -187,10 +187,10 @@
 	if sub.Leave {
 		return true
 	}
-	if s.book.Lent(now) {
+	if s.book.HasGrant(now) {
 		return false
 	}
-	s.book.Grant(quarantine.Print(sub.Fingerprint), s.grantEnds(now, sub))
+	s.book.Grant(quarantine.Fingerprint(sub.Fingerprint), s.grantEnds(now, sub))
 	s.lent = wire.Leave{Fingerprint: sub.Fingerprint, Nonce: sub.Key.Nonce}
 	return true
 }
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -22,7 +22,7 @@
 
 func newSite() *site {
 	s := &site{State: NewState(Settings{VM: "a", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	s.book.Crashed(s.now, []quarantine.Running{{Print: crasher, Started: s.now}, {Print: 8, Started: s.now}})
+	s.book.RecordCrash(s.now, []quarantine.RunningRequest{{Fingerprint: crasher, Started: s.now}, {Fingerprint: 8, Started: s.now}})
 	s.Step(Probed{Now: s.now, Health: upstream.Health{State: upstream.Gone}})
 	return s
 }
@@ -70,7 +70,7 @@
 // upstream that has not heard of the crash, and that one is lost too.
 func TestLeavingHomeTellsOfSuspects(t *testing.T) {
 	home := &site{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	home.Step(Reported{Now: home.now, Report: wire.Report{Suspects: newSite().book.About(home.now, crasher)}})
+	home.Step(Reported{Now: home.now, Report: wire.Report{Suspects: newSite().book.EvidenceFor(home.now, crasher)}})
 	home.Step(Noticed{Now: home.now, Notice: wire.Notice{Leaving: true, Version: 1}})
 	_, a := home.send()
 	if a.Error == nil || a.Error.Reason != verdict.ReasonSuspect || len(a.Control.Suspects) == 0 {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -95,15 +95,15 @@
 	return now.After(t.Expires)
 }
 
-// Ring signs with its first secret and accepts all of them, so that a secret
+// Keyring signs with its first secret and accepts all of them, so that a secret
 // can be rotated while tokens signed with the former one are still in use.
-type Ring struct {
+type Keyring struct {
 	secrets atomic.Pointer[[]Secret]
 }
 
-// NewRing returns a Ring over secrets, the one to sign with first.
-func NewRing(secrets ...Secret) (*Ring, error) {
-	r := &Ring{}
+// NewKeyring returns a Ring over secrets, the one to sign with first.
+func NewKeyring(secrets ...Secret) (*Keyring, error) {
+	r := &Keyring{}
 	if err := r.Set(secrets...); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 
 // Set replaces the secrets, the one to sign with first. After an error the
 // former ones stay.
-func (r *Ring) Set(secrets ...Secret) error {
+func (r *Keyring) Set(secrets ...Secret) error {
 	if err := checkSecrets(secrets); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 }
 
 // Seal signs and encodes t.
-func (r *Ring) Seal(t Token) string {
+func (r *Keyring) Seal(t Token) string {
 	s := (*r.secrets.Load())[0]
 	b := make([]byte, 0, fixedSize+len(t.VM)+macSize)
 	b = append(b, formatVersion, s.ID, byte(t.Purpose))
@@ -138,7 +138,7 @@
 
 // Open checks and decodes s. It does not judge the expiry, because an expired
 // key still names the sidecar that knows what became of its request.
-func (r *Ring) Open(s string, p Purpose) (Token, error) {
+func (r *Keyring) Open(s string, p Purpose) (Token, error) {
 	if len(s) > maxEncodedLen {
 		return Token{}, ErrForged
 	}
@@ -165,7 +165,7 @@
 	return t, nil
 }
 
-func (r *Ring) signedBy(signed, sum []byte) bool {
+func (r *Keyring) signedBy(signed, sum []byte) bool {
 	id := signed[1]
 	for _, s := range *r.secrets.Load() {
 		if s.ID == id {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -23,8 +23,8 @@
 	return Secret{ID: id, Value: bytes.Repeat([]byte{id ^ 0x5a}, 32)}
 }
 
-func ring(t interface{ Fatal(...any) }, secrets ...Secret) *Ring {
-	r, err := NewRing(secrets...)
+func ring(t interface{ Fatal(...any) }, secrets ...Secret) *Keyring {
+	r, err := NewKeyring(secrets...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		}
 		late := ring(t, secret(1), secret(2)) // has the new secret, signs with the former
 		for _, s := range []string{sealed, r.Seal(want), late.Seal(want)} {
-			for _, opener := range []*Ring{r, late} {
+			for _, opener := range []*Keyring{r, late} {
 				if got, err := opener.Open(s, want.Purpose); err != nil || got != want {
 					t.Fatalf("got %+v, %v, want %+v", got, err, want)
 				}
@@ -104,7 +104,7 @@
 	f.Fuzz(func(t *testing.T, content string) {
 		secrets, err := ParseSecrets(content)
 		if err == nil {
-			if _, err := NewRing(secrets...); err != nil {
+			if _, err := NewKeyring(secrets...); err != nil {
 				t.Errorf("read from %q, refused by the ring: %v", content, err)
 			}
 			return
