--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -73,9 +73,9 @@
 			},
 			DetachGrace: s.DetachGrace.D,
 			KeepAnswer:  s.KeepAnswer.D,
-			StopWithin:  s.StopTimeout.D,
+			StopTimeout: s.StopTimeout.D,
 		},
-		Buffer:   sidecar.Buffer{PerAnswer: s.AnswerBytes.N, Total: s.BufferBytes.N},
+		Buffer:   sidecar.BufferLimits{PerResponse: s.AnswerBytes.N, Total: s.BufferBytes.N},
 		Upstream: up,
 		Orders:   up,
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -110,7 +110,7 @@
 			DetachGrace: time.Second,
 			KeepAnswer:  time.Minute,
 		},
-		Buffer:   sidecar.Buffer{PerAnswer: 1 << 20, Total: 1 << 24},
+		Buffer:   sidecar.BufferLimits{PerResponse: 1 << 20, Total: 1 << 24},
 		Upstream: v.upstream,
 	})
 	l := f.net.listen(v.id)
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -200,7 +200,7 @@
 
 // answers holds the answers of a sidecar within a bound of memory.
 type answers struct {
-	buffer Buffer
+	buffer BufferLimits
 	used   atomic.Int64
 
 	mu      sync.Mutex
@@ -208,17 +208,17 @@
 	ended   list.List // of *answer, in the order of their end
 }
 
-// Buffer bounds the answers that a sidecar holds.
-type Buffer struct {
-	PerAnswer int // bytes of one answer
-	Total     int // bytes of all
+// BufferLimits bounds the answers that a sidecar holds.
+type BufferLimits struct {
+	PerResponse int // bytes of one answer
+	Total       int // bytes of all
 }
 
 // minWindow is what each running answer may hold, however full the buffer is,
 // in bytes: with less it could not go on.
 const minWindow = 64 << 10
 
-func newAnswers(b Buffer) *answers {
+func newAnswers(b BufferLimits) *answers {
 	return &answers{buffer: b, byNonce: make(map[token.Nonce]*answer)}
 }
 
@@ -265,10 +265,10 @@
 func (s *answers) window() int {
 	for s.used.Load() > int64(s.buffer.Total) {
 		if !s.evict() {
-			return min(minWindow, s.buffer.PerAnswer)
+			return min(minWindow, s.buffer.PerResponse)
 		}
 	}
-	return s.buffer.PerAnswer
+	return s.buffer.PerResponse
 }
 
 // evict drops the answer that ended first among those that nobody reads, or
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -28,7 +28,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.IntRange(8, 256).Draw(t, "window") << 10
-		store := newAnswers(Buffer{PerAnswer: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
+		store := newAnswers(BufferLimits{PerResponse: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
 		for n := range byte(3) { // finished answers fill the buffer
 			store.open(token.Nonce{n})
 			store.get(token.Nonce{n}).put(whole[:window])
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -93,7 +93,7 @@
 
 // openAnswers holds n answers of 1 KB that are read.
 func openAnswers(n int) any {
-	store := newAnswers(Buffer{PerAnswer: 1 << 20, Total: 1 << 30})
+	store := newAnswers(BufferLimits{PerResponse: 1 << 20, Total: 1 << 30})
 	for i := range n {
 		nonce := benchSubmit(i).Key.Nonce
 		store.open(nonce)
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -133,7 +133,7 @@
 		Admission:   admission.Config{Slots: testSlots, Reserve: 1, MaxWaiting: 4, MaxBytes: 1 << 20},
 		DetachGrace: testGrace,
 		KeepAnswer:  testGrace,
-		StopWithin:  time.Hour,
+		StopTimeout: time.Hour,
 	})
 	n.leaving, n.version, n.listed = false, 0, time.Time{}
 	n.probing = true
--- a/internal/sidecar/join_test.go
+++ b/internal/sidecar/join_test.go
@@ -93,9 +93,9 @@
 	s := New(Config{
 		Settings: Settings{
 			VM: id, Incarnation: 1, Keys: 1000, Admission: admission.Config{Slots: 4, MaxWaiting: 4, MaxBytes: 1 << 20},
-			DetachGrace: time.Second, KeepAnswer: time.Second, StopWithin: time.Minute,
+			DetachGrace: time.Second, KeepAnswer: time.Second, StopTimeout: time.Minute,
 		},
-		Buffer:   Buffer{PerAnswer: 64 << 10, Total: 1 << 20},
+		Buffer:   BufferLimits{PerResponse: 64 << 10, Total: 1 << 20},
 		Upstream: u, VMs: p, Dial: p.dial,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -61,7 +61,7 @@
 		return
 	}
 	s.leave.stopping = true
-	s.leave.stopBy = now.Add(s.settings.StopWithin)
+	s.leave.stopBy = now.Add(s.settings.StopTimeout)
 	s.timers.add(s.leave.stopBy, token.Nonce{})
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -24,7 +24,7 @@
 // Config is what a sidecar is told at its start.
 type Config struct {
 	Settings Settings
-	Buffer   Buffer
+	Buffer   BufferLimits
 	Upstream upstream.Upstream
 	// Orders is the upstream as it takes orders; nil: it takes none.
 	Orders order.Upstream
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -100,9 +100,9 @@
 	s := New(Config{
 		Settings: Settings{
 			VM: "vm", Incarnation: 1, Keys: 100, Admission: admission.Config{Slots: 4, MaxWaiting: 4, MaxBytes: 1 << 20},
-			DetachGrace: 10 * time.Second, KeepAnswer: 30 * time.Second, StopWithin: tooLong,
+			DetachGrace: 10 * time.Second, KeepAnswer: 30 * time.Second, StopTimeout: tooLong,
 		},
-		Buffer:   Buffer{PerAnswer: 64 << 10, Total: 1 << 20},
+		Buffer:   BufferLimits{PerResponse: 64 << 10, Total: 1 << 20},
 		Upstream: b.up,
 	})
 	var done context.CancelFunc
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -38,8 +38,8 @@
 	DetachGrace time.Duration
 	// KeepAnswer is how long each answer is kept at least.
 	KeepAnswer time.Duration
-	// StopWithin bounds the wait for requests in flight when the process ends.
-	StopWithin time.Duration
+	// StopTimeout bounds the wait for requests in flight when the process ends.
+	StopTimeout time.Duration
 }
 
 // State is a sidecar's control state.
