--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -227,7 +227,7 @@
 
 // memberTiming returns how long entries of upstreams count.
 func memberTiming(p platform.Settings, on policy.Policy) membership.Timing {
-	t := membership.Timing{OutageGrace: lapseHold, RenewTimeout: p.HeartbeatGap + renewMargin}
+	t := membership.Timing{OutageGrace: lapseHold, MaxRenewInterval: p.HeartbeatGap + renewMargin}
 	if on.Linger {
 		t.Linger = p.DrainBound
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -64,8 +64,8 @@
 	// without a notice. Most such upstreams still finish their requests, and others
 	// can fetch the prompts that they hold.
 	Linger time.Duration
-	// RenewTimeout is the time within which a running upstream rewrites its entry.
-	RenewTimeout time.Duration
+	// MaxRenewInterval is the time within which a running upstream rewrites its entry.
+	MaxRenewInterval time.Duration
 }
 
 // tombstoneTTL is how long the start of an upstream without an entry is remembered.
@@ -233,7 +233,7 @@
 	case current != nil && current.dropAt.IsZero():
 		current.write.version, current.missingUntil = e.Version, time.Time{}
 	case !e.VM.Leaving && e.Sequence == s.lastWrite(e.Name).sequence:
-		s.unconfirmed[e.Name] = unconfirmedEntry{entry: e, confirmAt: now.Add(lapseRenewals * s.timing.RenewTimeout)}
+		s.unconfirmed[e.Name] = unconfirmedEntry{entry: e, confirmAt: now.Add(lapseRenewals * s.timing.MaxRenewInterval)}
 	}
 }
 
@@ -300,7 +300,7 @@
 	case e.overwritten && !e.vm.Leaving:
 		// The removed entry was that of the former incarnation. The present one
 		// rewrites its own if it is running.
-		e.overwritten, e.missingUntil = false, now.Add(s.timing.RenewTimeout)
+		e.overwritten, e.missingUntil = false, now.Add(s.timing.MaxRenewInterval)
 	case s.inOutageGrace(now) && !e.vm.Leaving:
 		e.missingUntil = s.recoveredAt.Add(s.timing.OutageGrace)
 	default:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -18,7 +18,7 @@
 }
 
 var (
-	timing = Timing{OutageGrace: 2 * time.Second, Linger: time.Second, RenewTimeout: time.Second}
+	timing = Timing{OutageGrace: 2 * time.Second, Linger: time.Second, MaxRenewInterval: time.Second}
 	start  = time.Unix(1000, 0)
 )
 
@@ -163,10 +163,10 @@
 	}
 	s.Apply(start, removedChange("a"))
 	checkListed(t, s, []string{"a@2"}, nil)
-	now := start.Add(timing.RenewTimeout / 2)
+	now := start.Add(timing.MaxRenewInterval / 2)
 	s.Expire(now)
 	s.Apply(now, incarnationWrite(2, "new:1"))
-	s.Expire(start.Add(2 * timing.RenewTimeout))
+	s.Expire(start.Add(2 * timing.MaxRenewInterval))
 	checkListed(t, s, []string{"a@2"}, nil)
 }
 
@@ -176,9 +176,9 @@
 	s.Apply(start, incarnationWrite(2, "new:1"))
 	s.Apply(start, incarnationWrite(1, "old:1"))
 	s.Apply(start, removedChange("a"))
-	s.Expire(start.Add(timing.RenewTimeout))
+	s.Expire(start.Add(timing.MaxRenewInterval))
 	checkListed(t, s, nil, []string{"a@2"})
-	s.Expire(start.Add(timing.RenewTimeout + timing.Linger))
+	s.Expire(start.Add(timing.MaxRenewInterval + timing.Linger))
 	checkListed(t, s, nil, nil)
 	s.Apply(start.Add(time.Minute), incarnationWrite(1, "old:1"))
 	checkListed(t, s, nil, nil)
--- a/internal/membership/restored_test.go
+++ b/internal/membership/restored_test.go
@@ -178,7 +178,7 @@
 	e.Version = topo.VersionAt(2, 5)
 	s.Apply(now, []Change{{Entry: e}})
 	checkListed(t, s, nil, nil)
-	now = now.Add(lapseRenewals * timing.RenewTimeout)
+	now = now.Add(lapseRenewals * timing.MaxRenewInterval)
 	s.Expire(now)
 	checkListed(t, s, []string{"a"}, nil)
 }
