--- a/internal/config/event.go
+++ b/internal/config/event.go
@@ -66,7 +66,7 @@
 type StoreFailed struct {
 	Now       time.Time
 	Compacted bool // the store no longer has the changes that were requested
-	Silent    bool // the call timed out
+	TimedOut  bool // the call timed out
 }
 
 // PeersConnected names the peers to which a connection is open. Routine comparisons
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -183,7 +183,7 @@
 	r.Post(config.StoreFailed{
 		Now:       time.Now(),
 		Compacted: compacted,
-		Silent:    ctx.Err() != nil,
+		TimedOut:  ctx.Err() != nil,
 	})
 }
 
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -292,7 +292,7 @@
 		// This node knows all deletions that the peer has forgotten.
 	case p.isFull():
 		f.repair.fullPullHorizon = d.DeletionHorizon
-		out = changedEffects(f.set.Retain(p.seen, d.DeletionHorizon))
+		out = changedEffects(f.set.RemoveUnseen(p.seen, d.DeletionHorizon))
 	case f.set.Summary().sameObjects(d.Summary):
 		// None of the forgotten deletions concerned objects of this node.
 		f.set.listedUpTo = max(f.set.listedUpTo, d.DeletionHorizon)
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -149,7 +149,7 @@
 		// would be refused at each try; a listing starts afresh.
 		f.listNext = true
 		f.pause(e.Now, f.timing.RetryInitial)
-	case e.Silent:
+	case e.TimedOut:
 		// The timeout was pause enough: the next connection may work at once.
 		f.failures++
 		f.pause(e.Now, f.timing.RetryInitial)
@@ -179,7 +179,7 @@
 	for _, o := range e.Objects {
 		seen[o.Ref] = struct{}{}
 	}
-	out = append(out, changedEffects(f.set.Retain(seen, e.Version))...)
+	out = append(out, changedEffects(f.set.RemoveUnseen(seen, e.Version))...)
 	if stale {
 		// A listing by a lagging replica proves nothing about the present state. If
 		// the watch is refused again, the next listing waits longer.
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -302,9 +302,9 @@
 	}
 }
 
-// Retain removes and returns the objects at or below upTo that are not in seen, where seen
+// RemoveUnseen removes and returns the objects at or below upTo that are not in seen, where seen
 // names the objects of a source that holds all objects up to that version.
-func (s *Set) Retain(seen map[topo.Ref]struct{}, upTo topo.Version) []topo.Object {
+func (s *Set) RemoveUnseen(seen map[topo.Ref]struct{}, upTo topo.Version) []topo.Object {
 	var removed []topo.Object
 	for ref, o := range s.objects {
 		if _, ok := seen[ref]; ok || o.Deleted || o.Version > upTo {
