--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -44,20 +44,20 @@
 }
 
 // Status implements admin.Node.
-func (o *AdminNode) Status(brief bool) admin.Status {
+func (n *AdminNode) Status(brief bool) admin.Status {
 	now := time.Now()
-	view := o.router.View()
+	view := n.router.View()
 	s := admin.Status{
-		VM:            o.vm,
-		FailureDomain: o.router.config.FailureDomain,
-		Started:       o.started,
-		Ready:         o.router.Ready(),
-		Config:        o.router.ledger.Status(),
-		Control:       controlRates(now.Sub(o.started)),
-		Quarantined:   o.router.suspects.quarantined(now),
+		VM:            n.vm,
+		FailureDomain: n.router.config.FailureDomain,
+		Started:       n.started,
+		Ready:         n.router.Ready(),
+		Config:        n.router.ledger.Status(),
+		Control:       controlRates(now.Sub(n.started)),
+		Quarantined:   n.router.suspects.quarantined(now),
 		Unread:        vocabulary.All(),
 	}
-	for name, out := range o.upstreams() {
+	for name, out := range n.upstreams() {
 		var p admin.PoolStatus
 		if pool := view.Pools[name]; pool != nil {
 			p = pool.status(now, brief)
@@ -73,9 +73,9 @@
 
 // upstreams returns the upstreams in the list of VMs by pool, including those
 // that take no new work because they are to leave.
-func (o *AdminNode) upstreams() map[string][]topo.VM {
+func (n *AdminNode) upstreams() map[string][]topo.VM {
 	pools := make(map[string][]topo.VM)
-	for _, vm := range o.VMs() {
+	for _, vm := range n.VMs() {
 		if vm.Role == topo.RoleUpstream {
 			pools[vm.Pool] = append(pools[vm.Pool], vm)
 		}
@@ -125,29 +125,29 @@
 }
 
 // InForce implements admin.Node.
-func (o *AdminNode) InForce(ref topo.Ref) admin.InForce { return o.router.ledger.InForce(ref) }
+func (n *AdminNode) InForce(ref topo.Ref) admin.InForce { return n.router.ledger.InForce(ref) }
 
 // Complete implements admin.Node.
-func (o *AdminNode) Complete() topo.Version { return o.router.ledger.Complete() }
+func (n *AdminNode) Complete() topo.Version { return n.router.ledger.Complete() }
 
 // Rejected implements admin.Node.
-func (o *AdminNode) Rejected() []topo.Ref {
+func (n *AdminNode) Rejected() []topo.Ref {
 	var refs []topo.Ref
-	for _, p := range o.router.ledger.Status().Rejected {
+	for _, p := range n.router.ledger.Status().Rejected {
 		refs = append(refs, p.Ref)
 	}
 	return refs
 }
 
 // Changed implements admin.Node.
-func (o *AdminNode) Changed() <-chan struct{} { return o.router.ledger.Next() }
+func (n *AdminNode) Changed() <-chan struct{} { return n.router.ledger.Next() }
 
 // Refresh implements admin.Node.
-func (o *AdminNode) Refresh() { o.router.refreshConfig() }
+func (n *AdminNode) Refresh() { n.router.refreshConfig() }
 
 // VMs implements admin.Node.
-func (o *AdminNode) VMs() []topo.VM {
-	view := o.router.View()
+func (n *AdminNode) VMs() []topo.VM {
+	view := n.router.View()
 	vms := make([]topo.VM, 0, len(view.VMs))
 	for _, vm := range view.VMs {
 		vms = append(vms, vm)
@@ -198,9 +198,9 @@
 }
 
 // Explain implements admin.Node.
-func (o *AdminNode) Explain(q admin.Query) (admin.Explanation, error) {
+func (n *AdminNode) Explain(q admin.Query) (admin.Explanation, error) {
 	now := time.Now()
-	view := o.router.View()
+	view := n.router.View()
 	org, p, err := view.find(q)
 	if err != nil {
 		return admin.Explanation{}, err
@@ -209,17 +209,17 @@
 	if pool == nil {
 		return admin.Explanation{}, errors.Errorf("pool %q has no upstream in the list of VMs", p.Pool)
 	}
-	a := &Response{
-		router:  o.router,
+	resp := &Response{
+		router:  n.router,
 		req:     Request{Org: org, Profile: p, Session: q.Session, Ticket: q.Ticket},
 		view:    view,
 		pool:    pool,
 		session: sessionHash(org.Name, q.Session),
 	}
-	e := admin.Explanation{VM: o.vm, Profile: p.Name, Pool: p.Pool, Multiple: p.LoadMultiple}
-	named, _ := o.router.ticketVM(now, q.Ticket, a.session)
+	e := admin.Explanation{VM: n.vm, Profile: p.Name, Pool: p.Pool, Multiple: p.LoadMultiple}
+	named, _ := n.router.ticketVM(now, q.Ticket, resp.session)
 	e.TicketNote = ticketNote(q, pool, named)
-	chosen := o.router.chooseCandidates(now, a)
+	chosen := n.router.chooseCandidates(now, resp)
 	pool.loadReports.mu.Lock()
 	defer pool.loadReports.mu.Unlock()
 	var known int
@@ -233,7 +233,7 @@
 		e.Candidates = append(e.Candidates, admin.Candidate{
 			VM: vm.ID, FailureDomain: vm.FailureDomain, State: stateName(report, reported),
 			Load: report.Load, Bound: bound,
-			Why: o.explainPlace(now, vm, a.session != 0, vm.ID == named, report, bound),
+			Why: n.explainPlace(now, vm, resp.session != 0, vm.ID == named, report, bound),
 		})
 	}
 	return e, nil
@@ -241,7 +241,7 @@
 
 // explainPlace returns why an upstream is among the candidates, and what affects its
 // place there.
-func (o *AdminNode) explainPlace(now time.Time, vm topo.VM, bySession, byTicket bool, r load.Report, bound int) string {
+func (n *AdminNode) explainPlace(now time.Time, vm topo.VM, bySession, byTicket bool, r load.Report, bound int) string {
 	var parts []string
 	switch {
 	case byTicket:
@@ -256,7 +256,7 @@
 	} else if bound > 0 && r.Load >= bound {
 		parts = append(parts, "believed full, after those with room")
 	}
-	if o.router.isUnreachable(vm.ID, now) {
+	if n.router.isUnreachable(vm.ID, now) {
 		parts = append(parts, "could not be reached lately, so last")
 	}
 	return strings.Join(parts, "; ")
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -17,25 +17,25 @@
 // it; each effect that waits for an upstream runs on a goroutine of its own until
 // it has an outcome.
 type Response struct {
-	router           *Router
-	transport        transport
-	req              Request
-	plan             dispatch.Plan
-	pool             *Pool
-	poolName         string   // direct upstreams only
-	targets          []target // direct upstreams only: the latest choice, best first
-	view             *View
-	candidates       []topo.VM
-	home             string // id of the upstream that ranks first
-	session          uint64
-	sessionShare     float64 // lower estimate of the session's fraction of the pool's requests
-	shareCounted     bool    // the request was counted in sessionShare
-	returning        bool    // the caller was probably rejected before
-	fingerprint      uint64
-	suspect          bool   // the request may have crashed an upstream and runs alone
-	isolationGranted bool   // the request may run alone at the upstream it is offered to
-	resumeOffset     int64  // offset in an earlier answer to resume from
-	release          func() // gives back the organisation's concurrency
+	router        *Router
+	transport     transport
+	req           Request
+	plan          dispatch.Plan
+	pool          *Pool
+	poolName      string   // direct upstreams only
+	targets       []target // direct upstreams only: the latest choice, best first
+	view          *View
+	candidates    []topo.VM
+	home          string // id of the upstream that ranks first
+	session       uint64
+	sessionShare  float64 // lower estimate of the session's fraction of the pool's requests
+	shareCounted  bool    // the request was counted in sessionShare
+	isLikelyRetry bool    // the caller was probably rejected before
+	fingerprint   uint64
+	suspect       bool   // the request may have crashed an upstream and runs alone
+	hasPermit     bool   // the request may run alone at the upstream it is offered to
+	resumeOffset  int64  // offset in an earlier answer to resume from
+	release       func() // gives back the organisation's concurrency
 
 	started         time.Time
 	timeToFirstByte time.Duration // from started to the first piece for the caller; zero: none yet
@@ -63,9 +63,9 @@
 
 // post passes an outcome to the Answer. It returns false if the Answer was closed
 // or the attempt dropped.
-func (a *Response) post(o outcome) bool {
+func (resp *Response) post(o outcome) bool {
 	select {
-	case a.outcomes <- o:
+	case resp.outcomes <- o:
 		return true
 	case <-o.attempt.ctx.Done():
 		return false
@@ -73,31 +73,31 @@
 }
 
 // run processes the request until its answer starts or it fails for good.
-func (a *Response) run() error {
-	a.step(dispatch.Began{Now: time.Now()})
-	for a.winner == nil && !a.state.Finished() {
-		if err := a.waitForEvent(); err != nil {
+func (resp *Response) run() error {
+	resp.step(dispatch.Began{Now: time.Now()})
+	for resp.winner == nil && !resp.state.Finished() {
+		if err := resp.waitForEvent(); err != nil {
 			return err
 		}
 	}
-	if a.winner == nil {
-		return a.result
+	if resp.winner == nil {
+		return resp.result
 	}
 	return nil
 }
 
 // waitForEvent waits for the next outcome or timer of the request and processes
 // it. It returns an error if the caller is gone.
-func (a *Response) waitForEvent() error {
-	timer := time.NewTimer(wakeDelay(a.state.Wake()))
+func (resp *Response) waitForEvent() error {
+	timer := time.NewTimer(wakeDelay(resp.state.Wake()))
 	defer timer.Stop()
 	select {
-	case o := <-a.outcomes:
-		a.handleOutcome(o)
+	case o := <-resp.outcomes:
+		resp.handleOutcome(o)
 	case <-timer.C:
-		a.tick()
-	case <-a.caller.Done():
-		return a.caller.Err()
+		resp.tick()
+	case <-resp.caller.Done():
+		return resp.caller.Err()
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 }
 
 // handleOutcome processes an outcome of an attempt.
-func (a *Response) handleOutcome(o outcome) {
+func (resp *Response) handleOutcome(o outcome) {
 	at := o.attempt
 	if o.last {
 		at.busy = false
@@ -123,27 +123,27 @@
 		}
 	}
 	if o.event != nil {
-		a.step(o.event)
+		resp.step(o.event)
 	}
 }
 
 // tick passes the present time to the state. At a deadline it first seals the
 // attempts that have not been sent, so that the state can report them as not run.
-func (a *Response) tick() {
+func (resp *Response) tick() {
 	now := time.Now()
-	if a.isOverdue(now) {
-		for _, at := range a.attempts {
+	if resp.isOverdue(now) {
+		for _, at := range resp.attempts {
 			if at.gate.seal() {
-				a.step(dispatch.NotSent{Attempt: at.number})
+				resp.step(dispatch.NotSent{Attempt: at.number})
 			}
 		}
 	}
-	a.step(dispatch.Ticked{Now: now})
+	resp.step(dispatch.Ticked{Now: now})
 }
 
 // isOverdue reports whether the deadline, or that of the first byte, has passed.
-func (a *Response) isOverdue(now time.Time) bool {
-	return isPast(a.plan.Deadline, now) || a.winner == nil && isPast(a.plan.FirstByte, now)
+func (resp *Response) isOverdue(now time.Time) bool {
+	return isPast(resp.plan.Deadline, now) || resp.winner == nil && isPast(resp.plan.FirstByte, now)
 }
 
 // isPast reports whether a deadline has passed. A zero deadline never passes.
@@ -152,68 +152,68 @@
 }
 
 // step passes an event to the state and carries out the effects.
-func (a *Response) step(e dispatch.Event) {
-	effects := a.state.Step(e)
-	a.logEvent(e, len(effects) > 0)
+func (resp *Response) step(e dispatch.Event) {
+	effects := resp.state.Step(e)
+	resp.logEvent(e, len(effects) > 0)
 	for _, effect := range effects {
-		a.execute(effect)
+		resp.execute(effect)
 	}
 }
 
 // execute carries out an effect.
-func (a *Response) execute(effect dispatch.Effect) {
+func (resp *Response) execute(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.Offer:
-		a.offer(e)
+		resp.offer(e)
 	case dispatch.Follow:
-		a.followKey(e.Key, a.transport.submit)
+		resp.followKey(e.Key, resp.transport.submit)
 	case dispatch.FollowAttach:
-		a.followKey(e.Key, a.transport.attach)
+		resp.followKey(e.Key, resp.transport.attach)
 	case dispatch.Resubmit:
-		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.submit)
+		resp.launch(resp.attempts[e.Attempt], e.Retry, resp.transport.submit)
 	case dispatch.Attach:
-		a.reattach(e)
+		resp.reattach(e)
 	case dispatch.Deliver:
-		a.deliver(a.attempts[e.Attempt], e.Resumable)
+		resp.deliver(resp.attempts[e.Attempt], e.Resumable)
 	case dispatch.Cancel:
-		a.drop(a.attempts[e.Attempt])
+		resp.drop(resp.attempts[e.Attempt])
 	case dispatch.Finish:
-		a.result = e.Err
+		resp.result = e.Err
 	}
 }
 
 // Close releases the answer and its attempts. If the answer is incomplete, the
 // request is cancelled unless it may go on without its caller.
-func (a *Response) Close() {
-	a.logEnd()
-	if a.shareCounted && a.state != nil { // the duration of a rejected request says nothing about others of its profile
-		a.pool.tracker.RecordDuration(a.req.Profile.Name, time.Since(a.started))
+func (resp *Response) Close() {
+	resp.logEnd()
+	if resp.shareCounted && resp.state != nil { // the duration of a rejected request says nothing about others of its profile
+		resp.pool.tracker.RecordDuration(resp.req.Profile.Name, time.Since(resp.started))
 	}
-	if a.state != nil && !a.state.Finished() { // nil: rejected before it was offered to an upstream
-		a.handleCallerGone()
+	if resp.state != nil && !resp.state.Finished() { // nil: rejected before it was offered to an upstream
+		resp.handleCallerGone()
 	}
-	a.stop()
-	for _, at := range a.attempts {
+	resp.stop()
+	for _, at := range resp.attempts {
 		if !at.busy {
 			at.close()
 		}
 	}
-	a.release()
+	resp.release()
 }
 
 // handleCallerGone cancels the request of a caller that left before its answer
 // was complete. The request goes on if the caller may come back for the answer,
 // because it holds the key or has received the request's id. A write goes on as
 // well: an interrupted write is of no use to anybody.
-func (a *Response) handleCallerGone() {
-	mayReturn := a.req.Key != nil || a.winner != nil && !a.req.isRead()
-	if mayReturn || !a.req.Profile.Idempotent {
+func (resp *Response) handleCallerGone() {
+	mayReturn := resp.req.Key != nil || resp.winner != nil && !resp.req.isRead()
+	if mayReturn || !resp.req.Profile.Idempotent {
 		return
 	}
-	for _, at := range a.attempts {
+	for _, at := range resp.attempts {
 		active := at.busy || at.stream != nil
 		if active && !at.gate.seal() {
-			a.transport.cancel(at)
+			resp.transport.cancel(at)
 		}
 	}
 }
--- a/internal/router/belief.go
+++ b/internal/router/belief.go
@@ -26,35 +26,35 @@
 
 // choose writes the indices of the upstreams to offer a request to, best first, and
 // returns their number.
-func (b *loadReports) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return p.Choose(now, b.table, q, out)
+func (l *loadReports) choose(now time.Time, p *placement.Pool, q placement.Query, out *[placement.MaxCandidates]int) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return p.Choose(now, l.table, q, out)
 }
 
 // observe records the load that a sidecar reports of its own upstream, and its samples
 // of others.
-func (b *loadReports) observe(now time.Time, vm load.VM, weight int, c wire.Control) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.table.Observe(now, vm, load.Report{Load: c.Load, Weight: weight, State: loadState(c)})
+func (l *loadReports) observe(now time.Time, vm load.VM, weight int, c wire.Control) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.table.Observe(now, vm, load.Report{Load: c.Load, Weight: weight, State: loadState(c)})
 	// Samples that can't be decoded come from a sidecar of another release. They are
 	// ignored: the sidecar's own load, recorded above, matters more.
-	_ = b.table.Merge(now, c.Samples)
+	_ = l.table.Merge(now, c.Samples)
 }
 
 // samples returns encoded loads of other upstreams for the sidecar of a VM.
-func (b *loadReports) samples(now time.Time, vm load.VM) []byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.table.Pack(now, samplesPerMessage, vm)
+func (l *loadReports) samples(now time.Time, vm load.VM) []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.table.Pack(now, samplesPerMessage, vm)
 }
 
 // retain drops the reports of all upstreams but members.
-func (b *loadReports) retain(members []load.VM) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.table.Keep(members)
+func (l *loadReports) retain(members []load.VM) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.table.Keep(members)
 }
 
 func loadState(c wire.Control) load.State {
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -103,9 +103,9 @@
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				a := r.newAnswer(b.Context(), v, req)
-				_ = a.applyQuarantine(time.Now())
-				a.stop()
+				resp := r.newResponse(b.Context(), v, req)
+				_ = resp.applyQuarantine(time.Now())
+				resp.stop()
 			}
 		})
 	}
@@ -170,15 +170,15 @@
 	for range n {
 		go func() {
 			req := Request{Org: benchOrg(0), Profile: v.Profiles["chat"], Session: "s", Call: wire.Call{Method: "POST", Path: "/", Body: bytes.Clone(body)}}
-			a, err := r.Dispatch(ctx, req)
+			resp, err := r.Dispatch(ctx, req)
 			if err == nil {
-				defer a.Close()
-				_, _ = a.Next()
-				_, err = a.Next()
+				defer resp.Close()
+				_, _ = resp.Next()
+				_, err = resp.Next()
 			}
 			ready <- err
 			if err == nil {
-				_, _ = a.Next()
+				_, _ = resp.Next()
 			}
 			done <- struct{}{}
 		}()
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -23,19 +23,19 @@
 )
 
 // handleSignal applies the signals about an upstream that came in the headers of its answer.
-func (a directTransport) handleSignal(at *attempt, w exchange.Signal) {
-	a.recordReportedLoad(at, w)
+func (d directTransport) handleSignal(at *attempt, signal exchange.Signal) {
+	d.recordReportedLoad(at, signal)
 	now, vm := time.Now(), at.vm.ID
-	if w.Leaving {
+	if signal.Leaving {
 		signalsReceived.Inc(condition.Leaving.String())
-		if a.router.conditions.RecordLeaving(now, vm) {
-			a.log(telemetry.LineFailure, "upstream announced that it is leaving", at.upstreamAttrs()...)
+		if d.router.conditions.RecordLeaving(now, vm) {
+			d.log(telemetry.LineFailure, "upstream announced that it is leaving", at.upstreamAttrs()...)
 		}
 	}
-	if w.RetryAfter > 0 {
+	if signal.RetryAfter > 0 {
 		signalsReceived.Inc(condition.Resting.String())
-		a.router.conditions.RecordResting(now, vm, w.RetryAfter)
-		a.log(telemetry.LineFailure, "upstream asked for a pause", append(at.upstreamAttrs(), slog.Int64("rest_ms", w.RetryAfter.Milliseconds()))...)
+		d.router.conditions.RecordResting(now, vm, signal.RetryAfter)
+		d.log(telemetry.LineFailure, "upstream asked for a pause", append(at.upstreamAttrs(), slog.Int64("rest_ms", signal.RetryAfter.Milliseconds()))...)
 	}
 }
 
@@ -144,14 +144,14 @@
 
 // passedOver returns the home upstream of the session and why it was not chosen. Both are empty
 // if it was chosen or the request has no session.
-func (a *Response) passedOver(now time.Time) (home, reason string) {
-	if a.basis.Home == placement.None || a.basis.PassedOver == placement.NotPassedOver {
+func (resp *Response) passedOver(now time.Time) (home, reason string) {
+	if resp.basis.Home == placement.None || resp.basis.PassedOver == placement.NotPassedOver {
 		return "", ""
 	}
-	vm := a.pool.VMs[a.basis.Home]
-	reason = string(a.basis.PassedOver)
-	if a.basis.PassedOver == placement.PassedOverUnavailable {
-		reason = a.router.conditionsOf(now, a.pool, vm.ID).String()
+	vm := resp.pool.VMs[resp.basis.Home]
+	reason = string(resp.basis.PassedOver)
+	if resp.basis.PassedOver == placement.PassedOverUnavailable {
+		reason = resp.router.conditionsOf(now, resp.pool, vm.ID).String()
 	}
 	return vm.ID, reason
 }
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -56,8 +56,8 @@
 var eventEnd = []byte("\n\n")
 
 // submit implements transport.
-func (a directTransport) submit(at *attempt) dispatch.Event {
-	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
+func (d directTransport) submit(at *attempt) dispatch.Event {
+	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(d.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
 	id := load.Hash(at.vm.ID)
 	at.tracker.BeginAttempt(id)
@@ -65,13 +65,13 @@
 		at.tracker.EndAttempt(id)
 		at.watch.Abandon()
 	})
-	s, err := a.router.config.Direct.Do(at.ctx, at.vm, a.exchangeCall(at), func() bool { return a.admitAttempt(at) })
+	s, err := d.router.config.Direct.Do(at.ctx, at.vm, d.exchangeCall(at), func() bool { return d.admitAttempt(at) })
 	if err != nil {
 		at.span.Fail(string(verdict.From(err).Reason))
-		return a.failureEvent(at, verdict.From(err))
+		return d.failureEvent(at, verdict.From(err))
 	}
-	at.stream = &directStream{Stream: s, tracker: at.tracker, vm: id, profile: a.req.Profile.Name}
-	a.handleSignal(at, s.Signal)
+	at.stream = &directStream{Stream: s, tracker: at.tracker, vm: id, profile: d.req.Profile.Name}
+	d.handleSignal(at, s.Signal)
 	if s.Signal.NotRun {
 		s.Drain()
 		at.stream = nil
@@ -79,7 +79,7 @@
 			// Another upstream has its address: the one that was addressed is gone, but its
 			// entry is still in the store, or was written again by a late heartbeat. Until
 			// the entry is removed, each further request would be refused in the same way.
-			a.router.markUnreachable(at.vm.ID)
+			d.router.markUnreachable(at.vm.ID)
 		} else {
 			// An upstream that rejects requests while others accept theirs is chosen last,
 			// like one that fails them: a request that may be sent only once cannot try
@@ -96,18 +96,18 @@
 		at.stream = nil
 		return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: err}
 	}
-	return a.awaitFirstByte(at, s)
+	return d.awaitFirstByte(at, s)
 }
 
 // admitAttempt reports whether the attempt may be sent now, and marks it as sent if so. It
 // checks the caller's connection, because a caller may have closed it while its request waited
 // for the processor of this router: the upstream would work for nobody.
-func (a directTransport) admitAttempt(at *attempt) bool {
-	if a.req.CallerGone != nil && a.req.CallerGone() {
+func (d directTransport) admitAttempt(at *attempt) bool {
+	if d.req.CallerGone != nil && d.req.CallerGone() {
 		at.gate.seal()
 		return false
 	}
-	if at.withheldErr = a.router.admitSend(time.Now(), a.poolName, at.vm); at.withheldErr != nil {
+	if at.withheldErr = d.router.admitSend(time.Now(), d.poolName, at.vm); at.withheldErr != nil {
 		return false
 	}
 	if !at.gate.markSent() {
@@ -118,36 +118,36 @@
 }
 
 // exchangeCall returns the call to the upstream of an attempt.
-func (a directTransport) exchangeCall(at *attempt) exchange.Call {
+func (d directTransport) exchangeCall(at *attempt) exchange.Call {
 	now := time.Now()
 	c := exchange.Call{
 		Call:        at.call,
-		Host:        a.req.Host,
-		ID:          a.req.ID,
+		Host:        d.req.Host,
+		ID:          d.req.ID,
 		Instance:    at.vm.Name(),
-		Urgency:     a.basis.Urgency,
-		TimeLeft:    sidecarTimeLeft(a.plan.Deadline, now, a.plan.Deadline.Sub(a.started)),
-		LastEventID: a.req.LastEventID,
+		Urgency:     d.basis.Urgency,
+		TimeLeft:    upstreamTimeLeft(d.plan.Deadline, now, d.plan.Deadline.Sub(d.started)),
+		LastEventID: d.req.LastEventID,
 		Donor:       at.donor.Addr,
 	}
 	if at.lastEventID != "" {
 		c.LastEventID = at.lastEventID
 	}
-	if a.req.Org != nil {
-		c.Organisation = upstreamOrgName(a.req.Org)
+	if d.req.Org != nil {
+		c.Organisation = upstreamOrgName(d.req.Org)
 	}
 	return c
 }
 
 // failureEvent returns the event for a call that failed without an answer.
-func (a directTransport) failureEvent(at *attempt, err *verdict.Error) dispatch.Event {
+func (d directTransport) failureEvent(at *attempt, err *verdict.Error) dispatch.Event {
 	now := time.Now()
 	switch {
 	case err.Verdict != verdict.NotRun:
-		a.recordLostAnswer(at)
+		d.recordLostResponse(at)
 		return dispatch.ConnectionLost{Now: now, Attempt: at.number}
 	case err.Reason == verdict.ReasonNoUpstream:
-		a.router.markUnreachable(at.vm.ID)
+		d.router.markUnreachable(at.vm.ID)
 		at.watch.RecordFailure()
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: err}
 	case at.withheldErr != nil:
@@ -169,13 +169,13 @@
 
 // awaitFirstByte waits for the first byte of an answer, which counts as an outcome of the
 // attempt, and returns the event for it.
-func (a directTransport) awaitFirstByte(at *attempt, s *exchange.Stream) dispatch.Event {
+func (d directTransport) awaitFirstByte(at *attempt, s *exchange.Stream) dispatch.Event {
 	at.readAhead = nil
 	status := s.Status()
 	for {
 		p, err := at.stream.Next(at.ctx)
 		if err != nil {
-			return a.lostEvent(at)
+			return d.lostEvent(at)
 		}
 		at.readAhead = append(at.readAhead, p)
 		if p.Head != nil {
@@ -189,45 +189,45 @@
 			err := verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "the upstream answered with status %d", status)
 			return dispatch.ErrorResponse{Now: time.Now(), Attempt: at.number, Err: err}
 		}
-		if s.IsEventStream() && a.plan.Resumable {
-			s.SetStallTimeout(time.Duration(pauseFraction * float64(a.req.Profile.MaxPause.Std())))
+		if s.IsEventStream() && d.plan.Resumable {
+			s.SetStallTimeout(time.Duration(pauseFraction * float64(d.req.Profile.MaxPause.Std())))
 		}
-		if a.session != 0 {
-			a.router.lastServed.Record(a.session, at.vm)
+		if d.session != 0 {
+			d.router.lastServed.Record(d.session, at.vm)
 		}
-		a.router.retries.Answered(time.Now(), a.poolName)
+		d.router.retries.Answered(time.Now(), d.poolName)
 		return dispatch.ResponseStarted{Now: time.Now(), Attempt: at.number, Resumable: s.IsEventStream()}
 	}
 }
 
 // lostEvent returns the event for an answer whose connection broke before its first byte; nil
 // if this router closed it.
-func (a directTransport) lostEvent(at *attempt) dispatch.Event {
+func (d directTransport) lostEvent(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
 	}
-	a.recordLostAnswer(at)
+	d.recordLostResponse(at)
 	at.stream.Close()
 	at.stream = nil
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
-// recordLostAnswer counts a connection that broke as a failure of the upstream, unless this
+// recordLostResponse counts a connection that broke as a failure of the upstream, unless this
 // router closed it.
-func (a directTransport) recordLostAnswer(at *attempt) {
+func (d directTransport) recordLostResponse(at *attempt) {
 	if at.ctx.Err() == nil {
 		at.watch.RecordOutcome(false)
 	}
 }
 
 // attach implements transport. Package dispatch never attaches to upstreams without a sidecar.
-func (a directTransport) attach(at *attempt) dispatch.Event {
+func (d directTransport) attach(at *attempt) dispatch.Event {
 	return dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number}
 }
 
 // cancel implements transport. It does nothing: the end of the attempt closes the connection,
 // and an upstream drops a request whose connection is closed.
-func (a directTransport) cancel(*attempt) {}
+func (d directTransport) cancel(*attempt) {}
 
 // handleEnd implements transport.
-func (a directTransport) handleEnd(*attempt, *wire.End) {}
+func (d directTransport) handleEnd(*attempt, *wire.End) {}
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -52,7 +52,7 @@
 func (r *Router) dispatchDirect(ctx context.Context, view *View, req Request) (*Response, error) {
 	now := time.Now()
 	pool := req.poolName()
-	a := &Response{
+	resp := &Response{
 		router:   r,
 		req:      req,
 		view:     view,
@@ -64,34 +64,34 @@
 		outcomes: make(chan outcome),
 		release:  func() {},
 	}
-	a.transport = directTransport{a}
-	a.ctx, a.stop = context.WithCancel(ctx)
-	if a.pool != nil {
-		a.pool.tracker.RecordObjective(req.Urgency, req.Profile.Objective.Std())
+	resp.transport = directTransport{resp}
+	resp.ctx, resp.stop = context.WithCancel(ctx)
+	if resp.pool != nil {
+		resp.pool.tracker.RecordObjective(req.Urgency, req.Profile.Objective.Std())
 	}
-	if a.pool != nil && a.session != 0 {
-		a.shareCounted = true
-		a.sessionShare = a.pool.tracker.RecordRequest(now, a.session, req.Profile.Name)
+	if resp.pool != nil && resp.session != 0 {
+		resp.shareCounted = true
+		resp.sessionShare = resp.pool.tracker.RecordRequest(now, resp.session, req.Profile.Name)
 	}
-	a.returning = req.mayBeReturning() && r.retries.HasPendingReturns(now, pool)
-	a.targets = a.chooseTargets(now)
-	if len(a.targets) == 0 {
-		a.Close()
+	resp.isLikelyRetry = req.mayBeRetry() && r.retries.HasPendingReturns(now, pool)
+	resp.targets = resp.chooseTargets(now)
+	if len(resp.targets) == 0 {
+		resp.Close()
 		e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "pool %q has no upstream that takes requests in %v", pool, req.regions())
-		return nil, e.WithRetryAfter(a.retryAfterNoUpstream(now))
+		return nil, e.WithRetryAfter(resp.retryAfterNoUpstream(now))
 	}
-	a.plan = req.directPlan(r.policy(), len(a.targets))
-	budget := availabilityBudget{Budget: r.retries.Request(now, a.poolName), router: r, pool: a.pool}
-	if a.basis.ShouldReject {
-		a.Close()
-		return nil, a.rejectLate(budget.RetryAfter(time.Until(a.plan.Deadline)))
+	resp.plan = req.directPlan(r.policy(), len(resp.targets))
+	budget := availabilityBudget{Budget: r.retries.Request(now, resp.poolName), router: r, pool: resp.pool}
+	if resp.basis.ShouldReject {
+		resp.Close()
+		return nil, resp.rejectLate(budget.RetryAfter(time.Until(resp.plan.Deadline)))
 	}
-	a.state = dispatch.New(a.plan, budget)
-	if err := a.run(); err != nil {
-		a.Close()
+	resp.state = dispatch.New(resp.plan, budget)
+	if err := resp.run(); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
 // noUpstreamRetryAfter is the retry delay for callers of a pool without an upstream that takes
@@ -99,11 +99,11 @@
 const noUpstreamRetryAfter = time.Second
 
 // retryAfterNoUpstream returns the retry delay for a request for which there is no upstream.
-func (a *Response) retryAfterNoUpstream(now time.Time) time.Duration {
-	if a.pool == nil {
+func (resp *Response) retryAfterNoUpstream(now time.Time) time.Duration {
+	if resp.pool == nil {
 		return noUpstreamRetryAfter
 	}
-	return max(a.router.availableAfter(now, a.pool), noUpstreamRetryAfter)
+	return max(resp.router.availableAfter(now, resp.pool), noUpstreamRetryAfter)
 }
 
 var rejectedLate = telemetry.NewCounter("router_expected_late_total",
@@ -114,28 +114,28 @@
 // In a surge beyond the capacity of a pool, requests would wait at the engines until their
 // callers give up: 12195 of 45731 were dropped there without being run, after 2.1 s each.
 // Callers that are rejected at once retry when there is capacity again.
-func (a *Response) rejectLate(retryAfter time.Duration) error {
+func (resp *Response) rejectLate(retryAfter time.Duration) error {
 	rejectedLate.Inc()
-	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", a.estimatedStart()).WithRetryAfter(retryAfter)
+	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", resp.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
 // estimatedStart returns the estimated time until the first byte of the answer, at most an hour.
-func (a *Response) estimatedStart() time.Duration {
-	seconds := min(a.basis.EstimatedStart, time.Hour.Seconds())
+func (resp *Response) estimatedStart() time.Duration {
+	seconds := min(resp.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 }
 
 // target implements transport. It chooses anew for each attempt: a stream may break
 // off seconds after its request arrived, and an upstream that was a candidate then
 // may be leaving now.
-func (a directTransport) target(e dispatch.Offer) (target, bool) {
+func (d directTransport) target(e dispatch.Offer) (target, bool) {
 	if e.Attempt > 0 {
-		a.view = a.router.View()
-		a.pool = a.view.Pools[a.poolName].inRegions(a.req.regions())
-		a.targets = a.chooseTargets(time.Now())
+		d.view = d.router.View()
+		d.pool = d.view.Pools[d.poolName].inRegions(d.req.regions())
+		d.targets = d.chooseTargets(time.Now())
 	}
-	for _, t := range a.targets {
-		if !a.wasTried(t.vm) {
+	for _, t := range d.targets {
+		if !d.wasTried(t.vm) {
 			return t, true
 		}
 	}
@@ -143,8 +143,8 @@
 }
 
 // wasTried reports whether the request has had an attempt at an upstream.
-func (a *Response) wasTried(vm topo.VM) bool {
-	for _, at := range a.attempts {
+func (resp *Response) wasTried(vm topo.VM) bool {
+	for _, at := range resp.attempts {
 		if at.vm.ID == vm.ID {
 			return true
 		}
@@ -153,29 +153,29 @@
 }
 
 // chooseTargets returns the upstreams to which a request may be offered now, best first.
-func (a *Response) chooseTargets(now time.Time) []target {
-	if a.pool == nil {
+func (resp *Response) chooseTargets(now time.Time) []target {
+	if resp.pool == nil {
 		return nil
 	}
 	var chosen [placement.MaxCandidates]placement.Choice
-	tuning := a.router.tuning.Load()
-	q := placement.Query{Session: a.session, LoadMultiple: tuning.LoadMultiple, Random: rand.Uint64(), SessionShare: a.sessionShare, Now: now}
+	tuning := resp.router.tuning.Load()
+	q := placement.Query{Session: resp.session, LoadMultiple: tuning.LoadMultiple, Random: rand.Uint64(), SessionShare: resp.sessionShare, Now: now}
 	r := balance.Request{
-		Query: q, Profile: a.req.Profile.Name, Urgency: a.req.Urgency,
-		Objective: a.req.objective(a.timeToFirstByte > 0), TimeLeft: a.req.callerTimeLeft(now), ObjectiveMissed: a.returning,
+		Query: q, Profile: resp.req.Profile.Name, Urgency: resp.req.Urgency,
+		Objective: resp.req.objective(resp.timeToFirstByte > 0), TimeLeft: resp.req.callerTimeLeft(now), ObjectiveMissed: resp.isLikelyRetry,
 	}
-	r.Unavailable = a.router.unavailableIn(now, a.pool)
-	n, basis := a.pool.tracker.Choose(now, a.pool.placed, tuning.Policy, r, &chosen)
-	a.basis = basis
-	a.pool.logSuspicions(a.poolName)
+	r.Unavailable = resp.router.unavailableIn(now, resp.pool)
+	n, basis := resp.pool.tracker.Choose(now, resp.pool.placed, tuning.Policy, r, &chosen)
+	resp.basis = basis
+	resp.pool.logSuspicions(resp.poolName)
 	out := make([]target, 0, n)
 	for _, unreachable := range [...]bool{false, true} {
 		for _, c := range chosen[:n] {
-			t := target{vm: a.pool.VMs[c.Index], load: c.Load, tracker: a.pool.tracker}
-			if a.router.isUnreachable(t.vm.ID, now) != unreachable {
+			t := target{vm: resp.pool.VMs[c.Index], load: c.Load, tracker: resp.pool.tracker}
+			if resp.router.isUnreachable(t.vm.ID, now) != unreachable {
 				continue
 			}
-			t.donor = a.donor(now, c)
+			t.donor = resp.donor(now, c)
 			out = append(out, t)
 		}
 	}
@@ -185,29 +185,29 @@
 // donor returns the upstream from which a chosen one may fetch the session's cached prompt:
 // the one that served the session last, if it can still donate, else the one that the choice
 // names. It returns the zero VM if there is none.
-func (a *Response) donor(now time.Time, c placement.Choice) topo.VM {
-	enabled := a.router.policy()
+func (resp *Response) donor(now time.Time, c placement.Choice) topo.VM {
+	enabled := resp.router.policy()
 	if !enabled.Donors {
 		return topo.VM{}
 	}
-	if last, ok := a.router.lastServed.Get(a.session); ok && enabled.LastServed && last.ID != a.pool.VMs[c.Index].ID {
-		if a.router.canDonate(now, a.view, last, a.req.regions()) {
+	if last, ok := resp.router.lastServed.Get(resp.session); ok && enabled.LastServed && last.ID != resp.pool.VMs[c.Index].ID {
+		if resp.router.canDonate(now, resp.view, last, resp.req.regions()) {
 			return last
 		}
 	}
-	if c.Donor == placement.None || !a.router.canDonate(now, a.view, a.pool.VMs[c.Donor], a.req.regions()) {
+	if c.Donor == placement.None || !resp.router.canDonate(now, resp.view, resp.pool.VMs[c.Donor], resp.req.regions()) {
 		return topo.VM{}
 	}
-	return a.pool.VMs[c.Donor]
+	return resp.pool.VMs[c.Donor]
 }
 
 // recordReportedLoad records the load that an upstream reports, plus one: the request that it
 // answers has only just started and is not included. Of 5.9 requests at an upstream, the heads
 // of answers reported 4.7.
-func (a directTransport) recordReportedLoad(at *attempt, w exchange.Signal) {
-	if w.Load != nil {
-		at.tracker.SetSlots(w.Load.Slots)
-		at.tracker.RecordLoad(time.Now(), load.Hash(at.vm.ID), w.Load.Running+w.Load.Waiting+1)
+func (d directTransport) recordReportedLoad(at *attempt, signal exchange.Signal) {
+	if signal.Load != nil {
+		at.tracker.SetSlots(signal.Load.Slots)
+		at.tracker.RecordLoad(time.Now(), load.Hash(at.vm.ID), signal.Load.Running+signal.Load.Waiting+1)
 	}
 }
 
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -16,37 +16,37 @@
 )
 
 // addAttempt adds an attempt at a VM.
-func (a *Response) addAttempt(vm topo.VM) *attempt {
-	ctx, stop := context.WithCancel(a.ctx)
-	at := &attempt{ctx: ctx, stop: stop, number: len(a.attempts), vm: vm, call: a.req.Call}
-	a.attempts = append(a.attempts, at)
+func (resp *Response) addAttempt(vm topo.VM) *attempt {
+	ctx, stop := context.WithCancel(resp.ctx)
+	at := &attempt{ctx: ctx, stop: stop, number: len(resp.attempts), vm: vm, call: resp.req.Call}
+	resp.attempts = append(resp.attempts, at)
 	return at
 }
 
 // offer starts an attempt at the next upstream.
-func (a *Response) offer(e dispatch.Offer) {
-	to, ok := a.transport.target(e)
-	at := a.addAttempt(to.vm)
+func (resp *Response) offer(e dispatch.Offer) {
+	to, ok := resp.transport.target(e)
+	at := resp.addAttempt(to.vm)
 	at.donor, at.tracker = to.donor, to.tracker
 	at.watch = balance.NewWatch(to.tracker, balance.Attempt{
-		VM: load.Hash(to.vm.ID), Profile: a.req.Profile.Name, Urgency: a.basis.Urgency, Load: to.load, Deferred: a.basis.Deferred,
-	}, a.req.Profile.Objective.Std())
+		VM: load.Hash(to.vm.ID), Profile: resp.req.Profile.Name, Urgency: resp.basis.Urgency, Load: to.load, Deferred: resp.basis.Deferred,
+	}, resp.req.Profile.Objective.Std())
 	if e.Continue {
-		a.winner = nil
+		resp.winner = nil
 		at.headSent = true
-		at.lastEventID = a.framer.LastID()
+		at.lastEventID = resp.framer.LastID()
 	}
 	if !ok {
-		a.launch(at, 0, noUpstreamLeft)
+		resp.launch(at, 0, noUpstreamLeft)
 		return
 	}
-	a.logOffer(at, e, to)
-	at.hasPermit = a.isolationGranted
-	if a.req.Key != nil && e.Attempt == 0 {
-		a.launchWithKey(at, *a.req.Key, a.transport.submit)
+	resp.logOffer(at, e, to)
+	at.hasPermit = resp.hasPermit
+	if resp.req.Key != nil && e.Attempt == 0 {
+		resp.launchWithKey(at, *resp.req.Key, resp.transport.submit)
 		return
 	}
-	a.launch(at, 0, a.transport.submit)
+	resp.launch(at, 0, resp.transport.submit)
 }
 
 // noUpstreamLeft returns the event for an attempt for which there is no upstream.
@@ -57,54 +57,54 @@
 
 // followKey starts an attempt at the VM of the successor key under which the
 // request goes on.
-func (a *Response) followKey(key wire.Key, effect effectFunc) {
-	previous := a.attempts[len(a.attempts)-1]
-	at := a.addAttempt(a.view.VMs[key.VM])
+func (resp *Response) followKey(key wire.Key, effect effectFunc) {
+	previous := resp.attempts[len(resp.attempts)-1]
+	at := resp.addAttempt(resp.view.VMs[key.VM])
 	at.chainIndex = previous.chainIndex + 1
 	at.hasPermit, at.crashSite, at.permitNonce = previous.hasPermit, previous.crashSite, previous.permitNonce
-	a.launchWithKey(at, key, effect)
+	resp.launchWithKey(at, key, effect)
 }
 
 // reattach asks for the rest of an attempt's answer. If there is no such attempt,
 // it asks for the answer to an earlier request, from resumeOffset on.
-func (a *Response) reattach(e dispatch.Attach) {
-	if e.Attempt < len(a.attempts) {
-		a.launch(a.attempts[e.Attempt], e.Retry, a.transport.attach)
+func (resp *Response) reattach(e dispatch.Attach) {
+	if e.Attempt < len(resp.attempts) {
+		resp.launch(resp.attempts[e.Attempt], e.Retry, resp.transport.attach)
 		return
 	}
-	at := a.addAttempt(a.candidates[0])
-	at.offset = a.resumeOffset
-	a.launchWithKey(at, *a.req.Key, a.transport.attach)
+	at := resp.addAttempt(resp.candidates[0])
+	at.offset = resp.resumeOffset
+	resp.launchWithKey(at, *resp.req.Key, resp.transport.attach)
 }
 
 // deliver makes an attempt's answer the one that goes to the caller. If no other
 // upstream may continue the answer, it also drops the request's body, so that it
 // is not kept in memory for the minutes that an answer may take.
-func (a *Response) deliver(at *attempt, resumable bool) {
-	a.winner = at
+func (resp *Response) deliver(at *attempt, resumable bool) {
+	resp.winner = at
 	if resumable {
-		if a.framer == nil {
-			a.framer = &eventstream.Framer{}
+		if resp.framer == nil {
+			resp.framer = &eventstream.Framer{}
 		}
 		return
 	}
 	at.call = wire.Call{}
-	a.req.Call = wire.Call{Method: a.req.Call.Method}
+	resp.req.Call = wire.Call{Method: resp.req.Call.Method}
 }
 
 // launchWithKey carries out an effect on an attempt under a key that may have been
 // used before. If the VM of the key is not in the list, the outcome of an earlier
 // use can't be determined, so the attempt ends with the verdict MayHaveRun.
-func (a *Response) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
+func (resp *Response) launchWithKey(at *attempt, key wire.Key, effect effectFunc) {
 	at.key = &key
 	if at.vm.ID == "" {
 		err := verdict.New(verdict.MayHaveRun, verdict.ReasonIncarnationGone, "the VM of the key has left")
-		a.launch(at, 0, func(*attempt) dispatch.Event {
+		resp.launch(at, 0, func(*attempt) dispatch.Event {
 			return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: err}
 		})
 		return
 	}
-	a.launch(at, 0, effect)
+	resp.launch(at, 0, effect)
 }
 
 // effectFunc carries out an effect on an attempt and returns the outcome; nil if
@@ -113,7 +113,7 @@
 
 // launch runs f for an attempt on a new goroutine, after the backoff for the
 // given number of retries.
-func (a *Response) launch(at *attempt, retryNumber int, f effectFunc) {
+func (resp *Response) launch(at *attempt, retryNumber int, f effectFunc) {
 	at.busy = true
 	pause := retry.Backoff(retryNumber, rand.Float64())
 	go func() {
@@ -121,16 +121,16 @@
 			sleep(at.ctx, pause)
 		}
 		o := outcome{attempt: at, event: f(at), last: true}
-		if !a.post(o) {
+		if !resp.post(o) {
 			at.close()
 		}
 	}()
 }
 
 // drop cancels an attempt that lost to another one.
-func (a *Response) drop(at *attempt) {
+func (resp *Response) drop(at *attempt) {
 	if !at.gate.seal() {
-		a.transport.cancel(at)
+		resp.transport.cancel(at)
 	}
 	at.stop()
 	if !at.busy {
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -10,11 +10,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// concurrencySlack is the multiple of its even share of an organisation's
+// concurrencyShareMultiple is the multiple of its even share of an organisation's
 // concurrency that a router admits, because the balancer does not spread callers
-// evenly. The fleet admits at most the larger of concurrencySlack times the limit
+// evenly. The fleet admits at most the larger of concurrencyShareMultiple times the limit
 // and one request per router.
-const concurrencySlack = 2
+const concurrencyShareMultiple = 2
 
 // limits enforces the concurrency of organisations and the retry budgets of
 // profiles on one router's traffic.
@@ -55,7 +55,7 @@
 	if routers <= 1 {
 		return limit
 	}
-	return min(limit, (concurrencySlack*limit+routers-1)/routers)
+	return min(limit, (concurrencyShareMultiple*limit+routers-1)/routers)
 }
 
 // budget returns the retry budget of a profile, after a deposit for one request.
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -15,51 +15,51 @@
 var (
 	firstByteTime = telemetry.NewHistogram("router_first_byte_seconds",
 		"Time from a caller's request to the first byte of its answer.")
-	answerTime = telemetry.NewHistogram("router_answer_seconds",
+	responseTime = telemetry.NewHistogram("router_answer_seconds",
 		"Time from a caller's request to the end of its answer, or to what it was told in place of one.")
-	answers = telemetry.NewFamily[answerOutcome]("router_answers_total", "outcome",
+	requestOutcomes = telemetry.NewFamily[requestOutcome]("router_answers_total", "outcome",
 		"Requests that were offered to upstreams, by how they ended: answered, the reason of a failure, or caller-left.")
 )
 
 var drainedDomains = telemetry.NewGauge("router_drained_domains",
 	"Failure domains whose upstreams take no new work by operators' order.")
 
-// answerOutcome is how a request ended: one of the two below or the reason of its
+// requestOutcome is how a request ended: one of the two below or the reason of its
 // failure.
-type answerOutcome string
+type requestOutcome string
 
 const (
-	outcomeAnswered   answerOutcome = "answered"
-	outcomeCallerLeft answerOutcome = "caller-left"
+	outcomeAnswered   requestOutcome = "answered"
+	outcomeCallerLeft requestOutcome = "caller-left"
 )
 
 // logOffer logs to which upstream a request is offered, and the values behind
 // the choice.
-func (a *Response) logOffer(at *attempt, e dispatch.Offer, to target) {
+func (resp *Response) logOffer(at *attempt, e dispatch.Offer, to target) {
 	attrs := []slog.Attr{
-		slog.String("profile", a.req.Profile.Name),
+		slog.String("profile", resp.req.Profile.Name),
 		slog.String("upstream", at.vm.ID),
 		slog.Int("attempt", at.number),
 		slog.Int("candidate", e.Candidate),
-		slog.Int("of", len(a.candidates)),
-		slog.Any("config_version", a.view.Version),
+		slog.Int("of", len(resp.candidates)),
+		slog.Any("config_version", resp.view.Version),
 	}
-	if a.plan.Direct {
+	if resp.plan.Direct {
 		attrs = append(attrs,
 			slog.Float64("load", roundTenths(to.load)),
-			slog.Float64("mean_load", roundTenths(a.basis.Mean)),
-			slog.Float64("bound", roundTenths(a.basis.Bound)),
-			slog.Int64("expected_ms", a.estimatedStart().Milliseconds()),
-			slog.Bool("behind", a.basis.Deferred),
+			slog.Float64("mean_load", roundTenths(resp.basis.Mean)),
+			slog.Float64("bound", roundTenths(resp.basis.Bound)),
+			slog.Int64("expected_ms", resp.estimatedStart().Milliseconds()),
+			slog.Bool("behind", resp.basis.Deferred),
 			slog.String("donor", at.donor.ID))
-		if home, reason := a.passedOver(time.Now()); home != "" {
+		if home, reason := resp.passedOver(time.Now()); home != "" {
 			attrs = append(attrs, slog.String("home", home), slog.String("passed_over", reason))
 		}
 	}
 	if e.Continue {
-		attrs = append(attrs, slog.Int64("from_offset", a.bytesSent))
+		attrs = append(attrs, slog.Int64("from_offset", resp.bytesSent))
 	}
-	a.log(telemetry.LineRoutine, "request placed", attrs...)
+	resp.log(telemetry.LineRoutine, "request placed", attrs...)
 }
 
 // roundTenths rounds to one decimal for the log. An infinite value, which stands for
@@ -73,74 +73,74 @@
 
 // logEvent logs an event if it is the failure of an attempt. decided tells whether
 // the failure had effects, such as another attempt or the end of the request.
-func (a *Response) logEvent(e dispatch.Event, decided bool) {
+func (resp *Response) logEvent(e dispatch.Event, decided bool) {
 	switch e := e.(type) {
 	case dispatch.Unreachable:
-		a.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
+		resp.logFailure("attempt did not reach its upstream", e.Attempt, e.Err, decided)
 	case dispatch.Refused:
-		a.logFailure("attempt was refused", e.Attempt, e.Err, decided)
+		resp.logFailure("attempt was refused", e.Attempt, e.Err, decided)
 	case dispatch.ConnectionLost:
-		a.logFailure("attempt was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
+		resp.logFailure("attempt was lost", e.Attempt, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, ""), decided)
 	case dispatch.ErrorResponse:
-		a.logFailure("upstream answered with a failure", e.Attempt, e.Err, decided)
+		resp.logFailure("upstream answered with a failure", e.Attempt, e.Err, decided)
 	case dispatch.Ended:
 		if e.Err != nil {
-			a.logFailure("attempt failed", e.Attempt, e.Err, decided)
+			resp.logFailure("attempt failed", e.Attempt, e.Err, decided)
 		}
 	}
 }
 
-func (a *Response) logFailure(msg string, number int, err *verdict.Error, decided bool) {
-	a.log(telemetry.LineFailure, msg,
+func (resp *Response) logFailure(msg string, number int, err *verdict.Error, decided bool) {
+	resp.log(telemetry.LineFailure, msg,
 		slog.Int("attempt", number),
-		slog.String("upstream", a.attempts[number].vm.ID),
+		slog.String("upstream", resp.attempts[number].vm.ID),
 		slog.String("reason", string(err.Reason)),
 		slog.String("verdict", err.Verdict.String()),
 		slog.String("detail", err.Detail),
-		slog.Int64("after_ms", time.Since(a.started).Milliseconds()),
+		slog.Int64("after_ms", time.Since(resp.started).Milliseconds()),
 		slog.Bool("decided", decided))
 }
 
 // logEnd logs and counts the end of the request, once.
-func (a *Response) logEnd() {
-	if a.endLogged || a.state == nil {
+func (resp *Response) logEnd() {
+	if resp.endLogged || resp.state == nil {
 		return
 	}
-	a.endLogged = true
-	took := time.Since(a.started)
-	outcome, class := a.outcome()
-	answers.Inc(outcome)
-	answerTime.Observe(took)
-	if a.timeToFirstByte > 0 {
-		firstByteTime.Observe(a.timeToFirstByte)
+	resp.endLogged = true
+	took := time.Since(resp.started)
+	outcome, class := resp.outcome()
+	requestOutcomes.Inc(outcome)
+	responseTime.Observe(took)
+	if resp.timeToFirstByte > 0 {
+		firstByteTime.Observe(resp.timeToFirstByte)
 	}
 	attrs := []slog.Attr{
 		slog.String("outcome", string(outcome)),
-		slog.Int("attempts", len(a.attempts)),
-		slog.Int64("bytes", a.bytesSent),
-		slog.Int64("first_byte_ms", a.timeToFirstByte.Milliseconds()),
+		slog.Int("attempts", len(resp.attempts)),
+		slog.Int64("bytes", resp.bytesSent),
+		slog.Int64("first_byte_ms", resp.timeToFirstByte.Milliseconds()),
 		slog.Int64("took_ms", took.Milliseconds()),
 	}
-	if a.result != nil {
-		attrs = append(attrs, slog.String("verdict", a.result.Verdict.String()), slog.String("detail", a.result.Detail))
+	if resp.result != nil {
+		attrs = append(attrs, slog.String("verdict", resp.result.Verdict.String()), slog.String("detail", resp.result.Detail))
 	}
-	a.log(class, "request ended", attrs...)
+	resp.log(class, "request ended", attrs...)
 }
 
 // outcome returns how the request ended, and the class of its log line.
-func (a *Response) outcome() (answerOutcome, telemetry.LineClass) {
+func (resp *Response) outcome() (requestOutcome, telemetry.LineClass) {
 	switch {
-	case a.result != nil:
-		return answerOutcome(a.result.Reason), telemetry.LineFailure
-	case !a.state.Finished():
+	case resp.result != nil:
+		return requestOutcome(resp.result.Reason), telemetry.LineFailure
+	case !resp.state.Finished():
 		return outcomeCallerLeft, telemetry.LineRoutine
 	default:
 		return outcomeAnswered, telemetry.LineRoutine
 	}
 }
 
-func (a *Response) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
-	a.router.config.RequestLog.Line(class, msg, a.req.ID, attrs...)
+func (resp *Response) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
+	resp.router.config.RequestLog.Line(class, msg, resp.req.ID, attrs...)
 }
 
 // logFollowed logs configuration that has come into force or was rejected.
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -24,7 +24,7 @@
 // never runs the request again.
 func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Response, error) {
 	view := r.View()
-	a := &Response{
+	resp := &Response{
 		router:       r,
 		req:          Request{Org: org, Profile: &profile.Profile{}, Key: &key},
 		view:         view,
@@ -35,14 +35,14 @@
 		outcomes:     make(chan outcome),
 		plan:         dispatch.Plan{CallerHasKey: true, AttachOnly: true, MaxOffers: 1},
 	}
-	a.transport = sidecarTransport{a}
-	a.ctx, a.stop = context.WithCancel(context.WithoutCancel(ctx))
-	a.state = dispatch.New(a.plan, &retry.Budget{})
-	if err := a.run(); err != nil {
-		a.Close()
+	resp.transport = sidecarTransport{resp}
+	resp.ctx, resp.stop = context.WithCancel(context.WithoutCancel(ctx))
+	resp.state = dispatch.New(resp.plan, &retry.Budget{})
+	if err := resp.run(); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
 // Status returns the status of an earlier request of org.
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -148,9 +148,9 @@
 		m.router.loop.Post(RelayEvent{Event: relay.SubscribeReceived{Now: now, Subscribe: *e}})
 	case *relay.Report:
 		meshBytes.Add(meshShareReceived, int64(len(b)))
-		from := fromFollower
+		from := fromSubscriber
 		if e.IsSummary {
-			from = fromReader
+			from = fromParent
 		}
 		m.mergeSharing(now, e.Payload, from)
 	}
@@ -176,9 +176,9 @@
 // sendShare sends a router the loads and outcomes of upstreams that this one knows.
 func (m *mesh) sendShare(e relay.SendReport) {
 	now := time.Now()
-	messages := [][]byte{m.reportForFollowers(now)}
+	messages := [][]byte{m.reportForSubscribers(now)}
 	if !e.Report.IsSummary {
-		messages = m.reportsForReader(now)
+		messages = m.reportsForParent(now)
 	}
 	for _, b := range messages {
 		if b != nil {
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -31,28 +31,28 @@
 		err.EarlierUnknown = req.Key != nil
 		return nil, err
 	}
-	a := r.newAnswer(ctx, view, req)
-	a.release = release
-	if err := a.applyQuarantine(time.Now()); err != nil {
-		a.Close()
+	resp := r.newResponse(ctx, view, req)
+	resp.release = release
+	if err := resp.applyQuarantine(time.Now()); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	if len(a.candidates) == 0 {
-		a.Close()
+	if len(resp.candidates) == 0 {
+		resp.Close()
 		e := verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "pool %q has no upstream", req.Profile.Pool)
 		return nil, e.WithRetryAfter(time.Second)
 	}
-	if err := a.run(); err != nil {
-		a.Close()
+	if err := resp.run(); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
-// newAnswer returns the Answer of a request to upstreams with sidecars, not yet run.
-func (r *Router) newAnswer(caller context.Context, view *View, req Request) *Response {
+// newResponse returns the Answer of a request to upstreams with sidecars, not yet run.
+func (r *Router) newResponse(caller context.Context, view *View, req Request) *Response {
 	now := time.Now()
-	a := &Response{
+	resp := &Response{
 		router:      r,
 		req:         req,
 		view:        view,
@@ -63,52 +63,52 @@
 		caller:      caller,
 		outcomes:    make(chan outcome),
 	}
-	a.transport = sidecarTransport{a}
-	a.ctx, a.stop = context.WithCancel(context.WithoutCancel(caller))
-	a.candidates = r.candidates(now, a)
-	if len(a.candidates) > 0 {
-		a.home = a.candidates[0].ID
+	resp.transport = sidecarTransport{resp}
+	resp.ctx, resp.stop = context.WithCancel(context.WithoutCancel(caller))
+	resp.candidates = r.candidates(now, resp)
+	if len(resp.candidates) > 0 {
+		resp.home = resp.candidates[0].ID
 	}
-	a.plan = req.plan(now, len(a.candidates))
-	a.state = dispatch.New(a.plan, r.limits.budget(req.Profile))
-	return a
+	resp.plan = req.plan(now, len(resp.candidates))
+	resp.state = dispatch.New(resp.plan, r.limits.budget(req.Profile))
+	return resp
 }
 
 // candidates returns the upstreams to offer the request to, in order. If the
 // caller holds a key, the VM of the key comes first.
-func (r *Router) candidates(now time.Time, a *Response) []topo.VM {
-	vms := r.chooseCandidates(now, a)
-	if a.req.Key == nil {
+func (r *Router) candidates(now time.Time, resp *Response) []topo.VM {
+	vms := r.chooseCandidates(now, resp)
+	if resp.req.Key == nil {
 		return vms
 	}
-	vms = slices.DeleteFunc(vms, func(vm topo.VM) bool { return vm.ID == a.req.Key.VM })
-	return append([]topo.VM{a.view.VMs[a.req.Key.VM]}, vms...)
+	vms = slices.DeleteFunc(vms, func(vm topo.VM) bool { return vm.ID == resp.req.Key.VM })
+	return append([]topo.VM{resp.view.VMs[resp.req.Key.VM]}, vms...)
 }
 
 // chooseCandidates returns the upstreams for a request without regard to its
 // key, the best first.
-func (r *Router) chooseCandidates(now time.Time, a *Response) []topo.VM {
-	if a.pool == nil {
+func (r *Router) chooseCandidates(now time.Time, resp *Response) []topo.VM {
+	if resp.pool == nil {
 		return nil
 	}
 	q := placement.Query{
-		Session:      a.session,
+		Session:      resp.session,
 		Ticket:       placement.None,
-		LoadMultiple: a.req.Profile.LoadMultiple,
-		Random:       a.candidateSeed(),
+		LoadMultiple: resp.req.Profile.LoadMultiple,
+		Random:       resp.candidateSeed(),
 	}
-	if vm, age := r.ticketVM(now, a.req.Ticket, a.session); vm != "" {
-		q.Ticket, q.TicketAge = a.pool.placed.Index(load.Hash(vm)), age
+	if vm, age := r.ticketVM(now, resp.req.Ticket, resp.session); vm != "" {
+		q.Ticket, q.TicketAge = resp.pool.placed.Index(load.Hash(vm)), age
 	}
-	return r.chooseFromPool(now, a.pool, q)
+	return r.chooseFromPool(now, resp.pool, q)
 }
 
 // candidateSeed returns the seed of the choice for a request without a session.
 // It is the fingerprint where there is one, so that copies of a request go to the
 // same few upstreams, which can be informed if one copy has crashed an upstream.
-func (a *Response) candidateSeed() uint64 {
-	if a.fingerprint != 0 {
-		return a.fingerprint
+func (resp *Response) candidateSeed() uint64 {
+	if resp.fingerprint != 0 {
+		return resp.fingerprint
 	}
 	return rand.Uint64()
 }
@@ -137,21 +137,21 @@
 }
 
 // ID returns the request's id, with which its caller can ask for it again.
-func (a *Response) ID() string {
-	return a.router.sealKey(a.req.Org.Name, a.session, *a.winner.key)
+func (resp *Response) ID() string {
+	return resp.router.sealKey(resp.req.Org.Name, resp.session, *resp.winner.key)
 }
 
 // Ticket returns the placement ticket for the session's next request, or an
 // empty string for a request without a session.
-func (a *Response) Ticket() string {
-	if a.session == 0 {
+func (resp *Response) Ticket() string {
+	if resp.session == 0 {
 		return ""
 	}
-	return a.router.sealTicket(a.req.Org.Name, a.session, *a.winner.key, time.Now())
+	return resp.router.sealTicket(resp.req.Org.Name, resp.session, *resp.winner.key, time.Now())
 }
 
 // NextKey returns a request key that the caller may use for its next request.
-func (a *Response) NextKey() string {
-	key := a.winner.key
-	return a.router.sealKey(a.req.Org.Name, a.session, newKey(key.VM, key.Incarnation, time.Now()))
+func (resp *Response) NextKey() string {
+	key := resp.winner.key
+	return resp.router.sealKey(resp.req.Org.Name, resp.session, newKey(key.VM, key.Incarnation, time.Now()))
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -47,8 +47,8 @@
 func (r *Router) handleControl(now time.Time, vm topo.VM, c wire.Control) {
 	view := r.View()
 	if c.Config > 0 && (c.Config != view.Version || c.ConfigDigest != view.Digest) {
-		mark := config.PiggybackedSummary(c.Config, c.ConfigDigest)
-		r.loop.Post(ConfigEvent{Event: config.SummaryReceived{Now: now, Peer: config.Peer(vm.ID), Summary: mark}})
+		summary := config.PiggybackedSummary(c.Config, c.ConfigDigest)
+		r.loop.Post(ConfigEvent{Event: config.SummaryReceived{Now: now, Peer: config.Peer(vm.ID), Summary: summary}})
 	}
 	if !c.Draining && r.View().Leaving[vm.ID] {
 		r.loop.Post(NoticeLost{VM: vm.ID})
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -14,9 +14,9 @@
 
 // Next returns the next piece of the answer. A piece with an End is the last
 // one; an error means that the answer is incomplete and stays so.
-func (a *Response) Next() (wire.Piece, error) {
-	for !a.state.Finished() {
-		p, ok, err := a.readNext()
+func (resp *Response) Next() (wire.Piece, error) {
+	for !resp.state.Finished() {
+		p, ok, err := resp.nextPieceOrEvent()
 		if err != nil {
 			return wire.Piece{}, err
 		}
@@ -24,60 +24,60 @@
 			return p, nil
 		}
 	}
-	if a.result != nil {
-		return wire.Piece{}, a.result
+	if resp.result != nil {
+		return wire.Piece{}, resp.result
 	}
-	return wire.Piece{End: a.end}, nil
+	return wire.Piece{End: resp.end}, nil
 }
 
-// readNext returns the next piece of the answer that is being delivered, or
+// nextPieceOrEvent returns the next piece of the answer that is being delivered, or
 // processes an event. It reports whether there is a piece for the caller.
-func (a *Response) readNext() (wire.Piece, bool, error) {
-	at := a.winner
+func (resp *Response) nextPieceOrEvent() (wire.Piece, bool, error) {
+	at := resp.winner
 	if at == nil { // an attempt at another upstream is to continue the answer
-		return wire.Piece{}, false, a.waitForEvent()
+		return wire.Piece{}, false, resp.waitForEvent()
 	}
 	if len(at.readAhead) > 0 {
 		p := at.readAhead[0]
 		at.readAhead = at.readAhead[1:]
-		return a.forward(p)
+		return resp.forward(p)
 	}
 	if at.busy {
-		return wire.Piece{}, false, a.waitForEvent()
+		return wire.Piece{}, false, resp.waitForEvent()
 	}
-	p, err := a.nextPiece()
+	p, err := resp.readPiece()
 	switch {
 	case err == nil:
-		return a.forward(p)
-	case a.caller.Err() != nil:
-		return wire.Piece{}, false, a.caller.Err()
+		return resp.forward(p)
+	case resp.caller.Err() != nil:
+		return wire.Piece{}, false, resp.caller.Err()
 	case errors.Is(err, exchange.ErrStalled):
-		a.handleSilence(at)
-	case isPast(a.plan.Deadline, time.Now()):
-		a.tick()
+		resp.handleStall(at)
+	case isPast(resp.plan.Deadline, time.Now()):
+		resp.tick()
 	default:
 		at.stream.Close()
 		at.stream = nil
 		resumedStreams.Inc()
-		if a.plan.Direct {
+		if resp.plan.Direct {
 			at.watch.RecordFailure()
 		}
-		if a.framer != nil && !a.framer.Discard() {
-			a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errPartialEvent})
+		if resp.framer != nil && !resp.framer.Discard() {
+			resp.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: errPartialEvent})
 			break
 		}
-		a.step(dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number})
+		resp.step(dispatch.ConnectionLost{Now: time.Now(), Attempt: at.number})
 	}
 	return wire.Piece{}, false, nil
 }
 
-// handleSilence handles a stream that has paused for too long. The stream is abandoned
+// handleStall handles a stream that has paused for too long. The stream is abandoned
 // only if another upstream continues it: a pause alone is no reason to end an answer.
-func (a *Response) handleSilence(at *attempt) {
-	if a.framer.Discard() {
-		a.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
+func (resp *Response) handleStall(at *attempt) {
+	if resp.framer.Discard() {
+		resp.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
 	}
-	if s, ok := at.stream.(*directStream); ok && a.winner == at {
+	if s, ok := at.stream.(*directStream); ok && resp.winner == at {
 		s.SetStallTimeout(0)
 	}
 }
@@ -86,37 +86,37 @@
 // the caller, so that no other upstream can continue it.
 var errPartialEvent = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
 
-// nextPiece reads the next piece from the upstream, until the request's deadline.
-func (a *Response) nextPiece() (wire.Piece, error) {
-	if a.winner.stream == nil {
+// readPiece reads the next piece from the upstream, until the request's deadline.
+func (resp *Response) readPiece() (wire.Piece, error) {
+	if resp.winner.stream == nil {
 		return wire.Piece{}, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "not attached")
 	}
-	if a.plan.Deadline.IsZero() {
-		return a.winner.stream.Next(a.caller)
+	if resp.plan.Deadline.IsZero() {
+		return resp.winner.stream.Next(resp.caller)
 	}
-	ctx, cancel := context.WithDeadline(a.caller, a.plan.Deadline)
+	ctx, cancel := context.WithDeadline(resp.caller, resp.plan.Deadline)
 	defer cancel()
-	return a.winner.stream.Next(ctx)
+	return resp.winner.stream.Next(ctx)
 }
 
 // forward accounts for a piece and reports whether it goes to the caller. The
 // head arrives again with each attach, but is sent to the caller only once.
-func (a *Response) forward(p wire.Piece) (wire.Piece, bool, error) {
-	at := a.winner
-	if a.timeToFirstByte == 0 {
-		a.timeToFirstByte = time.Since(a.started)
+func (resp *Response) forward(p wire.Piece) (wire.Piece, bool, error) {
+	at := resp.winner
+	if resp.timeToFirstByte == 0 {
+		resp.timeToFirstByte = time.Since(resp.started)
 	}
 	switch {
 	case p.End != nil:
-		if a.framer != nil && p.End.Error == nil && len(a.framer.Pending()) > 0 {
-			rest := a.framer.Pending()
-			a.framer = nil
+		if resp.framer != nil && p.End.Error == nil && len(resp.framer.Pending()) > 0 {
+			rest := resp.framer.Pending()
+			resp.framer = nil
 			at.readAhead = append(at.readAhead, p)
 			return wire.Piece{Bytes: rest}, true, nil
 		}
-		a.end = p.End
-		a.transport.handleEnd(at, p.End)
-		a.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error})
+		resp.end = p.End
+		resp.transport.handleEnd(at, p.End)
+		resp.step(dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error})
 		return p, false, nil
 	case p.Head != nil:
 		duplicate := at.headSent
@@ -124,11 +124,11 @@
 		return p, !duplicate, nil
 	default:
 		at.offset += int64(len(p.Bytes))
-		if a.framer != nil {
-			p.Bytes = a.framer.Feed(p.Bytes)
+		if resp.framer != nil {
+			p.Bytes = resp.framer.Feed(p.Bytes)
 		}
-		a.bytesSent += int64(len(p.Bytes))
-		a.step(dispatch.PieceDelivered{})
+		resp.bytesSent += int64(len(p.Bytes))
+		resp.step(dispatch.PieceDelivered{})
 		return p, len(p.Bytes) > 0, nil
 	}
 }
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -66,11 +66,11 @@
 
 // EnableRelay makes the State follow the entries of upstreams in the same way as the
 // configuration. The relay chooses the router that reads both from the store.
-func (s *State) EnableRelay(r *relay.State, decoder membership.Decoder, timing membership.Timing, pace config.Timing, seed uint64) {
-	pace.RetryMax *= membersRetryFactor
+func (s *State) EnableRelay(r *relay.State, decoder membership.Decoder, timing membership.Timing, configTiming config.Timing, seed uint64) {
+	configTiming.RetryMax *= membersRetryFactor
 	s.relayState = &relayState{
 		relay:    r,
-		members:  config.NewFollower(seed, pace),
+		members:  config.NewFollower(seed, configTiming),
 		entries:  membership.NewState(timing),
 		decoder:  decoder,
 		unusable: make(map[string]string),
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -115,10 +115,10 @@
 	return now.Add(d)
 }
 
-// mayBeReturning reports whether the caller may be retrying: it has less time than a first
+// mayBeRetry reports whether the caller may be retrying: it has less time than a first
 // attempt would have, by more than the objective, so its answer is late already. Callers with
 // a shorter timeout than others can't be told apart from those.
-func (r *Request) mayBeReturning() bool {
+func (r *Request) mayBeRetry() bool {
 	return r.CallerTimeout > 0 && r.Profile.Deadline.Std()-r.CallerTimeout > r.Profile.Objective.Std()
 }
 
@@ -154,14 +154,14 @@
 		OrgWeight:     r.Org.Weight,
 		Idempotent:    p.Idempotent,
 		KeepAnswer:    p.KeepAnswer.Std(),
-		FirstByte:     sidecarTimeLeft(plan.FirstByte, now, p.FirstToken.Std()),
-		Deadline:      sidecarTimeLeft(plan.Deadline, now, p.Deadline.Std()),
+		FirstByte:     upstreamTimeLeft(plan.FirstByte, now, p.FirstToken.Std()),
+		Deadline:      upstreamTimeLeft(plan.Deadline, now, p.Deadline.Std()),
 	}
 }
 
-// sidecarTimeLeft returns the part of the time until a deadline that a sidecar may
+// upstreamTimeLeft returns the part of the time until a deadline that a sidecar may
 // use, at least a millisecond; zero: there is no deadline.
-func sidecarTimeLeft(at, now time.Time, total time.Duration) time.Duration {
+func upstreamTimeLeft(at, now time.Time, total time.Duration) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -49,9 +49,9 @@
 	reportBytesPerSecond = 2800
 )
 
-// reportForFollowers returns the report to the routers that rely on this one; nil: none now. If
+// reportForSubscribers returns the report to the routers that rely on this one; nil: none now. If
 // the pools do not fit into one message, successive reports cover them in turn.
-func (m *mesh) reportForFollowers(now time.Time) []byte {
+func (m *mesh) reportForSubscribers(now time.Time) []byte {
 	if now.Sub(m.lastReportAt) < reportInterval {
 		return m.lastReport
 	}
@@ -77,8 +77,8 @@
 	return m.lastReport
 }
 
-// reportsForReader returns the report to the parent, as one or more messages.
-func (m *mesh) reportsForReader(now time.Time) [][]byte {
+// reportsForParent returns the report to the parent, as one or more messages.
+func (m *mesh) reportsForParent(now time.Time) [][]byte {
 	after := m.sharedAt
 	m.sharedAt = now
 	pools := m.collectPools(func(p *Pool) balance.SharedState { return p.tracker.Report(now, after, p.serving) })
@@ -161,8 +161,8 @@
 type shareSource uint8
 
 const (
-	fromReader   shareSource = iota // the parent, which this router relies on
-	fromFollower                    // a router that relies on this one
+	fromParent     shareSource = iota // the parent, which this router relies on
+	fromSubscriber                    // a router that relies on this one
 )
 
 // mergeSharing adds the state that another router has sent. Data that can't be decoded comes
@@ -176,7 +176,7 @@
 		meshMalformed.Inc()
 		return
 	}
-	if from == fromReader && s.Routers > 0 {
+	if from == fromParent && s.Routers > 0 {
 		m.router.coldStart.reportedRouters.Store(int64(s.Routers))
 	}
 	m.mergeLeaving(now, s.Leaving)
@@ -190,7 +190,7 @@
 			continue
 		}
 		merge := p.tracker.MergeSummary
-		if from == fromFollower {
+		if from == fromSubscriber {
 			merge = p.tracker.MergeReport
 		}
 		if err := merge(now, p.serving, balance.SharedState{Loads: shared.Loads, Outcomes: shared.Outcomes, Speeds: shared.Speeds}); err != nil {
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -44,16 +44,16 @@
 
 // A router observes a load and reports it to the router that it relies on, which reports it to
 // a third one, through the encoded messages between routers.
-func TestLoadsAreRelayedThroughTheReader(t *testing.T) {
+func TestLoadsAreRelayedThroughTheParent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	first, reader, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
+	first, parent, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
 	first.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	up, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "first", Payload: first.reportsForReader(now)[0]}})
+	up, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "first", Payload: first.reportsForParent(now)[0]}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	reader.handleMessage(up)
-	down, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "reader", IsSummary: true, Payload: reader.reportForFollowers(time.Now())}})
+	parent.handleMessage(up)
+	down, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "reader", IsSummary: true, Payload: parent.reportForSubscribers(time.Now())}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	now := time.Unix(1000, 0)
 	older, newer := newTestMesh("a", "b"), newTestMesh("b", "c")
 	older.pool().tracker.RecordLoad(now, load.Hash("b"), 17)
-	newer.mergeSharing(now, older.reportForFollowers(now), fromReader)
+	newer.mergeSharing(now, older.reportForSubscribers(now), fromParent)
 	if got := loadOf(newer.pool(), now, "b"); got < 16 || got > 18 {
 		t.Errorf("load of b, which both lists have: %.1f, want 17", got)
 	}
@@ -80,9 +80,9 @@
 // datagram: a message that is too long would not be sent at all.
 func TestManyPoolsAreReportedInTurn(t *testing.T) {
 	const pools, upstreams = 30, 100
-	reader, other := newTestMesh(), newTestMesh()
+	parent, other := newTestMesh(), newTestMesh()
 	now := time.Unix(1000, 0)
-	for _, m := range []*mesh{reader, other} {
+	for _, m := range []*mesh{parent, other} {
 		view := &View{Pools: make(map[string]*Pool)}
 		for i := range pools {
 			view.Pools[fmt.Sprint("llm-", i)] = newTestPool(upstreams, fmt.Sprint("vm-", i))
@@ -91,16 +91,16 @@
 	}
 	for range pools {
 		now = now.Add(time.Second)
-		for name, p := range reader.router.View().Pools {
+		for name, p := range parent.router.View().Pools {
 			for _, vm := range p.VMs {
 				p.tracker.RecordLoad(now, load.Hash(vm.ID), len(name))
 			}
 		}
-		report := reader.reportForFollowers(now)
+		report := parent.reportForSubscribers(now)
 		if _, err := relay.Encode(relay.SendReport{Report: relay.Report{From: "router-1", IsSummary: true, Payload: report}}); err != nil {
 			t.Fatal(err)
 		}
-		other.mergeSharing(now, report, fromReader)
+		other.mergeSharing(now, report, fromParent)
 	}
 	for name, p := range other.router.View().Pools {
 		if got := loadOf(p, now, p.VMs[upstreams-1].ID); got == 0 {
@@ -128,7 +128,7 @@
 					p.tracker.RecordLoad(now, load.Hash(vm.ID), 7)
 				}
 			}
-			bytes += len(m.reportForFollowers(now))
+			bytes += len(m.reportForSubscribers(now))
 		}
 		if rate := bytes / seconds; rate > reportBytesPerSecond*11/10 {
 			t.Errorf("%d pools of %d upstreams: %d bytes a second, want %d", c.pools, c.upstreams, rate, reportBytesPerSecond)
@@ -142,7 +142,7 @@
 	now := time.Unix(1000, 0)
 	older, newer := newTestMesh("a", "b"), newTestMesh("b", "c")
 	older.pool().tracker.RecordLoad(now, load.Hash("a"), 17)
-	newer.mergeSharing(now, older.reportForFollowers(now), fromReader)
+	newer.mergeSharing(now, older.reportForSubscribers(now), fromParent)
 	for _, id := range []string{"b", "c"} {
 		if got := loadOf(newer.pool(), now, id); got != 0 {
 			t.Errorf("load %.1f of %s, want none", got, id)
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -19,24 +19,24 @@
 type sidecarTransport struct{ *Response }
 
 // target implements transport.
-func (a sidecarTransport) target(e dispatch.Offer) (target, bool) {
-	vm := a.candidates[e.Candidate]
+func (s sidecarTransport) target(e dispatch.Offer) (target, bool) {
+	vm := s.candidates[e.Candidate]
 	if e.Attempt > 0 {
-		vm = a.reassign(vm)
+		vm = s.reassign(vm)
 	}
 	return target{vm: vm}, true
 }
 
 // submit implements transport.
-func (a sidecarTransport) submit(at *attempt) dispatch.Event {
+func (s sidecarTransport) submit(at *attempt) dispatch.Event {
 	at.span.End() // of an earlier submission
-	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(a.req.Trace))
+	at.span = telemetry.Start(telemetry.HopRouter, telemetry.Traceparent(s.req.Trace))
 	at.span.Set(telemetry.AttrVM, at.vm.ID)
-	peer, err := a.connect(at)
+	peer, err := s.connect(at)
 	if err != nil {
 		return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: verdict.From(err)}
 	}
-	successor := a.successor(at)
+	successor := s.successor(at)
 	if !at.gate.markSent() {
 		return nil
 	}
@@ -44,55 +44,55 @@
 	stream, adm, err := peer.Submit(at.ctx, wire.Submit{
 		Key:         *at.key,
 		Successor:   successor,
-		Home:        a.home,
-		Org:         a.req.Org.Name,
-		Session:     a.session,
-		Fingerprint: a.fingerprint,
-		Treatment:   a.req.treatment(now, a.plan),
+		Home:        s.home,
+		Org:         s.req.Org.Name,
+		Session:     s.session,
+		Fingerprint: s.fingerprint,
+		Treatment:   s.req.treatment(now, s.plan),
 		Call:        at.call,
 		Window:      streamWindow,
 		Trace:       string(at.span.Traceparent()),
-		Control:     a.router.control(now, at.vm.ID, a.pool, a.fingerprint),
+		Control:     s.router.control(now, at.vm.ID, s.pool, s.fingerprint),
 		Leave:       at.hasPermit,
 	})
 	if isUnsent(adm, err) && at.resends < maxResends {
 		at.resends++
 		sleep(at.ctx, retry.Backoff(at.resends+1, rand.Float64()))
-		return a.submit(at)
+		return s.submit(at)
 	}
 	if err != nil {
 		at.span.Fail(string(verdict.From(err).Reason))
-		return a.refusalEvent(at, adm, err)
+		return s.refusalEvent(at, adm, err)
 	}
-	return a.awaitFirstPiece(at, stream, adm)
+	return s.awaitFirstPiece(at, stream, adm)
 }
 
 // attach implements transport.
-func (a sidecarTransport) attach(at *attempt) dispatch.Event {
-	peer, err := a.connect(at)
+func (s sidecarTransport) attach(at *attempt) dispatch.Event {
+	peer, err := s.connect(at)
 	if err != nil {
 		return dispatch.Unreachable{Now: time.Now(), Attempt: at.number, Err: verdict.From(err)}
 	}
 	stream, adm, err := peer.Attach(at.ctx, wire.Attach{
 		Key:      *at.key,
-		Org:      a.req.Org.Name,
+		Org:      s.req.Org.Name,
 		Offset:   at.offset,
 		Window:   streamWindow,
 		HeadSeen: at.headSent,
 	})
 	if err != nil {
-		return a.refusalEvent(at, adm, err)
+		return s.refusalEvent(at, adm, err)
 	}
-	return a.awaitFirstPiece(at, stream, adm)
+	return s.awaitFirstPiece(at, stream, adm)
 }
 
 // connect returns the peer of the attempt's sidecar, connected, and generates
 // the attempt's key if it has none.
-func (a sidecarTransport) connect(at *attempt) (*wire.Peer, error) {
-	peer := a.router.peer(at.vm)
+func (s sidecarTransport) connect(at *attempt) (*wire.Peer, error) {
+	peer := s.router.peer(at.vm)
 	hello, err := peer.Connect(at.ctx)
 	if err != nil {
-		a.router.markUnreachable(at.vm.ID)
+		s.router.markUnreachable(at.vm.ID)
 		return nil, err
 	}
 	if at.key == nil {
@@ -108,20 +108,20 @@
 // routers, and all must go to the same upstreams in the same order. A suspect
 // needs one because the site of its crash may send it on. A key names the
 // incarnation of its sidecar, so this connects to the next sidecar first.
-func (a sidecarTransport) successor(at *attempt) *wire.Key {
-	if a.req.Key == nil && !a.suspect || at.chainIndex+1 >= dispatch.MaxKeyChain || at.chainIndex+1 >= len(a.candidates) {
+func (s sidecarTransport) successor(at *attempt) *wire.Key {
+	if s.req.Key == nil && !s.suspect || at.chainIndex+1 >= dispatch.MaxKeyChain || at.chainIndex+1 >= len(s.candidates) {
 		return nil
 	}
-	for _, vm := range a.candidates[at.chainIndex+1:] {
+	for _, vm := range s.candidates[at.chainIndex+1:] {
 		if vm.ID == at.vm.ID {
 			continue
 		}
-		hello, err := a.router.peer(vm).Connect(at.ctx)
+		hello, err := s.router.peer(vm).Connect(at.ctx)
 		if err == nil {
 			key := newKey(vm.ID, hello.Incarnation, time.Now())
 			return &key
 		}
-		a.router.markUnreachable(vm.ID)
+		s.router.markUnreachable(vm.ID)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 // refusalEvent returns the event for a failed call. An answer of the sidecar has
 // an error in its admission or a reason other than ReasonConnection; everything
 // else is a lost connection.
-func (a sidecarTransport) refusalEvent(at *attempt, adm wire.Admission, err error) dispatch.Event {
+func (s sidecarTransport) refusalEvent(at *attempt, adm wire.Admission, err error) dispatch.Event {
 	now := time.Now()
 	e := verdict.From(err)
 	if adm.Error == nil && e.Reason == verdict.ReasonConnection {
@@ -151,30 +151,30 @@
 	if isUnsent(adm, err) {
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: e}
 	}
-	a.router.handleControl(now, at.vm, adm.Control)
+	s.router.handleControl(now, at.vm, adm.Control)
 	if adm.Leave && !at.hasPermit {
 		at.hasPermit, at.crashSite, at.permitNonce = true, at.vm, at.key.Nonce
 	}
 	if adm.Moved == nil && e.Verdict == verdict.NotRun {
-		a.returnPermit(at)
+		s.returnPermit(at)
 	}
-	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Successor: adm.Moved, Final: a.isStranded(at, e)}
+	return dispatch.Refused{Now: now, Attempt: at.number, Err: e, Successor: adm.Moved, Final: s.isStranded(at, e)}
 }
 
 // isStranded reports whether a suspect was refused by the only VM where it may
 // run.
-func (a sidecarTransport) isStranded(at *attempt, err *verdict.Error) bool {
-	return err.Reason == verdict.ReasonSuspect && a.reassign(at.vm).ID == at.vm.ID
+func (s sidecarTransport) isStranded(at *attempt, err *verdict.Error) bool {
+	return err.Reason == verdict.ReasonSuspect && s.reassign(at.vm).ID == at.vm.ID
 }
 
 // awaitFirstPiece waits for the first piece after the head of an admitted
 // attempt's answer, and returns the event for it. Until then nothing is sent to
 // the caller, so that an idempotent request can still be tried at another
 // upstream.
-func (a sidecarTransport) awaitFirstPiece(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
+func (s sidecarTransport) awaitFirstPiece(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
 	at.stream = stream
-	a.router.handleControl(time.Now(), at.vm, adm.Control)
-	a.post(outcome{attempt: at, event: dispatch.Admitted{Attempt: at.number}})
+	s.router.handleControl(time.Now(), at.vm, adm.Control)
+	s.post(outcome{attempt: at, event: dispatch.Admitted{Attempt: at.number}})
 	if at.headSent {
 		return nil // Answer.Next reads the rest
 	}
@@ -182,16 +182,16 @@
 	for {
 		p, err := stream.Next(at.ctx)
 		if err != nil {
-			return a.closeBroken(at)
+			return s.closeBroken(at)
 		}
 		if p.End != nil && p.End.Error != nil {
-			a.router.handleControl(time.Now(), at.vm, p.End.Control)
-			a.reportCrash(at, p.End.Error)
+			s.router.handleControl(time.Now(), at.vm, p.End.Control)
+			s.reportCrash(at, p.End.Error)
 			if p.End.Moved != nil { // it waited there and was moved to another upstream
 				return dispatch.Refused{Now: time.Now(), Attempt: at.number, Err: p.End.Error, Successor: p.End.Moved}
 			}
 			if p.End.Error.Verdict == verdict.NotRun {
-				a.returnPermit(at)
+				s.returnPermit(at)
 			}
 			return dispatch.Ended{Now: time.Now(), Attempt: at.number, Err: p.End.Error}
 		}
@@ -204,7 +204,7 @@
 
 // closeBroken closes a stream that has failed and returns the event for it; nil if
 // the attempt's own context has ended, which is no failure of the stream.
-func (a sidecarTransport) closeBroken(at *attempt) dispatch.Event {
+func (s sidecarTransport) closeBroken(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
 		return nil
 	}
@@ -218,15 +218,15 @@
 const cancelTimeout = 3 * time.Second
 
 // cancel implements transport.
-func (a sidecarTransport) cancel(at *attempt) {
-	a.router.cancel(at.vm, a.req.Org.Name, *at.key)
+func (s sidecarTransport) cancel(at *attempt) {
+	s.router.cancel(at.vm, s.req.Org.Name, *at.key)
 }
 
 // handleEnd implements transport.
-func (a sidecarTransport) handleEnd(at *attempt, end *wire.End) {
-	a.router.handleControl(time.Now(), at.vm, end.Control)
+func (s sidecarTransport) handleEnd(at *attempt, end *wire.End) {
+	s.router.handleControl(time.Now(), at.vm, end.Control)
 	if end.Error != nil {
-		a.reportCrash(at, end.Error)
+		s.reportCrash(at, end.Error)
 	}
 }
 
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -122,12 +122,12 @@
 
 // NewState returns the empty State of a router on a VM at a locality. pace sets the
 // rate of its calls to the store, and seed their jitter.
-func NewState(vm string, self placement.Locality, pace config.Timing, seed uint64) *State {
+func NewState(vm string, self placement.Locality, timing config.Timing, seed uint64) *State {
 	return &State{
 		vm:          vm,
 		self:        self,
 		decode:      decodeRevision,
-		follower:    config.NewFollower(seed, pace),
+		follower:    config.NewFollower(seed, timing),
 		profiles:    make(map[string]*profile.Profile),
 		orgs:        make(map[string]*profile.Organisation),
 		poolSpecs:   make(map[string]*profile.Pool),
@@ -231,7 +231,7 @@
 			for _, o := range effect.Objects {
 				s.applyOrReject(o, &applied)
 			}
-			effects = append(effects, s.recheckUndrained(e.When(), applied.Drained)...)
+			effects = append(effects, s.assumeUndrainedCold(e.When(), applied.Drained)...)
 			continue
 		case config.StoreRecovered:
 			if s.relayState != nil {
@@ -256,10 +256,10 @@
 	}
 }
 
-// recheckUndrained handles the withdrawal of orders to drain failure domains. The
+// assumeUndrainedCold handles the withdrawal of orders to drain failure domains. The
 // upstreams there may have become cold shortly before, so they count as cold for
 // their warm-up time, or until they have written their entries again.
-func (s *State) recheckUndrained(now time.Time, orders []DomainOrder) []Effect {
+func (s *State) assumeUndrainedCold(now time.Time, orders []DomainOrder) []Effect {
 	if s.relayState == nil {
 		return nil
 	}
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -93,57 +93,57 @@
 // applyQuarantine returns an error for a convicted request. It sends a suspect to
 // the site of the crash only (later attempts go there as well, see reassign), or
 // grants it isolation if that VM has left the list.
-func (a *Response) applyQuarantine(now time.Time) *verdict.Error {
-	ruling, _ := a.router.suspects.decide(now, a.fingerprint)
+func (resp *Response) applyQuarantine(now time.Time) *verdict.Error {
+	ruling, _ := resp.router.suspects.decide(now, resp.fingerprint)
 	switch ruling.Action {
 	case quarantine.Refuse:
 		quarantinedRequests.Inc()
 		err := verdict.New(verdict.NotRun, verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", ruling.Crashes)
-		err.EarlierUnknown = a.req.Key != nil
+		err.EarlierUnknown = resp.req.Key != nil
 		return err
 	case quarantine.Redirect:
-		a.suspect = true
-		site, known := a.view.VMs[ruling.VM]
+		resp.suspect = true
+		site, known := resp.view.VMs[ruling.VM]
 		if known {
-			a.restrictToSite(site)
+			resp.addCrashSite(site)
 		} else {
-			a.grantIsolation()
+			resp.grantPermit()
 		}
 	}
 	return nil
 }
 
-// restrictToSite puts the site of the crash before all candidates. If the caller
+// addCrashSite puts the site of the crash before all candidates. If the caller
 // holds a key, the VM of the key, which decides on the key, stays first and the
 // site becomes the only other candidate.
-func (a *Response) restrictToSite(site topo.VM) {
-	if a.req.Key == nil {
-		a.candidates = append([]topo.VM{site}, a.candidates...)
+func (resp *Response) addCrashSite(site topo.VM) {
+	if resp.req.Key == nil {
+		resp.candidates = append([]topo.VM{site}, resp.candidates...)
 		return
 	}
-	a.candidates = append(a.candidates[:1:1], site)
+	resp.candidates = append(resp.candidates[:1:1], site)
 }
 
-// grantIsolation permits a suspect whose crash site has left the list to run alone
+// grantPermit permits a suspect whose crash site has left the list to run alone
 // at the VM that ranks first for its fingerprint, which is the same at all routers
 // with the same list.
-func (a *Response) grantIsolation() {
-	if a.pool == nil || a.req.Key != nil {
+func (resp *Response) grantPermit() {
+	if resp.pool == nil || resp.req.Key != nil {
 		return
 	}
-	a.isolationGranted = true
-	vms := a.router.rankUpstreams(time.Now(), a.pool, a.fingerprint)
-	a.candidates = append(vms[:1:1], a.candidates...)
+	resp.hasPermit = true
+	vms := resp.router.rankUpstreams(time.Now(), resp.pool, resp.fingerprint)
+	resp.candidates = append(vms[:1:1], resp.candidates...)
 }
 
 // reassign returns the site of the crash if the request is a suspect and the site
 // is listed, else vm.
-func (a *Response) reassign(vm topo.VM) topo.VM {
-	ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint)
+func (resp *Response) reassign(vm topo.VM) topo.VM {
+	ruling, _ := resp.router.suspects.decide(time.Now(), resp.fingerprint)
 	if ruling.Action != quarantine.Redirect {
 		return vm
 	}
-	if site, ok := a.view.VMs[ruling.VM]; ok {
+	if site, ok := resp.view.VMs[ruling.VM]; ok {
 		return site
 	}
 	return vm
@@ -153,26 +153,26 @@
 // offered to, before the caller gets its answer and can send the request again.
 // Otherwise a request that is resent at once through another router would crash
 // the next upstream.
-func (a *Response) reportCrash(at *attempt, err *verdict.Error) {
+func (resp *Response) reportCrash(at *attempt, err *verdict.Error) {
 	if err.Reason != verdict.ReasonUpstreamFailed || err.Verdict == verdict.NotRun {
 		return
 	}
-	evidence := a.router.suspects.evidence(time.Now(), a.fingerprint)
+	evidence := resp.router.suspects.evidence(time.Now(), resp.fingerprint)
 	if len(evidence) == 0 {
 		return
 	}
-	if ruling, _ := a.router.suspects.decide(time.Now(), a.fingerprint); ruling.Action == quarantine.Refuse {
-		go a.router.storeConviction(a.fingerprint)
+	if ruling, _ := resp.router.suspects.decide(time.Now(), resp.fingerprint); ruling.Action == quarantine.Refuse {
+		go resp.router.storeConviction(resp.fingerprint)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, vm := range a.resendTargets() {
+	for _, vm := range resp.resendTargets() {
 		if vm.ID == at.vm.ID {
 			continue
 		}
 		wg.Go(func() {
-			if a.router.peer(vm).Call(ctx, wire.MethodReport, wire.Report{Suspects: evidence}, nil) == nil {
+			if resp.router.peer(vm).Call(ctx, wire.MethodReport, wire.Report{Suspects: evidence}, nil) == nil {
 				crashReports.Inc(reportDelivered)
 			} else {
 				crashReports.Inc(reportLost)
@@ -185,44 +185,44 @@
 // returnPermit reports to the site of a crash that its permission to run the
 // request alone elsewhere will not be used, because no sidecar has admitted the
 // request.
-func (a *Response) returnPermit(at *attempt) {
+func (resp *Response) returnPermit(at *attempt) {
 	if !at.hasPermit || at.crashSite.ID == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	unused := wire.Leave{Fingerprint: a.fingerprint, Nonce: at.permitNonce}
-	_ = a.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
+	unused := wire.Leave{Fingerprint: resp.fingerprint, Nonce: at.permitNonce}
+	_ = resp.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
 }
 
 // resendTargets returns the VMs that a resent request would be offered to first by
 // this router, and by a router of each failure domain that knows no loads.
-func (a *Response) resendTargets() []topo.VM {
+func (resp *Response) resendTargets() []topo.VM {
 	seen := make(map[string]topo.VM)
-	for _, vm := range a.candidates[:min(resendTargetsPerRouter, len(a.candidates))] {
+	for _, vm := range resp.candidates[:min(resendTargetsPerRouter, len(resp.candidates))] {
 		seen[vm.ID] = vm
 	}
-	if a.pool != nil {
-		a.addDomainTargets(seen)
+	if resp.pool != nil {
+		resp.addDomainTargets(seen)
 	}
 	delete(seen, "") // the VM of a key that is not in the list
 	return slices.Collect(maps.Values(seen))
 }
 
 // addDomainTargets adds the first choices of a router of each failure domain.
-func (a *Response) addDomainTargets(seen map[string]topo.VM) {
-	members := a.pool.members
+func (resp *Response) addDomainTargets(seen map[string]topo.VM) {
+	members := resp.pool.members
 	domains := make(map[string]bool)
-	for _, vm := range a.pool.VMs {
+	for _, vm := range resp.pool.VMs {
 		domains[vm.FailureDomain] = true
 	}
-	q := placement.Query{Session: a.session, Ticket: placement.None, Random: a.candidateSeed()}
+	q := placement.Query{Session: resp.session, Ticket: placement.None, Random: resp.candidateSeed()}
 	for domain := range domains {
 		p := placement.NewPool(members, placement.Locality{Domain: domain})
 		var out [placement.MaxCandidates]int
 		n := p.Choose(time.Now(), load.NewTable(), q, &out)
 		for _, i := range out[:min(resendTargetsPerRouter, n)] {
-			seen[a.pool.VMs[i].ID] = a.pool.VMs[i]
+			seen[resp.pool.VMs[i].ID] = resp.pool.VMs[i]
 		}
 	}
 }
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -54,13 +54,13 @@
 // View returns a view of the present state. It returns the previous one if nothing in
 // it has changed.
 func (s *State) View() *View {
-	mark, recent := s.follower.Set().Summary(), s.follower.Ready()
-	same := s.view.Version == mark.Version && s.view.Digest == mark.Digest && s.view.ConfigRecent == recent
+	summary, recent := s.follower.Set().Summary(), s.follower.Ready()
+	same := s.view.Version == summary.Version && s.view.Digest == summary.Digest && s.view.ConfigRecent == recent
 	if s.stale == (staleParts{}) && same {
 		return s.view
 	}
 	v := *s.view
-	v.Version, v.Digest, v.ConfigRecent = mark.Version, mark.Digest, recent
+	v.Version, v.Digest, v.ConfigRecent = summary.Version, summary.Digest, recent
 	if s.stale.profiles {
 		v.Profiles = maps.Clone(s.profiles)
 		v.hosts = profile.ByHost(s.profiles)
@@ -159,8 +159,8 @@
 	return permission == condition.Never
 }
 
-func newPool(upstreams []upstream, b *loadReports, t *balance.Tracker, self placement.Locality) *Pool {
-	p := &Pool{loadReports: b, tracker: t, locality: self, listed: make(map[string]condition.Set, len(upstreams))}
+func newPool(upstreams []upstream, reports *loadReports, t *balance.Tracker, self placement.Locality) *Pool {
+	p := &Pool{loadReports: reports, tracker: t, locality: self, listed: make(map[string]condition.Set, len(upstreams))}
 	var ids []load.VM
 	for _, u := range upstreams {
 		m := u.member()
@@ -170,7 +170,7 @@
 			p.serving = append(p.serving, m.VM)
 		}
 	}
-	b.retain(ids)
+	reports.retain(ids)
 	t.Keep(ids)
 	p.placed = placement.NewPool(p.members, self)
 	return p
--- a/internal/router/warming.go
+++ b/internal/router/warming.go
@@ -21,8 +21,8 @@
 // routerCount returns how many routers may send to an upstream. Most routers read the register
 // only at their start, and routers come and go, so the larger of the two counts is used: too
 // large a count makes each router's share smaller, too small a count would break the limit.
-func (w *coldStart) routerCount(regions int) int {
-	return int(max(w.registeredRouters.Load(), w.reportedRouters.Load())) * max(regions, 1)
+func (c *coldStart) routerCount(regions int) int {
+	return int(max(c.registeredRouters.Load(), c.reportedRouters.Load())) * max(regions, 1)
 }
 
 // warmupLimit returns the limit on requests from all routers to a cold upstream of a pool.
