--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -12,10 +12,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Response is an upstream's answer on its way to the caller. It carries out the
-// effects that package dispatch decides on. The goroutine that calls Next owns
-// it; each effect that waits for an upstream runs on a goroutine of its own until
-// it has an outcome.
+// Response is a request that is dispatched to upstreams, and the response of one of
+// them on its way to the caller. It carries out the effects that package dispatch
+// decides on. The goroutine that calls Next owns it; each effect that waits for an
+// upstream runs on a goroutine of its own until it has an outcome.
 type Response struct {
 	router        *Router
 	transport     transport
@@ -26,22 +26,22 @@
 	targets       []target // direct upstreams only: the latest choice, best first
 	view          *View
 	candidates    []topo.VM
-	home          string // id of the upstream that ranks first
-	session       uint64
+	home          string  // id of the upstream that ranks first
+	session       uint64  // hash of the session; zero: none
 	sessionShare  float64 // lower estimate of the session's fraction of the pool's requests
 	shareCounted  bool    // the request was counted in sessionShare
-	isLikelyRetry bool    // the caller was probably rejected before
-	fingerprint   uint64
-	suspect       bool   // the request may have crashed an upstream and runs alone
-	hasPermit     bool   // the request may run alone at the upstream it is offered to
-	resumeOffset  int64  // offset in an earlier answer to resume from
-	release       func() // gives back the organisation's concurrency
+	isLikelyRetry bool    // the request is probably the retry of a rejected one
+	fingerprint   uint64  // hash of the content; zero: not known
+	suspect       bool    // the request may have crashed an upstream and runs alone
+	hasPermit     bool    // the suspect may run alone at a VM other than the crash site
+	resumeOffset  int64   // offset in an earlier response to resume from
+	release       func()  // ends its count against the organisation's concurrency limit
 
 	started         time.Time
-	timeToFirstByte time.Duration // from started to the first piece for the caller; zero: none yet
-	bytesSent       int64         // to the caller
-	endLogged       bool          // the end of the request is logged
-	basis           placement.Basis
+	timeToFirstByte time.Duration   // from started to the first piece for the caller; zero: none yet
+	bytesSent       int64           // to the caller
+	endLogged       bool            // the end of the request is logged
+	basis           placement.Basis // direct upstreams only: the values behind the latest choice
 	caller          context.Context
 	ctx             context.Context // ends at Close
 	stop            context.CancelFunc
@@ -49,9 +49,9 @@
 	attempts        []*attempt
 	outcomes        chan outcome
 	winner          *attempt
-	framer          *eventstream.Framer // of an answer that another upstream may continue
-	result          *verdict.Error      // once state is finished; nil: the answer is complete
-	end             *wire.End
+	framer          *eventstream.Framer // of a response that another upstream may continue
+	result          *verdict.Error      // once state is finished; nil: the response is complete
+	end             *wire.End           // the last piece; nil: not received yet
 }
 
 // outcome is an event of an attempt.
@@ -61,7 +61,7 @@
 	last    bool           // the attempt's goroutine has ended
 }
 
-// post passes an outcome to the Answer. It returns false if the Answer was closed
+// post passes an outcome to the Response. It returns false if the Response was closed
 // or the attempt dropped.
 func (resp *Response) post(o outcome) bool {
 	select {
@@ -72,7 +72,7 @@
 	}
 }
 
-// run processes the request until its answer starts or it fails for good.
+// run processes the request until its response starts or it fails for good.
 func (resp *Response) run() error {
 	resp.step(dispatch.Began{Now: time.Now()})
 	for resp.winner == nil && !resp.state.Finished() {
@@ -182,7 +182,7 @@
 	}
 }
 
-// Close releases the answer and its attempts. If the answer is incomplete, the
+// Close releases the response and its attempts. If the response is incomplete, the
 // request is cancelled unless it may go on without its caller.
 func (resp *Response) Close() {
 	resp.logEnd()
@@ -201,8 +201,8 @@
 	resp.release()
 }
 
-// handleCallerGone cancels the request of a caller that left before its answer
-// was complete. The request goes on if the caller may come back for the answer,
+// handleCallerGone cancels the request of a caller that left before its response
+// was complete. The request goes on if the caller may come back for the response,
 // because it holds the key or has received the request's id. A write goes on as
 // well: an interrupted write is of no use to anybody.
 func (resp *Response) handleCallerGone() {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -47,11 +47,11 @@
 	// submit sends an attempt, for the first time or again, and returns the
 	// outcome, or nil if there is nothing to decide.
 	submit(at *attempt) dispatch.Event
-	// attach asks for the rest of an attempt's answer.
+	// attach asks for the rest of an attempt's response.
 	attach(at *attempt) dispatch.Event
 	// cancel ends the work that an attempt may have started at its upstream.
 	cancel(at *attempt)
-	// handleEnd processes the end of an attempt's answer.
+	// handleEnd processes the end of an attempt's response.
 	handleEnd(at *attempt, end *wire.End)
 }
 
@@ -63,7 +63,7 @@
 	tracker *balance.Tracker // direct upstreams only: tracker of their pool
 }
 
-// stream is the answer to an attempt, read piece by piece.
+// stream is the response to an attempt, read piece by piece.
 type stream interface {
 	Next(ctx context.Context) (wire.Piece, error)
 	Close()
@@ -71,11 +71,11 @@
 
 // attempt is one attempt to have an upstream run a request. While busy, its fields
 // other than gate are owned by the goroutine that carries out an effect, else by
-// the Answer.
+// the Response.
 type attempt struct {
 	ctx         context.Context
 	stop        context.CancelFunc
-	busy        bool // a goroutine is carrying out an effect; owned by the Answer
+	busy        bool // a goroutine is carrying out an effect; owned by the Response
 	number      int
 	vm          topo.VM
 	donor       topo.VM
@@ -84,15 +84,15 @@
 	call        wire.Call
 	chainIndex  int       // position in the chain of successor keys
 	key         *wire.Key // nil until generated
-	hasPermit   bool      // the site of a crash permits the request to run alone at another VM
+	hasPermit   bool      // the crash site permits the request to run alone at another VM
 	crashSite   topo.VM
-	permitNonce token.Nonce // nonce of the key that the permission was given to
+	permitNonce token.Nonce // nonce of the key that the permit is for
 	gate        sendGate
 	withheldErr *verdict.Error // direct upstreams only: why it was not sent
 	resends     int            // how often it was submitted again because it had not been sent
 	stream      stream
-	readAhead   []wire.Piece // pieces that were read before the answer is delivered
-	offset      int64        // offset in the answer of the next byte for the caller
+	readAhead   []wire.Piece // pieces that were read before the response is delivered
+	offset      int64        // offset in the response of the next byte for the caller
 	headSent    bool         // the head has been sent to the caller
 	lastEventID string       // direct upstreams only: id of the last event that the caller has received
 	span        telemetry.Span
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -139,7 +139,7 @@
 
 func (idleSidecar) HandleFrame(*wire.Conn, wire.Frame) {}
 
-// BenchmarkOpenAnswer measures the memory of an answer that waits for its next piece,
+// BenchmarkOpenAnswer measures the memory of a response that waits for its next piece,
 // with the goroutine that reads it, without the caller's HTTP connection.
 func BenchmarkOpenAnswer(b *testing.B) {
 	for _, streams := range []int{1000, 4000, 10000} {
--- a/internal/router/conditions.go
+++ b/internal/router/conditions.go
@@ -22,7 +22,7 @@
 		"Attempts that were not sent to the upstream that was chosen, by what speaks against it by now.")
 )
 
-// handleSignal applies the signals about an upstream that came in the headers of its answer.
+// handleSignal applies the signals about an upstream that came in the headers of its response.
 func (d directTransport) handleSignal(at *attempt, signal exchange.Signal) {
 	d.recordReportedLoad(at, signal)
 	now, vm := time.Now(), at.vm.ID
@@ -76,8 +76,9 @@
 	return listed
 }
 
-// conditionsOf returns all present conditions of an upstream of a pool except Suspected: the
-// choice of an upstream compares its outcomes with those of the others.
+// conditionsOf returns the present conditions of an upstream of a pool. It leaves out Suspected,
+// which the pool's tracker derives from the outcomes of all its upstreams and applies itself
+// when it chooses one.
 func (r *Router) conditionsOf(now time.Time, p *Pool, id string) condition.Set {
 	s := p.listedConditions(id).Union(r.conditions.Conditions(now, id))
 	if r.isAtWarmupLimit(now, p, id) {
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -28,7 +28,7 @@
 	return d, err
 }
 
-// handleSidecarCall answers the calls of sidecars.
+// handleSidecarCall handles the calls of sidecars.
 func (r *Router) handleSidecarCall(ctx context.Context, vm topo.VM, m wire.Method, params wire.Params) (any, error) {
 	if m != wire.MethodConfigSince {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "unknown method %q", m)
--- a/internal/router/direct.go
+++ b/internal/router/direct.go
@@ -19,7 +19,7 @@
 // requests, so a request whose connection is lost after it was sent may have run.
 type directTransport struct{ *Response }
 
-// directStream is the answer of a direct upstream. Reading ends with the context of its
+// directStream is the response of a direct upstream. Reading ends with the context of its
 // attempt.
 type directStream struct {
 	*exchange.Stream
@@ -139,7 +139,7 @@
 	return c
 }
 
-// failureEvent returns the event for a call that failed without an answer.
+// failureEvent returns the event for a call that failed without a response.
 func (d directTransport) failureEvent(at *attempt, err *verdict.Error) dispatch.Event {
 	now := time.Now()
 	switch {
@@ -167,7 +167,7 @@
 	return verdict.New(verdict.NotRun, reason, "the upstream refused with status %d", status)
 }
 
-// awaitFirstByte waits for the first byte of an answer, which counts as an outcome of the
+// awaitFirstByte waits for the first byte of a response, which counts as an outcome of the
 // attempt, and returns the event for it.
 func (d directTransport) awaitFirstByte(at *attempt, s *exchange.Stream) dispatch.Event {
 	at.readAhead = nil
@@ -200,7 +200,7 @@
 	}
 }
 
-// lostEvent returns the event for an answer whose connection broke before its first byte; nil
+// lostEvent returns the event for a response whose connection broke before its first byte; nil
 // if this router closed it.
 func (d directTransport) lostEvent(at *attempt) dispatch.Event {
 	if at.ctx.Err() != nil {
--- a/internal/router/directoffer.go
+++ b/internal/router/directoffer.go
@@ -16,7 +16,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// isDirect reports whether the upstreams of a request have no sidecar.
+// isDirect reports whether the upstreams of a request have no sidecar. It also does so if
+// the request's pool has no upstream and this router can call upstreams without a sidecar.
 func (r *Router) isDirect(view *View, req *Request) bool {
 	if r.config.Direct == nil {
 		return false
@@ -119,7 +120,7 @@
 	return verdict.New(verdict.NotRun, verdict.ReasonQueueFull, "the answer is expected to begin after %v only", resp.estimatedStart()).WithRetryAfter(retryAfter)
 }
 
-// estimatedStart returns the estimated time until the first byte of the answer, at most an hour.
+// estimatedStart returns the estimated time until the first byte of the response, at most an hour.
 func (resp *Response) estimatedStart() time.Duration {
 	seconds := min(resp.basis.EstimatedStart, time.Hour.Seconds())
 	return time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
@@ -201,9 +202,9 @@
 	return resp.pool.VMs[c.Donor]
 }
 
-// recordReportedLoad records the load that an upstream reports, plus one: the request that it
-// answers has only just started and is not included. Of 5.9 requests at an upstream, the heads
-// of answers reported 4.7.
+// recordReportedLoad records the load that an upstream reports in the head of a response, plus
+// one: the request of that response has only just started and is not included. Of 5.9 requests
+// at an upstream, the heads of responses reported 4.7.
 func (d directTransport) recordReportedLoad(at *attempt, signal exchange.Signal) {
 	if signal.Load != nil {
 		at.tracker.SetSlots(signal.Load.Slots)
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -65,8 +65,8 @@
 	resp.launchWithKey(at, key, effect)
 }
 
-// reattach asks for the rest of an attempt's answer. If there is no such attempt,
-// it asks for the answer to an earlier request, from resumeOffset on.
+// reattach asks for the rest of an attempt's response. If there is no such attempt,
+// it asks for the response to an earlier request, from resumeOffset on.
 func (resp *Response) reattach(e dispatch.Attach) {
 	if e.Attempt < len(resp.attempts) {
 		resp.launch(resp.attempts[e.Attempt], e.Retry, resp.transport.attach)
@@ -77,9 +77,9 @@
 	resp.launchWithKey(at, *resp.req.Key, resp.transport.attach)
 }
 
-// deliver makes an attempt's answer the one that goes to the caller. If no other
-// upstream may continue the answer, it also drops the request's body, so that it
-// is not kept in memory for the minutes that an answer may take.
+// deliver makes an attempt's response the one that goes to the caller. If no other
+// upstream may continue the response, it also drops the request's body, so that it
+// is not kept in memory for the minutes that a response may take.
 func (resp *Response) deliver(at *attempt, resumable bool) {
 	resp.winner = at
 	if resumable {
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -10,10 +10,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// concurrencyShareMultiple is the multiple of its even share of an organisation's
-// concurrency that a router admits, because the balancer does not spread callers
-// evenly. The fleet admits at most the larger of concurrencyShareMultiple times the limit
-// and one request per router.
+// concurrencyShareMultiple is how much of an organisation's concurrency limit one router
+// admits, as a multiple of the limit's even part for each router. It is above 1 because the
+// balancer does not spread callers evenly. The fleet admits at most the larger of
+// concurrencyShareMultiple times the limit and one request per router.
 const concurrencyShareMultiple = 2
 
 // limits enforces the concurrency of organisations and the retry budgets of
@@ -50,7 +50,8 @@
 	}
 }
 
-// routerShare returns one router's share of a limit.
+// routerShare returns how many requests one router admits if limit holds for all routers:
+// concurrencyShareMultiple even parts of it, but not more than the limit itself.
 func routerShare(limit, routers int) int {
 	if routers <= 1 {
 		return limit
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -71,7 +71,7 @@
 	return math.Round(x*10) / 10
 }
 
-// logEvent logs an event if it is the failure of an attempt. decided tells whether
+// logEvent logs an event if it is the failure of an attempt. decided reports whether
 // the failure had effects, such as another attempt or the end of the request.
 func (resp *Response) logEvent(e dispatch.Event, decided bool) {
 	switch e := e.(type) {
--- a/internal/router/lookup.go
+++ b/internal/router/lookup.go
@@ -20,7 +20,7 @@
 	MaxMintedKeys = 1000
 )
 
-// Resume returns the answer to an earlier request of org, from offset on. It
+// Resume returns the response to an earlier request of org, from offset on. It
 // never runs the request again.
 func (r *Router) Resume(ctx context.Context, org *profile.Organisation, key wire.Key, offset int64) (*Response, error) {
 	view := r.View()
--- a/internal/router/mesh.go
+++ b/internal/router/mesh.go
@@ -60,7 +60,9 @@
 	meshShareReceived     meshKind = "share-heard"
 )
 
-// mesh carries out the relay's effects and serves other routers.
+// mesh connects a router with the others: it carries out the relay's effects, and handles
+// messages and calls. The router that this one follows instead of reading the store is its
+// parent; those that follow this one are its subscribers.
 type mesh struct {
 	Mesh
 	router     *Router
@@ -71,7 +73,7 @@
 	register   *register.Registrar
 
 	// The control loop owns the fields below.
-	lastReport   []byte    // latest report to the routers that rely on this one
+	lastReport   []byte    // latest report to the subscribers
 	lastReportAt time.Time // when lastReport was built
 	nextReportAt time.Time // earliest time of the next report
 	nextPool     int       // first pool of the next report, in the order of names
@@ -242,7 +244,7 @@
 	}
 }
 
-// meshCalls answers the calls of other routers. It implements wire.Handler.
+// meshCalls handles the calls of other routers. It implements wire.Handler.
 type meshCalls struct{ mesh *mesh }
 
 // HandleCall implements wire.Handler.
--- a/internal/router/notice.go
+++ b/internal/router/notice.go
@@ -34,8 +34,8 @@
 	Connect bool // open a connection if there is none; else the notice is only sent over an existing one
 }
 
-// NoticeAccepted is an Event: a sidecar has accepted a notice, or is left to the
-// routers that are connected to it.
+// NoticeAccepted is an Event: a sidecar has accepted a notice, or this router need not
+// send it, because it is not connected to the sidecar and other routers are to connect.
 type NoticeAccepted struct {
 	VM     string
 	Notice wire.Notice
@@ -104,8 +104,10 @@
 	}
 }
 
-// mustConnect reports whether this router is one of the noticeConnectors that rank
-// highest for a VM. Routers with the same list agree on which these are.
+// mustConnect reports whether this router has to connect to a VM's sidecar in order to send
+// it a notice: whether it is among the noticeConnectors that rank highest for the VM. Routers
+// with the same list agree on which these are. A router that is not in the list need not
+// connect, unless the list has no routers at all.
 func (s *State) mustConnect(vm string) bool {
 	ownRank, listed, higher, routers := noticeRank(s.vm, vm), false, 0, 0
 	for _, r := range s.vms.Entries {
--- a/internal/router/offer.go
+++ b/internal/router/offer.go
@@ -18,7 +18,7 @@
 	"Answers that were attached to anew because the connection to their sidecar was lost.")
 
 // Dispatch sends the request to an upstream and returns when the first piece
-// of the answer has arrived. The caller of Dispatch closes the Answer. ctx ends
+// of the response has arrived. The caller of Dispatch closes the Response. ctx ends
 // when the caller of the request is gone.
 func (r *Router) Dispatch(ctx context.Context, req Request) (*Response, error) {
 	view := r.View()
@@ -49,7 +49,7 @@
 	return resp, nil
 }
 
-// newResponse returns the Answer of a request to upstreams with sidecars, not yet run.
+// newResponse returns the Response of a request to upstreams with sidecars, not yet run.
 func (r *Router) newResponse(caller context.Context, view *View, req Request) *Response {
 	now := time.Now()
 	resp := &Response{
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -18,7 +18,7 @@
 	vm, addr string
 }
 
-// peer returns the Peer for a VM's sidecar.
+// peer returns the Peer for a VM's sidecar, or for the parent router.
 func (r *Router) peer(vm topo.VM) *wire.Peer {
 	ep := endpoint{vm: vm.ID, addr: vm.Addr}
 	r.mu.Lock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// closePeers closes all connections to sidecars.
+// closePeers closes all connections to sidecars and to other routers.
 func (r *Router) closePeers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/pieces.go
+++ b/internal/router/pieces.go
@@ -12,8 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Next returns the next piece of the answer. A piece with an End is the last
-// one; an error means that the answer is incomplete and stays so.
+// Next returns the next piece of the response. A piece with an End is the last
+// one; an error means that the response is incomplete and stays so.
 func (resp *Response) Next() (wire.Piece, error) {
 	for !resp.state.Finished() {
 		p, ok, err := resp.nextPieceOrEvent()
@@ -30,11 +30,11 @@
 	return wire.Piece{End: resp.end}, nil
 }
 
-// nextPieceOrEvent returns the next piece of the answer that is being delivered, or
+// nextPieceOrEvent returns the next piece of the response that is being delivered, or
 // processes an event. It reports whether there is a piece for the caller.
 func (resp *Response) nextPieceOrEvent() (wire.Piece, bool, error) {
 	at := resp.winner
-	if at == nil { // an attempt at another upstream is to continue the answer
+	if at == nil { // an attempt at another upstream is to continue the response
 		return wire.Piece{}, false, resp.waitForEvent()
 	}
 	if len(at.readAhead) > 0 {
@@ -71,8 +71,9 @@
 	return wire.Piece{}, false, nil
 }
 
-// handleStall handles a stream that has paused for too long. The stream is abandoned
-// only if another upstream continues it: a pause alone is no reason to end an answer.
+// handleStall handles a stream that has paused for longer than its stall timeout. The
+// stream is abandoned only if another upstream continues it: a pause alone is no reason to
+// end a response. If none does, the timeout is switched off.
 func (resp *Response) handleStall(at *attempt) {
 	if resp.framer.Discard() {
 		resp.step(dispatch.Stalled{Now: time.Now(), Attempt: at.number})
@@ -86,7 +87,8 @@
 // the caller, so that no other upstream can continue it.
 var errPartialEvent = verdict.New(verdict.Ran, verdict.ReasonCancelled, "the stream broke off within an event that is too long to hold back")
 
-// readPiece reads the next piece from the upstream, until the request's deadline.
+// readPiece reads the next piece from the stream of the winning attempt, until the request's
+// deadline.
 func (resp *Response) readPiece() (wire.Piece, error) {
 	if resp.winner.stream == nil {
 		return wire.Piece{}, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "not attached")
@@ -100,7 +102,9 @@
 }
 
 // forward accounts for a piece and reports whether it goes to the caller. The
-// head arrives again with each attach, but is sent to the caller only once.
+// head arrives again with each attach, but is sent to the caller only once. A stream that
+// another upstream may continue is forwarded in whole events, unless one is too long; bytes
+// that are still buffered at its regular end are sent before the End.
 func (resp *Response) forward(p wire.Piece) (wire.Piece, bool, error) {
 	at := resp.winner
 	if resp.timeToFirstByte == 0 {
--- a/internal/router/relay.go
+++ b/internal/router/relay.go
@@ -54,14 +54,14 @@
 	unusable map[string]string
 }
 
-// membersRetryFactor is how many times longer the follower of entries waits than the
-// follower of the configuration before it calls a store again that does not answer. An
-// answer to one of the two lets the other call at once, so during an outage it is enough
-// that one of them retries often.
+// membersRetryFactor is how many times longer than the follower of the configuration the
+// follower of entries waits before it retries a failed call to the store. A response to one
+// of the two lets the other call at once, so during an outage it is enough that one of them
+// retries often.
 const membersRetryFactor = 4
 
-// failingStoreCalls is the number of consecutive calls without an answer after which the
-// store counts as failing. One is not enough, because a single answer may be lost.
+// failingStoreCalls is the number of consecutive calls without a response after which the
+// store counts as failing. One is not enough, because a single response may be lost.
 const failingStoreCalls = 2
 
 // EnableRelay makes the State follow the entries of upstreams in the same way as the
@@ -100,7 +100,8 @@
 	return out
 }
 
-// RegisteredRouters returns the number of listed routers of the region; zero: not known.
+// RegisteredRouters returns the number of routers of the region in the register; zero: not
+// known.
 func (s *State) RegisteredRouters() int {
 	if s.relayState == nil {
 		return 0
@@ -108,7 +109,8 @@
 	return s.relayState.relay.ListedRouters()
 }
 
-// onParentReport passes the parent's marks of both sets to the followers.
+// onParentReport passes the parent's summaries of the configuration and of the entries to the
+// followers.
 func (s *State) onParentReport(now time.Time, e relay.ParentProgress) []Effect {
 	peer := config.Peer(e.Parent.Name)
 	out := s.stepConfig(config.SummaryReceived{Now: now, Peer: peer, Summary: e.Progress[relay.SetConfig].Summary})
@@ -137,10 +139,10 @@
 			s.onStoreRestored(now)
 			out = append(out, MembersEffect{Effect: effect})
 		case config.StoreRecovered:
-			// If this router relies on another one that could still read the store, there
-			// was no outage and no entry has expired. If entries were kept as after an
-			// outage, an upstream whose entry is removed now would get new work for longer
-			// than it serves.
+			// After an outage, entries are kept although they have expired. If this router
+			// relies on another one that could still read the store, there was no outage
+			// and no entry has expired. To keep entries then would send new work to an
+			// upstream whose entry is removed now, for longer than it serves.
 			if !r.relay.HasParent() {
 				r.entries.StoreRecovered(now)
 			}
@@ -193,7 +195,8 @@
 	return s.Step(VMsChanged{Now: now, VMs: topo.VMs{Entries: vms}})
 }
 
-// reportProgress passes to the relay how far this router has followed both sets.
+// reportProgress passes to the relay how far this router has followed the configuration and
+// the entries.
 func (s *State) reportProgress(now time.Time) []Effect {
 	if s.relayState == nil || now.IsZero() {
 		return nil
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -16,20 +16,21 @@
 const (
 	// deadlineMargin is how much earlier than the router a sidecar ends a
 	// request at its deadline. The sidecar knows whether the request has run, so
-	// its answer should arrive before the router has to report that it does not
+	// its response should arrive before the router has to report that it does not
 	// know.
 	deadlineMargin = 50 * time.Millisecond
-	// hedgeFraction is the fraction of its objective that an idempotent read waits
-	// for its first byte before it is also sent to a second upstream: an answer of the
-	// usual duration still arrives in time then. Of calls that take 15 ms with an
+	// hedgeFraction is the fraction of the objective after which an idempotent read
+	// that has no first byte yet is also sent to a second upstream. A response of
+	// typical duration still arrives in time then. Of calls that take 15 ms with an
 	// objective of 100 ms, 1 in 30 is hedged.
 	hedgeFraction = 0.5
-	// switchFraction is the fraction of its objective that a resumable stream waits for
-	// its first byte before it is moved to another upstream. Of requests for notes
-	// with an objective of 400 ms, whose first byte takes 75 ms, 1 in 100 is moved.
+	// switchFraction is the fraction of the objective after which a resumable stream
+	// that has no first byte yet is moved to another upstream. Of streams with an
+	// objective of 400 ms whose first byte takes 75 ms, 1 in 100 is moved.
 	switchFraction = 0.75
-	// pauseFraction is the fraction of its profile's longest pause that a resumable
-	// stream waits for its next event before it is moved. Events are 20 ms apart.
+	// pauseFraction is the fraction of the longest pause that the profile allows after
+	// which a resumable stream without a new event is moved to another upstream.
+	// Events of a healthy stream are 20 ms apart.
 	pauseFraction = 0.75
 	// marginDivisor limits the margin to 1/marginDivisor of a short deadline.
 	marginDivisor = 10
@@ -44,16 +45,16 @@
 	Key     *wire.Key // request key that the caller holds; nil: none
 	Call    wire.Call
 
-	// The fields below are for upstreams without a sidecar.
+	// The fields below, except Trace, are only used for upstreams without a sidecar.
 
-	ID            string        // of this attempt of the caller; a repeat has another one
+	ID            string        // request id; a caller's retry has another one
 	Host          string        // host name that the caller used
 	Urgency       int           // as in package exchange
-	Arrived       time.Time     // start of its deadlines
+	Arrived       time.Time     // arrival time, from which its deadlines count
 	CallerTimeout time.Duration // how long the caller waits from Arrived on; zero: not known
-	LastEventID   string        // id of the last event that the caller has received of an earlier answer
+	LastEventID   string        // id of the last event that the caller has received of an earlier response
 	CallerGone    func() bool   // reports whether the caller has closed its connection; nil: not known
-	Trace         string        // W3C traceparent, also for upstreams with a sidecar; empty: none
+	Trace         string        // W3C traceparent; empty: none
 }
 
 // regions returns the regions where the request may run: those that both its profile and its
@@ -115,9 +116,9 @@
 	return now.Add(d)
 }
 
-// mayBeRetry reports whether the caller may be retrying: it has less time than a first
-// attempt would have, by more than the objective, so its answer is late already. Callers with
-// a shorter timeout than others can't be told apart from those.
+// mayBeRetry reports whether the request may be the retry of a rejected one: its caller waits
+// for less than the profile's deadline, by more than the objective, so the response is late
+// already. A first request of a caller with so short a timeout looks the same.
 func (r *Request) mayBeRetry() bool {
 	return r.CallerTimeout > 0 && r.Profile.Deadline.Std()-r.CallerTimeout > r.Profile.Objective.Std()
 }
@@ -159,8 +160,9 @@
 	}
 }
 
-// upstreamTimeLeft returns the part of the time until a deadline that a sidecar may
-// use, at least a millisecond; zero: there is no deadline.
+// upstreamTimeLeft returns the time that a sidecar or upstream has until a deadline, at least
+// a millisecond; zero: there is no deadline. It leaves a margin of deadlineMargin, or of
+// 1/marginDivisor of the total time up to the deadline if that is less.
 func upstreamTimeLeft(at, now time.Time, total time.Duration) time.Duration {
 	if at.IsZero() {
 		return 0
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -7,8 +7,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/profile"
 )
 
-// A stream that continues at another upstream, after a failure or because its caller came back
-// for the rest, has no objective for its first byte.
+// Guards against an objective for the first byte of a stream that continues at another upstream,
+// after a failure or because its caller came back for the rest: the stream would be deferred
+// behind other requests, and pause until its caller gives up.
 func TestOnlyNewStreamsHaveAnObjective(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	p := &profile.Profile{Objective: profile.Duration(objective)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,7 +47,7 @@
 	Source follow.Source
 	// Decode decodes the objects of Source; nil: they are in the format of parsleyctl.
 	Decode func(topo.Object) (profile.Object, error)
-	// ConfigTiming sets the rate of calls to the store; zero: config.DefaultPace.
+	// ConfigTiming sets when the store is called; zero: config.DefaultTiming.
 	ConfigTiming config.Timing
 	// VMListInterval is the interval between two readings of the list of VMs; zero:
 	// defaultVMListInterval.
@@ -77,8 +77,9 @@
 	Retries retry.Rule
 	// LoadMultiple is the load bound of an upstream, as a multiple of the pool's mean.
 	LoadMultiple float64
-	// WarmupOverage times the pool's warm-up rate plus WarmupSlack is how many requests
-	// a second a cold upstream may get from all routers together.
+	// WarmupOverage and WarmupSlack set how many requests a second a cold upstream may
+	// get from all routers together: WarmupOverage times the pool's warm-up rate, plus
+	// WarmupSlack.
 	WarmupOverage, WarmupSlack float64
 	// Regions is the number of the platform's regions; zero counts as one. A router
 	// knows only the number of routers in its own region.
@@ -221,8 +222,9 @@
 	}
 }
 
-// onStoreRestored handles a store that has lost its last seconds: this router checks its entry
-// in the register, and writes its recent claims again.
+// onStoreRestored handles a store that was restored from an older copy and so has lost its
+// latest writes: this router checks its entry in the register, and writes its recent claims
+// again.
 func (r *Router) onStoreRestored() {
 	if r.mesh != nil {
 		r.mesh.register.RequestCheck()
--- a/internal/router/sharing.go
+++ b/internal/router/sharing.go
@@ -12,11 +12,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/balance"
 )
 
-// sharingMessage is the state that routers share with each other beside the sets that they
-// follow.
+// sharingMessage is the state that routers share with each other, apart from the objects that
+// they follow (the configuration and the entries of upstreams).
 type sharingMessage struct {
 	Pools []sharedPool `cbor:"1,keyasint,omitempty"`
-	// Leaving holds the hashes of the ids of upstreams that have announced in answers that
+	// Leaving holds the hashes of the ids of upstreams that have announced in responses that
 	// they are leaving.
 	Leaving []uint64 `cbor:"3,keyasint,omitempty"`
 	// Routers is the number of routers of the region that the sender knows.
@@ -29,7 +29,7 @@
 	Loads []byte `cbor:"3,keyasint,omitempty"`
 	// Outcomes holds the outcomes of requests at upstreams.
 	Outcomes []byte `cbor:"4,keyasint,omitempty"`
-	// Speeds holds the speeds of engines.
+	// Speeds holds the stream slowdown of engines.
 	Speeds []byte `cbor:"5,keyasint,omitempty"`
 }
 
@@ -37,20 +37,19 @@
 	// reportInterval is how long a report is reused before it is built again: messages to many
 	// routers are sent at the same moment.
 	reportInterval = 20 * time.Millisecond
-	// maxSharingBytes bounds the pools in one message, in bytes, because a message is one
-	// datagram. One pool takes at most 1,000.
+	// maxSharingBytes is up to how many bytes of pools are put into one message, because a
+	// message is one datagram. A single pool always fits: it takes at most 1,000 bytes.
 	maxSharingBytes = 1000
-	// maxLeavingShared bounds how many leaving upstreams one message names, at 9 bytes each. It
-	// names the latest ones; the others were named in earlier messages.
+	// maxLeavingShared bounds how many leaving upstreams one message names, at 9 bytes each: the
+	// latest ones. The others were named in earlier messages.
 	maxLeavingShared = 24
-	// reportBytesPerSecond bounds the rate of reports to each router that relies on this one. Of
-	// the 4 KB a second that control traffic may take, beats and that router's own reports need
-	// 1.2.
+	// reportBytesPerSecond bounds the rate of reports to each subscriber. Of the 4 KB a second
+	// that its control traffic may take, beats and its own reports need 1.2 KB.
 	reportBytesPerSecond = 2800
 )
 
-// reportForSubscribers returns the report to the routers that rely on this one; nil: none now. If
-// the pools do not fit into one message, successive reports cover them in turn.
+// reportForSubscribers returns the report to this router's subscribers; nil: none now. If the
+// pools do not fit into one message, successive reports cover them in turn.
 func (m *mesh) reportForSubscribers(now time.Time) []byte {
 	if now.Sub(m.lastReportAt) < reportInterval {
 		return m.lastReport
@@ -157,12 +156,12 @@
 	return b
 }
 
-// shareSource tells which router has sent a sharingMessage.
+// shareSource is the relation of this router to the sender of a sharingMessage.
 type shareSource uint8
 
 const (
-	fromParent     shareSource = iota // the parent, which this router relies on
-	fromSubscriber                    // a router that relies on this one
+	fromParent     shareSource = iota // the sender is the parent
+	fromSubscriber                    // the sender is a subscriber
 )
 
 // mergeSharing adds the state that another router has sent. Data that can't be decoded comes
--- a/internal/router/sharing_test.go
+++ b/internal/router/sharing_test.go
@@ -42,8 +42,9 @@
 	return p.tracker.Load(now, load.Hash(id))
 }
 
-// A router observes a load and reports it to the router that it relies on, which reports it to
-// a third one, through the encoded messages between routers.
+// A router observes a load and reports it to its parent, which reports it to another subscriber,
+// through the encoded messages between routers. Guards against a load that gets lost on the way:
+// the third router would know only the loads that it observed itself.
 func TestLoadsAreRelayedThroughTheParent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, parent, third := newTestMesh("a", "b"), newTestMesh("a", "b"), newTestMesh("a", "b")
@@ -76,8 +77,9 @@
 	}
 }
 
-// A router reports all of 30 pools of 100 upstreams, and no message is too long for a
-// datagram: a message that is too long would not be sent at all.
+// The loads of 30 pools of 100 upstreams do not fit into one message. Guards against a message
+// that is too long for a datagram, which would not be sent at all, and against pools that are
+// never reported because others fill each message.
 func TestManyPoolsAreReportedInTurn(t *testing.T) {
 	const pools, upstreams = 30, 100
 	parent, other := newTestMesh(), newTestMesh()
@@ -109,8 +111,8 @@
 	}
 }
 
-// A router may receive 4 KB of control traffic a second. Reports of loads must not exceed
-// their part of that, however large and many the pools are.
+// A router may receive 4 KB of control traffic a second. Guards against reports of loads that
+// take more than their part of it, because pools are large or many or their loads change often.
 func TestReportsKeepToTheirRate(t *testing.T) {
 	for _, c := range []struct{ pools, upstreams int }{{1, 5}, {1, 117}, {22, 132}} {
 		m := newTestMesh()
@@ -136,8 +138,8 @@
 	}
 }
 
-// While upstreams come and go, the lists of routers differ for a moment. Loads of upstreams
-// that are not in a router's own list are ignored.
+// While upstreams come and go, the lists of routers differ for a moment. Guards against the load
+// of an upstream that only the sender lists being counted for one that the receiver lists.
 func TestLoadsOfUnlistedUpstreamsAreIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	older, newer := newTestMesh("a", "b"), newTestMesh("b", "c")
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -14,7 +14,7 @@
 )
 
 // sidecarTransport sends attempts to the sidecars of upstreams. A sidecar records each
-// request by its key, so a request or an answer that was lost can be sent or asked for
+// request by its key, so a request or a response that was lost can be sent or asked for
 // again.
 type sidecarTransport struct{ *Response }
 
@@ -139,7 +139,7 @@
 	return err != nil && adm.Error == nil && verdict.From(err).Reason == verdict.ReasonNoUpstream
 }
 
-// refusalEvent returns the event for a failed call. An answer of the sidecar has
+// refusalEvent returns the event for a failed call. A response of the sidecar has
 // an error in its admission or a reason other than ReasonConnection; everything
 // else is a lost connection.
 func (s sidecarTransport) refusalEvent(at *attempt, adm wire.Admission, err error) dispatch.Event {
@@ -168,7 +168,7 @@
 }
 
 // awaitFirstPiece waits for the first piece after the head of an admitted
-// attempt's answer, and returns the event for it. Until then nothing is sent to
+// attempt's response, and returns the event for it. Until then nothing is sent to
 // the caller, so that an idempotent request can still be tried at another
 // upstream.
 func (s sidecarTransport) awaitFirstPiece(at *attempt, stream *wire.Stream, adm wire.Admission) dispatch.Event {
@@ -176,7 +176,7 @@
 	s.router.handleControl(time.Now(), at.vm, adm.Control)
 	s.post(outcome{attempt: at, event: dispatch.Admitted{Attempt: at.number}})
 	if at.headSent {
-		return nil // Answer.Next reads the rest
+		return nil // Response.Next reads the rest
 	}
 	at.readAhead = nil
 	for {
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -1,5 +1,5 @@
 // Package router implements the role of a router: it follows the configuration and
-// the list of upstreams, sends each request to an upstream, and returns the answer
+// the list of upstreams, sends each request to an upstream, and returns the response
 // or an error that says whether the request may have run.
 //
 // State is the control state. It handles events and returns effects, without I/O.
@@ -83,7 +83,7 @@
 	Effect config.Effect
 }
 
-// ConfigReply answers a ConfigQueried.
+// ConfigReply is the reply to a ConfigQueried.
 type ConfigReply struct {
 	Ticket uint64
 	Delta  config.Delta
@@ -120,8 +120,8 @@
 	profiles, orgs, pools bool
 }
 
-// NewState returns the empty State of a router on a VM at a locality. pace sets the
-// rate of its calls to the store, and seed their jitter.
+// NewState returns the empty State of a router on a VM at a locality. timing sets when
+// its follower calls the store, and seed the jitter of these calls.
 func NewState(vm string, self placement.Locality, timing config.Timing, seed uint64) *State {
 	return &State{
 		vm:          vm,
@@ -192,7 +192,7 @@
 	s.firstSeen = firstSeen
 }
 
-// answerQuery answers the query of a peer for objects, and passes its mark to the
+// answerQuery replies to a peer's query for objects, and passes the summary in it to the
 // follower of the configuration.
 func (s *State) answerQuery(e ConfigQueried) []Effect {
 	if e.Set == relay.SetMembers {
@@ -202,7 +202,7 @@
 		return []Effect{ConfigReply{Ticket: e.Ticket, Delta: s.relayState.members.Set().Answer(e.Query)}}
 	}
 	var effects []Effect
-	if e.Peer != "" { // empty for routers, which learn each other's marks from beats
+	if e.Peer != "" { // empty for routers, which learn each other's summaries from beats
 		effects = s.stepConfig(config.SummaryReceived{Now: e.Now, Peer: e.Peer, Summary: e.Query.Summary})
 	}
 	return append(effects, ConfigReply{Ticket: e.Ticket, Delta: s.follower.Set().Answer(e.Query)})
@@ -257,8 +257,9 @@
 }
 
 // assumeUndrainedCold handles the withdrawal of orders to drain failure domains. The
-// upstreams there may have become cold shortly before, so they count as cold for
-// their warm-up time, or until they have written their entries again.
+// upstreams there may have become cold shortly before, without their entries showing it
+// yet. So they count as cold for their warm-up time, or until they have written their
+// entries again.
 func (s *State) assumeUndrainedCold(now time.Time, orders []DomainOrder) []Effect {
 	if s.relayState == nil {
 		return nil
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -22,9 +22,9 @@
 	maxSuspectsBytes = 256
 	// reportTimeout bounds a report of a crash, for which a caller has to wait.
 	reportTimeout = 500 * time.Millisecond
-	// resendTargetsPerRouter is how many upstreams one router may offer a resent
-	// request first: either of two random upstreams, of which it takes the less
-	// loaded one, or the home upstream and the VM of the ticket.
+	// resendTargetsPerRouter is the number of upstreams of which one is a router's
+	// first choice for a resent request: with a session, the home upstream and the VM
+	// of the ticket; without, two random upstreams, of which the less loaded is chosen.
 	resendTargetsPerRouter = 2
 )
 
@@ -43,7 +43,9 @@
 	reportLost      reportOutcome = "lost"
 )
 
-// suspects is the router's quarantine.Book. It is safe for concurrent use.
+// suspects holds what this router knows of requests that may crash upstreams. It is a
+// quarantine.Book that is safe for concurrent use. Suspected upstreams, which fail more
+// requests than others, have nothing to do with it.
 type suspects struct {
 	mu   sync.Mutex
 	book *quarantine.Table
@@ -90,9 +92,11 @@
 	s.book.Expire(now)
 }
 
-// applyQuarantine returns an error for a convicted request. It sends a suspect to
-// the site of the crash only (later attempts go there as well, see reassign), or
-// grants it isolation if that VM has left the list.
+// applyQuarantine returns an error for a convicted request. A suspect may only run
+// alone, at the site of the crash: all routers that know of the suspicion know this
+// VM, so its sidecar gets all copies of the request and runs them one by one.
+// applyQuarantine makes it the first candidate (reassign sends later attempts there
+// as well), or permits the suspect to run alone elsewhere if the VM has left the list.
 func (resp *Response) applyQuarantine(now time.Time) *verdict.Error {
 	ruling, _ := resp.router.suspects.decide(now, resp.fingerprint)
 	switch ruling.Action {
@@ -113,7 +117,7 @@
 	return nil
 }
 
-// addCrashSite puts the site of the crash before all candidates. If the caller
+// addCrashSite makes the site of the crash the first candidate. If the caller
 // holds a key, the VM of the key, which decides on the key, stays first and the
 // site becomes the only other candidate.
 func (resp *Response) addCrashSite(site topo.VM) {
@@ -150,7 +154,7 @@
 }
 
 // reportCrash reports a crash to the sidecars that a resent request would be
-// offered to, before the caller gets its answer and can send the request again.
+// offered to, before the caller gets its response and can send the request again.
 // Otherwise a request that is resent at once through another router would crash
 // the next upstream.
 func (resp *Response) reportCrash(at *attempt, err *verdict.Error) {
@@ -182,9 +186,8 @@
 	wg.Wait()
 }
 
-// returnPermit reports to the site of a crash that its permission to run the
-// request alone elsewhere will not be used, because no sidecar has admitted the
-// request.
+// returnPermit reports to the site of a crash that its permit to run the request
+// alone elsewhere will not be used, because no sidecar has admitted the request.
 func (resp *Response) returnPermit(at *attempt) {
 	if !at.hasPermit || at.crashSite.ID == "" {
 		return
--- a/internal/router/suspicions.go
+++ b/internal/router/suspicions.go
@@ -32,7 +32,7 @@
 	return topo.VM{}
 }
 
-// countsAsOutcome reports whether an answer's status counts as a success or failure of the
+// countsAsOutcome reports whether a response's status counts as a success or failure of the
 // upstream. A 504 doesn't: it means that the time limit which came with the request has passed,
 // and that limit may have been short.
 func countsAsOutcome(status int) bool {
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -29,19 +29,20 @@
 	PoolSpecs    map[string]*profile.Pool // by pool
 	Leaving      map[string]bool          // VMs that are to leave
 	ConfigCopies map[string]bool          // VMs whose sidecars keep a copy of the configuration
-	Routers      int                      // number of routers in the list of VMs, at least one
+	Routers      int                      // routers in the list of VMs that are not leaving, at least one
 }
 
-// Pool holds the upstreams of one pool that may get requests, with their load reports and
-// conditions. Its contents are immutable but for loadReports, tracker and byRegions, which are
-// safe for concurrent use.
+// Pool holds the upstreams of one pool, with their load reports and conditions. Upstreams with
+// a sidecar that are leaving or drained are not in it; those without one are, because others can
+// still fetch cached prompts from them. Its contents are immutable but for loadReports, tracker
+// and byRegions, which are safe for concurrent use.
 type Pool struct {
 	VMs         []topo.VM
 	members     []placement.Member // in the order of VMs
 	placed      *placement.Pool    // of members
 	loadReports *loadReports
 	tracker     *balance.Tracker
-	serving     []load.VM // upstreams that are not leaving
+	serving     []load.VM // upstreams that are neither leaving nor drained
 
 	locality  placement.Locality
 	byRegions sync.Map // *Pool of the upstreams in some regions, by the key of the regions
--- a/internal/router/warming.go
+++ b/internal/router/warming.go
@@ -14,7 +14,7 @@
 // coldStart limits how many requests this router sends to upstreams that have just started.
 type coldStart struct {
 	limiter           *warmup.Limiter
-	registeredRouters atomic.Int64 // routers of the region according to the register; zero: not read yet
+	registeredRouters atomic.Int64 // routers of the region in the register; zero: not read yet
 	reportedRouters   atomic.Int64 // the same, as reported by this router's parent; zero: not reported yet
 }
 
