--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -71,7 +71,7 @@
 	Control       []ControlRate `json:"control"`
 	Quarantined   []Quarantined `json:"quarantined,omitempty"`
 	// Unread are words of other systems that came and that the router does not read.
-	Unread []vocabulary.Unread `json:"unread,omitempty"`
+	Unread []vocabulary.UnknownWord `json:"unread,omitempty"`
 }
 
 // ConfigStatus is how far a router follows the configuration.
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -164,10 +164,10 @@
 
 // callerConnections returns how many connections of callers a router keeps.
 func callerConnections(p platform.Settings) int {
-	if p.Descriptors == 0 {
+	if p.MaxDescriptors == 0 {
 		return defaultCallers
 	}
-	return max(1, int(callerShare*float64(p.Descriptors-spareFiles)))
+	return max(1, int(callerShare*float64(p.MaxDescriptors-spareFiles)))
 }
 
 // Serve serves callers on l until Stop.
@@ -184,7 +184,7 @@
 // the platform's grace is nearly over.
 func (e *Entry) Stop(ctx context.Context) error {
 	delay := e.settings.DrainDelay.D
-	plan := stopPlan{delay: delay, timeout: max(e.platform.Grace-delay-stopMargin, 0)}
+	plan := stopPlan{delay: delay, timeout: max(e.platform.GracePeriod-delay-stopMargin, 0)}
 	return plan.stop(ctx, e.health, e.server.Server)
 }
 
@@ -227,7 +227,7 @@
 
 // memberTiming returns how long entries of upstreams count.
 func memberTiming(p platform.Settings, on policy.Policy) membership.Timing {
-	t := membership.Timing{OutageGrace: lapseHold, MaxRenewInterval: p.HeartbeatGap + renewMargin}
+	t := membership.Timing{OutageGrace: lapseHold, MaxRenewInterval: p.HeartbeatInterval + renewMargin}
 	if on.Linger {
 		t.Linger = p.DrainBound
 	}
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -55,7 +55,7 @@
 		Config:        n.router.ledger.Status(),
 		Control:       controlRates(now.Sub(n.started)),
 		Quarantined:   n.router.suspects.quarantined(now),
-		Unread:        vocabulary.All(),
+		Unread:        vocabulary.UnknownWords(),
 	}
 	for name, out := range n.upstreams() {
 		var p admin.PoolStatus
--- a/internal/topo/dialect.go
+++ b/internal/topo/dialect.go
@@ -97,8 +97,8 @@
 
 // Head implements Dialect.
 func (Plain) Head(status int, header http.Header) Head {
-	plainStatuses.Status(status, plainSource)
-	plainHeaders.Headers(header, plainSource)
+	plainStatuses.CheckStatus(status, plainSource)
+	plainHeaders.CheckHeaders(header, plainSource)
 	return Head{Era: ParseEra(header.Get(EraHeader)), RetryAfter: ParseRest(status, header.Get(RetryAfterHeader))}
 }
 
@@ -128,17 +128,17 @@
 	plainHeaders = vocabulary.New("header of the object API's answer",
 		vocabulary.Word{Name: EraHeader, Reader: "topo.Plain.Head"},
 		vocabulary.Word{Name: RetryAfterHeader, Reader: "topo.Plain.Head"},
-		vocabulary.Word{Name: "Content-Type", Why: "answers have one form"},
-		vocabulary.Word{Name: "Content-Length", Why: "net/http reads it"},
-		vocabulary.Word{Name: "Transfer-Encoding", Why: "net/http reads it"},
-		vocabulary.Word{Name: "Connection", Why: "net/http reads it"},
-		vocabulary.Word{Name: "X-Content-Type-Options", Why: "it is for browsers"},
-		vocabulary.Word{Name: "Date", Why: "clocks differ"},
+		vocabulary.Word{Name: "Content-Type", IgnoreReason: "answers have one form"},
+		vocabulary.Word{Name: "Content-Length", IgnoreReason: "net/http reads it"},
+		vocabulary.Word{Name: "Transfer-Encoding", IgnoreReason: "net/http reads it"},
+		vocabulary.Word{Name: "Connection", IgnoreReason: "net/http reads it"},
+		vocabulary.Word{Name: "X-Content-Type-Options", IgnoreReason: "it is for browsers"},
+		vocabulary.Word{Name: "Date", IgnoreReason: "clocks differ"},
 	)
 	plainStatuses = vocabulary.New("status of the object API's answer",
 		vocabulary.Word{Name: "200", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "304", Reader: "topo.statusError"},
-		vocabulary.Word{Name: "400", Why: "handled like any other refusal"},
+		vocabulary.Word{Name: "400", IgnoreReason: "handled like any other refusal"},
 		vocabulary.Word{Name: "404", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "409", Reader: "topo.statusError"},
 		vocabulary.Word{Name: "410", Reader: "topo.statusError"},
--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -30,8 +30,8 @@
 	Name string
 	// Reader is what reads it: a function or a type, as "package.Name" or "package.Type.Method".
 	Reader string
-	// Why nothing reads it, if that is so.
-	Why string
+	// IgnoreReason nothing reads it, if that is so.
+	IgnoreReason string
 }
 
 const (
@@ -71,8 +71,8 @@
 // Words returns the words of the Table.
 func (t *Table) Words() []Word { return slices.Clone(t.words) }
 
-// Headers takes in the headers of a message, and of what it was a part.
-func (t *Table) Headers(h http.Header, of string) {
+// CheckHeaders takes in the headers of a message, and of what it was a part.
+func (t *Table) CheckHeaders(h http.Header, of string) {
 	for name := range h {
 		if !t.known[name] {
 			t.unread(name, of)
@@ -80,16 +80,16 @@
 	}
 }
 
-// Status takes in the status of an answer.
-func (t *Table) Status(status int, of string) {
+// CheckStatus takes in the status of an answer.
+func (t *Table) CheckStatus(status int, of string) {
 	if !t.statuses[status] {
 		t.unread(strconv.Itoa(status), of)
 	}
 }
 
-// Fields takes in the fields of a JSON object. Large ones are not looked at, nor all of many
+// CheckFields takes in the fields of a JSON object. Large ones are not looked at, nor all of many
 // that come at once. What is no object has no fields.
-func (t *Table) Fields(object []byte, of string) {
+func (t *Table) CheckFields(object []byte, of string) {
 	if len(object) > mostLooked || !t.looks.Allow() {
 		return
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Unreadable takes in that the value of a word makes no sense.
-func (t *Table) Unreadable(word, value, of string) {
+// ReportMalformed takes in that the value of a word makes no sense.
+func (t *Table) ReportMalformed(word, value, of string) {
 	t.unread(word+": "+clip(value), of)
 }
 
@@ -136,27 +136,27 @@
 	return out
 }
 
-// Unread is a word that nothing reads.
-type Unread struct {
-	Place string    `json:"place"`
-	Word  string    `json:"word"`
-	Of    string    `json:"of"` // the message in which it came first
-	First time.Time `json:"first"`
-	Count int       `json:"count"`
+// UnknownWord is a word that nothing reads.
+type UnknownWord struct {
+	Place   string    `json:"place"`
+	Word    string    `json:"word"`
+	Message string    `json:"of"` // the message in which it came first
+	First   time.Time `json:"first"`
+	Count   int       `json:"count"`
 }
 
 // seen is the unread words of the process.
 var seen struct {
 	mu    sync.Mutex
-	words []Unread
+	words []UnknownWord
 }
 
-// All returns the words that have come and that nothing reads, by place and word.
-func All() []Unread {
+// UnknownWords returns the words that have come and that nothing reads, by place and word.
+func UnknownWords() []UnknownWord {
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
 	out := slices.Clone(seen.words)
-	slices.SortFunc(out, func(a, b Unread) int { return strings.Compare(a.Place+a.Word, b.Place+b.Word) })
+	slices.SortFunc(out, func(a, b UnknownWord) int { return strings.Compare(a.Place+a.Word, b.Place+b.Word) })
 	return out
 }
 
@@ -173,6 +173,6 @@
 	if len(seen.words) >= mostUnread {
 		return
 	}
-	seen.words = append(seen.words, Unread{Place: t.place, Word: word, Of: of, First: time.Now(), Count: 1})
+	seen.words = append(seen.words, UnknownWord{Place: t.place, Word: word, Message: of, First: time.Now(), Count: 1})
 	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", of)
 }
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -10,7 +10,7 @@
 // unreadAt returns the unread words of a place, with how often they came.
 func unreadAt(place string) []string {
 	var out []string
-	for _, u := range All() {
+	for _, u := range UnknownWords() {
 		if u.Place == place {
 			out = append(out, fmt.Sprint(u.Word, " ", u.Count))
 		}
@@ -22,11 +22,11 @@
 func TestUnreadWordsAreNoticed(t *testing.T) {
 	table := New("test", Word{Name: "Known"}, Word{Name: "200"}, Word{Name: "state"})
 	for range 2 {
-		table.Headers(http.Header{"Known": {"1"}, "New": {"1"}}, "a")
-		table.Status(http.StatusOK, "a")
-		table.Status(http.StatusTeapot, "a")
-		table.Fields([]byte(`{"state": {"deep": 1}, "born": 5}`), "a")
-		table.Unreadable("Known", "soon", "a")
+		table.CheckHeaders(http.Header{"Known": {"1"}, "New": {"1"}}, "a")
+		table.CheckStatus(http.StatusOK, "a")
+		table.CheckStatus(http.StatusTeapot, "a")
+		table.CheckFields([]byte(`{"state": {"deep": 1}, "born": 5}`), "a")
+		table.ReportMalformed("Known", "soon", "a")
 	}
 	want := []string{"418 2", "Known: soon 2", "New 2", "born 2"}
 	if got := unreadAt("test"); !slices.Equal(got, want) {
@@ -47,9 +47,9 @@
 func TestLooksAreBounded(t *testing.T) {
 	table := New("objects")
 	for range 40 * looksPerSecond {
-		table.Fields([]byte(`{"unknown": 1}`), "a")
+		table.CheckFields([]byte(`{"unknown": 1}`), "a")
 	}
-	for _, u := range All() {
+	for _, u := range UnknownWords() {
 		if u.Place == "objects" && u.Count > 10*looksPerSecond {
 			t.Errorf("%d objects were looked at", u.Count)
 		}
@@ -60,9 +60,9 @@
 func TestUnreadWordsAreBounded(t *testing.T) {
 	table := New("many")
 	for i := range 10 * mostUnread {
-		table.Headers(http.Header{fmt.Sprint("X-", i): {"1"}}, "a")
+		table.CheckHeaders(http.Header{fmt.Sprint("X-", i): {"1"}}, "a")
 	}
-	if n := len(All()); n > mostUnread {
+	if n := len(UnknownWords()); n > mostUnread {
 		t.Errorf("%d words are remembered", n)
 	}
 }
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -15,8 +15,8 @@
 // settle ends all troubles and waits until each router does as the newest
 // configuration says.
 func (w *world) settle() {
-	w.store.Outage(nil)
-	w.store.Lose(0)
+	w.store.SetOutage(nil)
+	w.store.LoseWriteResponses(0)
 	for c := range int(chanceCount) {
 		w.setChance(c, false)
 	}
@@ -39,14 +39,14 @@
 // until each router does as the first configuration after that says.
 func (w *world) settleRestore() {
 	const lostChanges = 30
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	for range lostChanges {
 		w.reconfigure()
 	}
 	w.settleConfiguration()
-	lost := w.store.Copy()
+	lost := w.store.Snapshot()
 	w.store.Restore(c)
-	w.store.WriteAgain(c, lost, "config")
+	w.store.RewriteLost(c, lost, "config")
 	w.reconfigure()
 	w.settleConfiguration()
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -102,7 +102,7 @@
 	}
 	r := live[w.intN(len(live))]
 	r.saysLeaving.Store(true)
-	r.Say(leavingLine)
+	r.SetExtraHeaders(leavingLine)
 	time.Sleep(w.between(10*time.Millisecond, time.Second))
 	w.announce(r, "ready")
 	time.Sleep(w.between(10*time.Millisecond, 2*time.Second))
@@ -224,9 +224,9 @@
 // refuseStore lets the store refuse everybody.
 func (w *world) refuseStore() {
 	status := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[w.intN(2)]
-	w.store.Outage(func(string) int { return status })
+	w.store.SetOutage(func(string) int { return status })
 	time.Sleep(w.between(200*time.Millisecond, 2*time.Second))
-	w.store.Outage(nil)
+	w.store.SetOutage(nil)
 }
 
 // lapse is after how long without a heartbeat the store drops a runner's entry.
@@ -240,23 +240,23 @@
 		return
 	}
 	defer w.drill.Unlock()
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	time.Sleep(w.between(10*time.Millisecond, 2*time.Second))
-	w.store.Outage(func(string) int { return http.StatusServiceUnavailable })
+	w.store.SetOutage(func(string) int { return http.StatusServiceUnavailable })
 	time.Sleep(w.between(10*time.Millisecond, time.Second))
-	lost := w.store.Copy()
+	lost := w.store.Snapshot()
 	w.store.Restore(c)
-	w.store.Outage(nil)
+	w.store.SetOutage(nil)
 	for _, kind := range []string{"config", drained, "servers"} {
 		time.Sleep(w.between(time.Millisecond, 300*time.Millisecond))
-		w.store.WriteAgain(c, lost, kind)
+		w.store.RewriteLost(c, lost, kind)
 	}
-	w.store.RemoveAgain(c, lost, drained)
+	w.store.RemoveRestored(c, lost, drained)
 	time.Sleep(lapse)
-	w.store.RemoveAgain(c, lost, "servers")
+	w.store.RemoveRestored(c, lost, "servers")
 }
 
-func (w *world) loseStoreAnswers() { w.store.Lose(1 + w.intN(3)) }
+func (w *world) loseStoreAnswers() { w.store.LoseWriteResponses(1 + w.intN(3)) }
 
 func (w *world) cutRunner() {
 	live := w.liveRunners()
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -201,7 +201,7 @@
 		r.asked = append(r.asked, request{attempt: req.Header.Get("Attempt-Id"), span: span{now, until}})
 		r.mu.Unlock()
 	}
-	r.Head(c, req, http.StatusServiceUnavailable, lines...)
+	r.WriteHead(c, req, http.StatusServiceUnavailable, lines...)
 	return true
 }
 
@@ -231,7 +231,7 @@
 		return nil, err
 	}
 	r := &runner{Runner: fake.StartRunner(l, id, p.addr()), proxy: p, born: time.Now().UnixMilli()}
-	r.Behave(w.act(r))
+	r.SetHandler(w.act(r))
 	w.mu.Lock()
 	if len(w.calls) > 0 {
 		r.warm = time.Now().Add(coldFor)
@@ -245,45 +245,45 @@
 func (w *world) announce(r *runner, state string) {
 	w.store.Put("servers", r.ID, map[string]any{
 		"service": "llm", "address": r.proxy.addr(), "zone": r.zone(), "version": "v1",
-		"slots": 16, "state": state, "warmup_left_ms": max(0, time.Until(r.warm).Milliseconds()), "sequence": r.Write(), "born": r.born,
+		"slots": 16, "state": state, "warmup_left_ms": max(0, time.Until(r.warm).Milliseconds()), "sequence": r.NextSequence(), "born": r.born,
 	})
 }
 
 // act answers with what names the attempt, so that an answer that went to another
 // caller shows.
-func (w *world) act(r *runner) fake.Act {
-	return func(c net.Conn, req *http.Request, body string) fake.Acted {
+func (w *world) act(r *runner) fake.Handler {
+	return func(c net.Conn, req *http.Request, body string) fake.HandlerResult {
 		if r.refuse(c, req) {
-			return fake.Kept
+			return fake.KeepOpen
 		}
-		r.Note(req, body)
+		r.RecordRun(req, body)
 		id := req.Header.Get("Attempt-Id")
 		if w.unlucky(loseAnswer) {
-			return fake.Closed
+			return fake.CloseConn
 		}
 		if len(req.URL.Path) < 8 || req.URL.Path[:8] != "/stream/" {
 			time.Sleep(w.work())
 			text := plainAnswer(r.ID, id)
-			r.Head(c, req, http.StatusOK, "Content-Length: "+strconv.Itoa(len(text)))
+			r.WriteHead(c, req, http.StatusOK, "Content-Length: "+strconv.Itoa(len(text)))
 			fmt.Fprint(c, text)
 			if w.unlucky(extraAnswer) {
-				r.Head(c, req, http.StatusOK, "Content-Length: 5")
+				r.WriteHead(c, req, http.StatusOK, "Content-Length: 5")
 				fmt.Fprint(c, "extra")
 			}
-			return fake.Kept
+			return fake.KeepOpen
 		}
-		r.Head(c, req, http.StatusOK, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
+		r.WriteHead(c, req, http.StatusOK, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 		begin, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 		for i := begin + 1; i <= streamEvents; i++ {
 			time.Sleep(w.work())
 			if w.unlucky(tearStream) {
 				fmt.Fprint(c, "40\r\nid: ")
-				return fake.Closed
+				return fake.CloseConn
 			}
-			fake.Chunk(c, streamEvent(streamName(req), i))
+			fake.WriteChunk(c, streamEvent(streamName(req), i))
 		}
 		fmt.Fprint(c, "0\r\n\r\n")
-		return fake.Kept
+		return fake.KeepOpen
 	}
 }
 
