--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -59,7 +59,7 @@
 // earlier claim if it is Found.
 func (c *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	key, outcome, err := c.create(ctx, ref, proposed)
-	if err == nil && c.mayMissClaims(time.Now(), topo.EraOf(c.store)) {
+	if err == nil && c.recordEra(time.Now(), topo.EraOf(c.store)) {
 		return wire.Key{}, StoreRestored, errors.Errorf("claim: an earlier claim %s may have been lost in a restore of the store", ref)
 	}
 	return key, outcome, err
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -54,12 +54,12 @@
 // ObserveEra records the era of the store, so that the first claim of a router does not
 // mistake it for a new one.
 func (c *Claimer) ObserveEra(now time.Time, era topo.Era) {
-	c.mayMissClaims(now, era)
+	c.recordEra(now, era)
 }
 
-// mayMissClaims records the era of the store, and reports whether claims that a restore
+// recordEra records the era of the store, and reports whether claims that a restore
 // lost may not have been recreated yet.
-func (c *Claimer) mayMissClaims(now time.Time, era topo.Era) bool {
+func (c *Claimer) recordEra(now time.Time, era topo.Era) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if era > c.era {
@@ -88,7 +88,7 @@
 // RecreateLost recreates those of this router's recent claims that the store has lost.
 func (c *Claimer) RecreateLost(ctx context.Context) {
 	now := time.Now()
-	c.mayMissClaims(now, topo.EraOf(c.store))
+	c.recordEra(now, topo.EraOf(c.store))
 	c.mu.Lock()
 	recent := slices.Clone(c.recent(now))
 	c.mu.Unlock()
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -17,7 +17,7 @@
 		first, second := NewClaimer(store), NewClaimer(store)
 		ref := Ref("org", "pay-once")
 		snapshot := store.Copy()
-		ran, outcome, err := first.Claim(t.Context(), ref, wire.Key{VM: "a"})
+		firstKey, outcome, err := first.Claim(t.Context(), ref, wire.Key{VM: "a"})
 		if err != nil || outcome != Created {
 			t.Fatal(outcome, err)
 		}
@@ -27,7 +27,7 @@
 		}
 		first.RecreateLost(t.Context())
 		time.Sleep(RestoreGrace)
-		if key, outcome, err := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Found || key != ran {
+		if key, outcome, err := second.Claim(t.Context(), ref, wire.Key{VM: "b"}); outcome != Found || key != firstKey {
 			t.Errorf("claim after the grace: %s %+v, %v; want found, with the key of the first claim", outcome, key, err)
 		}
 	})
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -79,27 +79,27 @@
 		return
 	}
 	a.Org = "a"
-	f := table.Lookup(time.Unix(now, 0), a)
+	result := table.Lookup(time.Unix(now, 0), a)
 	switch {
-	case f.Outcome == Unseen && rapid.Bool().Draw(t, "admit"):
+	case result.Outcome == Unseen && rapid.Bool().Draw(t, "admit"):
 		k.attempt.Fingerprint = a.Fingerprint
 		k.admitted++
 		k.live = true
 		table.Admit(a)
-	case f.Outcome == Unseen:
+	case result.Outcome == Unseen:
 		k.attempt.Fingerprint = a.Fingerprint
 		k.notRun = true
 		table.Reject(a, verdict.ReasonOverBound)
-	case f.Outcome == Rejected && f.Err.Verdict == verdict.NotRun:
+	case result.Outcome == Rejected && result.Err.Verdict == verdict.NotRun:
 		k.notRun = true
-	case a.Fingerprint != k.attempt.Fingerprint && f.Outcome != Rejected:
-		t.Fatalf("lookup of a different request under a known key: %v, want a rejection", f.Outcome)
+	case a.Fingerprint != k.attempt.Fingerprint && result.Outcome != Rejected:
+		t.Fatalf("lookup of a different request under a known key: %v, want a rejection", result.Outcome)
 	}
 	if k.admitted > 1 || (k.admitted > 0 && k.notRun) {
 		t.Fatalf("key admitted %d times, answered not-run: %v", k.admitted, k.notRun)
 	}
-	if k.live && a.Fingerprint == k.attempt.Fingerprint && f.Outcome != Live && f.Outcome != Unseen {
-		t.Fatalf("lookup of a running request: %v, want live", f)
+	if k.live && a.Fingerprint == k.attempt.Fingerprint && result.Outcome != Live && result.Outcome != Unseen {
+		t.Fatalf("lookup of a running request: %v, want live", result)
 	}
 	if table.Len() > table.limit && len(table.evictable) > 0 {
 		t.Fatalf("%d entries, limit %d", table.Len(), table.limit)
@@ -107,9 +107,9 @@
 }
 
 func checkOtherOrganisation(t *rapid.T, table *Table, a Attempt, now int64) {
-	f := table.Lookup(time.Unix(now, 0), a)
-	if f.Outcome != Rejected || f.Successor != nil {
-		t.Fatalf("lookup of another organisation's key: %v, want a rejection without a successor", f)
+	result := table.Lookup(time.Unix(now, 0), a)
+	if result.Outcome != Rejected || result.Successor != nil {
+		t.Fatalf("lookup of another organisation's key: %v, want a rejection without a successor", result)
 	}
 }
 
@@ -157,18 +157,18 @@
 					next := newKey()
 					a.Successor = &next
 				}
-				f := tableOf(c.key).Lookup(now, a)
-				if f.Outcome == Unseen && rapid.Bool().Draw(t, "admit") {
+				result := tableOf(c.key).Lookup(now, a)
+				if result.Outcome == Unseen && rapid.Bool().Draw(t, "admit") {
 					tableOf(c.key).Admit(a)
 					runs++
 					c.done, c.verdict = true, verdict.Ran
 					return
 				}
-				if f.Outcome == Unseen {
+				if result.Outcome == Unseen {
 					tableOf(c.key).Reject(a, verdict.ReasonOverBound)
-					f = tableOf(c.key).Lookup(now, a)
+					result = tableOf(c.key).Lookup(now, a)
 				}
-				c.follow(f)
+				c.follow(result)
 			},
 			"traffic": func(t *rapid.T) {
 				k := newKey()
@@ -183,13 +183,13 @@
 	})
 }
 
-func (c *requestCopy) follow(f Result) {
-	switch f.Outcome {
+func (c *requestCopy) follow(result Result) {
+	switch result.Outcome {
 	case Moved:
-		c.key = *f.Successor
+		c.key = *result.Successor
 		c.links++
 	case Rejected:
-		c.done, c.verdict = true, f.Err.Verdict
+		c.done, c.verdict = true, result.Err.Verdict
 	default:
 		c.done, c.verdict = true, verdict.Ran
 	}
--- a/internal/lease/calls_test.go
+++ b/internal/lease/calls_test.go
@@ -15,10 +15,10 @@
 	for i := range routers {
 		names = append(names, fmt.Sprint("entry-", i))
 	}
-	w := &simulation{}
+	sim := &simulation{}
 	candidates := 0
 	for _, n := range names {
-		w.candidates = append(w.candidates, &candidate{id: n, state: NewState(n, DefaultTTL), clockPermille: 1000})
+		sim.candidates = append(sim.candidates, &candidate{id: n, state: NewState(n, DefaultTTL), clockPermille: 1000})
 	}
 	isCandidate := make(map[string]bool)
 	for _, n := range names {
@@ -28,19 +28,19 @@
 		}
 	}
 	for range minutes * 60 {
-		for _, c := range w.candidates {
-			w.step(c, Tick{Now: w.clock(c), IsCandidate: isCandidate[c.id]})
+		for _, c := range sim.candidates {
+			sim.step(c, Tick{Now: sim.clock(c), IsCandidate: isCandidate[c.id]})
 		}
-		w.answerAll()
-		w.now += time.Second
+		sim.answerAll()
+		sim.now += time.Second
 	}
-	writes := len(slices.DeleteFunc(slices.Clone(w.calls), func(k *call) bool { _, put := k.effect.(Put); return !put }))
+	writes := len(slices.DeleteFunc(slices.Clone(sim.calls), func(k *call) bool { _, put := k.effect.(Put); return !put }))
 	seconds := float64(minutes * 60)
-	t.Logf("%d routers: %.2f reads and %.2f writes a second", routers, float64(len(w.calls)-writes)/seconds, float64(writes)/seconds)
-	if candidates != MaxCandidates || len(w.holders()) != 1 {
-		t.Fatalf("%d candidates and %d holders of the lease", candidates, len(w.holders()))
+	t.Logf("%d routers: %.2f reads and %.2f writes a second", routers, float64(len(sim.calls)-writes)/seconds, float64(writes)/seconds)
+	if candidates != MaxCandidates || len(sim.holders()) != 1 {
+		t.Fatalf("%d candidates and %d holders of the lease", candidates, len(sim.holders()))
 	}
-	if perSecond := float64(len(w.calls)) / seconds; perSecond > 1 {
+	if perSecond := float64(len(sim.calls)) / seconds; perSecond > 1 {
 		t.Fatalf("%.2f store calls a second, want at most 1", perSecond)
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -62,93 +62,93 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	w := &simulation{}
+	sim := &simulation{}
 	for i := range 3 {
-		w.candidates = append(w.candidates, &candidate{
+		sim.candidates = append(sim.candidates, &candidate{
 			id:            fmt.Sprint("router-", i),
 			state:         NewState(fmt.Sprint("router-", i), DefaultTTL),
 			offset:        time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "offset")) * time.Second,
 			clockPermille: int64(rapid.IntRange(950, 1050).Draw(t, "rate")),
 		})
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) clock(c *candidate) time.Time {
-	return time.UnixMilli(1_800_000_000_000).Add(c.offset + w.now*time.Duration(c.clockPermille)/1000)
+func (sim *simulation) clock(c *candidate) time.Time {
+	return time.UnixMilli(1_800_000_000_000).Add(c.offset + sim.now*time.Duration(c.clockPermille)/1000)
 }
 
 // step delivers an event to c, or keeps it until c is resumed. The time of a Tick is
 // the time at which it was made; results are stamped when they are delivered.
-func (w *simulation) step(c *candidate, event Event) {
+func (sim *simulation) step(c *candidate, event Event) {
 	if c.paused {
 		c.delayed = append(c.delayed, event)
 		return
 	}
 	switch e := event.(type) {
 	case GetResult:
-		e.Now = w.clock(c)
+		e.Now = sim.clock(c)
 		event = e
 	case PutResult:
-		e.Now = w.clock(c)
+		e.Now = sim.clock(c)
 		event = e
 	}
 	for _, effect := range c.state.Step(event) {
-		w.calls = append(w.calls, &call{from: c, state: c.state, effect: effect})
+		sim.calls = append(sim.calls, &call{from: c, state: c.state, effect: effect})
 	}
 }
 
 // apply executes a call at the store and returns its outcome.
-func (w *simulation) apply(k *call) (topo.Object, error) {
+func (sim *simulation) apply(k *call) (topo.Object, error) {
 	k.applied = true
-	if w.down {
+	if sim.down {
 		return topo.Object{}, topo.ErrRefused
 	}
 	put, isPut := k.effect.(Put)
 	if !isPut {
-		o := w.object
-		if w.replicaLags {
-			o = w.previous
+		o := sim.object
+		if sim.replicaLags {
+			o = sim.previous
 		}
 		if o.Version == 0 {
 			return topo.Object{}, topo.ErrNotFound
 		}
 		return o, nil
 	}
-	if w.object.Version != put.IfVersion {
+	if sim.object.Version != put.IfVersion {
 		return topo.Object{}, topo.ErrConflict
 	}
-	w.version++
+	sim.version++
 	value, _ := json.Marshal(put.Record)
-	w.previous = w.object
-	w.object = topo.Object{Version: w.version, Value: value}
-	return w.object, nil
+	sim.previous = sim.object
+	sim.object = topo.Object{Version: sim.version, Value: value}
+	return sim.object, nil
 }
 
-func (w *simulation) answer(k *call, o topo.Object, err error) {
+func (sim *simulation) answer(k *call, o topo.Object, err error) {
 	k.answered = true
 	if k.state != k.from.state {
 		return
 	}
 	if _, writes := k.effect.(Put); writes {
-		w.step(k.from, PutResult{Object: o, Err: err})
+		sim.step(k.from, PutResult{Object: o, Err: err})
 		return
 	}
-	w.step(k.from, GetResult{Object: o, Err: err})
+	sim.step(k.from, GetResult{Object: o, Err: err})
 }
 
-// loseAnswer fails a call whose response is lost, before or after its effect.
-func (w *simulation) loseAnswer(k *call) {
+// loseResponse fails a call whose response is lost, before or after its effect.
+func (sim *simulation) loseResponse(k *call) {
 	if _, writes := k.effect.(Put); writes {
-		w.answer(k, topo.Object{}, topo.ErrUnknown)
+		sim.answer(k, topo.Object{}, topo.ErrUnknown)
 		return
 	}
-	w.answer(k, topo.Object{}, topo.ErrRefused)
+	sim.answer(k, topo.Object{}, topo.ErrRefused)
 }
 
-func (w *simulation) callsWhere(match func(*call) bool) []*call {
+func (sim *simulation) callsWhere(match func(*call) bool) []*call {
 	var out []*call
-	for _, k := range w.calls {
+	for _, k := range sim.calls {
 		if match(k) {
 			out = append(out, k)
 		}
@@ -157,43 +157,43 @@
 }
 
 // answerAll executes and answers all calls that have been neither executed nor answered.
-func (w *simulation) answerAll() {
-	for i := 0; i < len(w.calls); i++ {
-		if k := w.calls[i]; !k.answered && !k.applied {
-			o, err := w.apply(k)
-			w.answer(k, o, err)
+func (sim *simulation) answerAll() {
+	for i := 0; i < len(sim.calls); i++ {
+		if k := sim.calls[i]; !k.answered && !k.applied {
+			o, err := sim.apply(k)
+			sim.answer(k, o, err)
 		}
 	}
 }
 
-func (w *simulation) resume(c *candidate) {
+func (sim *simulation) resume(c *candidate) {
 	c.paused = false
 	delayed := c.delayed
 	c.delayed = nil
 	for _, event := range delayed {
-		w.step(c, event)
+		sim.step(c, event)
 	}
 }
 
 // deliver delivers an order to the sidecar, which reads the lease's token first if
 // it knows none.
-func (w *simulation) deliver(o *order) {
-	if !w.fence.Known() && !w.down && w.object.Version != 0 {
+func (sim *simulation) deliver(o *order) {
+	if !sim.fence.Known() && !sim.down && sim.object.Version != 0 {
 		var r Record
-		_ = json.Unmarshal(w.object.Value, &r)
-		w.fence.Learn(TokenOf(r, w.object.Version))
+		_ = json.Unmarshal(sim.object.Value, &r)
+		sim.fence.Learn(TokenOf(r, sim.object.Version))
 	}
-	err := w.fence.Check(o.token)
+	err := sim.fence.Check(o.token)
 	// The upstream executes orders in the order of their arrival.
-	n := int64(len(w.history))
-	w.history = append(w.history, porcupine.Operation{Call: 2 * n, Return: 2*n + 1, Input: *o, Output: err == nil})
+	n := int64(len(sim.history))
+	sim.history = append(sim.history, porcupine.Operation{Call: 2 * n, Return: 2*n + 1, Input: *o, Output: err == nil})
 }
 
 // holders returns the candidates whose grant is valid by their own clock.
-func (w *simulation) holders() []*candidate {
+func (sim *simulation) holders() []*candidate {
 	var out []*candidate
-	for _, c := range w.candidates {
-		if c.state.Grant().Valid(w.clock(c)) {
+	for _, c := range sim.candidates {
+		if c.state.Grant().Valid(sim.clock(c)) {
 			out = append(out, c)
 		}
 	}
@@ -214,75 +214,75 @@
 	},
 }
 
-func (w *simulation) advance(t *rapid.T, ms int) {
-	w.now += time.Duration(rapid.IntRange(1, ms).Draw(t, "ms")) * time.Millisecond
+func (sim *simulation) advance(t *rapid.T, ms int) {
+	sim.now += time.Duration(rapid.IntRange(1, ms).Draw(t, "ms")) * time.Millisecond
 }
 
-func (w *simulation) tick() {
-	for _, c := range w.candidates {
+func (sim *simulation) tick() {
+	for _, c := range sim.candidates {
 		if !c.paused {
-			w.step(c, Tick{Now: w.clock(c), IsCandidate: true})
+			sim.step(c, Tick{Now: sim.clock(c), IsCandidate: true})
 		}
 	}
 }
 
 // runNormally simulates a period without new faults: all calls are executed and answered.
-func (w *simulation) runNormally(t *rapid.T) {
-	w.tick()
-	w.answerAll()
-	w.advance(t, 4000)
+func (sim *simulation) runNormally(t *rapid.T) {
+	sim.tick()
+	sim.answerAll()
+	sim.advance(t, 4000)
 }
 
-func (w *simulation) actions(t *rapid.T) map[string]func(*rapid.T) {
-	drawCandidate := func(t *rapid.T) *candidate { return rapid.SampledFrom(w.candidates).Draw(t, "candidate") }
+func (sim *simulation) actions(t *rapid.T) map[string]func(*rapid.T) {
+	drawCandidate := func(t *rapid.T) *candidate { return rapid.SampledFrom(sim.candidates).Draw(t, "candidate") }
 	unanswered := func(k *call) bool { return !k.answered && !k.applied }
 	return map[string]func(*rapid.T){
-		"run":      w.runNormally,
-		"run on":   w.runNormally, // more likely than faults, so that leases are acquired and lapse
-		"run more": w.runNormally,
-		"tick":     func(t *rapid.T) { w.tick() },
-		"pass":     func(t *rapid.T) { w.advance(t, 12000) },
+		"run":      sim.runNormally,
+		"run on":   sim.runNormally, // more likely than faults, so that leases are acquired and lapse
+		"run more": sim.runNormally,
+		"tick":     func(t *rapid.T) { sim.tick() },
+		"pass":     func(t *rapid.T) { sim.advance(t, 12000) },
 		"lose": func(t *rapid.T) {
-			if calls := w.callsWhere(unanswered); len(calls) > 0 {
+			if calls := sim.callsWhere(unanswered); len(calls) > 0 {
 				k := rapid.SampledFrom(calls).Draw(t, "call")
 				if rapid.Bool().Draw(t, "after its effect") {
-					_, _ = w.apply(k)
+					_, _ = sim.apply(k)
 				}
-				w.loseAnswer(k)
+				sim.loseResponse(k)
 			}
 		},
 		"late write": func(t *rapid.T) {
-			if calls := w.callsWhere(func(k *call) bool { return k.answered && !k.applied }); len(calls) > 0 {
-				_, _ = w.apply(rapid.SampledFrom(calls).Draw(t, "call"))
+			if calls := sim.callsWhere(func(k *call) bool { return k.answered && !k.applied }); len(calls) > 0 {
+				_, _ = sim.apply(rapid.SampledFrom(calls).Draw(t, "call"))
 			}
 		},
 		"pause":   func(t *rapid.T) { drawCandidate(t).paused = true },
-		"resume":  func(t *rapid.T) { w.resume(drawCandidate(t)) },
-		"outage":  func(t *rapid.T) { w.down = rapid.IntRange(0, 2).Draw(t, "out") == 0 },
-		"lag":     func(t *rapid.T) { w.replicaLags = rapid.IntRange(0, 2).Draw(t, "lag") == 0 },
-		"restart": func(t *rapid.T) { w.fence = Fence{} },
+		"resume":  func(t *rapid.T) { sim.resume(drawCandidate(t)) },
+		"outage":  func(t *rapid.T) { sim.down = rapid.IntRange(0, 2).Draw(t, "out") == 0 },
+		"lag":     func(t *rapid.T) { sim.replicaLags = rapid.IntRange(0, 2).Draw(t, "lag") == 0 },
+		"restart": func(t *rapid.T) { sim.fence = Fence{} },
 		"resign": func(t *rapid.T) {
 			if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
 				c := drawCandidate(t)
-				w.step(c, Resign{})
+				sim.step(c, Resign{})
 				c.delayed = nil
-				c.state = NewState(fmt.Sprint(c.id, "-", w.now), DefaultTTL)
+				c.state = NewState(fmt.Sprint(c.id, "-", sim.now), DefaultTTL)
 			}
 		},
 		"prepare": func(t *rapid.T) { // a holder checks its lease and is delayed before it sends
-			for _, c := range w.holders() {
-				w.orders = append(w.orders, &order{from: c, token: c.state.Grant().Token})
+			for _, c := range sim.holders() {
+				sim.orders = append(sim.orders, &order{from: c, token: c.state.Grant().Token})
 			}
 		},
 		"arrive": func(t *rapid.T) {
-			if len(w.orders) > 0 {
-				i := rapid.IntRange(0, len(w.orders)-1).Draw(t, "order")
-				w.deliver(w.orders[i])
-				w.orders = append(w.orders[:i], w.orders[i+1:]...)
+			if len(sim.orders) > 0 {
+				i := rapid.IntRange(0, len(sim.orders)-1).Draw(t, "order")
+				sim.deliver(sim.orders[i])
+				sim.orders = append(sim.orders[:i], sim.orders[i+1:]...)
 			}
 		},
 		"": func(t *rapid.T) {
-			if holders := w.holders(); len(holders) > 1 {
+			if holders := sim.holders(); len(holders) > 1 {
 				t.Fatalf("%s and %s hold the lease at the same time", holders[0].id, holders[1].id)
 			}
 		},
@@ -297,29 +297,29 @@
 func TestOrdersAreAcceptedOnlyInTokenOrder(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(t)
-		t.Repeat(w.actions(t))
-		if !porcupine.CheckOperations(tokenOrderModel, w.history) {
-			t.Fatalf("orders were accepted out of token order: %v", w.history)
+		sim := newSimulation(t)
+		t.Repeat(sim.actions(t))
+		if !porcupine.CheckOperations(tokenOrderModel, sim.history) {
+			t.Fatalf("orders were accepted out of token order: %v", sim.history)
 		}
-		for _, op := range w.history {
+		for _, op := range sim.history {
 			if op.Output.(bool) {
 				accepted++
 			} else {
 				refused++
 			}
 		}
-		w.down, w.replicaLags = false, false
-		for _, c := range w.candidates {
-			w.resume(c)
+		sim.down, sim.replicaLags = false, false
+		for _, c := range sim.candidates {
+			sim.resume(c)
 		}
 		for range 12 {
-			w.tick()
-			w.answerAll()
-			w.now += DefaultTTL / callDivisor
+			sim.tick()
+			sim.answerAll()
+			sim.now += DefaultTTL / callDivisor
 		}
-		if len(w.holders()) != 1 {
-			t.Fatalf("%d candidates hold the lease after a minute without faults, want 1", len(w.holders()))
+		if len(sim.holders()) != 1 {
+			t.Fatalf("%d candidates hold the lease after a minute without faults, want 1", len(sim.holders()))
 		}
 	})
 	t.Logf("%d orders accepted, %d rejected", accepted, refused)
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -22,10 +22,10 @@
 // Guards against two holders after the store was restored from an older copy in which the
 // lease is missing or released: a candidate that acquired it at once would send orders at
 // the same time as its holder.
-func TestLostLeaseIsNotTakenAtOnce(t *testing.T) {
+func TestLostLeaseIsNotAcquiredAtOnce(t *testing.T) {
 	for name, before := range map[string]func(*testing.T, *standin.ObjectAPI){
 		"lost":     func(*testing.T, *standin.ObjectAPI) {},
-		"released": takeAndRelease,
+		"released": acquireAndRelease,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// takeAndRelease acquires the lease and releases it, which leaves its object in the store.
-func takeAndRelease(t *testing.T, store *standin.ObjectAPI) {
+// acquireAndRelease acquires the lease and releases it, which leaves its object in the store.
+func acquireAndRelease(t *testing.T, store *standin.ObjectAPI) {
 	ctx, stop := context.WithCancel(t.Context())
 	r := NewRunner(store, "controller", "first", DefaultTTL, func() bool { return true })
 	done := make(chan struct{})
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -175,12 +175,12 @@
 	return []Effect{Get{}}
 }
 
-func (s *State) put(now time.Time, r Record, next time.Time) []Effect {
+func (s *State) put(sent time.Time, r Record, next time.Time) []Effect {
 	s.writeCount++
 	r.TTL = s.ttl
 	r.Attempt = fmt.Sprintf("%s#%d", s.self, s.writeCount)
-	s.callInFlight, s.nextCall, s.nextPut = true, next, now.Add(s.callInterval())
-	s.attempts = append(s.attempts, attempt{id: r.Attempt, record: r, sent: now, ifVersion: s.version})
+	s.callInFlight, s.nextCall, s.nextPut = true, next, sent.Add(s.callInterval())
+	s.attempts = append(s.attempts, attempt{id: r.Attempt, record: r, sent: sent, ifVersion: s.version})
 	return []Effect{Put{Record: r, IfVersion: s.version}}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -102,9 +102,9 @@
 	confirmAt time.Time // if the store still has the entry then, the upstream is running
 }
 
-// lapseRenewals is the number of missed renewals after which an entry that nobody
+// lapseIntervals is the number of missed renewals after which an entry that nobody
 // renews is certainly gone: the store drops it after three.
-const lapseRenewals = 4
+const lapseIntervals = 4
 
 // coldAssumption marks the upstreams of a failure domain as cold if their entries were
 // written at or before a version of the store: they may have become cold since.
@@ -183,25 +183,25 @@
 
 // Apply applies changes in their order.
 func (s *State) Apply(now time.Time, changes []Change) ApplyResult {
-	var t ApplyResult
+	var result ApplyResult
 	for _, c := range changes {
 		switch c.Kind {
 		case Written:
-			s.applyWritten(now, c.Entry, &t)
+			s.applyWritten(now, c.Entry, &result)
 		case Removed:
 			s.applyRemoved(now, c.Entry.Name)
 		case Unusable:
 			s.applyUnusable(now, c.Entry.Name)
 		}
 	}
-	return t
+	return result
 }
 
 // applyWritten applies a written entry. An entry of a former incarnation may arrive after
 // that of its successor: the platform may delay a write, or commit one whose response was
 // lost. Accepting it would restore loads, prompts and an address that no longer exist.
 // The start tells which of two incarnations is the later one.
-func (s *State) applyWritten(now time.Time, e Entry, t *ApplyResult) {
+func (s *State) applyWritten(now time.Time, e Entry, result *ApplyResult) {
 	current, last := s.entries[e.Name], s.lastWrite(e.Name)
 	delete(s.unconfirmed, e.Name)
 	switch {
@@ -210,17 +210,17 @@
 		s.applyUnusable(now, e.Name)
 		return
 	case e.StartedAt < last.startedAt:
-		t.Outdated++
+		result.Outdated++
 		if current != nil {
 			current.overwritten = true
 		}
 		return
 	case writeOf(e).isReplayOf(last):
-		t.Outdated++
+		result.Outdated++
 		s.applyReplay(now, current, e)
 		return
 	case current != nil && current.write.startedAt != e.StartedAt:
-		t.Replaced = append(t.Replaced, current.vm)
+		result.Replaced = append(result.Replaced, current.vm)
 	}
 	s.set(now, e)
 }
@@ -233,7 +233,7 @@
 	case current != nil && current.dropAt.IsZero():
 		current.write.version, current.missingUntil = e.Version, time.Time{}
 	case !e.VM.Leaving && e.Sequence == s.lastWrite(e.Name).sequence:
-		s.unconfirmed[e.Name] = unconfirmedEntry{entry: e, confirmAt: now.Add(lapseRenewals * s.timing.MaxRenewInterval)}
+		s.unconfirmed[e.Name] = unconfirmedEntry{entry: e, confirmAt: now.Add(lapseIntervals * s.timing.MaxRenewInterval)}
 	}
 }
 
@@ -266,9 +266,9 @@
 }
 
 // assumeCold applies an assumption to an entry that was written before it.
-func (e *entry) assumeCold(d coldAssumption) {
-	if e.write.version <= d.version && d.until.After(e.vm.WarmAt) {
-		e.vm.WarmAt = d.until
+func (e *entry) assumeCold(a coldAssumption) {
+	if e.write.version <= a.version && a.until.After(e.vm.WarmAt) {
+		e.vm.WarmAt = a.until
 	}
 }
 
@@ -354,20 +354,20 @@
 			changed = true
 		}
 	}
-	for name, c := range s.unconfirmed {
-		if isDue(now, c.confirmAt) {
+	for name, u := range s.unconfirmed {
+		if isDue(now, u.confirmAt) {
 			delete(s.unconfirmed, name)
-			s.set(now, c.entry)
+			s.set(now, u.entry)
 			changed = true
 		}
 	}
-	for domain, d := range s.coldAssumptions {
-		if isDue(now, d.until) {
+	for domain, a := range s.coldAssumptions {
+		if isDue(now, a.until) {
 			delete(s.coldAssumptions, domain)
 		}
 	}
-	for name, f := range s.tombstones {
-		if now.Sub(f.removedAt) >= tombstoneTTL {
+	for name, t := range s.tombstones {
+		if now.Sub(t.removedAt) >= tombstoneTTL {
 			delete(s.tombstones, name)
 		}
 	}
--- a/internal/membership/restored_test.go
+++ b/internal/membership/restored_test.go
@@ -23,41 +23,41 @@
 	snapshots []map[string]Entry
 	state     *State
 
-	lastWrite map[string]Entry     // the last write of each upstream, also if a restore lost it
-	delivered map[string]Entry     // the last write that the router received
-	running   map[string]bool      // whether an upstream is running
-	stoppedAt map[string]time.Time // when an upstream stopped
+	lastWritten   map[string]Entry     // the last write of each upstream, also if a restore lost it
+	lastDelivered map[string]Entry     // the last write that the router received
+	running       map[string]bool      // whether an upstream is running
+	stoppedAt     map[string]time.Time // when an upstream stopped
 }
 
 func newRestorableStore() *restorableStore {
 	return &restorableStore{
 		now: start, era: 1, entries: make(map[string]Entry), state: NewState(timing),
-		lastWrite: make(map[string]Entry), delivered: make(map[string]Entry), running: make(map[string]bool), stoppedAt: make(map[string]time.Time),
+		lastWritten: make(map[string]Entry), lastDelivered: make(map[string]Entry), running: make(map[string]bool), stoppedAt: make(map[string]time.Time),
 	}
 }
 
-func (r *restorableStore) version() topo.Version {
+func (r *restorableStore) nextVersion() topo.Version {
 	r.revision++
 	return topo.VersionAt(r.era, r.revision)
 }
 
 func (r *restorableStore) deliver(c Change) {
-	if c.Kind == Written && c.Entry.Sequence >= r.delivered[c.Entry.Name].Sequence {
-		r.delivered[c.Entry.Name] = c.Entry
+	if c.Kind == Written && c.Entry.Sequence >= r.lastDelivered[c.Entry.Name].Sequence {
+		r.lastDelivered[c.Entry.Name] = c.Entry
 	}
 	r.state.Apply(r.now, []Change{c})
 }
 
 // write writes an upstream's entry.
 func (r *restorableStore) write(name string, leaving bool) {
-	e := Entry{Name: name, Sequence: r.lastWrite[name].Sequence + 1, Version: r.version(), VM: topo.VM{Leaving: leaving}}
-	r.lastWrite[name], r.entries[name] = e, e
+	e := Entry{Name: name, Sequence: r.lastWritten[name].Sequence + 1, Version: r.nextVersion(), VM: topo.VM{Leaving: leaving}}
+	r.lastWritten[name], r.entries[name] = e, e
 	r.deliver(Change{Entry: e})
 }
 
 func (r *restorableStore) remove(name string) {
 	if _, ok := r.entries[name]; ok {
-		r.version()
+		r.nextVersion()
 		delete(r.entries, name)
 		r.deliver(Change{Kind: Removed, Entry: Entry{Name: name}})
 	}
@@ -71,7 +71,7 @@
 	before := r.entries
 	r.entries = make(map[string]Entry)
 	for name, e := range snapshot {
-		e.Version = r.version()
+		e.Version = r.nextVersion()
 		r.entries[name] = e
 		if was, ok := before[name]; !ok || was.Sequence != e.Sequence {
 			r.deliver(Change{Entry: e})
@@ -86,7 +86,7 @@
 
 func (r *restorableStore) advance(d time.Duration) {
 	r.now = r.now.Add(d)
-	for name, e := range r.lastWrite {
+	for name, e := range r.lastWritten {
 		switch {
 		case r.running[name]: // rewrites an entry that is missing or outdated
 			if have, ok := r.entries[name]; !ok || have.VM.Leaving != e.VM.Leaving {
@@ -103,7 +103,7 @@
 // new work, whichever snapshot was restored.
 func (r *restorableStore) check(t *rapid.T) {
 	for _, vm := range r.state.VMs() {
-		if last := r.delivered[vm.Instance]; last.VM.Leaving && !vm.Leaving {
+		if last := r.lastDelivered[vm.Instance]; last.VM.Leaving && !vm.Leaving {
 			t.Fatalf("%s takes new work, although its write %d says that it leaves", vm.Instance, last.Sequence)
 		}
 	}
@@ -116,7 +116,7 @@
 		r := newRestorableStore()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprint("u", rapid.IntRange(0, 3).Draw(t, "upstream"))
-			e, known := r.lastWrite[name]
+			e, known := r.lastWritten[name]
 			switch rapid.SampledFrom([]string{"join", "drain", "leave", "copy", "restore", "pass"}).Draw(t, "step") {
 			case "join":
 				if !known {
@@ -154,7 +154,7 @@
 		serving, _ := r.state.serving()
 		want := 0
 		for name := range r.running {
-			if r.running[name] && !r.lastWrite[name].VM.Leaving {
+			if r.running[name] && !r.lastWritten[name].VM.Leaving {
 				want++
 			}
 		}
@@ -178,7 +178,7 @@
 	e.Version = topo.VersionAt(2, 5)
 	s.Apply(now, []Change{{Entry: e}})
 	checkListed(t, s, nil, nil)
-	now = now.Add(lapseRenewals * timing.MaxRenewInterval)
+	now = now.Add(lapseIntervals * timing.MaxRenewInterval)
 	s.Expire(now)
 	checkListed(t, s, []string{"a"}, nil)
 }
--- a/internal/topo/era.go
+++ b/internal/topo/era.go
@@ -23,19 +23,19 @@
 
 // observe records the era that a response names. It returns the era of the response and
 // the newest one. A response that names no era belongs to the newest.
-func (e *eraTracker) observe(named Era) (era, newest Era) {
+func (e *eraTracker) observe(reported Era) (era, newest Era) {
 	e.mu.Lock()
 	before := e.newest
-	e.newest = max(before, named)
+	e.newest = max(before, reported)
 	e.mu.Unlock()
-	if named == 0 {
+	if reported == 0 {
 		return before, before
 	}
-	if named > before && before != 0 {
+	if reported > before && before != 0 {
 		storeRestores.Inc()
-		slog.Warn("the platform's store has come back from an older copy", "era", named, "before", before)
+		slog.Warn("the platform's store has come back from an older copy", "era", reported, "before", before)
 	}
-	return named, max(before, named)
+	return reported, max(before, reported)
 }
 
 // isOver reports whether a newer era than the given one has been observed.
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -104,7 +104,7 @@
 
 // Guards against responses without an era, such as those of a proxy, being attributed to
 // an era that is over.
-func TestAnswerWithoutAnEraBelongsToTheNewest(t *testing.T) {
+func TestResponseWithoutAnEraBelongsToTheNewest(t *testing.T) {
 	named := true
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if named {
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// callTimeout bounds one call to the platform. A slow store must not block the
+	// defaultCallTimeout bounds one call to the platform. A slow store must not block the
 	// calling goroutine for ever.
-	callTimeout = 5 * time.Second
-	// watchGrace is how much later than the end of its wait a watch may be answered.
+	defaultCallTimeout = 5 * time.Second
+	// defaultWatchGrace is how much later than the end of its wait a watch may be answered.
 	// Past it, the connection counts as silently dropped by a middlebox.
-	watchGrace = time.Second
-	// maxRetryAfter bounds how long a store's request for no calls is honoured: this
+	defaultWatchGrace = time.Second
+	// defaultMaxRetryAfter bounds how long a store's request for no calls is honoured: this
 	// process cannot see whether the store accepts calls of others again meanwhile.
-	maxRetryAfter = 2 * time.Second
+	defaultMaxRetryAfter = 2 * time.Second
 
-	// maxValue is the largest value that the platform stores in one object, in bytes.
-	maxValue = 1 << 20
-	// maxObjectAnswer and maxPageAnswer bound the bodies of responses, in bytes.
-	maxObjectAnswer = maxValue + 64<<10
-	maxPageAnswer   = 64 << 20
+	// maxValueBytes is the largest value that the platform stores in one object, in bytes.
+	maxValueBytes = 1 << 20
+	// maxObjectResponseBytes and maxPageAnswer bound the bodies of responses, in bytes.
+	maxObjectResponseBytes = maxValueBytes + 64<<10
+	maxPageResponseBytes   = 64 << 20
 )
 
 // HTTP is an HTTP client of the platform. It implements Store and VMList.
@@ -67,7 +67,7 @@
 
 // NewHTTPWithDialer is like NewHTTP but opens connections with dial.
 func NewHTTPWithDialer(base string, dial DialFunc) *HTTP {
-	h := &HTTP{base: base, dialect: Plain{}, timeouts: Timeouts{Call: callTimeout, WatchGrace: watchGrace, MaxRetryAfter: maxRetryAfter}}
+	h := &HTTP{base: base, dialect: Plain{}, timeouts: Timeouts{Call: defaultCallTimeout, WatchGrace: defaultWatchGrace, MaxRetryAfter: defaultMaxRetryAfter}}
 	for kind := range clientCount {
 		h.clients[kind] = newClient(kind, dial)
 	}
@@ -114,8 +114,8 @@
 
 // Put implements Store.
 func (h *HTTP) Put(ctx context.Context, ref Ref, value json.RawMessage, ifVersion Version) (o Object, err error) {
-	if len(value) > maxValue {
-		return Object{}, errors.Wrapf(ErrRefused, "%s: value of %d bytes exceeds the limit of %d", ref, len(value), maxValue)
+	if len(value) > maxValueBytes {
+		return Object{}, errors.Wrapf(ErrRefused, "%s: value of %d bytes exceeds the limit of %d", ref, len(value), maxValueBytes)
 	}
 	r := request{name: callPut, kind: ref.Kind, baseVersion: ifVersion, Call: h.dialect.Put(ref, value, ifVersion.Revision())}
 	err = h.call(ctx, r, func(era Era, body []byte) error {
@@ -192,12 +192,12 @@
 	return p.Call
 }
 
-// answerLimit returns the largest accepted body of a response, in bytes.
-func (r request) answerLimit() int64 {
+// responseLimit returns the largest accepted body of a response, in bytes.
+func (r request) responseLimit() int64 {
 	if r.name == callList || r.name == callWatch || r.name == callVMs {
-		return maxPageAnswer
+		return maxPageResponseBytes
 	}
-	return maxObjectAnswer
+	return maxObjectResponseBytes
 }
 
 // call executes a call and counts it. A read without a response on a reused
@@ -235,7 +235,7 @@
 	var a attempt
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		a.connected, a.reused = true, info.Reused
-		attribute(info.Conn, r)
+		setConnUse(info.Conn, r)
 	}}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), r.Method, h.base+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
@@ -253,12 +253,12 @@
 	head := h.dialect.Head(resp.StatusCode, resp.Header)
 	era, newest := h.eras.observe(head.Era)
 	h.backoffs.extend(r, time.Now(), min(head.RetryAfter, h.timeouts.MaxRetryAfter))
-	body, err := io.ReadAll(io.LimitReader(resp.Body, r.answerLimit()+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, r.responseLimit()+1))
 	if err != nil {
 		return h.classifyUnanswered(client, r, a, err)
 	}
-	if int64(len(body)) > r.answerLimit() {
-		return a, malformedError(r, errors.Errorf("more than %d bytes", r.answerLimit()))
+	if int64(len(body)) > r.responseLimit() {
+		return a, malformedError(r, errors.Errorf("more than %d bytes", r.responseLimit()))
 	}
 	if err := statusError(r, resp.StatusCode); err != nil {
 		return a, err
--- a/internal/topo/transport.go
+++ b/internal/topo/transport.go
@@ -153,8 +153,8 @@
 	control telemetry.ControlKind
 }
 
-// attribute counts the further bytes of c for r.
-func attribute(c net.Conn, r request) {
+// setConnUse counts the further bytes of c for r.
+func setConnUse(c net.Conn, r request) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
