--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// maxTries is how often a claim is tried whose outcome is unknown.
+	// maxTries bounds how often a router tries to create a claim, or to recreate a lost one.
 	maxTries = 3
-	// TTL is how long a caller may resend its own idempotency key. After that the claim
-	// may be swept.
+	// TTL is how long a caller may resend its own idempotency key. After that the
+	// controller may delete the claim.
 	TTL = 24 * time.Hour
 )
 
@@ -32,19 +32,22 @@
 
 // Outcomes of Claimer.Claim.
 const (
-	Created   Outcome = "made"
-	Found     Outcome = "found"
+	// Created means that the idempotency key now maps to the proposed request key.
+	Created Outcome = "made"
+	// Found means that the idempotency key was claimed before.
+	Found Outcome = "found"
+	// StoreDown means that the claim could neither be created nor read.
 	StoreDown Outcome = "store-down"
 	// StoreRestored means that an earlier claim of the key may have been lost in a
 	// restore of the store.
 	StoreRestored Outcome = "store-restored"
 )
 
-// Claim is the value of a claim object: the request key under which everything
-// with a caller's own idempotency key runs.
+// Claim is the value of a claim object: the request key under which all requests with a
+// caller's own idempotency key run.
 type Claim struct {
 	Key       wire.Key `json:"key"`
-	KeepUntil int64    `json:"keep_until"` // Unix seconds; after that it may be swept
+	KeepUntil int64    `json:"keep_until"` // Unix seconds; after that the controller may delete the claim
 }
 
 // Ref returns the reference of the claim object of an organisation's idempotency key.
@@ -56,7 +59,8 @@
 
 // Claim claims an idempotency key for a proposed request key, and returns the request key
 // that the idempotency key maps to: the proposed one if the outcome is Created, that of an
-// earlier claim if it is Found.
+// earlier claim if it is Found. It returns an error if the outcome is StoreDown or
+// StoreRestored, or if an earlier claim cannot be decoded. The request must not run then.
 func (c *Claimer) Claim(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	key, outcome, err := c.create(ctx, ref, proposed)
 	if err == nil && c.recordEra(time.Now(), topo.EraOf(c.store)) {
@@ -65,10 +69,10 @@
 	return key, outcome, err
 }
 
-// create creates the claim object or reads the existing one. A create whose response was
-// lost may have taken effect or may do so later. The first create to take effect wins, and
-// the object holds its key. So the outcome is found by reading the object, and creating it
-// again if it does not exist.
+// create creates the claim object. If the object exists, or the response was lost, create
+// reads the object. A write whose response was lost may have taken effect or may do so later;
+// whichever write takes effect first, the object holds its key. If the object does not exist,
+// create tries again.
 func (c *Claimer) create(ctx context.Context, ref topo.Ref, proposed wire.Key) (wire.Key, Outcome, error) {
 	value, err := json.Marshal(Claim{Key: proposed, KeepUntil: time.Now().Add(TTL).Unix()})
 	if err != nil {
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// recreateWindow is how long a router remembers the claims that it has created. The
-	// copy from which a store is restored is some seconds old.
+	// recreateWindow is how long a router remembers the claims that it has created. A
+	// restore loses the claims that are newer than its copy, which is some seconds old.
 	recreateWindow = time.Minute
-	// RestoreGrace is how long after a restore of the store no idempotency key can be
-	// claimed. Within it, all routers learn of the restore and recreate their claims.
+	// RestoreGrace is how long a router claims no idempotency key after it has first seen
+	// a new era of the store. Within it, all routers learn of the restore and recreate
+	// their claims.
 	RestoreGrace = 5 * time.Second
 	// retryPause is the pause before the recreation of a claim is tried again.
 	retryPause = 250 * time.Millisecond
@@ -35,7 +36,7 @@
 	mu        sync.Mutex
 	created   []createdClaim // oldest first
 	era       topo.Era
-	eraSeenAt time.Time // when era was first seen; zero: no restore is known
+	eraSeenAt time.Time // when era was first seen; zero: the store has reported none
 }
 
 // createdClaim is a claim that this router has written.
@@ -51,14 +52,16 @@
 	return &Claimer{store: store}
 }
 
-// ObserveEra records the era of the store, so that the first claim of a router does not
-// mistake it for a new one.
+// ObserveEra records the era of the store, zero if it is not known. RestoreGrace also starts
+// with the first era that a Claimer sees, since the store may just have been restored. So a
+// router calls ObserveEra from its start on; otherwise its first claim would start the grace
+// and fail.
 func (c *Claimer) ObserveEra(now time.Time, era topo.Era) {
 	c.recordEra(now, era)
 }
 
-// recordEra records the era of the store, and reports whether claims that a restore
-// lost may not have been recreated yet.
+// recordEra records the era of the store. It reports whether now is within RestoreGrace:
+// claims that a restore lost may not have been recreated yet.
 func (c *Claimer) recordEra(now time.Time, era topo.Era) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +108,8 @@
 }
 
 // recreate creates a claim again. It overwrites a claim that another request has created
-// for its own request key meanwhile: nothing has run under that key.
+// for its own request key since the restore. No request runs under that key, because claims
+// within RestoreGrace return StoreRestored.
 func (c *Claimer) recreate(ctx context.Context, claim createdClaim) error {
 	_, err := c.store.Put(ctx, claim.ref, claim.value, 0)
 	if !errors.Is(err, topo.ErrConflict) {
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -10,7 +10,8 @@
 )
 
 // Guards against a request running twice because a restore of the store from an older copy
-// lost its claim, and the caller resends it to another router.
+// lost its claim, and the caller resends it to another router. That router must not claim
+// the key until the first one has recreated the claim, and must find that claim then.
 func TestLostClaimIsRecreatedBeforeItsKeyIsClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -1,8 +1,10 @@
 // Package idempotency decides whether a request under a key may run.
 //
 // A Table holds the keys of the requests that one sidecar incarnation has admitted
-// or rejected. It is bounded, and a request whose key was evicted never runs again:
-// see docs/design/0001, "Request keys and the chain".
+// or rejected. It is bounded, and a request whose key was evicted never runs again.
+// A request that is rejected may continue at another sidecar under a successor key,
+// which may have a successor in turn: at most one key of this chain runs. See
+// docs/design/0001, "Request keys and the chain".
 package idempotency
 
 import (
@@ -18,7 +20,7 @@
 	Key         Key
 	Org         string
 	Fingerprint uint64 // of the request; zero: unknown
-	Successor   *Key   // key under which the request continues if it is rejected here
+	Successor   *Key   // key that the sender proposes for the request if it is rejected here; nil: none
 }
 
 // Outcome is the state of a key in a Table.
@@ -33,7 +35,9 @@
 	Done
 	// Moved is a key that was rejected here and continues under its successor.
 	Moved
-	// Rejected is a key that will never run here.
+	// Rejected is a key that will never run here. In a Result it also stands for an
+	// attempt that must not run for another reason: the verdict of Err says whether
+	// the request may have run.
 	Rejected
 )
 
@@ -45,7 +49,8 @@
 	Err       *verdict.Error  // of Moved and Rejected
 }
 
-// Table is the bounded table of the keys of one sidecar incarnation.
+// Table is the bounded table of the keys of one sidecar incarnation. It is not safe for
+// concurrent use.
 type Table struct {
 	incarnation uint64
 	limit       int
@@ -85,8 +90,8 @@
 	if e := t.entries[a.Key.Nonce]; e != nil {
 		return e.lookupResult(a)
 	}
-	// A copy of a request can arrive after its entry was evicted. It looks new, and
-	// would run a second time, or after its caller was told not-run. The key of every
+	// A copy of a request can arrive after its entry was evicted. Admitted as new, it
+	// would run a second time, or although its caller was told not-run. The key of every
 	// evicted entry expires at or before the watermark.
 	if a.Key.Expires <= t.watermark {
 		return rejectedResult(verdict.MayHaveRun, verdict.ReasonEvicted, "the key is no longer known")
@@ -125,9 +130,9 @@
 	}
 }
 
-// keyVerdict returns the verdict on a key, whatever the request that it is sent with.
-// For a caller, a resend with a slightly different body is the same request, so the
-// reuse of an admitted key must not be answered not-run.
+// keyVerdict returns the verdict for an attempt whose fingerprint differs from the
+// entry's. For the caller, a resend with a slightly different body is the same request,
+// so the reuse of an admitted key must not be answered not-run.
 func (e *entry) keyVerdict() verdict.Verdict {
 	if e.outcome == Rejected {
 		return verdict.NotRun
@@ -139,7 +144,8 @@
 	return Result{Outcome: Rejected, Err: verdict.New(v, reason, "%s", detail)}
 }
 
-// Admit records that an unseen attempt runs or waits to run.
+// Admit records that an unseen attempt runs or waits to run. It then evicts entries if the
+// table is over its limit, as do Reject, Withdraw, Cancel and Finish.
 func (t *Table) Admit(a Attempt) {
 	e := t.insert(a)
 	e.outcome = Live
@@ -184,7 +190,8 @@
 	t.markEvictable(e)
 }
 
-// Expire evicts the entries whose time is over.
+// Expire evicts the entries that need not be kept any longer: rejected ones whose key has
+// expired, and finished ones that are also past the keepUntil of Finish.
 func (t *Table) Expire(now time.Time) {
 	t.advance(now)
 	for len(t.evictable) > 0 && t.evictable[0].evictAfter < t.now {
@@ -220,9 +227,9 @@
 	t.evictOverLimit()
 }
 
-// evictOverLimit evicts entries while there are more than the limit. Live entries
-// stay whatever the limit, because their answers are being read; admission bounds
-// their number.
+// evictOverLimit evicts entries while there are more than the limit. Live entries stay
+// even beyond the limit, because the responses to their requests are still being read;
+// admission bounds their number.
 func (t *Table) evictOverLimit() {
 	for len(t.entries) > t.limit && len(t.evictable) > 0 {
 		t.evict()
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -29,9 +29,9 @@
 // keyHistory is what happened to one key, as seen from outside the table.
 type keyHistory struct {
 	attempt  Attempt
-	admitted int
-	live     bool
-	notRun   bool // answered to the key's own organisation
+	admitted int  // how often the key was admitted, without an admission that was withdrawn
+	live     bool // admitted, and not yet finished or withdrawn
+	notRun   bool // the key's own organisation was told not-run
 }
 
 // Guards against a request running twice, or after its caller was told not-run. Copies of
@@ -113,18 +113,19 @@
 	}
 }
 
-// requestCopy is one copy of a request, which one router sends along the chain of keys.
+// requestCopy is one copy of a request. Its router sends it under the first key, and then
+// under the successor of each key that was rejected.
 type requestCopy struct {
-	key     Key
-	links   int
-	done    bool
+	key     Key  // that it is sent under next
+	links   int  // number of keys so far
+	done    bool // it reached a key that ran, or was rejected without a successor
 	verdict verdict.Verdict
 }
 
-// Guards against a request running twice, or although a router answered not-run. A caller
-// without a response resends it, the copies go through different routers, which propose
-// different successors where the request is rejected, while sidecars restart and lose
-// their tables.
+// Guards against a request that runs twice, or that runs although a router answered
+// not-run. A caller without a response resends it. The copies go through different routers,
+// which propose different successor keys where the request is rejected. Meanwhile sidecars
+// restart and lose their tables.
 func TestAtMostOneKeyOfAChainRuns(t *testing.T) {
 	const sidecars, maxLinks = 4, 4
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/lease/fence.go
+++ b/internal/lease/fence.go
@@ -5,18 +5,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Fence rejects the orders of former lease holders at a sidecar. A holder that
-// was paused past its lease resumes as if it still held the lease. Its order
-// carries its own token, which is lower than that of the next holder, so the
-// order is rejected here even if the upstream ignores fencing tokens.
+// Fence lets a sidecar reject the orders of former lease holders. A holder that
+// was paused past the end of its lease resumes as if it still held it. Its orders
+// carry its own token, which is lower than that of the next holder, so the Fence
+// rejects them even if the upstream ignores fencing tokens.
 type Fence struct {
 	highest wire.FencingToken
 	known   bool
 }
 
-// Learn records the token that the lease object holds. A sidecar that has just
-// started has no token to compare with and would accept any; it reads one from
-// the store before it accepts its first order.
+// Learn records a token that was read from the lease object. A sidecar must do so
+// after its start before it accepts orders: without a token to compare with, it
+// would accept any.
 func (f *Fence) Learn(t wire.FencingToken) {
 	f.known = true
 	f.highest = max(f.highest, t)
@@ -28,7 +28,9 @@
 // Highest returns the highest token learned or accepted.
 func (f *Fence) Highest() wire.FencingToken { return f.highest }
 
-// Check accepts an order by its token, or returns why the order is rejected.
+// Check returns nil if an order with token t is accepted, or why it is rejected. A
+// token is accepted if it is at least the highest one so far, and becomes the highest.
+// Before the first Learn, every order is rejected.
 func (f *Fence) Check(t wire.FencingToken) *verdict.Error {
 	if !f.known {
 		return verdict.New(verdict.NotRun, verdict.ReasonStoreDown, "the current fencing token is not known yet").WithRetryAfter(orderRetryAfter)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -25,11 +25,11 @@
 	// The others make no store calls for it.
 	MaxCandidates = 3
 
-	// marginDivisor divides the TTL into the margin that a candidate waits beyond
-	// the TTL, for clocks that run at different rates.
+	// marginDivisor sets the margin to TTL/marginDivisor. A candidate waits for the
+	// TTL and the margin, since clocks run at different rates.
 	marginDivisor = 5
-	// callDivisor divides the TTL into the interval between a holder's renewals,
-	// and between a candidate's reads.
+	// callDivisor sets the interval between a holder's renewals, and between a
+	// candidate's reads, to TTL/callDivisor.
 	callDivisor = 3
 
 	// orderRetryAfter is when an order may be retried that arrived before the
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -39,9 +39,9 @@
 
 type candidate struct {
 	id            string
-	state         *State
-	offset        time.Duration
-	clockPermille int64 // rate of its clock, in thousandths of true time
+	state         *State        // replaced after a resignation, as by a restart of the process
+	offset        time.Duration // of its clock from true time, at the start
+	clockPermille int64         // rate of its clock, in thousandths of true time
 	paused        bool
 	delayed       []Event
 }
@@ -50,7 +50,7 @@
 // has given up on it.
 type call struct {
 	from     *candidate
-	state    *State // state of from at the time of the call; from may have restarted since
+	state    *State // that made the call; its result is dropped if from has another one by then
 	effect   Effect
 	answered bool
 	applied  bool
@@ -137,7 +137,7 @@
 	sim.step(k.from, GetResult{Object: o, Err: err})
 }
 
-// loseResponse fails a call whose response is lost, before or after its effect.
+// loseResponse fails a call as if its response were lost. The call may have been executed.
 func (sim *simulation) loseResponse(k *call) {
 	if _, writes := k.effect.(Put); writes {
 		sim.answer(k, topo.Object{}, topo.ErrUnknown)
@@ -256,11 +256,13 @@
 				_, _ = sim.apply(rapid.SampledFrom(calls).Draw(t, "call"))
 			}
 		},
-		"pause":   func(t *rapid.T) { drawCandidate(t).paused = true },
-		"resume":  func(t *rapid.T) { sim.resume(drawCandidate(t)) },
-		"outage":  func(t *rapid.T) { sim.down = rapid.IntRange(0, 2).Draw(t, "out") == 0 },
-		"lag":     func(t *rapid.T) { sim.replicaLags = rapid.IntRange(0, 2).Draw(t, "lag") == 0 },
+		"pause":  func(t *rapid.T) { drawCandidate(t).paused = true },
+		"resume": func(t *rapid.T) { sim.resume(drawCandidate(t)) },
+		"outage": func(t *rapid.T) { sim.down = rapid.IntRange(0, 2).Draw(t, "out") == 0 },
+		"lag":    func(t *rapid.T) { sim.replicaLags = rapid.IntRange(0, 2).Draw(t, "lag") == 0 },
+		// The sidecar restarts and forgets its token.
 		"restart": func(t *rapid.T) { sim.fence = Fence{} },
+		// A candidate resigns and restarts under another id.
 		"resign": func(t *rapid.T) {
 			if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
 				c := drawCandidate(t)
--- a/internal/lease/runner.go
+++ b/internal/lease/runner.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// resign gives up the lease and waits until the store holds the resignation, at
-// most for the interval between renewals.
+// resign gives up the lease. If it was held, resign waits until the write that releases
+// it has ended, at most for the interval between renewals.
 func (r *Runner) resign() {
 	held := r.Grant().Valid(time.Now())
 	r.loop.Post(Resign{})
--- a/internal/lease/runner_test.go
+++ b/internal/lease/runner_test.go
@@ -9,8 +9,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/standin"
 )
 
-// Guards against a rollout stalling until the lease lapses after a planned stop of its
-// holder, or for ever after the death of its holder.
+// Guards against a rollout stalling because no router holds the lease: after a planned stop
+// of its holder until the lease lapses, and after the death of its holder for ever. The test
+// stops the holder as planned; it does not cover its death.
 func TestPlannedStopReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewObjectAPI()
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -36,9 +36,9 @@
 	Err    error
 }
 
-// Resign gives up the lease, for a planned stop. It is no longer held at once. A
-// write releases it in the store, so that the next holder need not wait; if that
-// write is lost, the lease lapses.
+// Resign gives up the lease immediately, for a planned stop. A write then releases it in
+// the store, so that the next holder need not wait; if that write is lost, the lease
+// lapses.
 type Resign struct{}
 
 func (Tick) isEvent()      {}
@@ -79,8 +79,8 @@
 	isCandidate    bool
 	resigned       bool
 	releasePending bool      // the resignation is still to be written to the store
-	nextCall       time.Time // no call before this time
-	nextPut        time.Time // no write that follows a read before this time
+	nextCall       time.Time // a Tick before this time makes no call
+	nextPut        time.Time // a GetResult before this time makes no write; see handleGetResult
 
 	hasRead       bool // the object has been read
 	record        Record
@@ -100,10 +100,12 @@
 	return &State{self: self, ttl: ttl}
 }
 
-// callInterval returns the interval between store calls.
+// callInterval returns the interval between a holder's renewals, and between a candidate's
+// reads.
 func (s *State) callInterval() time.Duration { return s.ttl / callDivisor }
 
-// Held returns the fencing token, and whether the lease is held at now.
+// Held returns the fencing token, and whether the lease is held at now. It compares the
+// monotonic clock only: before an effect, a holder must check Grant.Valid instead.
 func (s *State) Held(now time.Time) (wire.FencingToken, bool) {
 	return s.token, s.token != 0 && now.Before(s.deadline)
 }
@@ -134,8 +136,10 @@
 	}
 	s.releasePending = false
 	if s.record.Holder != s.self {
-		return effects
+		return effects // another process has the lease, or it is released already
 	}
+	// The event may carry no time. The time of the release is not used: a State that has
+	// resigned makes no call on a Tick, and does not hold a lease that it reads back.
 	return append(effects, s.put(s.nextCall, Record{}, s.nextCall)...)
 }
 
@@ -170,11 +174,14 @@
 	return s.get(now.Add(s.callInterval()))
 }
 
+// get returns a read of the object. next is the time of the next call on a Tick.
 func (s *State) get(next time.Time) []Effect {
 	s.callInFlight, s.nextCall = true, next
 	return []Effect{Get{}}
 }
 
+// put returns a write of r over the version that was last seen. sent is a time before the
+// write is sent, next the time of the next call on a Tick.
 func (s *State) put(sent time.Time, r Record, next time.Time) []Effect {
 	s.writeCount++
 	r.TTL = s.ttl
@@ -213,6 +220,9 @@
 // A write whose response was lost may have made this process the holder, or may
 // still take effect. The attempt id in the object decides: if it is one of this
 // State's, that write took effect, and the lease counts from before it was sent.
+//
+// The lease is not held if that write released it or took effect in another era of the
+// store, if the object names another holder, or if its token is not this State's.
 func (s *State) observe(now time.Time, r Record, v topo.Version) {
 	if v != 0 && v < s.version {
 		return // a stale read
@@ -265,14 +275,14 @@
 }
 
 func (s *State) handlePutResult(e PutResult) []Effect {
-	last := s.attempts[len(s.attempts)-1]
+	last := s.attempts[len(s.attempts)-1] // of this Put: no other call was in flight meanwhile
 	switch {
 	case e.Err == nil:
 		s.observe(e.Now, last.record, e.Object.Version)
 		return nil
 	case errors.Is(e.Err, topo.ErrRefused):
 		s.forget(last)
-		s.nextCall = e.Now.Add(time.Second)
+		s.nextCall = e.Now.Add(time.Second) // nothing was written: try again soon
 		return nil
 	case errors.Is(e.Err, topo.ErrConflict), errors.Is(e.Err, topo.ErrNotFound):
 		s.forget(last)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -27,7 +27,7 @@
 	Version topo.Version
 	// ColdFor is how much longer the upstream stays cold, counted from the write.
 	ColdFor time.Duration
-	// VM describes how to reach the upstream. The State sets its ID and WarmAt.
+	// VM describes how to reach the upstream. The State sets its ID, Instance and WarmAt.
 	VM topo.VM
 }
 
@@ -49,22 +49,23 @@
 	entries         map[string]*entry           // by name
 	tombstones      map[string]tombstone        // by name; these names have no entry
 	unconfirmed     map[string]unconfirmedEntry // by name; their upstreams may be gone
-	recoveredAt     time.Time                   // when the store answered again after an outage; zero: no outage yet
+	recoveredAt     time.Time                   // see StoreRecovered; zero: no outage or restore yet
 	coldAssumptions map[string]coldAssumption   // by failure domain
 	timing          Timing
 }
 
 // Timing holds the durations that a State applies.
 type Timing struct {
-	// OutageGrace is how long after the end of a store outage a missing entry still
-	// counts: upstreams that could not renew their entries during the outage write
-	// them again within this time.
+	// OutageGrace is how long after the end of a store outage, or after a restore, a
+	// missing entry still counts: upstreams whose entries lapsed or were lost write them
+	// again within this time.
 	OutageGrace time.Duration
 	// Linger is how long an upstream counts as leaving after its entry was removed
 	// without a notice. Most such upstreams still finish their requests, and others
 	// can fetch the prompts that they hold.
 	Linger time.Duration
-	// MaxRenewInterval is the time within which a running upstream rewrites its entry.
+	// MaxRenewInterval is the longest time between two writes of its entry by a running
+	// upstream.
 	MaxRenewInterval time.Duration
 }
 
@@ -88,8 +89,9 @@
 	return write{startedAt: e.StartedAt, sequence: e.Sequence, version: e.Version}
 }
 
-// isReplayOf reports whether w was made no later than last although its version is
-// higher, because the store was restored from an older copy that contains it.
+// isReplayOf reports whether w is last or an earlier write of the same incarnation, which
+// arrives with a higher version because a store that was restored from an older copy has
+// given it a version of its new era. It is false if last is the zero write.
 func (w write) isReplayOf(last write) bool {
 	return last.version != 0 && w.version.Era() > last.version.Era() &&
 		w.startedAt == last.startedAt && w.sequence <= last.sequence
@@ -102,12 +104,12 @@
 	confirmAt time.Time // if the store still has the entry then, the upstream is running
 }
 
-// lapseIntervals is the number of missed renewals after which an entry that nobody
-// renews is certainly gone: the store drops it after three.
+// lapseIntervals is the number of intervals of MaxRenewInterval after which the store has
+// certainly dropped an entry that is not renewed. It drops one after three missed renewals.
 const lapseIntervals = 4
 
-// coldAssumption marks the upstreams of a failure domain as cold if their entries were
-// written at or before a version of the store: they may have become cold since.
+// coldAssumption states that the upstreams of a failure domain are cold until a time,
+// unless their entries were written after a version of the store.
 type coldAssumption struct {
 	version topo.Version
 	until   time.Time
@@ -119,7 +121,8 @@
 	write        write
 	missingUntil time.Time // end of the grace of an entry that the store has lost; zero: the store has it
 	dropAt       time.Time // when it is dropped; zero: not scheduled
-	// overwritten is set while the store holds a write of a former incarnation.
+	// overwritten is set while the store holds a write of a former incarnation. When the
+	// store then removes the entry, the removal does not concern this incarnation.
 	overwritten bool
 }
 
@@ -160,8 +163,10 @@
 	Outdated int
 }
 
-// StoreRecovered records that the store answered again at a time, after an outage.
-// A time before the last recorded one is ignored.
+// StoreRecovered records that at a time the store answered again after an outage, or was
+// found to be restored from an older copy. In both cases entries of running upstreams may
+// be missing, so missing entries count for OutageGrace from then. A time that is not after
+// the last recorded one is ignored.
 func (s *State) StoreRecovered(at time.Time) {
 	if !at.After(s.recoveredAt) {
 		return
@@ -175,8 +180,8 @@
 	}
 }
 
-// StoreRecoveredAt returns when the store answered again after its last outage, or the
-// zero time if there was none.
+// StoreRecoveredAt returns the latest time passed to StoreRecovered, or the zero time if
+// there was none.
 func (s *State) StoreRecoveredAt() time.Time {
 	return s.recoveredAt
 }
@@ -225,9 +230,13 @@
 	s.set(now, e)
 }
 
-// applyReplay applies an entry whose write, or a later one, has been seen before. It holds
-// no news: treated as a new write, it would send work to an upstream that is leaving. An
-// upstream whose entry had been removed is running only if the store keeps the entry.
+// applyReplay applies an entry whose write, or a later one, has been seen before. Treated
+// as a new write, it would send work to an upstream that is leaving.
+//
+// A listed upstream only takes the version of the replay, and its entry is no longer missing.
+// An upstream whose entry had been removed or become unusable may be running if the
+// replay is of its last write and does not announce its leaving; it is running if the store
+// still has the entry after lapseIntervals. Other replays are ignored.
 func (s *State) applyReplay(now time.Time, current *entry, e Entry) {
 	switch {
 	case current != nil && current.dropAt.IsZero():
@@ -250,10 +259,12 @@
 	s.entries[e.Name] = stored
 }
 
-// AssumeCold marks the upstreams of a failure domain as possibly cold up to a version of
-// the store, such as after the domain was drained and returned to service. Until they
-// rewrite their entries, they count as cold for the duration that warmup returns for their
-// pool.
+// AssumeCold records that the upstreams of a failure domain may have become cold by a
+// version of the store, such as after the domain was drained and returned to service. An
+// upstream counts as cold from now for the duration that warmup returns for its pool, or
+// until it writes an entry with a higher version. An entry of the domain that arrives within
+// the longest of these durations, with a version at or below the given one, counts as cold
+// until the end of that duration.
 func (s *State) AssumeCold(now time.Time, domain string, version topo.Version, warmup func(pool string) time.Duration) {
 	longest := time.Duration(0)
 	for _, e := range s.entries {
@@ -265,7 +276,8 @@
 	s.coldAssumptions[domain] = coldAssumption{version: version, until: now.Add(longest)}
 }
 
-// assumeCold applies an assumption to an entry that was written before it.
+// assumeCold applies an assumption to an entry, unless it was written after the version of
+// the assumption.
 func (e *entry) assumeCold(a coldAssumption) {
 	if e.write.version <= a.version && a.until.After(e.vm.WarmAt) {
 		e.vm.WarmAt = a.until
@@ -317,8 +329,8 @@
 	}
 }
 
-// markGone makes an upstream without an entry linger as leaving, or drops it if it was
-// leaving already.
+// markGone makes an upstream whose entry is missing or unusable linger as leaving. It drops
+// the upstream if it was leaving already, or if Linger is not positive.
 func (s *State) markGone(now time.Time, name string, e *entry) {
 	if e.vm.Leaving || s.timing.Linger <= 0 {
 		s.drop(now, name, e)
@@ -327,6 +339,7 @@
 	e.missingUntil, e.vm.Leaving, e.dropAt = time.Time{}, true, now.Add(s.timing.Linger)
 }
 
+// drop removes an upstream from the list and remembers its last write.
 func (s *State) drop(now time.Time, name string, e *entry) {
 	delete(s.entries, name)
 	s.tombstones[name] = tombstone{write: e.write, removedAt: now}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -106,8 +106,8 @@
 	checkListed(t, s, []string{"back"}, nil)
 }
 
-// Guards against a late report of an earlier recovery, from another router, moving the
-// recovery time back.
+// Guards against the outage grace ending too early because another router reports an
+// earlier recovery late, which would move the recovery time back.
 func TestOlderStoreRecoveryIsIgnored(t *testing.T) {
 	s := NewState(timing)
 	s.StoreRecovered(start)
@@ -170,7 +170,10 @@
 	checkListed(t, s, []string{"a@2"}, nil)
 }
 
-// As above, but the present incarnation has died too and does not rewrite its entry.
+// Guards against keeping an upstream whose present incarnation has died as well: a late
+// write of a former incarnation has overwritten its entry, which the store then removes,
+// and the present incarnation does not rewrite it. A later write of the former incarnation
+// must not list the upstream again.
 func TestIncarnationThatDoesNotRenewItsEntryIsRemoved(t *testing.T) {
 	s := NewState(timing)
 	s.Apply(start, incarnationWrite(2, "new:1"))
--- a/internal/membership/restored_test.go
+++ b/internal/membership/restored_test.go
@@ -23,8 +23,8 @@
 	snapshots []map[string]Entry
 	state     *State
 
-	lastWritten   map[string]Entry     // the last write of each upstream, also if a restore lost it
-	lastDelivered map[string]Entry     // the last write that the router received
+	lastWritten   map[string]Entry     // last write of each upstream, whether or not a restore has lost it
+	lastDelivered map[string]Entry     // write of each upstream with the highest Sequence that the router received
 	running       map[string]bool      // whether an upstream is running
 	stoppedAt     map[string]time.Time // when an upstream stopped
 }
@@ -36,6 +36,7 @@
 	}
 }
 
+// nextVersion takes the next revision of the present era and returns its version.
 func (r *restorableStore) nextVersion() topo.Version {
 	r.revision++
 	return topo.VersionAt(r.era, r.revision)
@@ -57,7 +58,7 @@
 
 func (r *restorableStore) remove(name string) {
 	if _, ok := r.entries[name]; ok {
-		r.nextVersion()
+		r.nextVersion() // a removal takes a revision as well
 		delete(r.entries, name)
 		r.deliver(Change{Kind: Removed, Entry: Entry{Name: name}})
 	}
@@ -88,7 +89,7 @@
 	r.now = r.now.Add(d)
 	for name, e := range r.lastWritten {
 		switch {
-		case r.running[name]: // rewrites an entry that is missing or outdated
+		case r.running[name]: // a running upstream rewrites its entry if the store has none or an outdated one
 			if have, ok := r.entries[name]; !ok || have.VM.Leaving != e.VM.Leaving {
 				r.write(name, e.VM.Leaving)
 			}
@@ -109,8 +110,9 @@
 	}
 }
 
-// Guards against a restore of the store from an older copy making routers send work to
-// upstreams that leave or have left, or never again to upstreams that run.
+// Guards against two failures after a restore of the store from an older copy: routers send
+// work to upstreams that leave or have left, because the copy holds earlier writes of them;
+// or they send no more work to upstreams that are running.
 func TestRestoredCopyReactivatesOnlyRunningUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRestorableStore()
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,9 +1,9 @@
 // Package register maintains the entries in the platform's store by which routers discover
 // each other.
 //
-// Each router runs a Registrar. It assumes that one router reads the store for the others,
-// and that routers that are connected report further routers to each other. So the
-// register is read at the start of a router, and periodically by those that read the store.
+// Each router runs a Registrar. A router reads the register at its start. After that, only
+// a router that reads the store for others reads the register again, periodically: it is
+// assumed that connected routers report further routers to each other.
 package register
 
 import (
@@ -21,13 +21,16 @@
 
 const (
 	// readInterval is the mean interval between reads of the register by the routers
-	// that read the store. Routers announce themselves to each other at their start, so
-	// these reads only make up for announcements that were lost.
+	// that read the store; each one is between half and one and a half of it. Routers
+	// announce themselves to each other at their start, so these reads only make up for
+	// announcements that were lost.
 	readInterval = 30 * time.Second
-	// retryPause is the mean pause after a failed read.
+	// retryPause is the mean pause after a failed read, with the same range. It also
+	// bounds the delay of a requested check.
 	retryPause = time.Second
-	// entryTTL is how long an entry is kept without renewal. A router rewrites its own
-	// entry when a read, such as the one at its start, finds it missing or different.
+	// entryTTL is how long after its last write an entry is kept. A router rewrites its
+	// own entry when a read, such as the one at its start, finds it missing or with other
+	// content; it does not rewrite an entry that is up to date.
 	entryTTL = 48 * time.Hour
 )
 
@@ -43,12 +46,13 @@
 	self           relay.Router
 	isReader       func() bool
 	onRouters      func([]relay.Router)
-	hasEntry       bool          // used by Run only
-	checkRequested chan struct{} // buffer of one: the store may have lost this router's entry
+	hasEntry       bool          // an entry was written or found since the start; used by Run only
+	checkRequested chan struct{} // has a buffer of one; see RequestCheck
 }
 
 // New returns the Registrar of the router self. isReader reports whether this router reads
-// the store for others, and onRouters receives the other routers after each read.
+// the store for others. After each read, Run calls onRouters with the other routers whose
+// entries have not expired.
 func New(store topo.Store, self relay.Router, isReader func() bool, onRouters func([]relay.Router)) *Registrar {
 	return &Registrar{store: store, self: self, isReader: isReader, onRouters: onRouters, checkRequested: make(chan struct{}, 1)}
 }
@@ -67,9 +71,10 @@
 	}
 }
 
-// waitForNextRead waits until the register is to be read again. Meanwhile, on request, it
-// ensures that the store has this router's entry. A store that was restored from an older
-// copy may lack it, and routers that start would not find this one.
+// waitForNextRead waits for about readInterval, and for as long as this router does not read
+// the store for others. Meanwhile, on request, it checks that the store has this router's
+// entry: a store that was restored from an older copy may lack it, and routers that start
+// would not find this one. If the check fails, it returns, so that Run reads the register.
 func (reg *Registrar) waitForNextRead(ctx context.Context) {
 	next := time.NewTimer(readInterval/2 + rand.N(readInterval))
 	defer next.Stop()
@@ -92,7 +97,8 @@
 	}
 }
 
-// RequestCheck makes Run check that the store still has this router's entry.
+// RequestCheck makes Run check that the store still has this router's entry, and write it
+// if not. It is called when the store was restored from an older copy. It does not block.
 func (reg *Registrar) RequestCheck() {
 	select {
 	case reg.checkRequested <- struct{}{}:
@@ -117,8 +123,10 @@
 	return err
 }
 
-// sync writes this router's entry and then reads the others: of two routers that start at
-// the same moment, the one that writes later finds the other.
+// sync ensures that the store has an entry of this router, and then reads the register. The
+// write comes first so that of two routers that start at the same moment, the one that writes
+// later finds the other. If the read shows an outdated entry of this router or none, sync
+// writes it.
 func (reg *Registrar) sync(ctx context.Context) error {
 	if !reg.hasEntry {
 		// A conflict means an entry of an earlier start, which the read returns.
@@ -179,7 +187,7 @@
 	return err
 }
 
-// sweep removes an expired entry.
+// sweep removes an expired entry. A failure is only logged: later reads try again.
 func (reg *Registrar) sweep(ctx context.Context, o topo.Object) {
 	if err := reg.store.Delete(ctx, o.Ref, o.Version); err != nil && !errors.Is(err, topo.ErrNotFound) {
 		slog.Warn("expired entry of the register of routers could not be removed", "router", o.Name, "error", err)
--- a/internal/topo/change.go
+++ b/internal/topo/change.go
@@ -16,8 +16,9 @@
 	VMLeft    VMState = "left"
 )
 
-// Changes returns the differences between two snapshots of the list, those of VMs in
-// after first.
+// Changes returns the VMs that joined, started to leave or left between two snapshots of the
+// list of VMs. It returns the changes of VMs in after, in the order of after, and then the
+// VMs that left, in the order of before. A VM that joins as leaving is returned as leaving.
 func Changes(before, after []VM) []VMChange {
 	old := make(map[string]VM, len(before))
 	for _, vm := range before {
--- a/internal/topo/dialect.go
+++ b/internal/topo/dialect.go
@@ -19,8 +19,9 @@
 }
 
 // Dialect encodes the calls of a platform's object API and decodes its responses.
-// Object decodes the response of Get and Put, Page that of List and Watch. Versions in
-// calls and responses are revisions of the era that Head returns.
+// Object decodes the response of Get and Put, Page that of List and Watch. The kind
+// passed to Page is that of the List, or the last one of the Watch. Where a Dialect has
+// a Version, it is a revision without an era: HTTP adds the era that Head returns.
 type Dialect interface {
 	Get(ref Ref) Call
 	List(kind Kind, cont string) Call
@@ -36,7 +37,7 @@
 // Head is what the status and header of a response say about the store.
 type Head struct {
 	Era        Era           // zero: not reported
-	RetryAfter time.Duration // for which the store asks this process to make no calls; zero: it does not ask
+	RetryAfter time.Duration // the backoff that the store requests of this process; zero: none
 }
 
 // EraHeader is the response header with the era of the stand-in store.
@@ -102,13 +103,13 @@
 	return Head{Era: ParseEra(header.Get(EraHeader)), RetryAfter: ParseRest(status, header.Get(RetryAfterHeader))}
 }
 
-// RetryAfterHeader is the response header with the seconds for which the stand-in store
-// asks for no calls.
+// RetryAfterHeader is the response header with the backoff that the stand-in store
+// requests, in seconds.
 const RetryAfterHeader = "Retry-After"
 
-// ParseRest returns how long a store asks for no calls, by the status of a response and
-// the seconds in its Retry-After header. It returns at most an hour, and zero if the store
-// does not ask or the seconds are invalid.
+// ParseRest returns the backoff that a store requests by a response of status 429 or 503
+// with the given seconds, possibly fractional, in its Retry-After header. It returns at most
+// an hour, and zero if the status is another one or the seconds are invalid.
 func ParseRest(status int, seconds string) time.Duration {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return 0
--- a/internal/topo/era.go
+++ b/internal/topo/era.go
@@ -21,8 +21,9 @@
 	newest Era
 }
 
-// observe records the era that a response names. It returns the era of the response and
-// the newest one. A response that names no era belongs to the newest.
+// observe records the era that a response reports, zero if it reports none. It returns the
+// era of the response and the newest one. A response that reports no era belongs to the
+// newest.
 func (e *eraTracker) observe(reported Era) (era, newest Era) {
 	e.mu.Lock()
 	before := e.newest
@@ -52,14 +53,15 @@
 	return h.eras.newest
 }
 
-// versioned returns an object whose revision is replaced by its version in an era.
+// versioned returns o, as decoded by a Dialect, with the era added to the revision in its
+// Version.
 func (era Era) versioned(o Object) Object {
 	o.Version = VersionAt(era, o.Version)
 	return o
 }
 
-// versionedPage returns a page whose revisions are replaced by versions in an era. It
-// modifies the objects of p.
+// versionedPage returns p, as decoded by a Dialect, with the era added to the revisions in
+// it. It modifies the objects of p.
 func (era Era) versionedPage(p Page) Page {
 	p.Version = VersionAt(era, p.Version)
 	for i, o := range p.Objects {
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -16,8 +16,9 @@
 
 var claimRef = topo.Ref{Kind: topo.KindClaim, Name: "a"}
 
-// newRestorableStore returns a store and two clients of it. unaware is for tests in which
-// it makes no call between a restore and the call under test.
+// newRestorableStore returns a store and two clients of it. A test that uses unaware makes
+// no call with it between a restore and the call under test, so that unaware has not seen
+// the new era.
 func newRestorableStore(t *testing.T) (store *standin.ObjectAPI, client, unaware *topo.HTTP) {
 	store = standin.NewObjectAPI()
 	mux := http.NewServeMux()
@@ -92,6 +93,8 @@
 	}
 }
 
+// Guards against a change after a restore of the store counting as older than one before,
+// because the store reuses revisions.
 func TestVersionsOrderChangesAcrossEras(t *testing.T) {
 	last, first := topo.VersionAt(3, 1<<30), topo.VersionAt(4, 1)
 	if first <= last || first.Era() != 4 || first.Revision() != 1 || last.Revision() != 1<<30 {
@@ -102,8 +105,8 @@
 	}
 }
 
-// Guards against responses without an era, such as those of a proxy, being attributed to
-// an era that is over.
+// Guards against a response being attributed to an era that is over because it lacks the
+// header with the era, as when a proxy answers for the store.
 func TestResponseWithoutAnEraBelongsToTheNewest(t *testing.T) {
 	named := true
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -16,14 +16,11 @@
 )
 
 const (
-	// defaultCallTimeout bounds one call to the platform. A slow store must not block the
-	// calling goroutine for ever.
+	// Defaults of Timeouts.
 	defaultCallTimeout = 5 * time.Second
-	// defaultWatchGrace is how much later than the end of its wait a watch may be answered.
-	// Past it, the connection counts as silently dropped by a middlebox.
-	defaultWatchGrace = time.Second
-	// defaultMaxRetryAfter bounds how long a store's request for no calls is honoured: this
-	// process cannot see whether the store accepts calls of others again meanwhile.
+	defaultWatchGrace  = time.Second
+	// Backoffs are bounded because this process cannot see whether the store accepts
+	// calls of others again meanwhile.
 	defaultMaxRetryAfter = 2 * time.Second
 
 	// maxValueBytes is the largest value that the platform stores in one object, in bytes.
@@ -38,7 +35,8 @@
 // A Dialect encodes the calls: Plain, unless WithDialect sets another. The list of VMs
 // is at /v1/vms.
 //
-// The platform answers 429 and 503 only to calls that it has not started to process.
+// The platform answers 429 and 503 only to calls that it has not started to process, so a
+// write with one of these statuses is known to have had no effect.
 //
 // Revisions of different eras of the store are not comparable, since the store reuses
 // them after a restore. So a watch that started in one era fails in the next, and a write
@@ -54,9 +52,15 @@
 
 // Timeouts bounds how long a client waits for the platform.
 type Timeouts struct {
-	Call          time.Duration // of one call; a slow store must not block its caller for ever
-	WatchGrace    time.Duration // beyond the wait of a watch; past it, the connection counts as silently dropped
-	MaxRetryAfter time.Duration // upper bound on the time for which a store may ask for no calls
+	// Call bounds one call other than a watch. A slow store must not block the calling
+	// goroutine for ever.
+	Call time.Duration
+	// WatchGrace is how much later than the end of its wait a watch may be answered. A
+	// watch without a response by then fails, since a middlebox may have dropped its
+	// connection silently.
+	WatchGrace time.Duration
+	// MaxRetryAfter bounds the backoff that the store may request.
+	MaxRetryAfter time.Duration
 }
 
 // NewHTTP returns a client for the platform at base, such as http://10.0.0.2:7000.
@@ -134,7 +138,7 @@
 
 // Watch implements Store.
 func (h *HTTP) Watch(ctx context.Context, kinds []Kind, since Version, wait time.Duration) (p Page, err error) {
-	kind := kinds[len(kinds)-1]
+	kind := kinds[len(kinds)-1] // for the counters, which do not distinguish kinds that are watched together
 	r := request{name: callWatch, kind: kind, wait: wait, baseVersion: since, Call: h.dialect.Watch(kinds, since.Revision(), wait)}
 	err = h.call(ctx, r, func(era Era, body []byte) error {
 		p, err = h.dialect.Page(kind, body)
@@ -200,9 +204,10 @@
 	return maxObjectResponseBytes
 }
 
-// call executes a call and counts it. A read without a response on a reused
-// connection is tried once more: the connection may have been dead for long, and
-// only reads are safe to repeat.
+// call executes a call and counts its outcome. It fails without a call if a newer era of the
+// store than that of the base version is known, or during a backoff. A read without a
+// response on a reused connection is tried once more, since the connection may have been dead
+// before; writes are not safe to repeat. A watch is not repeated.
 func (h *HTTP) call(ctx context.Context, r request, decode func(Era, []byte) error) error {
 	if r.baseVersion != 0 && h.eras.isOver(r.baseVersion.Era()) {
 		err := r.eraChangedError()
@@ -311,7 +316,9 @@
 	return errors.Wrapf(class, "%s %s: malformed answer: %s", r.Method, r.Path, err)
 }
 
-// statusError returns the error that a status stands for, or nil for 2xx.
+// statusError returns the error that a status stands for, or nil for 2xx. A write with a
+// status of 500 and above, except 503, may have taken effect. All other statuses that have
+// no case of their own, 408 and 429 included, mean that nothing was written.
 func statusError(r request, status int) error {
 	class := ErrRefused
 	switch {
--- a/internal/topo/http_test.go
+++ b/internal/topo/http_test.go
@@ -125,8 +125,8 @@
 }
 
 // Guards against the wrong outcome of a write whose response is lost or ambiguous. If it
-// counted as refused, an operator would be told that a change was not made that is in
-// force; if a refusal counted as unknown, the write could not be retried safely.
+// counted as refused, an operator would be told that the change was not made although it is
+// in force. If a refusal counted as unknown, operators could not retry the write safely.
 func TestWriteOutcomes(t *testing.T) {
 	withPipeClient(t, func(t *testing.T, n *pipeNetwork, api *standin.ObjectAPI, h *topo.HTTP) {
 		one := json.RawMessage(`1`)
@@ -141,19 +141,19 @@
 			}
 		}
 		api.SetFaults(standin.ObjectFaults{LoseAnswers: 1})
-		check("answer lost after the effect", put(ref, 0), topo.ErrUnknown)
+		check("response lost after the effect", put(ref, 0), topo.ErrUnknown)
 		check("made again", put(ref, 0), topo.ErrConflict)
 		api.SetFaults(standin.ObjectFaults{Down: true})
 		check("store down", put(ref, 1), topo.ErrRefused)
 		api.SetFaults(standin.ObjectFaults{WritesPerSecond: 0.5})
 		check("over the rate", put(ref, 1), topo.ErrRefused)
 		api.SetFaults(standin.ObjectFaults{Silent: true})
-		check("no answer in time", put(ref, 1), topo.ErrUnknown)
+		check("no response in time", put(ref, 1), topo.ErrUnknown)
 		api.SetFaults(standin.ObjectFaults{Delay: profile.Duration(time.Minute)})
 		check("too slow", put(ref, 1), topo.ErrUnknown)
 		api.SetFaults(standin.ObjectFaults{})
 		check("gateway failed", put(topo.Ref{Kind: "proxy", Name: "x"}, 0), topo.ErrUnknown)
-		check("answer too large", put(topo.Ref{Kind: "huge", Name: "x"}, 0), topo.ErrUnknown)
+		check("response too large", put(topo.Ref{Kind: "huge", Name: "x"}, 0), topo.ErrUnknown)
 		n.down = true
 		check("no connection", put(ref, 1), topo.ErrRefused)
 		n.down = false
--- a/internal/topo/rest.go
+++ b/internal/topo/rest.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// backoffs holds until when the store has asked this process for no calls. Stores limit
-// reads and writes separately, so a store may ask for no calls of one of the two only.
+// backoffs holds the ends of the backoffs that the store has requested of this process.
+// Stores limit the rates of reads and writes separately, so each has its own backoff.
 type backoffs struct {
 	mu    sync.Mutex
 	until [2]time.Time // of reads and of writes, by backoffIndex
@@ -19,8 +19,8 @@
 	return 0
 }
 
-// extend records that the store asked for no calls like r for a time. It never shortens
-// a backoff.
+// extend starts a backoff of duration d from now for reads or writes, whichever r is. It
+// never shortens a backoff.
 func (s *backoffs) extend(r request, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// remaining returns how long no calls like r may be made, or zero if they may.
+// remaining returns the rest of the backoff that applies to r, or zero if there is none.
 func (s *backoffs) remaining(r request, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/topo/rest_test.go
+++ b/internal/topo/rest_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards against calls to a store that asked for none, and against a backoff that never ends.
+// Guards against calls during a backoff, because a later, shorter backoff replaced it, and
+// against calls that are held up after the end of a backoff, or by that of reads if they write.
 func TestBackoffs(t *testing.T) {
 	var s backoffs
 	now := time.Unix(1000, 0)
@@ -30,7 +31,8 @@
 	}
 }
 
-// Guards against backoffs from invalid, negative or excessive times, and from other statuses.
+// Guards against a router that stops calling the store for too long: because of a Retry-After
+// that is invalid, negative or excessive, or that comes with another status than 429 and 503.
 func TestParseRest(t *testing.T) {
 	for _, c := range []struct {
 		status  int
--- a/internal/topo/transport.go
+++ b/internal/topo/transport.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	// dialTimeout bounds the opening of a connection, and then its TLS handshake.
 	dialTimeout = time.Second
 	// idleTimeout is how long an unused connection is kept.
 	idleTimeout = 30 * time.Second
@@ -68,7 +69,7 @@
 	outcomeRefused   callOutcome = "refused"
 	outcomeUnknown   callOutcome = "unknown"
 	outcomeCompacted callOutcome = "compacted"
-	outcomeWithheld  callOutcome = "withheld" // not made, since the store asked for no calls
+	outcomeWithheld  callOutcome = "withheld" // not made, because of a backoff
 )
 
 var (
@@ -147,13 +148,13 @@
 	use atomic.Pointer[connUse]
 }
 
-// connUse is what a connection is used for.
+// connUse holds the labels under which the bytes of a connection are counted.
 type connUse struct {
 	call    callName
 	control telemetry.ControlKind
 }
 
-// setConnUse counts the further bytes of c for r.
+// setConnUse makes c count the bytes that it transfers from now on as those of r.
 func setConnUse(c net.Conn, r request) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
--- a/internal/topo/version.go
+++ b/internal/topo/version.go
@@ -14,7 +14,7 @@
 // changes a second they last for three years.
 const revisionBits = 40
 
-// VersionAt returns the version of a revision in an era.
+// VersionAt returns the version of a revision in an era. revision has no era itself.
 func VersionAt(era Era, revision Version) Version {
 	return Version(era)<<revisionBits | revision
 }
