--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -40,8 +40,8 @@
 
 // Exists reports whether the object exists: the store has it and its newest
 // revision is not a deletion.
-func (c StoredObject) Exists() bool {
-	return c.Version != 0 && !c.Revision.Deleted()
+func (o StoredObject) Exists() bool {
+	return o.Version != 0 && !o.Revision.Deleted()
 }
 
 // Edit is a change that an operator requests.
@@ -126,12 +126,12 @@
 			return nil, err
 		}
 		for _, o := range page.Objects {
-			c, err := decodeStored(o)
+			stored, err := decodeStored(o)
 			if err != nil {
 				return nil, err
 			}
-			if c.Exists() {
-				out = append(out, c)
+			if stored.Exists() {
+				out = append(out, stored)
 			}
 		}
 		if cont = page.Continue; cont == "" {
--- a/internal/config/edition.go
+++ b/internal/config/edition.go
@@ -41,9 +41,9 @@
 	return Edition{}
 }
 
-// isOlderCopyThan reports whether e belongs to a store that was restored from an older
+// isFromOlderCopyThan reports whether e belongs to a store that was restored from an older
 // copy than held: its era is later and its number is lower.
-func (e Edition) isOlderCopyThan(held Edition) bool {
+func (e Edition) isFromOlderCopyThan(held Edition) bool {
 	return e.Number < held.Number && e.Version.Era() > held.Version.Era()
 }
 
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -221,8 +221,8 @@
 	return time.Since(f.startTime)
 }
 
-// put creates the first object.
-func (f *fleet) put(ctx context.Context, id config.ChangeID) {
+// createFirst creates the first object.
+func (f *fleet) createFirst(ctx context.Context, id config.ChangeID) {
 	value, _ := config.Revision{Change: config.Change{ID: id}, Spec: json.RawMessage(`1`)}.Encode()
 	if _, err := f.store.Put(ctx, f.refs[0], value, 0); err != nil {
 		f.t.Error(err)
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -50,10 +50,10 @@
 	// Subject names in the log what is followed. Empty means the configuration.
 	Subject string
 
-	mu         sync.Mutex
-	cancelCall context.CancelCauseFunc // of the current watch or listing; nil: none
-	storeError string                  // of the last failed call to the Source
-	peerSilent bool                    // the last query to a peer failed
+	mu          sync.Mutex
+	cancelCall  context.CancelCauseFunc // of the current watch or listing; nil: none
+	storeError  string                  // of the last failed call to the Source
+	peerFailing bool                    // the last query to a peer failed
 }
 
 func (r *Runner) subject() string {
@@ -130,8 +130,8 @@
 // noteQueryResult logs when peers stop answering and when they answer again.
 func (r *Runner) noteQueryResult(peer config.Peer, err error) {
 	r.mu.Lock()
-	changed := r.peerSilent != (err != nil)
-	r.peerSilent = err != nil
+	changed := r.peerFailing != (err != nil)
+	r.peerFailing = err != nil
 	r.mu.Unlock()
 	switch {
 	case !changed:
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -117,7 +117,7 @@
 		f.store.SetFaults(standin.ObjectFaults{SilentWatches: len(f.routers)})
 		time.Sleep(3 * time.Second)
 		f.store.SetFaults(standin.ObjectFaults{})
-		f.put(ctx, "c")
+		f.createFirst(ctx, "c")
 		n.step(config.Hinted{Now: time.Now()})
 		time.Sleep(config.TickInterval)
 		if id, _ := n.inForce(f.refs[0]); id != "c" {
@@ -144,7 +144,7 @@
 		f.store.SetFaults(standin.ObjectFaults{Silent: true})
 		time.Sleep(30 * time.Second)
 		f.store.SetFaults(standin.ObjectFaults{})
-		f.put(ctx, "c")
+		f.createFirst(ctx, "c")
 		time.Sleep(maxPropagation)
 		for _, n := range f.routers {
 			if id, ready := n.inForce(f.refs[0]); id != "c" || !ready {
--- a/internal/config/follow/history_test.go
+++ b/internal/config/follow/history_test.go
@@ -25,14 +25,14 @@
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
-	reads      []*reads
-	latest     map[config.Peer]map[topo.Ref]*reads
+	reads      []*readGroup
+	latest     map[config.Peer]map[topo.Ref]*readGroup
 	blocked    []span // when changes could reach routers from neither store nor peers
 }
 
-// reads are reads that returned the same change. If the first and the last of them are valid,
-// all reads between them are.
-type reads struct {
+// readGroup are readGroup that returned the same change. If the first and the last of them are valid,
+// all readGroup between them are.
+type readGroup struct {
 	ref         topo.Ref
 	id          config.ChangeID
 	first, last time.Duration
@@ -76,25 +76,25 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.latest == nil {
-		h.latest = make(map[config.Peer]map[topo.Ref]*reads)
+		h.latest = make(map[config.Peer]map[topo.Ref]*readGroup)
 	}
 	if h.latest[router] == nil {
-		h.latest[router] = make(map[topo.Ref]*reads)
+		h.latest[router] = make(map[topo.Ref]*readGroup)
 	}
 	r := h.latest[router][ref]
 	if r == nil || r.id != id {
-		r = h.findReads(ref, id)
+		r = h.findGroup(ref, id)
 	}
 	if r == nil {
-		r = &reads{ref: ref, id: id, first: at}
+		r = &readGroup{ref: ref, id: id, first: at}
 		h.reads = append(h.reads, r)
 	}
 	r.last = at
 	h.latest[router][ref] = r
 }
 
-func (h *history) findReads(ref topo.Ref, id config.ChangeID) *reads {
-	i := slices.IndexFunc(h.reads, func(r *reads) bool { return r.ref == ref && r.id == id && id != "" })
+func (h *history) findGroup(ref topo.Ref, id config.ChangeID) *readGroup {
+	i := slices.IndexFunc(h.reads, func(r *readGroup) bool { return r.ref == ref && r.id == id && id != "" })
 	if i < 0 {
 		return nil
 	}
@@ -121,20 +121,20 @@
 // oldestVisible returns the earliest time whose state a read at a time may still return:
 // maxPropagation before it, not counting the time in which changes were blocked.
 func (h *history) oldestVisible(at time.Duration) time.Duration {
-	left, end := maxPropagation, at
+	remaining, end := maxPropagation, at
 	for i := len(h.blocked) - 1; i >= 0; i-- {
 		b := h.blocked[i]
 		if b.from >= end {
 			continue
 		}
-		open := max(0, end-b.to)
-		if open >= left {
+		unblocked := max(0, end-b.to)
+		if unblocked >= remaining {
 			break
 		}
-		left -= open
+		remaining -= unblocked
 		end = b.from
 	}
-	return end - left
+	return end - remaining
 }
 
 // model is a register of revisions. A commit takes effect only on top of its parent, and a read
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -98,8 +98,8 @@
 	switch {
 	case !f.Ready():
 		return TickInterval
-	case f.reliesOnPeers():
-		return sidecarCheckInterval
+	case f.receivesFromPeersOnly():
+		return peersOnlyCheckInterval
 	case f.failures > 0:
 		return outageCheckInterval
 	default:
@@ -165,10 +165,10 @@
 // Sidecars collect the changes of a short period into one pull.
 func (f *Follower) catchUp(now time.Time, peer Peer, v topo.Version) []Effect {
 	switch {
-	case f.reliesOnPeers() && now.Before(f.nextPull):
+	case f.receivesFromPeersOnly() && now.Before(f.nextPull):
 		f.peerAhead = peer
 		return nil
-	case f.reliesOnPeers():
+	case f.receivesFromPeersOnly():
 	case f.isWatchingStore() && f.announced.version <= f.set.Version():
 		f.announced = announcement{version: v, received: now}
 		return nil
@@ -216,7 +216,7 @@
 		return nil
 	}
 	f.repair.nextResync = now.Add(resyncInterval)
-	if f.reliesOnPeers() {
+	if f.receivesFromPeersOnly() {
 		return append(out, f.startPull(now, peer, 0)...)
 	}
 	f.listNext = true
@@ -235,7 +235,7 @@
 	if p.query.After > 0 && p.deletionHorizon != d.DeletionHorizon {
 		// The peer has forgotten more deletions since it sent the first piece.
 		clear(p.seen)
-		return f.nextPiece(e.Now, 0)
+		return f.requestPiece(e.Now, 0)
 	}
 	if p.query.After == 0 {
 		// Later pieces do not include what the peer has learnt since the first one
@@ -253,13 +253,13 @@
 	}
 	out := append(f.enterEra(e.Now, d.Summary.CompleteUpTo.Era()), f.applyBatch(b)...)
 	if d.More && len(d.Objects) > 0 {
-		return append(out, f.nextPiece(e.Now, d.Objects[len(d.Objects)-1].Version)...)
+		return append(out, f.requestPiece(e.Now, d.Objects[len(d.Objects)-1].Version)...)
 	}
 	return append(out, f.finishPull(e, p)...)
 }
 
-// nextPiece requests the next piece of a pull, which starts after a version.
-func (f *Follower) nextPiece(now time.Time, after topo.Version) []Effect {
+// requestPiece requests the next piece of a pull, which starts after a version.
+func (f *Follower) requestPiece(now time.Time, after topo.Version) []Effect {
 	p := f.pull
 	p.query.After = after
 	p.deadline = now.Add(queryTimeout)
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -8,7 +8,7 @@
 
 // tickStore starts the next call to the store when it is due.
 func (f *Follower) tickStore(now time.Time) []Effect {
-	if f.phase != phaseWaiting || f.delegated {
+	if f.phase != phaseWaiting || f.hasParent {
 		return nil
 	}
 	if f.nextCall.IsZero() {
@@ -58,10 +58,10 @@
 // store passes the objects on in a twentieth of the bytes, and both transfers would share the
 // link.
 func (f *Follower) switchStoreReading(e StoreReadingSwitched) []Effect {
-	if f.delegated == !e.On {
+	if f.hasParent == !e.On {
 		return nil
 	}
-	f.delegated = !e.On
+	f.hasParent = !e.On
 	if e.On {
 		f.listNext, f.failures, f.nextCall = true, 0, e.Now
 		return f.tickStore(e.Now)
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// reliesOnPeers reports whether this node receives changes from peers only.
-func (f *Follower) reliesOnPeers() bool {
-	return f.phase == phaseNone || f.delegated
+// receivesFromPeersOnly reports whether this node receives changes from peers only.
+func (f *Follower) receivesFromPeersOnly() bool {
+	return f.phase == phaseNone || f.hasParent
 }
 
 // isWatchingStore reports whether this node receives changes from its watch of the store.
@@ -156,7 +156,7 @@
 	default:
 		f.backOff(e.Now)
 	}
-	if e.Compacted || !f.unavailableSince.IsZero() || f.delegated {
+	if e.Compacted || !f.unavailableSince.IsZero() || f.hasParent {
 		return nil
 	}
 	f.unavailableSince = e.Now
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -24,9 +24,9 @@
 
 	// peerCheckInterval is how often a router compares itself with a random peer.
 	peerCheckInterval = 2500 * time.Millisecond
-	// sidecarCheckInterval is how often a node that does not read the store does so.
+	// peersOnlyCheckInterval is how often a node that does not read the store does so.
 	// Many routers query a sidecar as well.
-	sidecarCheckInterval = time.Minute
+	peersOnlyCheckInterval = time.Minute
 	// outageCheckInterval is how often a router does so while the store does not answer.
 	outageCheckInterval = 500 * time.Millisecond
 	// pullDelay is how long a router waits for its own watch to return a change
@@ -114,7 +114,7 @@
 	rand            *rand.Rand
 	storeAnsweredAt time.Time
 
-	delegated        bool // another router reads the store for this one
+	hasParent        bool // another router reads the store for this one
 	phase            storePhase
 	nextCall         time.Time
 	listNext         bool // the next call to the store is a listing
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -181,24 +181,24 @@
 	}
 	timing := DefaultTiming()
 	timing.Relayed = true
-	reader, to := NewFollower(1, timing), NewFollower(2, timing)
-	reader.Step(Listed{Now: now, Objects: []topo.Object{upstream(1, 1), upstream(2, 2), upstream(3, 3), upstream(4, 4)}, Version: 4})
+	parent, to := NewFollower(1, timing), NewFollower(2, timing)
+	parent.Step(Listed{Now: now, Objects: []topo.Object{upstream(1, 1), upstream(2, 2), upstream(3, 3), upstream(4, 4)}, Version: 4})
 	to.Step(Ticked{Now: now})
 	to.Step(StoreReadingSwitched{Now: now})
-	answerAll(to, reader, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}}))
+	answerAll(to, parent, now, to.Step(PeersChanged{Now: now, Peers: []Peer{"reader"}}))
 	left := []topo.Object{upstream(2, 2), upstream(3, 3), upstream(4, 4)}
 	for gone := 1; gone <= 3; gone++ {
 		now = now.Add(2 * time.Second)
 		version := topo.Version(4 + gone)
-		reader.Step(Listed{Now: now, Objects: left, Version: version})
-		reader.set.Apply(Batch{Objects: []topo.Object{upstream(4, version)}, Claim: &Claim{To: version}})
+		parent.Step(Listed{Now: now, Objects: left, Version: version})
+		parent.set.Apply(Batch{Objects: []topo.Object{upstream(4, version)}, Claim: &Claim{To: version}})
 		left = left[1:]
-		summary := reader.set.Summary()
+		summary := parent.set.Summary()
 		first := to.Step(SummaryReceived{Now: now, Peer: "lost", Summary: summary})
-		answerOnce(to, reader, now, first) // the query for all objects that follows is not answered
+		answerOnce(to, parent, now, first) // the query for all objects that follows is not answered
 		to.Step(QueryFailed{Now: now, Peer: "lost"})
 		now = now.Add(timing.PullInterval)
-		answerAll(to, reader, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: summary}))
+		answerAll(to, parent, now, to.Step(SummaryReceived{Now: now, Peer: "reader", Summary: summary}))
 		if _, listed := to.set.Get(upstream(gone, 1).Ref); listed {
 			t.Errorf("upstream %d is still listed", gone)
 		}
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -68,9 +68,9 @@
 	q.Summary = config.Summary{}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.cached {
-		if k.set == set && k.query == q && k.summary == d.Summary {
-			return k.packed, nil
+	for _, entry := range p.cached {
+		if entry.set == set && entry.query == q && entry.summary == d.Summary {
+			return entry.packed, nil
 		}
 	}
 	packed, err := p.compress(d)
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -27,14 +27,14 @@
 
 // isOutdatedPeer reports whether a peer has its configuration from an older copy of the store.
 func (f *Follower) isOutdatedPeer(m Summary) bool {
-	return Edition{Number: m.Edition, Version: m.Version}.isOlderCopyThan(f.set.edition)
+	return Edition{Number: m.Edition, Version: m.Version}.isFromOlderCopyThan(f.set.edition)
 }
 
 // replacement returns what changes when objects are all that a source holds at a version.
 // If the source was restored from an older copy, the configuration in force stays, whether
 // the copy holds other objects or lacks some.
 func (f *Follower) replacement(now time.Time, objects []topo.Object, version topo.Version) []topo.Object {
-	if f.isOlderCopy(editionOf(objects), version) {
+	if f.detectOlderCopy(editionOf(objects), version) {
 		objects = f.set.withOrdersOf(objects)
 	}
 	if now.Before(f.holdOrdersUntil) {
@@ -43,17 +43,17 @@
 	return f.set.difference(objects, version)
 }
 
-// isOlderCopy reports whether the configuration of a source comes from an older copy and
+// detectOlderCopy reports whether the configuration of a source comes from an older copy and
 // its operators have not written it since. What they write later takes effect, whatever
 // edition number they give it.
-func (f *Follower) isOlderCopy(e Edition, version topo.Version) bool {
+func (f *Follower) detectOlderCopy(e Edition, version topo.Version) bool {
 	if f.set.edition.Number == 0 {
 		return false
 	}
 	if e.Number == 0 { // the copy was made before the first edition
 		return version.Era() > f.set.edition.Version.Era()
 	}
-	if !e.isOlderCopyThan(f.set.edition) {
+	if !e.isFromOlderCopyThan(f.set.edition) {
 		return false
 	}
 	if f.restoredEdition.Era() != e.Version.Era() {
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -168,9 +168,9 @@
 	r.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 31))
 	fresh.list(olderCopy, topo.VersionAt(2, 30), topo.VersionAt(2, 38))
 	r.list(newerConfiguration, topo.VersionAt(2, 40), topo.VersionAt(2, 41))
-	relying := newTestFollower()
-	relying.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
-	for _, to := range []*testFollower{relying, fresh} {
+	late := newTestFollower()
+	late.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
+	for _, to := range []*testFollower{late, fresh} {
 		for range 2 { // a reader waits for its own watch first
 			to.now = to.now.Add(2 * pullDelay)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
