--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -1,8 +1,8 @@
 // Package change writes configuration to the store for operators.
 //
 // A change is accepted exactly when the store has committed it. Operators make concurrent
-// changes and answers get lost, so a Commit ends in one of three ways: applied, not applied,
-// or unknown. It never guesses.
+// changes, and answers of the store can be lost. So a Commit ends in one of three ways: applied,
+// not applied, or unknown. It reports unknown rather than an outcome that may be wrong.
 package change
 
 import (
@@ -157,8 +157,9 @@
 	if err != nil {
 		return Result{Outcome: NotApplied, Change: r.Change, Cause: err}
 	}
-	// The history is written first: a change in force always has a history entry,
-	// and the entry of a change that is not applied is not on the chain of ancestors.
+	// The history entry is written first, so that a change in force always has one. The
+	// entry of a change that is not applied does no harm: no later change has it as an
+	// ancestor.
 	ancestors, err := e.writeHistory(ctx, edit.Base, r)
 	if err != nil {
 		return Result{Outcome: NotApplied, Change: r.Change, Cause: err}
@@ -174,7 +175,7 @@
 	return result
 }
 
-// Rollback commits a new revision with the spec of an earlier one.
+// Rollback commits a new revision on top of base, with the spec of an earlier revision.
 func (e *Editor) Rollback(ctx context.Context, base StoredObject, to config.Revision, author, reason string) Result {
 	return e.Commit(ctx, Edit{Base: base, Spec: to.Spec, Author: author, Reason: reason})
 }
--- a/internal/config/change/change_test.go
+++ b/internal/config/change/change_test.go
@@ -13,9 +13,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// A profile is changed 30 times, and some of the changes have a concurrent one that conflicts.
-// The history must contain the changes that were in force and no others, and must not grow
-// without bound. A rollback must not remove the later changes from it.
+// A profile is changed 30 times. After some of the changes, another operator tries to change the
+// version that has just been replaced, and gets a conflict. The history shows who changed what:
+// it must contain the changes that were in force and no others, and must not grow without bound.
+// A rollback must be a change on top of the newest one, or the later changes would be missing
+// from the history.
 func TestHistoryListsChangesThatWereInForce(t *testing.T) {
 	ctx, store := context.Background(), standin.NewObjectAPI()
 	e := change.NewEditor(store)
@@ -32,7 +34,7 @@
 		base := read()
 		r := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(fmt.Sprint(i))})
 		if r.Outcome != change.Applied {
-			t.Fatalf("%s: %v", r.Outcome, r.Cause)
+			t.Fatalf("the outcome of a change is %s, cause %v; want applied", r.Outcome, r.Cause)
 		}
 		inForce = append([]config.ChangeID{r.Change.ID}, inForce...)
 		if i%10 != 5 {
@@ -40,7 +42,7 @@
 		}
 		late := e.Commit(ctx, change.Edit{Base: base, Spec: json.RawMessage(`"late"`)})
 		if late.Conflict == nil || late.Conflict.Theirs.Revision.Change.ID != r.Change.ID || string(late.Conflict.Mine.Spec) != `"late"` {
-			t.Fatalf("the operator of the conflicting change gets %+v", late)
+			t.Fatalf("the result of the conflicting change is %+v", late)
 		}
 	}
 	history, err := e.History(ctx, read())
--- a/internal/config/change/commit.go
+++ b/internal/config/change/commit.go
@@ -22,8 +22,8 @@
 	base   StoredObject
 	mine   config.Revision
 	value  json.RawMessage
-	// answerLost is set if a write may still be under way: its answer was lost, so it
-	// may have taken effect or may take effect later.
+	// answerLost is set once the answer to a write was lost: that write may have taken
+	// effect, or may still do so.
 	answerLost bool
 }
 
@@ -54,9 +54,10 @@
 	}
 }
 
-// resolveConflict determines which change replaced the base: this one, through a copy of the
-// write whose answer was lost, or another one. It also does so when no answer was lost,
-// since a proxy between here and the store may have sent the write twice.
+// resolveConflict determines the outcome after the store has refused a write because the base
+// has been removed or replaced: by this change, through a copy of the write whose answer was
+// lost, or by another one. It looks for this change also when no answer was lost, since a proxy between
+// here and the store may have sent the write twice. cause goes with an unknown outcome.
 func (c *commit) resolveConflict(ctx context.Context, cause error) Result {
 	for {
 		latest, err := c.editor.Read(ctx, c.base.Ref)
@@ -77,7 +78,7 @@
 		}
 		if !pause(ctx) {
 			if !c.answerLost {
-				// No answer was lost, so the conflict is the answer.
+				// All writes were answered, the last one with a conflict.
 				return c.notApplied(&Conflict{Base: c.base, Mine: c.mine}, nil)
 			}
 			return c.unknown(cause)
@@ -85,8 +86,9 @@
 	}
 }
 
-// objectRemoved returns the result for an object that was removed from the store by other
-// means than a change: nothing remains that shows what came before.
+// objectRemoved returns the result for an object that the store no longer has, although a
+// change would have left a revision. Nothing shows whether this change was in force before: if
+// an answer was lost, it may have been.
 func (c *commit) objectRemoved() Result {
 	if !c.answerLost {
 		return c.notApplied(&Conflict{Base: c.base, Mine: c.mine, Theirs: StoredObject{Ref: c.base.Ref}}, nil)
@@ -94,9 +96,13 @@
 	return c.unknown(errors.Errorf("change: %s has been removed from the store", c.base.Ref))
 }
 
-// fromHistory looks for this change among the ancestors of the revision in force. Each of
-// them was written on condition that the previous one was in force, so the ancestor that
-// follows the base is the one that replaced it.
+// fromHistory determines the outcome from the ancestors of the latest revision, which is not
+// this change. It returns false if they do not show it.
+//
+// Each revision was written on condition that its parent was in force, so exactly one of them
+// replaced the base. If this change is among the ancestors, it was applied and has been
+// superseded. If they reach back to the base, or to the first change of an object that did not
+// exist, and this change is not among them, another one replaced the base.
 func (c *commit) fromHistory(ctx context.Context, latest StoredObject) (Result, bool) {
 	conflict := &Conflict{Base: c.base, Mine: c.mine, Theirs: latest}
 	if latest.Revision.Change.Parent == c.base.Revision.Change.ID {
--- a/internal/config/change/history.go
+++ b/internal/config/change/history.go
@@ -61,8 +61,8 @@
 	return entry, errors.Wrap(err, "change: malformed history")
 }
 
-// writeHistory writes the entry of a change that is about to be committed, and
-// returns its ancestors.
+// writeHistory writes the entry of a change that is about to be committed. It returns the
+// ancestors, with the one beyond MaxHistory, if any, that the entry does not list.
 func (e *Editor) writeHistory(ctx context.Context, base StoredObject, r config.Revision) ([]config.ChangeID, error) {
 	entry := HistoryEntry{Revision: r, Complete: base.Version == 0}
 	if base.Version != 0 {
@@ -85,8 +85,8 @@
 	for {
 		_, err = e.store.Put(ctx, historyRef(base.Ref, r.Change.ID), value, 0)
 		if err == nil || errors.Is(err, topo.ErrConflict) {
-			// The name is random, so an existing entry was written by an earlier
-			// attempt whose answer was lost.
+			// The name contains the random ID of the change, so an existing entry was
+			// written by an earlier attempt whose answer was lost.
 			return ancestors, nil
 		}
 		if !errors.Is(err, topo.ErrUnknown) || !pause(ctx) {
@@ -95,15 +95,15 @@
 	}
 }
 
-// trimHistory removes the entries beyond the newest MaxHistory ancestors.
+// trimHistory removes the history entries of all but the newest MaxHistory ancestors.
 func (e *Editor) trimHistory(ctx context.Context, ref topo.Ref, ancestors []config.ChangeID) {
 	for _, id := range ancestors[min(len(ancestors), MaxHistory):] {
 		e.dropHistory(ctx, ref, id)
 	}
 }
 
-// dropHistory removes an entry. If that fails, the object stays in the store, but no chain of
-// ancestors refers to it.
+// dropHistory removes the history entry of a change. If that fails, the entry stays in the
+// store, but no chain of ancestors refers to it.
 func (e *Editor) dropHistory(ctx context.Context, ref topo.Ref, id config.ChangeID) {
 	o, err := e.store.Get(ctx, historyRef(ref, id))
 	if err == nil {
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -28,8 +28,10 @@
 	Objects []topo.Object `json:"objects,omitempty"`
 	More    bool          `json:"more,omitempty"` // more pieces follow: query again with After set to the last object's version
 	Summary Summary       `json:"mark"`
-	// DeletionHorizon is the version up to which an object that the sender does not hold
-	// does not exist. Objects does not list deletions up to it.
+	// DeletionHorizon is the version up to which the sender holds all objects that exist:
+	// an object that it does not hold, and that changed last at or before DeletionHorizon,
+	// has been deleted. Objects may lack deletions up to there, because the sender has
+	// forgotten them or has learnt of them from a listing.
 	DeletionHorizon topo.Version `json:"known,omitempty"`
 }
 
@@ -49,9 +51,9 @@
 	return m
 }
 
-// Answer returns a piece of what the requesting node lacks. All objects of one version
-// are in the same piece: the next piece begins after a version, so the remaining objects
-// of that version would never be sent.
+// Answer returns a piece of what the requesting node lacks. It never divides the objects of
+// one version between two pieces: the next piece begins after the last version sent, so the
+// remaining objects of that version would never be sent.
 func (s *Set) Answer(q Query) Delta {
 	d := Delta{Summary: s.Summary(), DeletionHorizon: s.deletionHorizon()}
 	from := max(q.Since, q.After)
@@ -80,7 +82,7 @@
 	return s.order[len(s.order)-1-n].Version
 }
 
-// deletionHorizon returns the version up to which objects that are not held do not exist.
+// deletionHorizon returns the DeletionHorizon of the Set, see Delta.
 func (s *Set) deletionHorizon() topo.Version {
 	return max(s.forgottenUpTo, s.listedUpTo)
 }
--- a/internal/config/edition.go
+++ b/internal/config/edition.go
@@ -41,19 +41,20 @@
 	return Edition{}
 }
 
-// isFromOlderCopyThan reports whether e belongs to a store that was restored from an older
-// copy than held: its era is later and its number is lower.
+// isFromOlderCopyThan reports whether e is the edition of a store that was restored from a copy
+// older than the held edition: the era of e is later and its number is lower.
 func (e Edition) isFromOlderCopyThan(held Edition) bool {
 	return e.Number < held.Number && e.Version.Era() > held.Version.Era()
 }
 
-// isOrder reports whether objects of a kind are operators' orders. Orders are written one
-// by one and have no edition.
+// isOrder reports whether objects of a kind are operators' orders: drains of an upstream or of
+// a failure domain. Orders are written one by one and have no edition.
 func isOrder(kind topo.Kind) bool {
 	return kind == topo.KindDrain || kind == topo.KindDomainDrain
 }
 
-// withOrdersOf returns the held configuration with its orders replaced by those of fromCopy.
+// withOrdersOf returns the objects that the Set holds, but with the orders among fromCopy in
+// place of its own.
 func (s *Set) withOrdersOf(fromCopy []topo.Object) []topo.Object {
 	var out []topo.Object
 	s.Objects(func(o topo.Object) {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// ordersBefore returns the held orders that were written before an era.
+// ordersBefore returns the orders in the Set that were written before an era.
 func (s *Set) ordersBefore(era topo.Era) []topo.Object {
 	var out []topo.Object
 	s.Objects(func(o topo.Object) {
--- a/internal/config/event.go
+++ b/internal/config/event.go
@@ -66,7 +66,7 @@
 type StoreFailed struct {
 	Now       time.Time
 	Compacted bool // the store no longer has the changes that were requested
-	TimedOut  bool // the call timed out
+	TimedOut  bool // the call ended by its time limit; a listing as a whole has none
 }
 
 // PeersConnected names the peers to which a connection is open. Routine comparisons
@@ -82,8 +82,8 @@
 // outage. It ends the pause of a Follower whose own calls fail.
 type StoreReachable struct{ Now time.Time }
 
-// StoreReadingSwitched starts or stops the reading of the store. While it is off, another
-// router reads the store and this one queries its peers.
+// StoreReadingSwitched starts or stops the reading of the store. While it is off, the parent
+// reads the store, and this router queries its peers.
 type StoreReadingSwitched struct {
 	Now time.Time
 	On  bool
--- a/internal/config/follow/calls_test.go
+++ b/internal/config/follow/calls_test.go
@@ -13,10 +13,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// scenario is the load or fault of a fleet while its calls to the store are counted.
+// scenario is what a fleet goes through while its calls to the store are counted: changes, or a
+// store that is down.
 type scenario struct {
 	name     string
-	changes  int // made by operators
+	changes  int // made by operators, evenly over the duration
 	down     bool
 	duration time.Duration
 	maxReads float64 // reads of the store per router and second
--- a/internal/config/follow/fleet_test.go
+++ b/internal/config/follow/fleet_test.go
@@ -27,7 +27,7 @@
 	refs      []topo.Ref
 	startTime time.Time
 
-	isolated atomic.Pointer[node] // a sidecar that receives no events but answers queries
+	isolated atomic.Pointer[node] // a sidecar that takes no events, but answers queries with what it holds
 	queries  atomic.Int64         // queries between nodes
 
 	mu           sync.Mutex
@@ -92,6 +92,7 @@
 	go n.traffic()
 }
 
+// start adds a node with a Follower. store is nil for a sidecar.
 func (f *fleet) start(ctx context.Context, c *config.Follower, store topo.Store) *node {
 	f.startedNodes++
 	n := &node{
@@ -221,7 +222,7 @@
 	return time.Since(f.startTime)
 }
 
-// createFirst creates the first object.
+// createFirst creates the first of refs in the store, by the change id.
 func (f *fleet) createFirst(ctx context.Context, id config.ChangeID) {
 	value, _ := config.Revision{Change: config.Change{ID: id}, Spec: json.RawMessage(`1`)}.Encode()
 	if _, err := f.store.Put(ctx, f.refs[0], value, 0); err != nil {
--- a/internal/config/follow/follow.go
+++ b/internal/config/follow/follow.go
@@ -53,7 +53,7 @@
 	mu          sync.Mutex
 	cancelCall  context.CancelCauseFunc // of the current watch or listing; nil: none
 	storeError  string                  // of the last failed call to the Source
-	peerFailing bool                    // the last query to a peer failed
+	peerFailing bool                    // the last query failed, to whichever peer
 }
 
 func (r *Runner) subject() string {
@@ -84,7 +84,9 @@
 	}
 }
 
-// Do starts the effect e and returns at once. It ignores Changed, which the role handles.
+// Do starts the effect e and returns at once; the result is posted as an event. A List or Watch
+// cancels the watch or listing in progress, if any. Do ignores Changed, which the owner of the
+// Follower handles.
 func (r *Runner) Do(ctx context.Context, e config.Effect) {
 	switch e := e.(type) {
 	case config.List:
@@ -127,7 +129,8 @@
 	r.Post(config.QueryAnswered{Now: time.Now(), Peer: e.Peer, Delta: d})
 }
 
-// noteQueryResult logs when peers stop answering and when they answer again.
+// noteQueryResult logs a failed query after one that was answered, and an answered one after a
+// failed one, whichever peers they were sent to.
 func (r *Runner) noteQueryResult(peer config.Peer, err error) {
 	r.mu.Lock()
 	changed := r.peerFailing != (err != nil)
@@ -142,10 +145,12 @@
 	}
 }
 
-// errCallCancelled is the cause with which a watch or listing is cancelled.
+// errCallCancelled is the cause with which replaceCall cancels a watch or listing. It
+// distinguishes that from a timeout and from the end of the context given to Do.
 var errCallCancelled = errors.New("follow: call cancelled")
 
-// replaceCall cancels the current watch or listing and stores how to cancel the next one.
+// replaceCall cancels the current watch or listing, if any. next cancels the one that starts
+// now; nil if none does.
 func (r *Runner) replaceCall(next context.CancelCauseFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,6 +160,7 @@
 	r.cancelCall = next
 }
 
+// watch runs a watch of the Source with a time limit, and posts the result.
 func (r *Runner) watch(ctx context.Context, e config.Watch) {
 	bounded, cancel := context.WithTimeout(ctx, e.Wait+config.WatchGrace)
 	defer cancel()
@@ -170,6 +176,8 @@
 	}
 }
 
+// storeFailed reports a call to the Source that failed with err. ctx is that of the call: if it
+// has ended, the call has exceeded its time limit.
 func (r *Runner) storeFailed(ctx context.Context, err error) {
 	compacted := errors.Is(err, topo.ErrCompacted)
 	if compacted {
@@ -187,6 +195,8 @@
 	})
 }
 
+// list takes a Snapshot of the Source and posts the result. There is no time limit for a whole
+// listing: each page has its own, see pageTimeout.
 func (r *Runner) list(ctx context.Context) {
 	all, err := r.Source.Snapshot(ctx)
 	switch {
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -21,8 +21,8 @@
 	maxRouters = 4
 )
 
-// faultKinds are the faults of a phase. A fault in which the store gives no answer at all
-// blocks the propagation of changes.
+// faultKinds are the faults of which each phase has one. blocksChanges is set where the store
+// serves no call, so that changes reach no router.
 var faultKinds = []struct {
 	faults        standin.ObjectFaults
 	blocksChanges bool
@@ -46,11 +46,11 @@
 }
 
 // Operators change profiles while the store is down, slow or lagging, loses answers or lets
-// watches miss changes, and while routers restart. An operator who was told "applied" by
-// parsleyctl must not find a router that still serves by the former profile or returns to it:
-// because its watch stopped responding, missed the change or was restarted from a lagging
-// listing, or because the router started from a sidecar that lacked the change. Nor may an
-// operator who was told "not applied" find the change in force.
+// watches miss changes, and while routers restart. After parsleyctl has reported a change as
+// applied, no router may serve by the former profile or return to it. That would happen if its
+// watch stopped responding, missed the change or was restarted from a lagging listing, or if the
+// router started from a sidecar that lacked the change. A change that parsleyctl has reported as
+// not applied must never be in force.
 //
 // Each router's configuration must have been in force within the last 7 s, and the outcomes
 // that operators got must fit one order of the changes.
--- a/internal/config/follow/history_test.go
+++ b/internal/config/follow/history_test.go
@@ -93,6 +93,8 @@
 	h.latest[router][ref] = r
 }
 
+// findGroup returns the group of the reads that returned a change, or nil if there is none or
+// id is empty.
 func (h *history) findGroup(ref topo.Ref, id config.ChangeID) *readGroup {
 	i := slices.IndexFunc(h.reads, func(r *readGroup) bool { return r.ref == ref && r.id == id && id != "" })
 	if i < 0 {
@@ -118,8 +120,8 @@
 	h.blocked = append(h.blocked, span{from, to})
 }
 
-// oldestVisible returns the earliest time whose state a read at a time may still return:
-// maxPropagation before it, not counting the time in which changes were blocked.
+// oldestVisible returns the earliest time whose state a read at time at may still return:
+// maxPropagation before at, not counting the time in which changes were blocked.
 func (h *history) oldestVisible(at time.Duration) time.Duration {
 	remaining, end := maxPropagation, at
 	for i := len(h.blocked) - 1; i >= 0; i-- {
--- a/internal/config/follow/join.go
+++ b/internal/config/follow/join.go
@@ -10,9 +10,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Join returns a Source of the objects of several sources of one store. Each source returns all
-// its objects once any of them has changed, and so does the result: a page without a change is
-// not Whole.
+// Join returns a Source that combines several sources of one store. A watch of each source must
+// return all its objects when any of them has changed, in a page that is Whole, and otherwise a
+// page that is not Whole and has no objects. Watches of the result do the same.
 func Join(sources ...Source) Source {
 	return &joinedSource{sources: sources}
 }
@@ -61,10 +61,11 @@
 }
 
 // Watch implements Source. It watches all sources at the same time. When one of them returns
-// a change, the others are read as well, because what they hold at that version is unknown.
+// a change, Watch cancels the other watches and takes a snapshot of the other sources, since
+// the page must contain their objects, too.
 //
-// While the store does not answer, only the first source checks whether it does again: in an
-// outage, every router that reads the store itself calls it, and each call has a cost.
+// After a failed call, Watch calls only the first source until that one answers: in an outage,
+// every router that reads the store itself calls it, and each call has a cost.
 func (j *joinedSource) Watch(ctx context.Context, since topo.Version, wait time.Duration) (topo.Page, error) {
 	if j.storeFailing.Load() {
 		if _, err := j.sources[0].Watch(ctx, since, probeWait); err != nil {
--- a/internal/config/follow/join_test.go
+++ b/internal/config/follow/join_test.go
@@ -54,15 +54,16 @@
 	return routes, orders, follow.Join(routes, orders)
 }
 
-// A failure domain is drained and the routes stay as they are. A page contains all objects that
-// exist: if it lacked the routes, every caller would be refused from then on.
+// One of two sources has changed: a failure domain is drained. The page must contain the objects
+// of the unchanged source, too. Routers take objects that it lacks as deleted: without the
+// routes, every caller would be refused from then on.
 func TestChangeOfOnePartReturnsAllObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, orders, joined := newParts()
 		orders.changes <- struct{}{}
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || !page.Whole || len(page.Objects) != 3 || page.Version != 7 {
-			t.Errorf("%+v, %v", page, err)
+			t.Errorf("page %+v, error %v; want 3 objects, whole, version 7", page, err)
 		}
 	})
 }
@@ -74,13 +75,14 @@
 		_, _, joined := newParts()
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || page.Whole || len(page.Objects) != 0 || page.Version != 7 {
-			t.Errorf("%+v, %v", page, err)
+			t.Errorf("page %+v, error %v; want no objects, not whole, version 7", page, err)
 		}
 	})
 }
 
-// While the store is down, one source must be enough to check whether it answers again, because
-// each call has a cost. After that, all sources are read again.
+// The store is down, and each call to it has a cost. After the first watch, which calls both
+// sources, only one of them may be called until the store answers. Then all sources must be read
+// again, or the page would lack the objects of one.
 func TestOnePartProbesUnavailableStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routes, orders, joined := newParts()
@@ -88,7 +90,7 @@
 		routes.err, orders.err = down, down
 		for range 5 {
 			if _, err := joined.Watch(t.Context(), 7, time.Second); !errors.Is(err, down) {
-				t.Fatalf("%v", err)
+				t.Fatalf("a watch of an unavailable store returns error %v, want that of the source", err)
 			}
 		}
 		synctest.Wait()
@@ -99,7 +101,7 @@
 		orders.changes <- struct{}{}
 		page, err := joined.Watch(t.Context(), 7, time.Second)
 		if err != nil || !page.Whole || len(page.Objects) != 3 {
-			t.Errorf("after recovery: %+v, %v", page, err)
+			t.Errorf("after recovery: page %+v, error %v; want 3 objects, whole", page, err)
 		}
 	})
 }
--- a/internal/config/follow/source.go
+++ b/internal/config/follow/source.go
@@ -23,7 +23,7 @@
 )
 
 // Snapshot is all configuration in the store. An object that it lacks did not exist at
-// Version.
+// Version, or was deleted during the listing.
 type Snapshot struct {
 	Objects []topo.Object
 	Version topo.Version
@@ -91,9 +91,10 @@
 	return out, err
 }
 
-// page reads a page, with several attempts if needed. If there is only one kind, its first
-// page is not tried again here: there is no other page to read again, and the Follower picks
-// a better time, since it learns from the answer to another call that the store is back.
+// page reads a page, with up to pageAttempts attempts. The first page of a source of one kind
+// has only one attempt: no other page would have to be read again, so the Follower can retry
+// the whole listing. It picks a better time, since it learns from the answer to another call
+// that the store is back (config.StoreReachable).
 func (s storeSource) page(ctx context.Context, kind topo.Kind, cont string) (topo.Page, error) {
 	attempts := pageAttempts
 	if cont == "" && len(s.kinds) == 1 {
--- a/internal/config/follow_peer.go
+++ b/internal/config/follow_peer.go
@@ -37,9 +37,10 @@
 const refreshInterval = time.Minute
 
 // fullPullInterval bounds how often all objects are pulled because the peers have
-// forgotten deletions that this node may have missed. Where hundreds of routers list the
-// store, there is always one that listed it a moment ago. Where one router reads it for
-// all, each of its listings is pulled once by the routers that were behind.
+// forgotten deletions that this node may have missed. Without the bound, a node would pull
+// again and again where hundreds of routers list the store, since one of them has always
+// listed it a moment ago. Where one router reads the store for all (Timing.Relayed), each of
+// its listings is pulled once, without delay, by the routers that were behind.
 const fullPullInterval = time.Minute
 
 // repair is the state of the repair of a difference from a peer that is equally complete
@@ -62,7 +63,7 @@
 }
 
 // tickPeers compares this node with a peer from time to time. This bounds how long a node
-// without traffic stays behind, or keeps a gap that its watch has left.
+// without traffic stays behind, and how long a node lacks a change that its watch has missed.
 func (f *Follower) tickPeers(now time.Time) []Effect {
 	if f.pull != nil && now.After(f.pull.deadline) {
 		f.pull = nil
@@ -161,7 +162,7 @@
 // catchUp pulls a newer version from a peer. While the store answers, a router's own watch
 // is about to return the same changes, so the router waits for pullDelay: in a burst it
 // would otherwise receive each change twice. A router that has just begun to read the
-// store does not wait: the store may refuse it, and it would stay behind for that long.
+// store does not wait: if the store refuses it, it would stay behind for pullDelay.
 // Sidecars collect the changes of a short period into one pull.
 func (f *Follower) catchUp(now time.Time, peer Peer, v topo.Version) []Effect {
 	switch {
@@ -258,7 +259,8 @@
 	return append(out, f.finishPull(e, p)...)
 }
 
-// requestPiece requests the next piece of a pull, which starts after a version.
+// requestPiece requests the piece of the pull that starts after a version; zero requests the
+// first piece.
 func (f *Follower) requestPiece(now time.Time, after topo.Version) []Effect {
 	p := f.pull
 	p.query.After = after
@@ -282,8 +284,10 @@
 	return out
 }
 
-// adoptCompleteness adopts the version up to which the peer is complete, if the pull proves
-// that this node is complete up to there as well.
+// adoptCompleteness raises the version up to which this node is complete to that of the peer,
+// if the pull proves that this node has missed none of the deletions that the peer has
+// forgotten. Otherwise a pull of all objects is needed, which may have to wait for
+// fullPullInterval.
 func (f *Follower) adoptCompleteness(e QueryAnswered, p *pull) []Effect {
 	d := e.Delta
 	var out []Effect
@@ -297,7 +301,7 @@
 		// None of the forgotten deletions concerned objects of this node.
 		f.set.listedUpTo = max(f.set.listedUpTo, d.DeletionHorizon)
 	case e.Now.Before(f.repair.nextFullPull) && !(f.timing.Relayed && d.DeletionHorizon > f.repair.fullPullHorizon):
-		return nil
+		return nil // too soon after the last pull of all objects
 	default:
 		f.repair.nextFullPull = e.Now.Add(fullPullInterval)
 		return f.startPull(e.Now, p.peer, 0)
--- a/internal/config/follow_store.go
+++ b/internal/config/follow_store.go
@@ -38,9 +38,9 @@
 // minWatchFraction is the smallest fraction of WatchWait for which a watch waits after a pause.
 const minWatchFraction = 0.5
 
-// watchWait returns for how long the next watch waits. For a router that reads for others,
-// the pause before a watch counts as part of the wait: the others rely on how long ago the
-// store last answered, and after a pause and a full wait they would read it themselves.
+// watchWait returns for how long the next watch waits. At a parent, the pause before a watch
+// counts as part of the wait: its subscribers go by how long ago the store last answered it,
+// and after a pause and a full wait they would read the store themselves.
 func (f *Follower) watchWait(now time.Time) time.Duration {
 	switch {
 	case f.failures > 0:
@@ -54,9 +54,8 @@
 
 // switchStoreReading starts or stops the reading of the store. Reading starts with a listing,
 // because the last answer of the store is old and its change history may have been compacted
-// since. When reading stops, a listing in progress is cancelled: the router that reads the
-// store passes the objects on in a twentieth of the bytes, and both transfers would share the
-// link.
+// since. When reading stops, a listing in progress is cancelled: the parent sends the objects
+// in a twentieth of the bytes, and both transfers would share the link.
 func (f *Follower) switchStoreReading(e StoreReadingSwitched) []Effect {
 	if f.hasParent == !e.On {
 		return nil
@@ -73,7 +72,8 @@
 	return nil
 }
 
-// receivesFromPeersOnly reports whether this node receives changes from peers only.
+// receivesFromPeersOnly reports whether this node receives changes from peers only: it is a
+// sidecar, or a router with a parent.
 func (f *Follower) receivesFromPeersOnly() bool {
 	return f.phase == phaseNone || f.hasParent
 }
@@ -97,9 +97,9 @@
 	f.nextCall = now.Add(f.jitter(d))
 }
 
-// maxFirstRetryFactor bounds the pause between failed calls to the store while a router has
-// no configuration, as a multiple of RetryInitial. With the usual backoff, a router was
-// refused for up to 1 s after the store was back; with this bound, for at most .3 s.
+// maxFirstRetryFactor bounds the mean pause between failed calls to the store while a router
+// has no configuration, as a multiple of RetryInitial. With the usual backoff, the last failed
+// call of such a router was up to 1 s after the store was back; with this bound, .3 s.
 const maxFirstRetryFactor = 2
 
 // backOff delays the next call to the store longer after each failure.
@@ -145,12 +145,13 @@
 func (f *Follower) storeFailed(e StoreFailed) []Effect {
 	switch {
 	case e.Compacted:
-		// The store's change history begins after the version held here. A watch
-		// would be refused at each try; a listing starts afresh.
+		// The store's change history begins after the version held here. Every watch from
+		// there would fail, so the next call is a listing.
 		f.listNext = true
 		f.pause(e.Now, f.timing.RetryInitial)
 	case e.TimedOut:
-		// The timeout was pause enough: the next connection may work at once.
+		// The call has lasted until its timeout, so the pause does not grow with the number
+		// of failures: a new connection may work at once.
 		f.failures++
 		f.pause(e.Now, f.timing.RetryInitial)
 	default:
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -14,20 +14,22 @@
 	// WatchGrace is how long after the end of its wait a watch may still answer.
 	WatchGrace = time.Second
 
-	// firstListDelay is when a router that started with a peer's configuration
-	// verifies it against the store. Later it does so every minListInterval, or less
-	// often, so that the values read stay within listBytesPerSecond. Only a listing
-	// shows a change that all nodes have missed.
+	// firstListDelay is the mean time from the start of a router with a peer's
+	// configuration to its first listing of the store, which verifies that configuration.
+	// The mean time between later listings is minListInterval, or as much longer as keeps
+	// the size of the values read within listBytesPerSecond. Only a listing shows a change
+	// that all nodes have missed.
 	firstListDelay     = 5 * time.Minute
 	minListInterval    = time.Minute
 	listBytesPerSecond = 256
 
-	// peerCheckInterval is how often a router compares itself with a random peer.
+	// peerCheckInterval is the mean time between comparisons with a random peer, for a
+	// router that reads the store.
 	peerCheckInterval = 2500 * time.Millisecond
-	// peersOnlyCheckInterval is how often a node that does not read the store does so.
-	// Many routers query a sidecar as well.
+	// peersOnlyCheckInterval is the same for a sidecar, and for a router that has another
+	// one read the store for it. A sidecar is also queried by many routers.
 	peersOnlyCheckInterval = time.Minute
-	// outageCheckInterval is how often a router does so while the store does not answer.
+	// outageCheckInterval is the same for a router whose calls to the store fail.
 	outageCheckInterval = 500 * time.Millisecond
 	// pullDelay is how long a router waits for its own watch to return a change
 	// that a peer has reported, before it pulls the change.
@@ -37,7 +39,8 @@
 	// minComparedPeers is how many peers a router compares itself with before it
 	// trusts a configuration that the store has not confirmed.
 	minComparedPeers = 3
-	// maxPeerWait is how long it waits for them.
+	// maxPeerWait is the time after its start from which a router trusts the
+	// configuration that it has, without further comparisons.
 	maxPeerWait = 2 * time.Second
 )
 
@@ -53,9 +56,11 @@
 	// burst of changes would make every router call the store for each of them, which
 	// with 330 routers is more than the store can serve.
 	WatchPause time.Duration
-	// Relayed is set where routers rely on one of them to read the store. A pause is then
-	// part of the watch that follows it, which costs a tenth more calls. Removals that a
-	// listing has shown are pulled at once, because few routers list the store.
+	// Relayed is set at all routers of a fleet in which a parent reads the store for its
+	// subscribers. A pause then counts as part of the watch that follows it, which costs a
+	// tenth more calls. Subscribers pull at once the removals that a listing of their
+	// parent has shown, without regard to fullPullInterval: few routers list the store, so
+	// such pulls are few.
 	Relayed bool
 	// RetryInitial and RetryMax bound the pause after a failed call to the store.
 	RetryInitial, RetryMax time.Duration
@@ -114,7 +119,7 @@
 	rand            *rand.Rand
 	storeAnsweredAt time.Time
 
-	hasParent        bool // another router reads the store for this one
+	hasParent        bool // another router, the parent, reads the store for this one
 	phase            storePhase
 	nextCall         time.Time
 	listNext         bool // the next call to the store is a listing
@@ -127,7 +132,7 @@
 	storeIsStale     bool         // the store's last answer was older than what is known here
 	era              topo.Era     // of the store
 	holdOrdersUntil  time.Time    // orders that a restored store lacks hold until then
-	restoredEdition  topo.Version // of the edition in a store restored from an older copy
+	restoredEdition  topo.Version // of the first edition seen in a store restored from an older copy
 
 	peers         []Peer
 	connected     []Peer // the peers to which a connection is open
@@ -188,16 +193,20 @@
 // first compares it with a few peers, so that neither a lagging store nor a single
 // disconnected peer makes it serve by rules that are no longer in force.
 //
-// Once true, it stays true. Otherwise a router that has just begun to rely on another one
-// would refuse callers until that one answers.
+// Once true, it stays true. Otherwise a router that has just got a parent would refuse callers
+// until the parent answers.
 func (f *Follower) Ready() bool {
 	return f.ready
 }
 
+// isTrusted reports whether there is a configuration and either enough peers have been
+// compared or maxPeerWait has passed.
 func (f *Follower) isTrusted() bool {
 	return f.set.CompleteUpTo() > 0 && (f.hasComparedPeers() || f.peerWaitOver)
 }
 
+// hasComparedPeers reports whether minComparedPeers peers have answered, or all if there are
+// fewer. If none has answered, the store must have.
 func (f *Follower) hasComparedPeers() bool {
 	return len(f.comparedPeers) >= min(minComparedPeers, len(f.peers)) && (f.storeConfirmed || len(f.comparedPeers) > 0)
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -55,9 +55,10 @@
 	}
 }
 
-// A profile is deleted from the store by hand, created again and deleted again. A peer that
-// has seen the first deletion and a later listing sends the first deletion. The profile that
-// a router has read between the two deletions must be removed.
+// A profile is deleted from the store by hand, created again and deleted again. A router lists
+// the store between the two deletions. Its peer has seen the first deletion and, after the second
+// one, a listing; when the router pulls all objects, it sends only the first deletion. If that
+// counted as an object that the peer holds, the deleted profile would stay in force.
 func TestObjectDeletedAgainIsRemoved(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(SummaryReceived{Now: now, Peer: "a", Summary: Summary{Version: 1}})
@@ -69,10 +70,10 @@
 	}
 }
 
-// The watches of two of three routers miss a change. A sidecar that one of the two has
-// updated reports to the third, before its own watch has returned the change, that nothing
-// is new. If the third router continued its watch from there, the change would be in force
-// nowhere.
+// The watches of routers A and B miss a change. Before the watch of router C has returned it, a
+// sidecar that has its configuration from A reports to C that it is complete up to a version
+// after the change, and sends no objects. If C continued its watch from that version, the change
+// would be in force nowhere.
 func TestPeersDoNotMoveTheWatch(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.peers = []Peer{"a"}
@@ -120,9 +121,10 @@
 	}
 }
 
-// An operator adds hundreds of routes in one change. They have the same version and do not
-// fit into one piece of a pull. If a router missed those of the second piece, their callers
-// would get 404 for as long as the router runs.
+// An operator adds hundreds of routes in one change. They all have the same version, and are
+// more than the usual size of a piece of a pull. If the piece ended between them, the next one
+// would begin after their version: callers of the other routes would get 404 for as long as the
+// router runs.
 func TestManyObjectsOfOneVersionAreAllPulled(t *testing.T) {
 	const many = 500
 	from, to := NewFollower(1, DefaultTiming()), NewFollower(2, DefaultTiming())
@@ -170,10 +172,10 @@
 }
 
 // Three upstreams are removed from the store one after the other, and each time another
-// router has taken over reading the store. It detects the removal in its listing, which
-// contains no deletions. The routers that rely on it must learn of each removal, or they
-// send requests to removed upstreams for up to a minute. The same holds if the router that
-// they query for all objects stops answering.
+// router has taken over as the parent. It detects the removal in its listing, which contains no
+// deletions. Its subscribers must learn of each removal at once: if the bound on pulls of all
+// objects delayed them, they would send requests to removed upstreams for up to a minute. The
+// same holds if the peer that is queried for all objects stops answering.
 func TestRemovalsFoundByListingArePulledAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	upstream := func(i int, v topo.Version) topo.Object {
@@ -208,11 +210,12 @@
 	}
 }
 
-// After a power failure of all routers, two of them read the whole configuration from the
-// store, one just before a change that removes a route and one just after it. The second has
-// never held that route. A third router has pulled from the first and now pulls from the
-// second: the route must be removed, or callers are served by it indefinitely. Unchanged
-// routes are the same at both readers, so that nothing is pulled because of them.
+// After a power failure of all routers, two of them, "before" and "after", read the whole
+// configuration from the store, just before and just after a change that removes a route.
+// "after" has never held that route and has no deletion to send. A third router has pulled from
+// "before" and now pulls from "after": the route must be removed, or callers are served by it
+// indefinitely. Unchanged routes must be the same at all routers that read the store, so that
+// nothing is pulled because of them.
 func TestRouteUnknownToNewReaderIsRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	route := func(name string, n int, v topo.Version) topo.Object {
@@ -291,8 +294,8 @@
 }
 
 // A router begins to read the store, which refuses only this router, and learns from a peer
-// that there is a change. If it waited for its own watch, as it does while the store answers,
-// it would keep an upstream that is about to leave in its list for two seconds.
+// that there is a change. If it waited for its own watch, as it does while the store answers it,
+// it would keep an upstream that is about to leave in its list for two seconds (pullDelay).
 func TestNewReaderPullsUntilTheStoreAnswers(t *testing.T) {
 	f, now := NewFollower(1, DefaultTiming()), time.Unix(0, 0)
 	f.Step(Listed{Now: now, Objects: []topo.Object{chatAt(2)}, Version: 2})
--- a/internal/config/pack/pack.go
+++ b/internal/config/pack/pack.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// maxUnpackedBytes bounds the size of an unpacked delta.
+	// maxUnpackedBytes bounds the size of an unpacked delta in CBOR. Unpack returns an
+	// error for a larger one.
 	maxUnpackedBytes = 64 << 20
 	// maxCachedDeltas is how many packed deltas are cached. Routers request the same one
 	// at about the same time.
@@ -26,8 +27,8 @@
 // Delta is the encoded form of a config.Delta: CBOR, compressed with zstd. A change that
 // adds a thousand routes is 650 KB of JSON, half a second on a link of 10 Mbit/s, and
 // compresses to a twentieth of that. CBOR treats the values of objects as bytes, where JSON
-// would parse each of them on both sides (BenchmarkPackedDelta: .6 ms to pack and to
-// unpack, instead of 3.6 and 4.9 ms as JSON in gzip).
+// would parse each of them on both sides. In BenchmarkPackedDelta, packing and unpacking take
+// .6 ms each; as JSON in gzip, they take 3.6 and 4.9 ms.
 type Delta struct {
 	Zstd []byte `json:"zstd"`
 }
@@ -42,7 +43,8 @@
 	cached []cachedDelta
 }
 
-// New returns a Packer, which uses one goroutine per call and little memory.
+// New returns a Packer that uses little memory: it packs one delta at a time and unpacks one at
+// a time, without further goroutines.
 func New() *Packer {
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -58,12 +60,14 @@
 // cachedDelta is a packed delta and the query that it answers.
 type cachedDelta struct {
 	set     relay.Set
-	query   config.Query // without a Summary
+	query   config.Query // without the Summary of the requesting node
 	summary config.Summary
 	packed  Delta
 }
 
-// Pack returns d, the answer to query q of a set, in packed form.
+// Pack returns d, the answer to query q of a set, in packed form. It returns a cached Delta for
+// the same query at the same state of the set, as given by d.Summary. The query's own Summary is
+// ignored, because the answer does not depend on it. A concurrent call waits.
 func (p *Packer) Pack(set relay.Set, q config.Query, d config.Delta) (Delta, error) {
 	q.Summary = config.Summary{}
 	p.mu.Lock()
--- a/internal/config/pack/pack_test.go
+++ b/internal/config/pack/pack_test.go
@@ -26,7 +26,8 @@
 	return d
 }
 
-// A packed delta must unpack to the same delta, whatever the values of its objects.
+// A packed delta must unpack to the same delta, whatever the values of its objects: deletions have
+// none, and others need not be JSON. Otherwise a router would pull objects other than its peer's.
 func TestPackedDeltasRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := delta(rapid.IntRange(0, 40).Draw(t, "objects"))
@@ -50,7 +51,9 @@
 	})
 }
 
-// Unpacking a truncated delta, or one without content as from another release, must fail.
+// Unpacking a truncated delta must fail, and so must unpacking an empty one, as received from
+// another release that encodes deltas otherwise. If such a delta counted as one without objects,
+// the pull would end as if the peer had nothing new.
 func TestTruncatedDeltasAreErrors(t *testing.T) {
 	p := New()
 	packed, err := p.compress(delta(20))
--- a/internal/config/restored.go
+++ b/internal/config/restored.go
@@ -11,7 +11,8 @@
 // in force. Its operators are expected to issue it again within that time.
 const orderHoldTime = 2 * time.Second
 
-// enterEra records the era of the store.
+// enterEra records the era of the store. If it is later than one known before, the store has
+// been restored from an older copy of itself.
 func (f *Follower) enterEra(now time.Time, era topo.Era) []Effect {
 	previous := f.era
 	if era <= previous {
@@ -30,9 +31,9 @@
 	return Edition{Number: m.Edition, Version: m.Version}.isFromOlderCopyThan(f.set.edition)
 }
 
-// replacement returns what changes when objects are all that a source holds at a version.
-// If the source was restored from an older copy, the configuration in force stays, whether
-// the copy holds other objects or lacks some.
+// replacement returns the changes to apply when objects are all that a source holds at a
+// version. If the source was restored from an older copy, the configuration in force stays,
+// whether the copy holds other objects or lacks some, and only orders change.
 func (f *Follower) replacement(now time.Time, objects []topo.Object, version topo.Version) []topo.Object {
 	if f.detectOlderCopy(editionOf(objects), version) {
 		objects = f.set.withOrdersOf(objects)
@@ -43,9 +44,10 @@
 	return f.set.difference(objects, version)
 }
 
-// detectOlderCopy reports whether the configuration of a source comes from an older copy and
-// its operators have not written it since. What they write later takes effect, whatever
-// edition number they give it.
+// detectOlderCopy reports whether a source has been restored from an older copy and its
+// operators have not written the configuration since. It records the version of the first
+// edition found in such a source. Whatever operators write after that version takes effect,
+// also under a lower edition number than the one in force.
 func (f *Follower) detectOlderCopy(e Edition, version topo.Version) bool {
 	if f.set.edition.Number == 0 {
 		return false
@@ -62,8 +64,9 @@
 	return e.Version <= f.restoredEdition
 }
 
-// holdOrders returns objects together with the orders from before an era that are missing
-// among them. If there are any, the source is read again once they need no longer be held.
+// holdOrders returns objects together with the orders in force that were written before an era
+// and are missing among objects. If there are any, the source is listed again at
+// holdOrdersUntil, when they are to end.
 func (f *Follower) holdOrders(objects []topo.Object, era topo.Era) []topo.Object {
 	out := slices.Clone(objects)
 	for _, held := range f.set.ordersBefore(era) {
--- a/internal/config/restored_test.go
+++ b/internal/config/restored_test.go
@@ -159,9 +159,10 @@
 	}
 }
 
-// A router has started with the older copy, or relies on a router that has held the newer
-// configuration all the time. Writing the newer configuration again changes nothing at that
-// router, but must still reach the routers that pull from it.
+// Operators write the newer configuration again into the restored store. That changes nothing at
+// a router that has held it all the time. Two routers pull from that one: "fresh" has started
+// with the older copy, and "late" has the newer configuration but not the new era. Both must
+// pull, or "fresh" would keep the older copy and "late" versions of the era before.
 func TestRewrittenConfigurationReachesRoutersStartedWithOlderCopy(t *testing.T) {
 	r, fresh := newTestFollower(), newTestFollower()
 	r.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
@@ -171,7 +172,7 @@
 	late := newTestFollower()
 	late.list(newerConfiguration, topo.VersionAt(1, 50), topo.VersionAt(1, 52))
 	for _, to := range []*testFollower{late, fresh} {
-		for range 2 { // a reader waits for its own watch first
+		for range 2 { // a router that reads the store waits for its own watch first
 			to.now = to.now.Add(2 * pullDelay)
 			to.Step(SummaryReceived{Now: to.now, Peer: "r", Summary: r.set.Summary()})
 		}
--- a/internal/config/revision.go
+++ b/internal/config/revision.go
@@ -60,7 +60,7 @@
 }
 
 // errNoChange reports a value that is not a revision.
-var errNoChange = errors.New("config: value has no change ID: it was not written by parsleyctl")
+var errNoChange = errors.New("config: the value carries no change: it was not written by parsleyctl")
 
 // Decode parses the value of an object as a revision.
 func Decode(value json.RawMessage) (Revision, error) {
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -34,8 +34,8 @@
 // Set holds the configuration objects that a node has received. Use NewSet; the zero value
 // is not usable. A Set is owned by one goroutine.
 //
-// The Set is complete up to a version: it holds the newest change of every
-// object that is at or below that version, or a later one.
+// The Set is complete up to a version: of every object, it holds the last change at or
+// before that version, or a later one.
 type Set struct {
 	objects   map[topo.Ref]*topo.Object // includes deletions, without values
 	order     []*topo.Object            // sorted by version; may include replaced objects
@@ -47,7 +47,7 @@
 	version       topo.Version // see Version
 	completeUpTo  topo.Version
 	forgottenUpTo topo.Version // deletions at or below this version may have been forgotten
-	listedUpTo    topo.Version // version of the newest listing of the store
+	listedUpTo    topo.Version // version of the newest listing of the store, by this node or one that it pulled from
 	digest        uint64       // of the live objects
 	edition       Edition      // of a configuration written as a whole
 
@@ -65,14 +65,14 @@
 	}
 }
 
-// Version returns the version of the newest object up to which the Set is complete. It
-// never decreases. Two nodes that are up to date have the same Version.
+// Version returns the version of the newest change of an object up to which the Set is
+// complete. It never decreases. Two nodes that are up to date have the same Version.
 func (s *Set) Version() topo.Version {
 	return s.version
 }
 
 // CompleteUpTo returns the store's version up to which the Set is complete. It is at least
-// Version, since most changes in the store are not configuration.
+// Version: most changes in the store concern other objects, and raise only CompleteUpTo.
 func (s *Set) CompleteUpTo() topo.Version {
 	return s.completeUpTo
 }
@@ -127,14 +127,13 @@
 	// Raw is set if Objects are as the store holds them, where a deletion may be a
 	// revision without a spec. Objects from other nodes are already normalised.
 	Raw bool
-	// DeletionHorizon is the version up to which the source determines which objects
-	// exist: that of a listing of the store. Zero for a source that may have missed a
-	// deletion.
+	// DeletionHorizon is that of the source, see Delta. For a listing of the store, it is
+	// the version of the listing. It is zero for a source that may have missed a deletion.
 	DeletionHorizon topo.Version
 }
 
-// Apply takes over the objects in b that are newer and returns those that have changed.
-// An object that only repeats its value in another era of the store has not changed.
+// Apply adds the objects in b that are newer than those held and returns the ones that have
+// changed. An object that has the same value in a later era of the store has not changed.
 // An object is never replaced by an older version, so no stale source can bring a former
 // version back into force.
 func (s *Set) Apply(b Batch) []topo.Object {
@@ -302,8 +301,9 @@
 	}
 }
 
-// RemoveUnseen removes and returns the objects at or below upTo that are not in seen, where seen
-// names the objects of a source that holds all objects up to that version.
+// RemoveUnseen removes the objects at or below upTo that are not in seen, and returns a
+// deletion for each of them. seen names the objects of a source that holds all objects up to
+// that version.
 func (s *Set) RemoveUnseen(seen map[topo.Ref]struct{}, upTo topo.Version) []topo.Object {
 	var removed []topo.Object
 	for ref, o := range s.objects {
@@ -316,22 +316,24 @@
 		removed = append(removed, topo.Object{Ref: ref, Version: upTo, Deleted: true})
 	}
 	if len(removed) > 0 {
-		// A removal has no tombstone, so it cannot be reported to nodes that query for
-		// the changes since before it.
+		// A removal has no tombstone, so it cannot be sent to nodes that query for the
+		// changes since before it.
 		s.forgottenUpTo = max(s.forgottenUpTo, upTo)
 	}
 	s.listedUpTo = max(s.listedUpTo, upTo)
 	return removed
 }
 
-// difference returns what changes if objects are all that exist at a version: objects with
-// another value than the Set holds, and deletions of those missing among them.
+// difference returns the changes after which the Set holds exactly the given objects, which
+// are all that exist at a version: objects that are new or have another value, and deletions
+// of those that are not among them.
 //
-// Unchanged objects keep the version at which they changed, so that nodes that have seen
-// different stages of the source still agree. Only a later era of the store gives them a new
+// An unchanged object keeps the version at which it changed, so that nodes that have read
+// the source at different times still agree. Only a later era of the store gives it a new
 // version: nodes that started in that era do not accept versions of the era before as newer.
-// A new object has the version given by the source, at which the source last changed: two
-// nodes that begin to read it at different times agree as well.
+// A new object has the version that the source gives it, which is that of the last change of
+// the source, so that nodes that begin to read it at different times agree as well. If the
+// source gives none, it has the given version.
 func (s *Set) difference(objects []topo.Object, version topo.Version) []topo.Object {
 	var out []topo.Object
 	seen := make(map[topo.Ref]bool, len(objects))
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -20,7 +20,7 @@
 	_ = flag.Set("rapid.steps", "60")
 }
 
-// world is a store with its whole history, and nodes that follow it and one another.
+// world simulates a store with its whole history, and nodes that read it and query one another.
 type world struct {
 	t       *rapid.T
 	now     time.Time
@@ -130,8 +130,8 @@
 	w.nodes[i].set.Apply(Batch{Objects: objects[:len(objects)/2], Raw: true})
 }
 
-// overtake delivers changes with a claim that may begin after what the node holds, as when
-// one answer overtakes the previous one.
+// overtake applies a batch whose claim may begin after the version up to which the node is
+// complete, as if the answer before it were still on its way.
 func (w *world) overtake(i int) {
 	from := w.replicaVersion()
 	to := max(from, w.replicaVersion())
