--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -158,7 +158,7 @@
 	}
 	r := router.New(ctx, c)
 	h := newHealth(r.Alive, r.Ready)
-	g := gateway.NewHosted(r, platform.Clients{}, requests)
+	g := gateway.NewPlatformGateway(r, platform.Clients{}, requests)
 	return &Entry{settings: s, platform: p, router: r, health: h, server: g.Server(h.closing(g), callerConnections(p), p.ConfigBound)}
 }
 
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -50,8 +50,8 @@
 // after a complete response belong to no call, and the next call would take them for
 // its own response.
 func (c *conn) reusable() bool {
-	state := netpeek.Look(c.Conn)
-	return c.r.Buffered() == 0 && (state == netpeek.Quiet || state == netpeek.Unknown)
+	state := netpeek.Peek(c.Conn)
+	return c.r.Buffered() == 0 && (state == netpeek.Idle || state == netpeek.Unknown)
 }
 
 // send writes a call. A long body is written by another goroutine, which may still be
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -28,7 +28,7 @@
 // Server returns a server of callers that keeps at most a number of connections.
 // Their timeouts are those of the operators' limits in force, and grace more:
 // callers may not have heard of a shorter one yet, or this router of a longer one.
-func (g *Hosted) Server(h http.Handler, connections int, grace time.Duration) *CallerServer {
+func (g *PlatformGateway) Server(h http.Handler, connections int, grace time.Duration) *CallerServer {
 	return &CallerServer{
 		Server: &http.Server{
 			Handler:           h,
@@ -44,7 +44,7 @@
 }
 
 // limits returns the operators' limits on callers that are in force.
-func (g *Hosted) limits() *profile.Limits {
+func (g *PlatformGateway) limits() *profile.Limits {
 	return limitsOf(g.router.View())
 }
 
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -13,39 +13,39 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Said is what the headers of a caller's request say on a platform.
-type Said struct {
-	ID        string        // of this attempt of the request
-	APIKey    string        // empty: none
-	Patience  time.Duration // for which the caller waits; zero: it does not say
-	Session   string        // what the prompt shares with others of its chat; empty: none
-	LastEvent string        // id of the last event of an earlier answer; empty: none
+// CallerHeaders is what the headers of a caller's request say on a platform.
+type CallerHeaders struct {
+	ID          string        // of this attempt of the request
+	APIKey      string        // empty: none
+	Timeout     time.Duration // for which the caller waits; zero: it does not say
+	Session     string        // what the prompt shares with others of its chat; empty: none
+	LastEventID string        // id of the last event of an earlier answer; empty: none
 }
 
 // Dialect reads the headers of a platform's callers.
 type Dialect interface {
-	Read(h http.Header) Said
+	Read(h http.Header) CallerHeaders
 }
 
-// Hosted serves the callers of a platform that has a protocol of its own: they
+// PlatformGateway serves the callers of a platform that has a protocol of its own: they
 // choose a profile by host and path, and get their upstream's answer unchanged.
 // Beside that only statuses speak: 503 and 429 promise that the request has not
 // run and never will.
-type Hosted struct {
+type PlatformGateway struct {
 	router   *router.Router
 	dialect  Dialect
 	requests *telemetry.RequestLog
 	started  time.Time
 }
 
-// NewHosted returns the Hosted in front of r. Refusals are told to log, which may
+// NewPlatformGateway returns the Hosted in front of r. Refusals are told to log, which may
 // be nil.
-func NewHosted(r *router.Router, d Dialect, log *telemetry.RequestLog) *Hosted {
-	return &Hosted{router: r, dialect: d, requests: log, started: time.Now()}
+func NewPlatformGateway(r *router.Router, d Dialect, log *telemetry.RequestLog) *PlatformGateway {
+	return &PlatformGateway{router: r, dialect: d, requests: log, started: time.Now()}
 }
 
 // ServeHTTP implements http.Handler.
-func (g *Hosted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *PlatformGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &hostedExchange{w: w, r: r, arrived: time.Now(), said: g.dialect.Read(r.Header)}
 	if err := g.serve(x); err != nil {
 		if errors.Is(err, context.Canceled) {
@@ -65,7 +65,7 @@
 const startWait = time.Second
 
 // awaitStart waits until the router is ready, if it has only just started.
-func (g *Hosted) awaitStart(x *hostedExchange) {
+func (g *PlatformGateway) awaitStart(x *hostedExchange) {
 	left := startWait - time.Since(g.started)
 	if left <= 0 || g.router.Ready() || !g.router.WaitsForConfig() {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-func (g *Hosted) serve(x *hostedExchange) error {
+func (g *PlatformGateway) serve(x *hostedExchange) error {
 	g.awaitStart(x)
 	x.view = g.router.View()
 	if !g.router.Ready() {
@@ -100,7 +100,7 @@
 }
 
 // forward sends the request on and copies the answer to the caller.
-func (g *Hosted) forward(x *hostedExchange, body []byte) error {
+func (g *PlatformGateway) forward(x *hostedExchange, body []byte) error {
 	span := telemetry.Start(telemetry.HopCaller, telemetry.ParseTraceparent(x.r.Header.Get(telemetry.HeaderTraceparent)))
 	defer span.End()
 	span.Set(telemetry.AttrProfile, x.profile.Name)
@@ -114,8 +114,8 @@
 		Host:          x.r.Host,
 		Urgency:       urgency(x.profile, x.org),
 		Arrived:       x.arrived,
-		CallerTimeout: x.said.Patience,
-		LastEventID:   x.said.LastEvent,
+		CallerTimeout: x.said.Timeout,
+		LastEventID:   x.said.LastEventID,
 		CallerGone:    x.gone,
 	})
 	if err != nil {
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -38,7 +38,7 @@
 	r       *http.Request
 	arrived time.Time // when its headers had been read
 	view    *router.View
-	said    Said
+	said    CallerHeaders
 	profile *profile.Profile
 	org     *profile.Organisation
 }
@@ -95,8 +95,8 @@
 // patience returns for how long the request may take in all; zero: any time.
 func (x *hostedExchange) patience() time.Duration {
 	route := x.profile.Deadline.Std()
-	if x.said.Patience > 0 && (route == 0 || x.said.Patience < route) {
-		return x.said.Patience
+	if x.said.Timeout > 0 && (route == 0 || x.said.Timeout < route) {
+		return x.said.Timeout
 	}
 	return route
 }
@@ -173,7 +173,7 @@
 // gone reports whether the caller has closed its connection.
 func (x *hostedExchange) gone() bool {
 	c, ok := x.r.Context().Value(connKey{}).(net.Conn)
-	return ok && netpeek.Look(c) == netpeek.Closed
+	return ok && netpeek.Peek(c) == netpeek.Closed
 }
 
 // urgency returns the rank of a request: 0 is first.
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -14,16 +14,16 @@
 const (
 	// Unknown is a connection that cannot be looked at.
 	Unknown State = iota
-	// Quiet is an open connection with nothing to read.
-	Quiet
+	// Idle is an open connection with nothing to read.
+	Idle
 	// Readable is a connection with bytes that have not been read.
 	Readable
 	// Closed is a connection that the other side has closed or reset.
 	Closed
 )
 
-// Look returns the state of c, which may be in use by others.
-func Look(c net.Conn) State {
+// Peek returns the state of c, which may be in use by others.
+func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return Unknown
@@ -38,7 +38,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN):
-			state = Quiet
+			state = Idle
 		case err != nil || n == 0:
 			state = Closed
 		default:
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -29,9 +29,9 @@
 // the kernel a moment.
 func becomes(t *testing.T, c net.Conn, want State) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); Look(c) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); Peek(c) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("state %d, want %d", Look(c), want)
+			t.Fatalf("state %d, want %d", Peek(c), want)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 // reads from the connection.
 func TestLookSeesAClose(t *testing.T) {
 	near, far := pair(t)
-	becomes(t, near, Quiet)
+	becomes(t, near, Idle)
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/profile/read.go
+++ b/internal/profile/read.go
@@ -15,8 +15,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// MaxFile is the largest file that is read, in bytes.
-const MaxFile = 16 << 20
+// MaxFileBytes is the largest file that is read, in bytes.
+const MaxFileBytes = 16 << 20
 
 // Fields of a document beside the object's own. The store does not hold them
 // in the object.
@@ -86,8 +86,8 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if info.Size() > MaxFile {
-		return nil, errors.Errorf("%s is over %d bytes: split it", name, MaxFile)
+	if info.Size() > MaxFileBytes {
+		return nil, errors.Errorf("%s is over %d bytes: split it", name, MaxFileBytes)
 	}
 	text, err := os.ReadFile(name)
 	return text, errors.WithStack(err)
