--- a/bench/speed/capacity_test.go
+++ b/bench/speed/capacity_test.go
@@ -37,7 +37,7 @@
 	if dir == "" {
 		return secure.Plain{}
 	}
-	m, err := secure.NewMutual(id, "speed", paths(id, dir))
+	m, err := secure.NewMutualTLS(id, "speed", paths(id, dir))
 	if err != nil {
 		panic(err)
 	}
@@ -113,7 +113,7 @@
 	addr := freeAddr(b)
 	pid := runSelf(b, addr, greeterVar+"="+addr+" "+dir)
 	timing := wire.DefaultTiming()
-	timing.Idle = time.Hour
+	timing.IdleTimeout = time.Hour
 	t := transport(routerID, dir)
 	dial := func(ctx context.Context) (net.Conn, error) { return t.Dial(ctx, sidecarID.VM, addr) }
 	connect := func() *wire.Peer {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -125,7 +125,7 @@
 	}
 	a.http = topo.NewHTTP(a.options.Platform)
 	if file := a.options.PlatformCA; file != "" {
-		client, err := secure.NewClient(file)
+		client, err := secure.NewPlatformTLS(file)
 		if err != nil {
 			return fail(ExitUsage, "", "--platform-ca: %s", err)
 		}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -31,11 +31,11 @@
 		slog.Warn("routers and sidecars connect without TLS: --insecure-plain is for development on one machine")
 		return secure.Plain{}, nil
 	}
-	m, err := secure.NewMutual(n.Identity(role), f.TrustDomain, secure.Paths{Cert: f.Cert, Key: f.Key, CA: f.CA})
+	m, err := secure.NewMutualTLS(n.Identity(role), f.TrustDomain, secure.Paths{Cert: f.Cert, Key: f.Key, CA: f.CA})
 	if err != nil {
 		return nil, err
 	}
-	go m.Files().Run(ctx, n.ReloadInterval.D)
+	go m.Watcher().Run(ctx, n.ReloadInterval.D)
 	return m, nil
 }
 
@@ -52,11 +52,11 @@
 	if s.CA == "" {
 		return p, nil
 	}
-	c, err := secure.NewClient(s.CA)
+	c, err := secure.NewPlatformTLS(s.CA)
 	if err != nil {
 		return nil, err
 	}
-	go c.Files().Run(ctx, reload)
+	go c.Watcher().Run(ctx, reload)
 	return p.WithTLS(c.Config), nil
 }
 
--- a/internal/daemon/role_test.go
+++ b/internal/daemon/role_test.go
@@ -25,7 +25,7 @@
 const testDomain = "fleet.test"
 
 // mutual returns the transport of a process with a certificate of ca.
-func mutual(t testing.TB, ca *securetest.CA, id secure.Identity) *secure.Mutual {
+func mutual(t testing.TB, ca *securetest.CA, id secure.Identity) *secure.MutualTLS {
 	t.Helper()
 	cert, key, err := ca.Issue(id.URI(testDomain))
 	if err != nil {
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 	}
-	m, err := secure.NewMutual(id, testDomain, p)
+	m, err := secure.NewMutualTLS(id, testDomain, p)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -88,13 +88,13 @@
 	if err != nil {
 		return router.Config{}, err
 	}
-	go secrets.Files().Run(ctx, s.ReloadInterval.D)
+	go secrets.Watcher().Run(ctx, s.ReloadInterval.D)
 	p, err := platformClient(ctx, s.Platform, s.ReloadInterval.D)
 	if err != nil {
 		return router.Config{}, err
 	}
 	return router.Config{
-		Store: p, VMs: p, Ring: secrets.Ring, Dial: dialer(transport), VM: s.VM, FailureDomain: s.FailureDomain,
+		Store: p, VMs: p, Ring: secrets.Keyring, Dial: dialer(transport), VM: s.VM, FailureDomain: s.FailureDomain,
 	}, nil
 }
 
@@ -103,11 +103,11 @@
 	if s.CallerCert == "" {
 		return nil, nil
 	}
-	c, err := secure.NewServer(s.CallerCert, s.CallerKey)
+	c, err := secure.NewCallerTLS(s.CallerCert, s.CallerKey)
 	if err != nil {
 		return nil, err
 	}
-	go c.Files().Run(ctx, s.ReloadInterval.D)
+	go c.Watcher().Run(ctx, s.ReloadInterval.D)
 	return c.Config(), nil
 }
 
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -53,7 +53,7 @@
 		Window:      streamWindow,
 		Trace:       string(at.span.Traceparent()),
 		Control:     s.router.control(now, at.vm.ID, s.pool, s.fingerprint),
-		Leave:       at.hasPermit,
+		HasPermit:   at.hasPermit,
 	})
 	if isUnsent(adm, err) && at.resends < maxResends {
 		at.resends++
@@ -152,7 +152,7 @@
 		return dispatch.Unreachable{Now: now, Attempt: at.number, Err: e}
 	}
 	s.router.handleControl(now, at.vm, adm.Control)
-	if adm.Leave && !at.hasPermit {
+	if adm.HasPermit && !at.hasPermit {
 		at.hasPermit, at.crashSite, at.permitNonce = true, at.vm, at.key.Nonce
 	}
 	if adm.Moved == nil && e.Verdict == verdict.NotRun {
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -194,8 +194,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	unused := wire.Leave{Fingerprint: resp.fingerprint, Nonce: at.permitNonce}
-	_ = resp.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{Unused: &unused}, nil)
+	unused := wire.Permit{Fingerprint: resp.fingerprint, Nonce: at.permitNonce}
+	_ = resp.router.peer(at.crashSite).Call(ctx, wire.MethodReport, wire.Report{UnusedPermit: &unused}, nil)
 }
 
 // resendTargets returns the VMs that a resent request would be offered to first by
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -28,9 +28,9 @@
 		"Changed files of certificates, keys or secrets that were broken; the former ones stay in use.", telemetry.Alert)
 )
 
-// Files follows a set of files that belong together, such as a certificate and
+// FileWatcher follows a set of files that belong together, such as a certificate and
 // its key.
-type Files struct {
+type FileWatcher struct {
 	paths    []string
 	take     func(contents [][]byte) error
 	after    func()      // runs after each look; may be nil
@@ -42,10 +42,10 @@
 // fingerprint identifies the contents of a set of files.
 type fingerprint [sha256.Size]byte
 
-// Follow reads the files and hands their contents to take, now and on each
+// WatchFiles reads the files and hands their contents to take, now and on each
 // change. It fails when the first contents can't be used.
-func Follow(paths []string, take func(contents [][]byte) error) (*Files, error) {
-	f := &Files{paths: paths, take: take}
+func WatchFiles(paths []string, take func(contents [][]byte) error) (*FileWatcher, error) {
+	f := &FileWatcher{paths: paths, take: take}
 	contents, err := f.read()
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 }
 
 // Run looks for changes until ctx ends.
-func (f *Files) Run(ctx context.Context, every time.Duration) {
+func (f *FileWatcher) Run(ctx context.Context, every time.Duration) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -81,7 +81,7 @@
 // certificates parses, and would shut out half of the fleet. Such a state does
 // not last from one look to the next; where it does, it is checked as any
 // other, and while the check fails the former contents stay in use.
-func (f *Files) poll() {
+func (f *FileWatcher) poll() {
 	contents, err := f.read()
 	seen := fingerprintOf(contents, err)
 	settled := seen == f.pending
@@ -103,7 +103,7 @@
 	slog.Info("changed files taken into use", "files", f.paths)
 }
 
-func (f *Files) read() ([][]byte, error) {
+func (f *FileWatcher) read() ([][]byte, error) {
 	contents := make([][]byte, len(f.paths))
 	for i, path := range f.paths {
 		b, err := readFile(path)
--- a/internal/secure/mutual.go
+++ b/internal/secure/mutual.go
@@ -20,14 +20,14 @@
 	Cert, Key, CA string
 }
 
-// Mutual is TLS in which both sides show certificates of the fleet. Whom a
+// MutualTLS is TLS in which both sides show certificates of the fleet. Whom a
 // certificate names and who signed it is checked on each connection against
 // the present files, resumed sessions included: a session outlives the
 // certificate with which it began.
-type Mutual struct {
+type MutualTLS struct {
 	self     Identity
 	domain   string
-	files    *Files
+	files    *FileWatcher
 	material atomic.Pointer[material]
 	tickets  *ticketStore // of the routers that dial this process
 
@@ -46,25 +46,25 @@
 // peer at the target's size, on either side.
 const sessionsKept = 4096
 
-// NewMutual reads the files. The own certificate must name self.
-func NewMutual(self Identity, domain string, p Paths) (*Mutual, error) {
-	m := &Mutual{
+// NewMutualTLS reads the files. The own certificate must name self.
+func NewMutualTLS(self Identity, domain string, p Paths) (*MutualTLS, error) {
+	m := &MutualTLS{
 		self:   self,
 		domain: domain,
 		conns:  make(map[*Conn]struct{}),
 	}
 	m.tickets = newTicketStore(sessionsKept, m.material.Load)
 	var err error
-	m.files, err = Follow([]string{p.Cert, p.Key, p.CA}, m.take)
+	m.files, err = WatchFiles([]string{p.Cert, p.Key, p.CA}, m.take)
 	return m, errors.Wrap(err, "secure: certificates of the fleet")
 }
 
-// Files returns the files to follow.
-func (m *Mutual) Files() *Files {
+// Watcher returns the files to follow.
+func (m *MutualTLS) Watcher() *FileWatcher {
 	return m.files
 }
 
-func (m *Mutual) take(contents [][]byte) error {
+func (m *MutualTLS) take(contents [][]byte) error {
 	fresh, err := parseMaterial(contents)
 	if err != nil {
 		return err
@@ -84,13 +84,13 @@
 	return nil
 }
 
-func (m *Mutual) remember(c *Conn) {
+func (m *MutualTLS) remember(c *Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns[c] = struct{}{}
 }
 
-func (m *Mutual) forget(c *Conn) {
+func (m *MutualTLS) forget(c *Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
@@ -100,7 +100,7 @@
 // refuse. A connection lasts as long as there is traffic on it, so a peer with
 // a leaked certificate would otherwise keep what it has. A peer that has a new
 // certificate connects again and resumes its streams.
-func (m *Mutual) endDistrusted() {
+func (m *MutualTLS) endDistrusted() {
 	m.mu.Lock()
 	var ended []*Conn
 	for c := range m.conns {
@@ -116,16 +116,16 @@
 }
 
 // peer checks the certificates of the other side of a connection.
-func (m *Mutual) peer(cs tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
+func (m *MutualTLS) peer(cs tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, errors.Wrap(ErrIdentity, "no certificate")
 	}
 	return m.material.Load().verify(cs.PeerCertificates, m.domain, use)
 }
 
-// Server returns the configuration by which a sidecar serves routers and
+// ServerConfig returns the configuration by which a sidecar serves routers and
 // other sidecars.
-func (m *Mutual) Server() *tls.Config {
+func (m *MutualTLS) ServerConfig() *tls.Config {
 	c := &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		CurvePreferences: fleetCurves,
@@ -143,8 +143,8 @@
 	return c
 }
 
-// Client returns the configuration by which a process dials the sidecar of a VM.
-func (m *Mutual) Client(vm string) *tls.Config {
+// ClientConfig returns the configuration by which a process dials the sidecar of a VM.
+func (m *MutualTLS) ClientConfig(vm string) *tls.Config {
 	want := Identity{Role: RoleSidecar, VM: vm}
 	mat := m.material.Load()
 	return &tls.Config{
--- a/internal/secure/public.go
+++ b/internal/secure/public.go
@@ -7,26 +7,26 @@
 	"github.com/pkg/errors"
 )
 
-// Server is TLS towards callers, who bring API keys instead of certificates.
-type Server struct {
-	files *Files
+// CallerTLS is TLS towards callers, who bring API keys instead of certificates.
+type CallerTLS struct {
+	files *FileWatcher
 	cert  atomic.Pointer[tls.Certificate]
 }
 
-// NewServer reads the files of a certificate and its key.
-func NewServer(cert, key string) (*Server, error) {
-	s := &Server{}
+// NewCallerTLS reads the files of a certificate and its key.
+func NewCallerTLS(cert, key string) (*CallerTLS, error) {
+	s := &CallerTLS{}
 	var err error
-	s.files, err = Follow([]string{cert, key}, s.take)
+	s.files, err = WatchFiles([]string{cert, key}, s.take)
 	return s, errors.Wrap(err, "secure: certificate for callers")
 }
 
-// Files returns the files to follow.
-func (s *Server) Files() *Files {
+// Watcher returns the files to follow.
+func (s *CallerTLS) Watcher() *FileWatcher {
 	return s.files
 }
 
-func (s *Server) take(contents [][]byte) error {
+func (s *CallerTLS) take(contents [][]byte) error {
 	cert, err := tls.X509KeyPair(contents[0], contents[1])
 	if err == nil {
 		s.cert.Store(&cert)
@@ -35,7 +35,7 @@
 }
 
 // Config returns the configuration for an HTTP server.
-func (s *Server) Config() *tls.Config {
+func (s *CallerTLS) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.cert.Load(), nil },
@@ -43,26 +43,26 @@
 	}
 }
 
-// Client is TLS towards the platform.
-type Client struct {
-	files  *Files
+// PlatformTLS is TLS towards the platform.
+type PlatformTLS struct {
+	files  *FileWatcher
 	config atomic.Pointer[tls.Config]
 }
 
-// NewClient reads the authorities that sign the platform's certificate.
-func NewClient(ca string) (*Client, error) {
-	c := &Client{}
+// NewPlatformTLS reads the authorities that sign the platform's certificate.
+func NewPlatformTLS(ca string) (*PlatformTLS, error) {
+	c := &PlatformTLS{}
 	var err error
-	c.files, err = Follow([]string{ca}, c.take)
+	c.files, err = WatchFiles([]string{ca}, c.take)
 	return c, errors.Wrap(err, "secure: authorities of the platform")
 }
 
-// Files returns the files to follow.
-func (c *Client) Files() *Files {
+// Watcher returns the files to follow.
+func (c *PlatformTLS) Watcher() *FileWatcher {
 	return c.files
 }
 
-func (c *Client) take(contents [][]byte) error {
+func (c *PlatformTLS) take(contents [][]byte) error {
 	roots, err := parseCAs(contents[0])
 	if err != nil {
 		return err
@@ -72,6 +72,6 @@
 }
 
 // Config returns the configuration for connections opened from now on.
-func (c *Client) Config() *tls.Config {
+func (c *PlatformTLS) Config() *tls.Config {
 	return c.config.Load()
 }
--- a/internal/secure/secrets.go
+++ b/internal/secure/secrets.go
@@ -17,9 +17,9 @@
 
 // Secrets are the token secrets of a file, whose first line signs.
 type Secrets struct {
-	Ring  *token.Keyring
-	files *Files
-	now   func() time.Time
+	Keyring *token.Keyring
+	files   *FileWatcher
+	now     func() time.Time
 
 	inUse  []token.Secret // as given to Ring
 	wanted []token.Secret // in the order of the file
@@ -34,7 +34,7 @@
 func newSecrets(path string, now func() time.Time) (*Secrets, error) {
 	s := &Secrets{now: now}
 	var err error
-	s.files, err = Follow([]string{path}, s.take)
+	s.files, err = WatchFiles([]string{path}, s.take)
 	if err != nil {
 		return nil, errors.Wrap(err, "secure: token secrets")
 	}
@@ -42,8 +42,8 @@
 	return s, nil
 }
 
-// Files returns the files to follow.
-func (s *Secrets) Files() *Files {
+// Watcher returns the files to follow.
+func (s *Secrets) Watcher() *FileWatcher {
 	return s.files
 }
 
@@ -52,9 +52,9 @@
 	if err != nil {
 		return err
 	}
-	if s.Ring == nil {
+	if s.Keyring == nil {
 		s.inUse, s.wanted = secrets, secrets
-		s.Ring, err = token.NewKeyring(secrets...)
+		s.Keyring, err = token.NewKeyring(secrets...)
 		return err
 	}
 	signer := s.signerKept(secrets)
@@ -63,7 +63,7 @@
 		s.inUse = slices.Concat(secrets[signer:signer+1], secrets[:signer], secrets[signer+1:])
 		s.due = s.now().Add(signAfter)
 	}
-	return s.Ring.Set(s.inUse...)
+	return s.Keyring.Set(s.inUse...)
 }
 
 // signerKept returns the index of the secret that signs until now, when the
@@ -84,5 +84,5 @@
 	}
 	s.due = time.Time{}
 	s.inUse = s.wanted
-	_ = s.Ring.Set(s.wanted...) // checked when they were read
+	_ = s.Keyring.Set(s.wanted...) // checked when they were read
 }
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -77,15 +77,15 @@
 	return p
 }
 
-func newMutual(t testing.TB, ca *securetest.CA, id Identity) (*Mutual, Paths) {
+func newMutual(t testing.TB, ca *securetest.CA, id Identity) (*MutualTLS, Paths) {
 	t.Helper()
 	p := place(t, ca, id.URI(domain), ca.PEM)
-	m, err := NewMutual(id, domain, p)
+	m, err := NewMutualTLS(id, domain, p)
 	return must(t, m, err), p
 }
 
 // serve echoes to each authenticated peer and returns the address.
-func serve(t testing.TB, m *Mutual) string {
+func serve(t testing.TB, m *MutualTLS) string {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	l := m.Listen(must(t, raw, err))
@@ -106,7 +106,7 @@
 }
 
 // talk makes a connection and a round trip over it.
-func talk(m *Mutual, addr string) (*Conn, error) {
+func talk(m *MutualTLS, addr string) (*Conn, error) {
 	c, err := m.Dial(context.Background(), sidecar.VM, addr)
 	if err != nil {
 		return nil, err
@@ -150,13 +150,13 @@
 		t.Fatalf("a router was refused: %v", err)
 	}
 	// The check of the own files would stop these at their start; here they lie.
-	lie := func(m *Mutual) *Mutual { m.domain = domain; return m }
-	foreign := must2(t, NewMutual, router, "elsewhere.test", place(t, ours, router.URI("elsewhere.test"), ours.PEM))
+	lie := func(m *MutualTLS) *MutualTLS { m.domain = domain; return m }
+	foreign := must2(t, NewMutualTLS, router, "elsewhere.test", place(t, ours, router.URI("elsewhere.test"), ours.PEM))
 	console := Identity{Role: "console", VM: "x"}
-	for name, m := range map[string]*Mutual{
-		"another authority":    must2(t, NewMutual, router, domain, place(t, other, router.URI(domain), append(other.PEM, ours.PEM...))),
+	for name, m := range map[string]*MutualTLS{
+		"another authority":    must2(t, NewMutualTLS, router, domain, place(t, other, router.URI(domain), append(other.PEM, ours.PEM...))),
 		"another trust domain": lie(foreign),
-		"another role":         must2(t, NewMutual, console, domain, place(t, ours, console.URI(domain), ours.PEM)),
+		"another role":         must2(t, NewMutualTLS, console, domain, place(t, ours, console.URI(domain), ours.PEM)),
 	} {
 		before := refusedPeers.Value()
 		if _, err := talk(m, addr); err == nil {
@@ -169,7 +169,7 @@
 	if _, err := talk(good, serve(t, impostor)); !errors.Is(err, ErrIdentity) {
 		t.Errorf("another VM in the place of the sidecar: %v", err)
 	}
-	if _, err := NewMutual(router, domain, place(t, ours, sidecar.URI(domain), ours.PEM)); !errors.Is(err, ErrIdentity) {
+	if _, err := NewMutualTLS(router, domain, place(t, ours, sidecar.URI(domain), ours.PEM)); !errors.Is(err, ErrIdentity) {
 		t.Errorf("a router started with the files of a sidecar: %v", err)
 	}
 	for _, bad := range []string{"spiffe://fleet.test/router/", "spiffe://fleet.test/router", "https://fleet.test/router/entry-1", "spiffe://fleet.test/router/entry-1?x"} {
@@ -181,7 +181,7 @@
 	}
 }
 
-func must2(t *testing.T, f func(Identity, string, Paths) (*Mutual, error), id Identity, domain string, p Paths) *Mutual {
+func must2(t *testing.T, f func(Identity, string, Paths) (*MutualTLS, error), id Identity, domain string, p Paths) *MutualTLS {
 	t.Helper()
 	m, err := f(id, domain, p)
 	return must(t, m, err)
@@ -193,9 +193,9 @@
 // it would stay in for as long as it likes.
 func TestLeakedAuthorityIsShutOut(t *testing.T) {
 	former, next := newCA(t), newCA(t)
-	side := must2(t, NewMutual, sidecar, domain, place(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
+	side := must2(t, NewMutualTLS, sidecar, domain, place(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
 	addr := serve(t, side)
-	r := must2(t, NewMutual, router, domain, place(t, former, router.URI(domain), append(former.PEM, next.PEM...)))
+	r := must2(t, NewMutualTLS, router, domain, place(t, former, router.URI(domain), append(former.PEM, next.PEM...)))
 	for i := range 2 {
 		if c, err := talk(r, addr); err != nil || c.ConnectionState().DidResume != (i == 1) {
 			t.Fatalf("connection %d: %v", i, err)
@@ -226,9 +226,9 @@
 	former, next := newCA(t), newCA(t)
 	bundle := append(append([]byte{}, former.PEM...), next.PEM...)
 	p := place(t, former, sidecar.URI(domain), bundle)
-	side := must2(t, NewMutual, sidecar, domain, p)
+	side := must2(t, NewMutualTLS, sidecar, domain, p)
 	addr := serve(t, side)
-	r := must2(t, NewMutual, router, domain, place(t, next, router.URI(domain), bundle))
+	r := must2(t, NewMutualTLS, router, domain, place(t, next, router.URI(domain), bundle))
 	cert, key := issue(t, next, sidecar.URI(domain))
 	renewed := append(bundle, '\n')
 	steps := []struct {
@@ -261,7 +261,7 @@
 		t.Error("the new files are not in use")
 	}
 	write(t, p.CA, nil)
-	if _, err := NewMutual(sidecar, domain, p); err == nil {
+	if _, err := NewMutualTLS(sidecar, domain, p); err == nil {
 		t.Error("an empty bundle was taken at the start")
 	}
 }
@@ -282,7 +282,7 @@
 	early, late := start(), start()
 	passes := func(step string, from, to *Secrets) {
 		t.Helper()
-		if _, err := to.Ring.Open(from.Ring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err != nil {
+		if _, err := to.Keyring.Open(from.Keyring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err != nil {
 			t.Errorf("%s: %v", step, err)
 		}
 	}
@@ -301,12 +301,12 @@
 	passes("one has dropped the former secret", early, late)
 	passes("one has dropped the former secret", late, early)
 	look(late)
-	if _, err := late.Ring.Open(mustSeal(t, one), token.PurposeKey); err == nil {
+	if _, err := late.Keyring.Open(mustSeal(t, one), token.PurposeKey); err == nil {
 		t.Error("a secret that was taken out still opens tokens")
 	}
 	write(t, path, []byte("3:"+strings.Repeat("33", 32)+"\n"))
 	look(early)
-	if _, err := late.Ring.Open(early.Ring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err == nil {
+	if _, err := late.Keyring.Open(early.Keyring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err == nil {
 		t.Error("a signer that was taken out, perhaps because it leaked, still signs")
 	}
 }
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -75,7 +75,7 @@
 	*tls.Conn
 	Peer   Identity
 	use    x509.ExtKeyUsage // that the peer's certificate must allow
-	mutual *Mutual
+	mutual *MutualTLS
 }
 
 // Close implements net.Conn.
@@ -95,17 +95,17 @@
 }
 
 // Dial implements Transport.
-func (m *Mutual) Dial(ctx context.Context, vm, addr string) (net.Conn, error) {
+func (m *MutualTLS) Dial(ctx context.Context, vm, addr string) (net.Conn, error) {
 	raw, err := Plain{}.Dial(ctx, vm, addr)
 	if err != nil {
 		return nil, err
 	}
-	return m.shake(ctx, raw, x509.ExtKeyUsageServerAuth, func(c net.Conn) *tls.Conn { return tls.Client(c, m.Client(vm)) })
+	return m.shake(ctx, raw, x509.ExtKeyUsageServerAuth, func(c net.Conn) *tls.Conn { return tls.Client(c, m.ClientConfig(vm)) })
 }
 
 // shake runs a handshake over raw, with a peer whose certificate must allow
 // use, and closes raw when it fails.
-func (m *Mutual) shake(ctx context.Context, raw net.Conn, use x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
+func (m *MutualTLS) shake(ctx context.Context, raw net.Conn, use x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	judged := m.material.Load()
@@ -139,7 +139,7 @@
 
 // countFailure tells a peer that is not trusted, or does not trust us, from a
 // connection that broke.
-func (m *Mutual) countFailure(from net.Addr, err error) {
+func (m *MutualTLS) countFailure(from net.Addr, err error) {
 	if isBroken(err) {
 		brokenHandshakes.Inc()
 		return
@@ -191,7 +191,7 @@
 
 // Listen implements Transport. Handshakes run beside each other, so that a
 // peer that is slow or silent holds up no other.
-func (m *Mutual) Listen(l net.Listener) net.Listener {
+func (m *MutualTLS) Listen(l net.Listener) net.Listener {
 	out := &listener{
 		Listener: l,
 		mutual:   m,
@@ -205,7 +205,7 @@
 
 type listener struct {
 	net.Listener
-	mutual *Mutual
+	mutual *MutualTLS
 	ready  chan net.Conn
 	places chan struct{}
 	once   sync.Once
@@ -214,7 +214,7 @@
 }
 
 func (l *listener) run() {
-	config := l.mutual.Server()
+	config := l.mutual.ServerConfig()
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -21,7 +21,7 @@
 // may be lost; then the router sends it again some time.
 func (f *fleet) send(t *rapid.T, c *copyOf) {
 	n := f.node(c.key.VM)
-	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: print(c.req), Leave: c.leave}
+	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: print(c.req), HasPermit: c.leave}
 	sub.Treatment = wire.Treatment{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
@@ -64,7 +64,7 @@
 
 func (f *fleet) replied(t *rapid.T, c *copyOf, a *wire.Admission) {
 	if a.Error != nil {
-		f.refused(t, c, a.Error, a.Moved, a.Leave)
+		f.refused(t, c, a.Error, a.Moved, a.HasPermit)
 		return
 	}
 	c.admitted = true
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -23,7 +23,7 @@
 		senders: make(map[wire.StreamID]*sender),
 	}
 	s.mu.Unlock()
-	conn.Watch(wire.ReaderTiming(), func() bool { return s.reads(conn) })
+	conn.MonitorPeer(wire.ReaderTiming(), func() bool { return s.reads(conn) })
 	s.peersChanged()
 	go func() {
 		<-conn.Done()
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -54,12 +54,12 @@
 	requests map[token.Nonce]*request
 	arrived  uint64 // requests admitted so far
 	timers   timers
-	kept     []*request // whose answers have ended, the first of them first
-	lane     []*request // suspects that wait to run alone
-	lent     wire.Leave // the latest leave to run alone elsewhere
-	solo     *request   // the suspect that runs alone
-	soloNext time.Time  // when it is looked at next
-	broken   []*request // calls that broke off, until it is known why
+	kept     []*request  // whose answers have ended, the first of them first
+	lane     []*request  // suspects that wait to run alone
+	lent     wire.Permit // the latest leave to run alone elsewhere
+	solo     *request    // the suspect that runs alone
+	soloNext time.Time   // when it is looked at next
+	broken   []*request  // calls that broke off, until it is known why
 	probe    probe
 	orders   drain.Orders
 	leave    leave
@@ -193,11 +193,11 @@
 
 func (s *State) reported(e Reported) []Effect {
 	_ = s.book.Merge(e.Now, e.Report.Suspects)
-	if u := e.Report.Unused; u != nil && s.lent == *u {
+	if u := e.Report.UnusedPermit; u != nil && s.lent == *u {
 		// No sidecar has started it. Without this word all copies would have to
 		// wait until the deadline of that one has passed.
 		s.book.Revoke(quarantine.Fingerprint(u.Fingerprint))
-		s.lent = wire.Leave{}
+		s.lent = wire.Permit{}
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -54,7 +54,7 @@
 	alone, no := s.consider(e.Now, &e.Submit)
 	if no != nil {
 		s.table.Reject(a, no.err.Reason)
-		adm := wire.Admission{Error: no.err, Moved: a.Successor, Leave: no.leave}
+		adm := wire.Admission{Error: no.err, Moved: a.Successor, HasPermit: no.leave}
 		adm.Control.Suspects = no.suspects
 		return s.reply(e.Now, e.Ticket, adm)
 	}
@@ -122,7 +122,7 @@
 		return false, nil
 	}
 	p := quarantine.Fingerprint(sub.Fingerprint)
-	switch r := s.book.Decide(now, p, sub.Leave); r.Action {
+	switch r := s.book.Decide(now, p, sub.HasPermit); r.Action {
 	case quarantine.Refuse:
 		return false, refuse(verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", r.Crashes)
 	case quarantine.Wait:
@@ -184,14 +184,14 @@
 	if sub.Successor == nil || !s.probe.down && !s.leaving(now) {
 		return false
 	}
-	if sub.Leave {
+	if sub.HasPermit {
 		return true
 	}
 	if s.book.HasGrant(now) {
 		return false
 	}
 	s.book.Grant(quarantine.Fingerprint(sub.Fingerprint), s.grantEnds(now, sub))
-	s.lent = wire.Leave{Fingerprint: sub.Fingerprint, Nonce: sub.Key.Nonce}
+	s.lent = wire.Permit{Fingerprint: sub.Fingerprint, Nonce: sub.Key.Nonce}
 	return true
 }
 
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -48,19 +48,19 @@
 func TestUnusedLeaveIsGivenBack(t *testing.T) {
 	s := newSite()
 	first, a := s.send()
-	if !a.Leave {
+	if !a.HasPermit {
 		t.Fatalf("the first copy got no leave: %+v", a)
 	}
 	second, a := s.send()
-	if a.Leave || a.Error.Reason != verdict.ReasonSuspect {
+	if a.HasPermit || a.Error.Reason != verdict.ReasonSuspect {
 		t.Fatalf("the second copy was not told to wait: %+v", a)
 	}
-	s.Step(Reported{Now: s.now, Report: wire.Report{Unused: &wire.Leave{Fingerprint: crasher, Nonce: second}}})
-	if _, a := s.send(); a.Leave {
+	s.Step(Reported{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasher, Nonce: second}}})
+	if _, a := s.send(); a.HasPermit {
 		t.Fatal("a copy got leave while another has it")
 	}
-	s.Step(Reported{Now: s.now, Report: wire.Report{Unused: &wire.Leave{Fingerprint: crasher, Nonce: first}}})
-	if _, a := s.send(); !a.Leave {
+	s.Step(Reported{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasher, Nonce: first}}})
+	if _, a := s.send(); !a.HasPermit {
 		t.Fatalf("no copy gets leave any more: %+v", a)
 	}
 }
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -31,7 +31,7 @@
 	defer l.mu.Unlock()
 	l.conn = newConn(context.Background(), c, l, func(*Conn) { l.end() })
 	l.used = time.Now()
-	l.timer = time.AfterFunc(p.config.Timing.Idle, l.check)
+	l.timer = time.AfterFunc(p.config.Timing.IdleTimeout, l.check)
 	return l
 }
 
@@ -70,7 +70,7 @@
 func (l *link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calls == 0 && len(l.streams) == 0 && now.Sub(l.used) >= l.peer.config.Timing.Idle
+	return l.calls == 0 && len(l.streams) == 0 && now.Sub(l.used) >= l.peer.config.Timing.IdleTimeout
 }
 
 // open adds a stream. It needs a call acquired.
@@ -110,7 +110,7 @@
 		return
 	}
 	if l.calls == 0 && len(l.streams) == 0 {
-		l.timer.Reset(max(t.tick(), t.Idle-now.Sub(l.used)))
+		l.timer.Reset(max(t.tick(), t.IdleTimeout-now.Sub(l.used)))
 		l.mu.Unlock()
 		l.peer.retire(l)
 		return
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -89,9 +89,9 @@
 	Trace       string    `json:"trace,omitempty"`
 	Control     Control   `json:"ctl"`
 
-	// Leave is the word of the sidecar that saw the upstream crash under this
+	// HasPermit is the word of the sidecar that saw the upstream crash under this
 	// request: it may run alone at another VM (package quarantine).
-	Leave bool `json:"leave,omitempty"`
+	HasPermit bool `json:"leave,omitempty"`
 }
 
 // Control is what nodes tell each other on the back of a request or a reply.
@@ -111,11 +111,11 @@
 // Admission is the reply to a Submit or Attach. Without an Error the answer
 // follows as frames.
 type Admission struct {
-	Joined  bool           `json:"joined,omitempty"` // the key was known; its answer is joined or replayed
-	Error   *verdict.Error `json:"err,omitempty"`
-	Moved   *Key           `json:"moved,omitempty"` // with an Error of ReasonMoved: follow this key
-	Leave   bool           `json:"leave,omitempty"` // with Moved: for Submit.Leave along the chain
-	Control Control        `json:"ctl"`
+	Joined    bool           `json:"joined,omitempty"` // the key was known; its answer is joined or replayed
+	Error     *verdict.Error `json:"err,omitempty"`
+	Moved     *Key           `json:"moved,omitempty"` // with an Error of ReasonMoved: follow this key
+	HasPermit bool           `json:"leave,omitempty"` // with Moved: for Submit.Leave along the chain
+	Control   Control        `json:"ctl"`
 }
 
 // Attach asks for the answer to a key from an offset on.
@@ -193,12 +193,12 @@
 // Report tells a sidecar of suspects for which it is the home: a resend of the
 // request would be offered to it first.
 type Report struct {
-	Suspects json.RawMessage `json:"suspects,omitempty"`
-	Unused   *Leave          `json:"unused,omitempty"`
+	Suspects     json.RawMessage `json:"suspects,omitempty"`
+	UnusedPermit *Permit         `json:"unused,omitempty"`
 }
 
-// Leave names the leave to run alone elsewhere that a sidecar gave a submission.
-type Leave struct {
+// Permit names the leave to run alone elsewhere that a sidecar gave a submission.
+type Permit struct {
 	Fingerprint uint64      `json:"print"`
 	Nonce       token.Nonce `json:"nonce"` // of the key that was submitted
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -174,11 +174,11 @@
 	p.link = nil
 	since := now.Sub(p.tried)
 	t := p.config.Timing
-	if p.dialing == nil && (p.failed == nil || since >= t.Redial) {
+	if p.dialing == nil && (p.failed == nil || since >= t.RedialInterval) {
 		p.dialing = &dialing{done: make(chan struct{})}
 		go p.connect(p.dialing)
 	}
-	if p.failed != nil && since < t.FailFast {
+	if p.failed != nil && since < t.FailFastFor {
 		return nil, nil, p.failed
 	}
 	return nil, p.dialing, nil
@@ -218,7 +218,7 @@
 		return nil, err
 	}
 	l := newLink(p, c)
-	ctx, cancel := context.WithTimeout(p.ctx, p.config.Timing.Hello)
+	ctx, cancel := context.WithTimeout(p.ctx, p.config.Timing.HelloTimeout)
 	defer cancel()
 	if err := l.conn.Call(ctx, MethodHello, Empty{}, &l.hello); err != nil {
 		_ = l.conn.Close()
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -82,7 +82,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{sidecar: newFakeSidecar(), middles: []middle{{up: faults{1: silence}}}}
 		timing := DefaultTiming()
-		timing.Idle = time.Hour
+		timing.IdleTimeout = time.Hour
 		p := NewPeer(PeerConfig{Dial: n.dial, Timing: timing})
 		if _, err := p.Connect(t.Context()); err != nil {
 			t.Fatal(err)
@@ -132,7 +132,7 @@
 			if err := p.Call(t.Context(), MethodStatus, Empty{}, nil); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(p.config.Timing.Idle)
+			time.Sleep(p.config.Timing.IdleTimeout)
 		}
 		if n.dials < 2 {
 			t.Error("the connection was never closed as idle")
@@ -155,7 +155,7 @@
 				t.Fatalf("caller %d: %v", i, err)
 			}
 		}
-		if waited := time.Since(began); waited > p.config.Timing.Hello {
+		if waited := time.Since(began); waited > p.config.Timing.HelloTimeout {
 			t.Errorf("ten callers waited for %s", waited)
 		}
 		time.Sleep(2 * time.Second)
@@ -252,7 +252,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if after := time.Duration(idle) * time.Second; err != nil || after <= DefaultTiming().Idle {
+	if after := time.Duration(idle) * time.Second; err != nil || after <= DefaultTiming().IdleTimeout {
 		t.Errorf("probed after %s: %v", after, err)
 	}
 }
@@ -264,18 +264,18 @@
 	timing := DefaultTiming()
 	start := time.Unix(1000, 0)
 	p := pulse{checked: start, settled: start}
-	p.ask(start, timing.Silent)
+	p.ask(start, timing.PongTimeout)
 	after := start.Add(time.Minute)
 	if got := p.check(timing, after, start, true); got != carePing {
 		t.Fatalf("after a pause: %d", got)
 	}
-	p.ask(after, timing.Silent)
-	for now := after; now.Before(after.Add(timing.Silent)); now = now.Add(timing.tick()) {
+	p.ask(after, timing.PongTimeout)
+	for now := after; now.Before(after.Add(timing.PongTimeout)); now = now.Add(timing.tick()) {
 		if got := p.check(timing, now, start, true); got != careNone {
 			t.Fatalf("%s later: %d", now.Sub(after), got)
 		}
 	}
-	if got := p.check(timing, after.Add(timing.Silent), start, true); got != careLost {
+	if got := p.check(timing, after.Add(timing.PongTimeout), start, true); got != careLost {
 		t.Fatalf("in the end: %d", got)
 	}
 }
--- a/internal/wire/pulse.go
+++ b/internal/wire/pulse.go
@@ -7,46 +7,46 @@
 
 // Timing is how a connection is watched.
 type Timing struct {
-	// Quiet is how long a connection from which something is awaited may say
+	// PingAfter is how long a connection from which something is awaited may say
 	// nothing before the peer is asked for a sign of life. It is also how
 	// often that is looked at, twice over.
-	Quiet time.Duration
+	PingAfter time.Duration
 
-	// Silent is how long the peer may leave that question unanswered before
+	// PongTimeout is how long the peer may leave that question unanswered before
 	// the connection counts as lost. A connection that something in between
 	// has forgotten neither delivers nor fails, so only silence shows it.
-	Silent time.Duration
+	PongTimeout time.Duration
 
-	// Stale is how long a connection may have been unused before a request
+	// StaleAfter is how long a connection may have been unused before a request
 	// that takes it also asks for a sign of life at once, to be given within
-	// Probe: what stands in between forgets unused connections first.
-	Stale, Probe time.Duration
+	// StalePongTimeout: what stands in between forgets unused connections first.
+	StaleAfter, StalePongTimeout time.Duration
 
-	// Idle is how long a connection on which nothing is awaited is kept. At the
+	// IdleTimeout is how long a connection on which nothing is awaited is kept. At the
 	// target's size a router comes back to a sidecar every two minutes on
 	// average, and each new connection costs a handshake.
-	Idle time.Duration
+	IdleTimeout time.Duration
 
-	// Hello bounds the introduction on a new connection.
-	Hello time.Duration
+	// HelloTimeout bounds the introduction on a new connection.
+	HelloTimeout time.Duration
 
-	// Redial is the least time from one failed try to reach a sidecar to the
-	// next, and FailFast how long after it requests do not wait for the next.
-	Redial, FailFast time.Duration
+	// RedialInterval is the least time from one failed try to reach a sidecar to the
+	// next, and FailFastFor how long after it requests do not wait for the next.
+	RedialInterval, FailFastFor time.Duration
 }
 
 // DefaultTiming returns the Timing of routers towards sidecars. A lost connection
 // is found within two ticks, Quiet and Silent, three and a half seconds in all.
 func DefaultTiming() Timing {
 	return Timing{
-		Quiet:    time.Second,
-		Silent:   1500 * time.Millisecond,
-		Stale:    5 * time.Second,
-		Probe:    time.Second,
-		Idle:     10 * time.Minute,
-		Hello:    time.Second,
-		Redial:   250 * time.Millisecond,
-		FailFast: 5 * time.Second,
+		PingAfter:        time.Second,
+		PongTimeout:      1500 * time.Millisecond,
+		StaleAfter:       5 * time.Second,
+		StalePongTimeout: time.Second,
+		IdleTimeout:      10 * time.Minute,
+		HelloTimeout:     time.Second,
+		RedialInterval:   250 * time.Millisecond,
+		FailFastFor:      5 * time.Second,
 	}
 }
 
@@ -55,11 +55,11 @@
 // can wait for longer than a caller: what a reader that is gone holds is memory
 // and, at a planned stop, time.
 func ReaderTiming() Timing {
-	return Timing{Quiet: 30 * time.Second, Silent: 15 * time.Second}
+	return Timing{PingAfter: 30 * time.Second, PongTimeout: 15 * time.Second}
 }
 
 func (t Timing) tick() time.Duration {
-	return t.Quiet / 2
+	return t.PingAfter / 2
 }
 
 // care is what a connection needs.
@@ -97,7 +97,7 @@
 // frames that keep coming prove only one direction, so the sidecar is asked
 // nevertheless.
 func (p *pulse) check(t Timing, now, heard time.Time, calls bool) care {
-	late := now.Sub(p.checked) > t.tick()+t.Quiet
+	late := now.Sub(p.checked) > t.tick()+t.PingAfter
 	p.checked = now
 	if late {
 		// This process was paused. What the sidecar said meanwhile has not been
@@ -111,7 +111,7 @@
 		}
 		return careNone
 	}
-	if now.Sub(heard) >= t.Quiet || (calls && now.Sub(p.settled) >= t.Quiet) {
+	if now.Sub(heard) >= t.PingAfter || (calls && now.Sub(p.settled) >= t.PingAfter) {
 		return carePing
 	}
 	return careNone
@@ -123,8 +123,8 @@
 	c.pulse.mu.Lock()
 	defer c.pulse.mu.Unlock()
 	c.pulse.asked, c.pulse.settled, c.pulse.checked = time.Time{}, now, now
-	if t.Stale > 0 && now.Sub(c.lastRead()) >= t.Stale {
-		c.ping(now, t.Probe)
+	if t.StaleAfter > 0 && now.Sub(c.lastRead()) >= t.StaleAfter {
+		c.ping(now, t.StalePongTimeout)
 	}
 }
 
@@ -134,7 +134,7 @@
 	defer c.pulse.mu.Unlock()
 	switch c.pulse.check(t, now, c.lastRead(), calls) {
 	case carePing:
-		c.ping(now, t.Silent)
+		c.ping(now, t.PongTimeout)
 	case careLost:
 		silentConnections.Inc()
 		return true
@@ -154,9 +154,9 @@
 	c.pulse.answered(time.Now())
 }
 
-// Watch ends the connection when its peer falls silent while awaited says that
+// MonitorPeer ends the connection when its peer falls silent while awaited says that
 // something is expected of it.
-func (c *Conn) Watch(t Timing, awaited func() bool) {
+func (c *Conn) MonitorPeer(t Timing, awaited func() bool) {
 	active := false
 	var timer *time.Timer
 	ready := make(chan struct{})
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -51,7 +51,7 @@
 func (f *fleet) order(vm *upstreamVM, o wire.Order) wire.OrderStatus {
 	GinkgoHelper()
 	id := secure.Identity{Role: secure.RoleRouter, VM: "entry-9"}
-	as, err := secure.NewMutual(id, trustDomain, f.trust.issue(id))
+	as, err := secure.NewMutualTLS(id, trustDomain, f.trust.issue(id))
 	Expect(err).NotTo(HaveOccurred())
 	peer := wire.NewPeer(wire.PeerConfig{Dial: func(ctx context.Context) (net.Conn, error) {
 		return as.Dial(ctx, vm.id, vm.sidecar.addr)
