--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -55,18 +55,18 @@
 
 // Queue holds the requests that wait for an upstream and those that run there.
 type Queue struct {
-	config  Config
-	classes []*class // by priority, the highest first
-	waiting map[token.Nonce]*item
-	running map[token.Nonce]*slot
-	orgs    map[string]*organisation
-	queued  map[queueKey]int
-	bytes   int // of the waiting requests
-	foreign int // requests at the upstream that are not ours
-	arrived uint64
-	swept   time.Time
-	service average            // time at the upstream
-	first   map[string]average // time until the first byte, by profile
+	config        Config
+	classes       []*class // by priority, the highest first
+	waiting       map[token.Nonce]*item
+	running       map[token.Nonce]*slot
+	organisations map[string]*organisation
+	queueLengths  map[queueKey]int
+	bytes         int // of the waiting requests
+	external      int // requests at the upstream that are not ours
+	lastSeq       uint64
+	sweptAt       time.Time
+	service       average            // time at the upstream
+	firstByte     map[string]average // time until the first byte, by profile
 }
 
 // item is a waiting request.
@@ -78,9 +78,9 @@
 // slot is a running request.
 type slot struct {
 	Request
-	started  time.Time
-	charged  float64 // in seconds
-	answered bool
+	started      time.Time
+	charged      float64 // in seconds
+	hasFirstByte bool
 }
 
 // queueKey names a queue with a bound: of a profile, or of an organisation in
@@ -90,12 +90,12 @@
 // NewQueue returns an empty queue.
 func NewQueue(c Config) *Queue {
 	return &Queue{
-		config:  c,
-		waiting: make(map[token.Nonce]*item),
-		running: make(map[token.Nonce]*slot),
-		orgs:    make(map[string]*organisation),
-		queued:  make(map[queueKey]int),
-		first:   make(map[string]average),
+		config:        c,
+		waiting:       make(map[token.Nonce]*item),
+		running:       make(map[token.Nonce]*slot),
+		organisations: make(map[string]*organisation),
+		queueLengths:  make(map[queueKey]int),
+		firstByte:     make(map[string]average),
 	}
 }
 
@@ -107,46 +107,46 @@
 
 // Running is the number of requests at the upstream.
 func (q *Queue) Running() int {
-	return len(q.running) + q.foreign
+	return len(q.running) + q.external
 }
 
 // SetExternal says how many requests run at the upstream that this queue did not start.
 func (q *Queue) SetExternal(n int) {
-	q.foreign = max(0, n)
+	q.external = max(0, n)
 }
 
 // Offer admits a request, or says why not. A refusal is NotRun and carries the
 // time after which there should be room.
 func (q *Queue) Offer(now time.Time, r Request) *verdict.Error {
 	r.Weight = max(1, r.Weight)
-	q.seen(now, &r)
-	if err := q.refuse(now, &r); err != nil {
+	q.markActive(now, &r)
+	if err := q.check(now, &r); err != nil {
 		return err
 	}
-	q.arrived++
-	it := &item{Request: r, seq: q.arrived}
+	q.lastSeq++
+	it := &item{Request: r, seq: q.lastSeq}
 	q.waiting[r.ID] = it
 	q.class(r.Priority).push(it)
-	q.count(&r, 1)
-	q.orgs[r.Org].waiting++
+	q.addToQueue(&r, 1)
+	q.organisations[r.Org].waiting++
 	q.bytes += r.Size
 	return nil
 }
 
-func (q *Queue) refuse(now time.Time, r *Request) *verdict.Error {
+func (q *Queue) check(now time.Time, r *Request) *verdict.Error {
 	if q.Load() >= r.LoadBound {
 		return notRun(verdict.ReasonOverBound, "the upstream is at its bound of %d", r.LoadBound).WithRetryAfter(q.Backoff())
 	}
-	if q.startsNow(r) {
+	if q.canStartNow(r) {
 		return nil
 	}
 	if late := q.lateness(now, r); late > 0 {
 		return notRun(verdict.ReasonDeadline, "the queue is too long for the deadline").WithRetryAfter(late)
 	}
-	full := len(q.waiting) >= q.config.MaxWaiting || q.bytes+r.Size > q.config.MaxBytes ||
-		(r.QueueBound > 0 && q.queued[queueKey{profile: r.Profile}] >= r.QueueBound) ||
-		(r.OrgQueueBound > 0 && q.queued[queueKey{r.Profile, r.Org}] >= r.OrgQueueBound)
-	if full {
+	isFull := len(q.waiting) >= q.config.MaxWaiting || q.bytes+r.Size > q.config.MaxBytes ||
+		(r.QueueBound > 0 && q.queueLengths[queueKey{profile: r.Profile}] >= r.QueueBound) ||
+		(r.OrgQueueBound > 0 && q.queueLengths[queueKey{r.Profile, r.Org}] >= r.OrgQueueBound)
+	if isFull {
 		return notRun(verdict.ReasonQueueFull, "the queue is full").WithRetryAfter(q.Backoff())
 	}
 	return nil
@@ -156,29 +156,29 @@
 	return verdict.New(verdict.NotRun, r, format, args...)
 }
 
-// startsNow reports whether a request would start at once.
-func (q *Queue) startsNow(r *Request) bool {
+// canStartNow reports whether a request would start at once.
+func (q *Queue) canStartNow(r *Request) bool {
 	for _, c := range q.classes {
 		if c.priority >= r.Priority && c.waiting > 0 {
 			return false
 		}
 	}
-	return q.room(r.Priority).fits(r.Org)
+	return q.capacity(r.Priority).fits(r.Org)
 }
 
 // Next takes the request that is to start now, if one is.
 func (q *Queue) Next(now time.Time) (Request, bool) {
-	q.forget(now)
+	q.dropInactive(now)
 	for _, c := range q.classes {
 		if c.waiting == 0 {
 			continue
 		}
-		f := c.next(q.room(c.priority))
+		f := c.next(q.capacity(c.priority))
 		if f == nil {
 			return Request{}, false // lower priorities do not pass
 		}
 		it := f.items[0]
-		q.unqueue(it)
+		q.dequeue(it)
 		c.charge(f, q.begin(now, it.Request).charged)
 		return it.Request, true
 	}
@@ -188,14 +188,14 @@
 // Begin starts a request past the queue.
 func (q *Queue) Begin(now time.Time, r Request) {
 	r.Weight = max(1, r.Weight)
-	q.seen(now, &r)
+	q.markActive(now, &r)
 	q.begin(now, r)
 }
 
 func (q *Queue) begin(now time.Time, r Request) *slot {
-	s := &slot{Request: r, started: now, charged: q.expected().Seconds()}
+	s := &slot{Request: r, started: now, charged: q.expectedServiceTime().Seconds()}
 	q.running[r.ID] = s
-	q.orgs[r.Org].running++
+	q.organisations[r.Org].running++
 	return s
 }
 
@@ -205,18 +205,18 @@
 	if it == nil {
 		return false
 	}
-	q.unqueue(it)
+	q.dequeue(it)
 	return true
 }
 
 // FirstByte records that a running request's answer has begun.
 func (q *Queue) FirstByte(now time.Time, id token.Nonce) {
 	s := q.running[id]
-	if s == nil || s.answered {
+	if s == nil || s.hasFirstByte {
 		return
 	}
-	s.answered = true
-	q.observeFirst(s.Profile, now.Sub(s.started))
+	s.hasFirstByte = true
+	q.observeFirstByte(s.Profile, now.Sub(s.started))
 }
 
 // Done records that a running request has ended.
@@ -226,25 +226,25 @@
 		return
 	}
 	delete(q.running, id)
-	q.orgs[s.Org].running--
-	took := now.Sub(s.started)
-	q.service.observe(took)
-	q.class(s.Priority).settle(&s.Request, max(took.Seconds(), minCost)-s.charged)
+	q.organisations[s.Org].running--
+	duration := now.Sub(s.started)
+	q.service.observe(duration)
+	q.class(s.Priority).correctCharge(&s.Request, max(duration.Seconds(), minCostSeconds)-s.charged)
 }
 
-func (q *Queue) unqueue(it *item) {
+func (q *Queue) dequeue(it *item) {
 	delete(q.waiting, it.ID)
 	q.class(it.Priority).remove(it)
-	q.count(&it.Request, -1)
-	q.orgs[it.Org].waiting--
+	q.addToQueue(&it.Request, -1)
+	q.organisations[it.Org].waiting--
 	q.bytes -= it.Size
 }
 
-func (q *Queue) count(r *Request, by int) {
+func (q *Queue) addToQueue(r *Request, by int) {
 	for _, k := range [...]queueKey{{profile: r.Profile}, {r.Profile, r.Org}} {
-		q.queued[k] += by
-		if q.queued[k] == 0 {
-			delete(q.queued, k)
+		q.queueLengths[k] += by
+		if q.queueLengths[k] == 0 {
+			delete(q.queueLengths, k)
 		}
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -43,7 +43,7 @@
 // requests end, are withdrawn and time passes. No upstream goes over its bound
 // or its slots, none idles while work may start, notes go before overnight
 // work, and what was withdrawn is never started.
-func TestQueueKeepsItsRules(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{
 			Slots:      rapid.IntRange(1, 5).Draw(t, "slots"),
@@ -65,7 +65,7 @@
 			"time": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"": m.settle,
+			"": m.startWaiting,
 		})
 	})
 }
@@ -98,7 +98,7 @@
 	if rapid.Bool().Draw(t, "urgent") {
 		r.FirstByteBy = m.now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "seconds")) * time.Second)
 	}
-	mayStart := len(m.waiting) == 0 && len(m.running)+m.q.config.Reserve < m.q.config.Slots
+	canStart := len(m.waiting) == 0 && len(m.running)+m.q.config.Reserve < m.q.config.Slots
 	err := m.q.Offer(m.now, r)
 	if err == nil {
 		m.waiting[r.ID] = r
@@ -110,7 +110,7 @@
 	if err.Verdict != verdict.NotRun || err.RetryAfter <= 0 {
 		t.Fatalf("refusal %v without a time to come back", err)
 	}
-	if mayStart && err.Reason != verdict.ReasonOverBound {
+	if canStart && err.Reason != verdict.ReasonOverBound {
 		t.Fatalf("refused with %s though a slot is free", err.Reason)
 	}
 }
@@ -123,8 +123,8 @@
 	}
 }
 
-// settle does what the sidecar does after each event, and checks it.
-func (m *model) settle(t *rapid.T) {
+// startWaiting does what the sidecar does after each event, and checks it.
+func (m *model) startWaiting(t *rapid.T) {
 	for _, r := range m.waiting {
 		if t := r.Expires(); !t.IsZero() && !m.now.Before(t) {
 			delete(m.waiting, r.ID)
@@ -140,7 +140,7 @@
 		delete(m.waiting, r.ID)
 		m.running[r.ID] = r
 	}
-	m.checkIdle(t)
+	m.checkState(t)
 }
 
 func (m *model) checkStart(t *rapid.T, r Request) {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (m *model) checkIdle(t *rapid.T) {
+func (m *model) checkState(t *rapid.T) {
 	if len(m.waiting) != len(m.q.waiting) || len(m.running) != m.q.Running() {
 		t.Fatalf("books differ: %d of %d wait, %d of %d run", len(m.q.waiting), len(m.waiting), m.q.Running(), len(m.running))
 	}
@@ -175,7 +175,7 @@
 		t.Fatalf("%d bytes wait, %d are counted", size, m.q.bytes)
 	}
 	idle := m.q.config.Slots - len(m.running)
-	if len(m.q.orgs) > 1 {
+	if len(m.q.organisations) > 1 {
 		idle -= m.q.config.Reserve
 	}
 	if idle > 0 && len(m.waiting) > 0 {
@@ -225,7 +225,7 @@
 // than its share, and their requests take longer. A third, which uses no more
 // than its share of the slots, must wait as without the surge, but for the time
 // until slots that the surge already holds come free: one service time.
-func TestSurgeDelaysOnlyItsOwn(t *testing.T) {
+func TestSurgeDelaysOnlyItsOrganisation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 3).Draw(t, "share")
 		c := Config{Slots: 3 * share, Reserve: rapid.IntRange(0, 1).Draw(t, "reserve"), MaxWaiting: 10000, MaxBytes: 1}
@@ -240,14 +240,14 @@
 		}
 		byTime := func(x, y arrival) int { return x.at - y.at }
 		slices.SortStableFunc(arrivals, byTime)
-		alone := slices.Max(simulate(c, arrivals, "b"))
+		baseline := slices.Max(simulate(c, arrivals, "b"))
 		start := rapid.IntRange(0, 60).Draw(t, "surge from")
 		for range rapid.IntRange(1, 80).Draw(t, "surge") {
 			arrivals = append(arrivals, arrival{"a", rapid.IntRange(start, 60).Draw(t, "at")})
 		}
 		slices.SortStableFunc(arrivals, byTime)
-		if worst := slices.Max(simulate(c, arrivals, "b")); worst > alone+serviceSeconds {
-			t.Fatalf("waits %d s in the surge, %d s without", worst, alone)
+		if worst := slices.Max(simulate(c, arrivals, "b")); worst > baseline+serviceSeconds {
+			t.Fatalf("waits %d s in the surge, %d s without", worst, baseline)
 		}
 	})
 }
@@ -255,7 +255,7 @@
 // A surge holds all slots, and a club that asks for one note at a time waits
 // for a slot each time. One slot in reserve lets it start at once; the surge's
 // own club, once alone again, has that slot as well.
-func TestReserveLetsTheSmallStartAtOnce(t *testing.T) {
+func TestReserveLetsSmallOrganisationsStartAtOnce(t *testing.T) {
 	var arrivals []arrival
 	for range 200 {
 		arrivals = append(arrivals, arrival{"a", 1})
@@ -278,7 +278,7 @@
 // Half-time: three hundred notes are asked for within seconds, far more than
 // can be ready in time. Those too many must hear so at once, with a time to
 // come back, and not be held until their deadline passes in the queue.
-func TestTooLateIsSaidAtOnce(t *testing.T) {
+func TestUnmeetableDeadlineIsRejectedAtOnce(t *testing.T) {
 	const slots = 4
 	q := NewQueue(Config{Slots: slots, MaxWaiting: 1000, MaxBytes: 1})
 	expired, refused := 0, 0
@@ -318,7 +318,7 @@
 // of different lengths, the first of which comes back after a long pause. From
 // then on each gets time at the upstream in proportion to its weight, whatever
 // the others send, so none starves; the pause is not made up for.
-func TestNobodyStarves(t *testing.T) {
+func TestNoOrganisationStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Config{Slots: 1, MaxWaiting: 10000, MaxBytes: 1})
 		weights := rapid.SliceOfN(rapid.IntRange(1, 5), 2, 5).Draw(t, "weights")
@@ -349,14 +349,14 @@
 				q.Done(epoch.Add(time.Duration(now)*time.Second), r.ID)
 			}
 		}
-		const back, window = 200, 400
-		run(0, back)
+		const resumeAt, window = 200, 400
+		run(0, resumeAt)
 		clear(used)
-		offer(epoch.Add(back*time.Second), 0, weights[0])
-		run(back, back+window)
+		offer(epoch.Add(resumeAt*time.Second), 0, weights[0])
+		run(resumeAt, resumeAt+window)
 		for org, w := range weights {
-			if fair := window * w / total; used[org] < fair*8/10-10 {
-				t.Fatalf("organisation %d of weight %d had %d s, fair were %d (of %v)", org, w, used[org], fair, used)
+			if fairShare := window * w / total; used[org] < fairShare*8/10-10 {
+				t.Fatalf("organisation %d of weight %d had %d s, fair were %d (of %v)", org, w, used[org], fairShare, used)
 			}
 		}
 	})
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,21 +5,21 @@
 const (
 	// smoothing is the weight of a new observation in an average.
 	smoothing = 0.1
-	// unknownService stands in for the service time until one was observed.
-	unknownService = time.Second
+	// defaultServiceTime stands in for the service time until one was observed.
+	defaultServiceTime = time.Second
 	// maxAverages bounds the profiles whose first-byte times are kept.
 	maxAverages = 256
 )
 
 // average is an exponentially weighted mean of durations.
 type average struct {
-	seconds float64
-	known   bool
+	seconds  float64
+	observed bool
 }
 
 func (a *average) observe(d time.Duration) {
-	if !a.known {
-		*a = average{seconds: d.Seconds(), known: true}
+	if !a.observed {
+		*a = average{seconds: d.Seconds(), observed: true}
 		return
 	}
 	a.seconds += smoothing * (d.Seconds() - a.seconds)
@@ -29,27 +29,27 @@
 	return time.Duration(a.seconds * float64(time.Second))
 }
 
-// expected is how long a request is thought to run.
-func (q *Queue) expected() time.Duration {
-	if !q.service.known {
-		return unknownService
+// expectedServiceTime is how long a request is thought to run.
+func (q *Queue) expectedServiceTime() time.Duration {
+	if !q.service.observed {
+		return defaultServiceTime
 	}
-	return max(q.service.value(), time.Duration(minCost*float64(time.Second)))
+	return max(q.service.value(), time.Duration(minCostSeconds*float64(time.Second)))
 }
 
-func (q *Queue) observeFirst(profile string, d time.Duration) {
-	a, known := q.first[profile]
-	if !known && len(q.first) >= maxAverages {
+func (q *Queue) observeFirstByte(profile string, d time.Duration) {
+	a, known := q.firstByte[profile]
+	if !known && len(q.firstByte) >= maxAverages {
 		return
 	}
 	a.observe(d)
-	q.first[profile] = a
+	q.firstByte[profile] = a
 }
 
 // Backoff is how long it takes until a running request is likely to end, and
 // room with it.
 func (q *Queue) Backoff() time.Duration {
-	return q.expected() / time.Duration(max(1, q.Running()))
+	return q.expectedServiceTime() / time.Duration(max(1, q.Running()))
 }
 
 // lateness is by how much a request that has to wait would miss its first-byte
@@ -58,11 +58,11 @@
 // this, or an average that has grown too long would never be corrected.
 func (q *Queue) lateness(now time.Time, r *Request) time.Duration {
 	expires := r.Expires()
-	if expires.IsZero() || !q.service.known || q.config.Slots <= 0 {
+	if expires.IsZero() || !q.service.observed || q.config.Slots <= 0 {
 		return 0
 	}
-	turns := float64(q.ahead(r)+1) / float64(q.config.Slots)
-	wait := time.Duration(turns * float64(q.expected()))
-	due := now.Add(wait + q.first[r.Profile].value())
-	return max(0, due.Sub(expires))
+	rounds := float64(q.ahead(r)+1) / float64(q.config.Slots)
+	wait := time.Duration(rounds * float64(q.expectedServiceTime()))
+	estimate := now.Add(wait + q.firstByte[r.Profile].value())
+	return max(0, estimate.Sub(expires))
 }
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// minCost is the least that a request is charged, in seconds. Without it
+// minCostSeconds is the least that a request is charged, in seconds. Without it
 // requests that fail at once would be free and could keep others waiting.
-const minCost = 0.001
+const minCostSeconds = 0.001
 
 // class is the waiting requests of one priority, shared out by start-time fair
 // queueing: each organisation's flow has a tag that grows by the time its
 // requests take at the upstream over its weight, and the lowest tag starts.
 type class struct {
-	priority int
-	waiting  int
-	virtual  float64 // the tag of the flow that started last
-	flows    map[string]*flow
+	priority    int
+	waiting     int
+	virtualTime float64 // the tag of the flow that started last
+	flows       map[string]*flow
 }
 
 // flow is what one organisation has waiting in one class.
@@ -45,7 +45,7 @@
 		c.flows[it.Org] = f
 	}
 	if len(f.items) == 0 {
-		f.tag = max(f.tag, c.virtual) // time spent idle earns no credit
+		f.tag = max(f.tag, c.virtualTime) // time spent idle earns no credit
 	}
 	f.weight = float64(it.Weight)
 	f.items = append(f.items, it)
@@ -54,20 +54,20 @@
 
 // next returns the flow whose first request is to start, among those for which
 // there is room. Equal tags go by arrival, so the order does not hang on the map's.
-func (c *class) next(room room) *flow {
+func (c *class) next(spare capacity) *flow {
 	var best *flow
 	for _, f := range c.flows {
-		if len(f.items) == 0 || (best != nil && !f.before(best)) {
+		if len(f.items) == 0 || (best != nil && !f.startsBefore(best)) {
 			continue
 		}
-		if room.fits(f.items[0].Org) {
+		if spare.fits(f.items[0].Org) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (f *flow) before(g *flow) bool {
+func (f *flow) startsBefore(g *flow) bool {
 	if f.tag != g.tag {
 		return f.tag < g.tag
 	}
@@ -76,12 +76,12 @@
 
 // charge records that a request of f has started.
 func (c *class) charge(f *flow, seconds float64) {
-	c.virtual = max(c.virtual, f.tag)
+	c.virtualTime = max(c.virtualTime, f.tag)
 	f.tag += seconds / f.weight
 }
 
-// settle corrects the charge of a request that has ended.
-func (c *class) settle(r *Request, seconds float64) {
+// correctCharge corrects the charge of a request that has ended.
+func (c *class) correctCharge(r *Request, seconds float64) {
 	if f := c.flows[r.Org]; f != nil {
 		f.tag += seconds / f.weight
 	}
@@ -92,12 +92,12 @@
 // waits and the tags mean nothing any more.
 func (c *class) prune() {
 	for org, f := range c.flows {
-		if len(f.items) == 0 && (c.waiting == 0 || f.tag <= c.virtual) {
+		if len(f.items) == 0 && (c.waiting == 0 || f.tag <= c.virtualTime) {
 			delete(c.flows, org)
 		}
 	}
 	if len(c.flows) == 0 {
-		c.virtual = 0
+		c.virtualTime = 0
 	}
 }
 
@@ -132,8 +132,8 @@
 	n := own
 	for org, f := range c.flows {
 		if org != r.Org {
-			turns := float64(own+1) * f.weight / float64(r.Weight)
-			n += min(len(f.items), int(turns))
+			earned := float64(own+1) * f.weight / float64(r.Weight)
+			n += min(len(f.items), int(earned))
 		}
 	}
 	return n
--- a/internal/order/desk.go
+++ b/internal/order/desk.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// readyFor is how long an emptied upstream waits for its load. After that
+	// readyTimeout is how long an emptied upstream waits for its load. After that
 	// it serves again: the controller may be gone.
-	readyFor = 2 * time.Minute
-	// pollEvery is how often a loading upstream is asked how far it is.
-	pollEvery = 500 * time.Millisecond
+	readyTimeout = 2 * time.Minute
+	// pollInterval is how often a loading upstream is asked how far it is.
+	pollInterval = 500 * time.Millisecond
 	// callTimeout bounds one call of the upstream or the store.
 	callTimeout = 3 * time.Second
 )
@@ -48,13 +48,13 @@
 	config Config
 	ctx    context.Context
 
-	mu     sync.Mutex // held across calls of the upstream, so that orders come one by one
-	fence  lease.Fence
-	id     string // of the order at hand
-	phase  wire.OrderPhase
-	resume func()
-	lapse  *time.Timer
-	cancel context.CancelFunc // of what empties the upstream
+	mu         sync.Mutex // held across calls of the upstream, so that orders come one by one
+	fence      lease.Fence
+	id         string // of the order at hand
+	phase      wire.OrderPhase
+	resume     func()
+	readyTimer *time.Timer
+	cancel     context.CancelFunc // of what empties the upstream
 }
 
 // NewHandler returns a Desk that works until ctx ends.
@@ -64,15 +64,15 @@
 
 // Handle handles an order. A refusal is in the status, with what the controller
 // needs to know besides.
-func (d *Handler) Handle(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	if err := d.check(ctx, o.Token); err != nil {
-		return wire.OrderStatus{Token: d.fence.Highest(), Error: err}, nil
+func (h *Handler) Handle(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	if err := h.checkToken(ctx, o.Token); err != nil {
+		return wire.OrderStatus{Token: h.fence.Highest(), Error: err}, nil
 	}
-	status, err := d.status(ctx)
+	status, err := h.status(ctx)
 	if err != nil || o.Action == wire.OrderQuery {
 		return status, err
 	}
@@ -82,134 +82,134 @@
 	}
 	switch o.Action {
 	case wire.OrderPrepare:
-		d.prepare(o)
+		h.prepare(o)
 	case wire.OrderLoad:
-		if err := d.load(ctx, o); err != nil {
+		if err := h.load(ctx, o); err != nil {
 			status.Error = verdict.From(err)
 			return status, nil
 		}
 	}
-	return d.status(ctx)
+	return h.status(ctx)
 }
 
-// check applies the fence. A sidecar that has just started knows no token and
+// checkToken applies the fence. A sidecar that has just started knows no token and
 // reads it from the store first; without it, an order that a former holder sent
 // before the restart would be taken.
-func (d *Handler) check(ctx context.Context, t wire.FencingToken) *verdict.Error {
-	if !d.fence.Known() && d.config.Token != nil {
-		if current, err := d.config.Token(ctx); err == nil {
-			d.fence.Learn(current)
+func (h *Handler) checkToken(ctx context.Context, t wire.FencingToken) *verdict.Error {
+	if !h.fence.Known() && h.config.Token != nil {
+		if current, err := h.config.Token(ctx); err == nil {
+			h.fence.Learn(current)
 		}
 	}
-	return d.fence.Check(t)
+	return h.fence.Check(t)
 }
 
 // status tells how far the order at hand is; what is at the upstream, the
 // upstream tells, so a restarted sidecar knows it as well.
-func (d *Handler) status(ctx context.Context) (wire.OrderStatus, error) {
-	status, err := d.config.Upstream.OrderStatus(ctx)
-	status.Token = d.fence.Highest()
-	if d.id != "" {
-		status.ID, status.Phase = d.id, d.phase
+func (h *Handler) status(ctx context.Context) (wire.OrderStatus, error) {
+	status, err := h.config.Upstream.OrderStatus(ctx)
+	status.Token = h.fence.Highest()
+	if h.id != "" {
+		status.ID, status.Phase = h.id, h.phase
 	}
 	return status, err
 }
 
 // prepare begins to empty the upstream, or goes on with that under a new id.
-func (d *Handler) prepare(o wire.Order) {
-	started := d.id != ""
-	d.id = o.ID
-	if started {
-		d.renew()
+func (h *Handler) prepare(o wire.Order) {
+	isDraining := h.id != ""
+	h.id = o.ID
+	if isDraining {
+		h.restartReadyTimer()
 		return
 	}
-	d.phase = wire.PhaseDraining
-	ctx, cancel := context.WithCancel(d.ctx)
-	d.cancel = cancel
-	go d.empty(ctx)
+	h.phase = wire.PhaseDraining
+	ctx, cancel := context.WithCancel(h.ctx)
+	h.cancel = cancel
+	go h.drain(ctx)
 }
 
-func (d *Handler) empty(ctx context.Context) {
-	resume, err := d.config.Drain(ctx)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (h *Handler) drain(ctx context.Context) {
+	resume, err := h.config.Drain(ctx)
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if err != nil {
-		d.id = ""
+		h.id = ""
 		return
 	}
-	d.phase, d.resume = wire.PhaseReady, resume
-	d.renew()
+	h.phase, h.resume = wire.PhaseReady, resume
+	h.restartReadyTimer()
 }
 
-// renew lets the upstream wait for its load for another while.
-func (d *Handler) renew() {
-	if d.phase != wire.PhaseReady {
+// restartReadyTimer lets the upstream wait for its load for another while.
+func (h *Handler) restartReadyTimer() {
+	if h.phase != wire.PhaseReady {
 		return
 	}
-	if d.lapse != nil {
-		d.lapse.Stop()
+	if h.readyTimer != nil {
+		h.readyTimer.Stop()
 	}
-	d.lapse = time.AfterFunc(readyFor, d.giveUp)
+	h.readyTimer = time.AfterFunc(readyTimeout, h.expireReady)
 }
 
-func (d *Handler) giveUp() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.phase == wire.PhaseReady {
-		d.release()
+func (h *Handler) expireReady() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.phase == wire.PhaseReady {
+		h.release()
 	}
 }
 
 // release puts the upstream back into service.
-func (d *Handler) release() {
-	d.lapse.Stop()
-	d.cancel()
-	d.resume()
-	d.id, d.phase = "", wire.PhaseNone
+func (h *Handler) release() {
+	h.readyTimer.Stop()
+	h.cancel()
+	h.resume()
+	h.id, h.phase = "", wire.PhaseNone
 }
 
 // load hands a prepared order to the upstream. One that is not at hand, or is
 // on its way already, is left: the status tells.
-func (d *Handler) load(ctx context.Context, o wire.Order) error {
-	if d.id != o.ID || d.phase != wire.PhaseReady {
+func (h *Handler) load(ctx context.Context, o wire.Order) error {
+	if h.id != o.ID || h.phase != wire.PhaseReady {
 		return nil
 	}
-	d.lapse.Stop()
-	if err := d.config.Upstream.Load(ctx, o); err != nil {
-		d.renew()
+	h.readyTimer.Stop()
+	if err := h.config.Upstream.Load(ctx, o); err != nil {
+		h.restartReadyTimer()
 		return err
 	}
-	d.phase = wire.PhaseRunning
-	go d.follow(o.ID)
+	h.phase = wire.PhaseRunning
+	go h.waitForLoad(o.ID)
 	return nil
 }
 
-// follow waits until the upstream has finished the load.
-func (d *Handler) follow(id string) {
-	tick := time.NewTicker(pollEvery)
+// waitForLoad waits until the upstream has finished the load.
+func (h *Handler) waitForLoad(id string) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-		case <-d.ctx.Done():
+		case <-h.ctx.Done():
 			return
 		}
-		if d.finished(id) {
+		if h.finishLoad(id) {
 			return
 		}
 	}
 }
 
-func (d *Handler) finished(id string) bool {
-	ctx, done := context.WithTimeout(d.ctx, callTimeout)
-	defer done()
-	status, err := d.config.Upstream.OrderStatus(ctx)
+func (h *Handler) finishLoad(id string) bool {
+	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
+	defer cancel()
+	status, err := h.config.Upstream.OrderStatus(ctx)
 	// An upstream that has restarted no longer knows the order: it is over.
 	if err != nil || (status.ID == id && status.Phase == wire.PhaseRunning) {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.release()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.release()
 	return true
 }
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -64,7 +64,7 @@
 	return v
 }
 
-func (v *vm) take(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
+func (v *vm) handle(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
 	t.Helper()
 	status, err := v.Handle(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.Loaded{Model: "m"}})
 	if err != nil {
@@ -79,16 +79,16 @@
 func TestLoadWaitsUntilNothingRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
-		v.take(t, 5, wire.OrderPrepare)
+		v.handle(t, 5, wire.OrderPrepare)
 		time.Sleep(time.Second)
-		if s := v.take(t, 5, wire.OrderLoad); s.Phase != wire.PhaseDraining || v.engine.loads != 0 {
+		if s := v.handle(t, 5, wire.OrderLoad); s.Phase != wire.PhaseDraining || v.engine.loads != 0 {
 			t.Fatalf("loaded while requests ran: %+v", s)
 		}
 		time.Sleep(10 * time.Second)
-		v.take(t, 5, wire.OrderLoad)
-		v.take(t, 5, wire.OrderLoad)
+		v.handle(t, 5, wire.OrderLoad)
+		v.handle(t, 5, wire.OrderLoad)
 		time.Sleep(2 * time.Second)
-		if s := v.take(t, 5, wire.OrderQuery); v.engine.loads != 1 || !v.serving.Load() || s.Loaded.Model != "m" {
+		if s := v.handle(t, 5, wire.OrderQuery); v.engine.loads != 1 || !v.serving.Load() || s.Loaded.Model != "m" {
 			t.Fatalf("%d loads, serving %v, %+v", v.engine.loads, v.serving.Load(), s)
 		}
 	})
@@ -99,12 +99,12 @@
 func TestPreparedUpstreamServesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
-		v.take(t, 5, wire.OrderPrepare)
+		v.handle(t, 5, wire.OrderPrepare)
 		time.Sleep(20 * time.Second)
 		if v.serving.Load() {
 			t.Fatal("not emptied")
 		}
-		time.Sleep(readyFor)
+		time.Sleep(readyTimeout)
 		if !v.serving.Load() {
 			t.Fatal("still out of service")
 		}
@@ -113,18 +113,18 @@
 
 // A sidecar restarts while the store is out, and an order of a former holder of
 // the lease arrives. It knows no token, so it would take any.
-func TestRestartedSidecarTakesNoOldOrder(t *testing.T) {
+func TestRestartedSidecarRejectsFencedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
 		v.stored = 0
-		if s := v.take(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonStoreDown {
+		if s := v.handle(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonStoreDown {
 			t.Fatalf("taken without a token to compare with: %+v", s)
 		}
 		v.stored = 5
-		if s := v.take(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonFenced {
+		if s := v.handle(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonFenced {
 			t.Fatalf("an old order was taken: %+v", s)
 		}
-		if s := v.take(t, 5, wire.OrderQuery); s.Error != nil {
+		if s := v.handle(t, 5, wire.OrderQuery); s.Error != nil {
 			t.Fatalf("the holder's order was refused: %+v", s)
 		}
 	})
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -11,26 +11,26 @@
 
 // Table is what one node knows of crashes.
 type Table struct {
-	vm          string // of the node; empty for a router
-	incarnation uint64
-	crashes     uint64 // seen by this incarnation
-	byPrint     map[Fingerprint][]*Entry
-	byCrash     map[Crash][]*Entry
-	size        int
-	grants      map[Fingerprint]time.Time // when leave to run alone ends
-	tell        teller
+	vm            string // of the node; empty for a router
+	incarnation   uint64
+	crashes       uint64 // seen by this incarnation
+	byFingerprint map[Fingerprint][]*Entry
+	byCrash       map[Crash][]*Entry
+	size          int
+	grants        map[Fingerprint]time.Time // when leave to run alone ends
+	outbox        outbox
 }
 
 // New returns an empty Book. vm and incarnation are those of a sidecar; a
 // router's Book has neither.
 func New(vm string, incarnation uint64) *Table {
 	return &Table{
-		vm:          vm,
-		incarnation: incarnation,
-		byPrint:     make(map[Fingerprint][]*Entry),
-		byCrash:     make(map[Crash][]*Entry),
-		grants:      make(map[Fingerprint]time.Time),
-		tell:        newTeller(),
+		vm:            vm,
+		incarnation:   incarnation,
+		byFingerprint: make(map[Fingerprint][]*Entry),
+		byCrash:       make(map[Crash][]*Entry),
+		grants:        make(map[Fingerprint]time.Time),
+		outbox:        newOutbox(),
 	}
 }
 
@@ -65,21 +65,21 @@
 // that knows of the suspicion knows that VM, whatever list of VMs it has, so
 // all copies of the request meet one sidecar and run one after the other. That
 // upstream has just lost its cache and its work, so it costs least there.
-func (b *Table) Decide(now time.Time, p Fingerprint, leave bool) Decision {
-	entries := b.byPrint[p]
-	if len(entries) == 0 && !leave {
+func (t *Table) Decide(now time.Time, p Fingerprint, permitted bool) Decision {
+	entries := t.byFingerprint[p]
+	if len(entries) == 0 && !permitted {
 		return Decision{Action: Allow}
 	}
-	r := Decision{Crashes: b.count(now, entries)}
-	first := b.first(now, entries)
+	r := Decision{Crashes: t.crashCount(now, entries)}
+	suspicion := t.firstSuspicion(now, entries)
 	switch {
-	case b.convicted(now, p):
+	case t.isConvicted(now, p):
 		r.Action = Refuse
-	case first == nil && (len(entries) > 0 || !leave):
+	case suspicion == nil && (len(entries) > 0 || !permitted):
 		r.Action = Allow
-	case !leave && first.VM != b.vm:
-		r.Action, r.VM = Redirect, first.VM
-	case b.granted(now, p):
+	case !permitted && suspicion.VM != t.vm:
+		r.Action, r.VM = Redirect, suspicion.VM
+	case t.isGranted(now, p):
 		r.Action = Wait
 	default:
 		r.Action = RunAlone
@@ -89,12 +89,12 @@
 
 // Recheck rules anew on a request with leave to run alone here that is about
 // to start: it may have been convicted or cleared while it waited.
-func (b *Table) Recheck(now time.Time, p Fingerprint) Action {
-	entries := b.byPrint[p]
+func (t *Table) Recheck(now time.Time, p Fingerprint) Action {
+	entries := t.byFingerprint[p]
 	switch {
-	case b.convicted(now, p):
+	case t.isConvicted(now, p):
 		return Refuse
-	case len(entries) > 0 && b.first(now, entries) == nil:
+	case len(entries) > 0 && t.firstSuspicion(now, entries) == nil:
 		return Allow
 	default:
 		return RunAlone
@@ -105,16 +105,16 @@
 // to which the site sends it while its own upstream is down. Until the outcome
 // is known or the time has passed, Decide answers Wait to other copies, so
 // that no two of them take an upstream with them.
-func (b *Table) Grant(p Fingerprint, until time.Time) {
-	b.grants[p] = until
+func (t *Table) Grant(p Fingerprint, until time.Time) {
+	t.grants[p] = until
 }
 
 // HasGrant reports whether some suspect has leave to run alone elsewhere or here.
 // A site lends to one VM at a time, so that one crash of a busy upstream does
 // not empty many others.
-func (b *Table) HasGrant(now time.Time) bool {
-	for p := range b.grants {
-		if b.granted(now, p) {
+func (t *Table) HasGrant(now time.Time) bool {
+	for p := range t.grants {
+		if t.isGranted(now, p) {
 			return true
 		}
 	}
@@ -123,14 +123,14 @@
 
 // Revoke ends the leave of p without an outcome: its run was cancelled or
 // never began.
-func (b *Table) Revoke(p Fingerprint) {
-	delete(b.grants, p)
+func (t *Table) Revoke(p Fingerprint) {
+	delete(t.grants, p)
 }
 
-func (b *Table) granted(now time.Time, p Fingerprint) bool {
-	until, ok := b.grants[p]
+func (t *Table) isGranted(now time.Time, p Fingerprint) bool {
+	until, ok := t.grants[p]
 	if ok && !now.Before(until) {
-		delete(b.grants, p)
+		delete(t.grants, p)
 		return false
 	}
 	return ok
@@ -145,43 +145,43 @@
 // RecordCrash enters a crash of this sidecar's upstream and returns what it
 // entered. A crash with one fingerprint running convicts it only if it is a
 // suspect of an earlier crash: upstreams also fail for reasons of their own.
-func (b *Table) RecordCrash(now time.Time, running []RunningRequest) []Entry {
-	b.crashes++
-	c := crashID(b.vm, b.incarnation, b.crashes)
+func (t *Table) RecordCrash(now time.Time, running []RunningRequest) []Entry {
+	t.crashes++
+	c := crashID(t.vm, t.incarnation, t.crashes)
 	at := now.Truncate(time.Millisecond)
-	alone := alone(running)
-	standing := Suspect
-	if alone && len(running) > 0 && b.suspected(now, running[0].Fingerprint) {
-		standing = Convicted
+	isAlone := isSingleFingerprint(running)
+	status := Suspect
+	if isAlone && len(running) > 0 && t.isSuspect(now, running[0].Fingerprint) {
+		status = Convicted
 	}
 	var out []Entry
 	for _, r := range running {
-		exposure := max(0, now.Sub(r.Started)).Truncate(time.Millisecond)
-		e := Entry{Fingerprint: r.Fingerprint, Crash: c, VM: b.vm, At: at, Alone: alone, RunTime: exposure, Status: standing}
-		b.enter(now, e)
-		b.Revoke(r.Fingerprint)
+		runTime := max(0, now.Sub(r.Started)).Truncate(time.Millisecond)
+		e := Entry{Fingerprint: r.Fingerprint, Crash: c, VM: t.vm, At: at, Alone: isAlone, RunTime: runTime, Status: status}
+		t.mergeEntry(now, e)
+		t.Revoke(r.Fingerprint)
 		out = append(out, e)
 	}
 	return out
 }
 
-// alone reports whether only one fingerprint was running, if in several copies.
-func alone(running []RunningRequest) bool {
+// isSingleFingerprint reports whether only one fingerprint was running, if in several copies.
+func isSingleFingerprint(running []RunningRequest) bool {
 	return !slices.ContainsFunc(running, func(r RunningRequest) bool { return r.Fingerprint != running[0].Fingerprint })
 }
 
-// suspected reports whether p was running at a crash that nothing explains, or
+// isSuspect reports whether p was running at a crash that nothing explains, or
 // has leave to run alone from a sidecar that knows of one.
-func (b *Table) suspected(now time.Time, p Fingerprint) bool {
-	return b.first(now, b.byPrint[p]) != nil || b.granted(now, p)
+func (t *Table) isSuspect(now time.Time, p Fingerprint) bool {
+	return t.firstSuspicion(now, t.byFingerprint[p]) != nil || t.isGranted(now, p)
 }
 
 // RecordFinished enters that p has run to its end. Whatever crashed the upstreams,
 // it is not a request that crashes each upstream that runs it.
-func (b *Table) RecordFinished(now time.Time, p Fingerprint) {
-	b.Revoke(p)
-	for _, e := range b.byPrint[p] {
-		b.raise(now, e, Cleared)
+func (t *Table) RecordFinished(now time.Time, p Fingerprint) {
+	t.Revoke(p)
+	for _, e := range t.byFingerprint[p] {
+		t.raiseStatus(now, e, Cleared)
 	}
 }
 
@@ -190,15 +190,15 @@
 // the time after which it last was part of a crash. Without this a bystander
 // with a long answer would hold the upstream, and all other suspects, until
 // its end.
-func (b *Table) ClearIfSurvived(now time.Time, p Fingerprint, started time.Time) bool {
-	need := minAlone
-	for _, e := range b.byPrint[p] {
-		need = max(need, 2*e.RunTime)
+func (t *Table) ClearIfSurvived(now time.Time, p Fingerprint, started time.Time) bool {
+	minRunTime := minAloneTime
+	for _, e := range t.byFingerprint[p] {
+		minRunTime = max(minRunTime, 2*e.RunTime)
 	}
-	if now.Sub(started) < need {
+	if now.Sub(started) < minRunTime {
 		return false
 	}
-	b.RecordFinished(now, p)
+	t.RecordFinished(now, p)
 	return true
 }
 
@@ -206,15 +206,15 @@
 // likelier culprit than q. What was running at more crashes is, and then what
 // had started last, since a request that crashes its upstream mostly does so
 // soon.
-func (b *Table) IsLikelierCause(now time.Time, p, q Fingerprint) bool {
-	ep, eq := b.byPrint[p], b.byPrint[q]
-	if n, m := b.count(now, ep), b.count(now, eq); n != m {
+func (t *Table) IsLikelierCause(now time.Time, p, q Fingerprint) bool {
+	ep, eq := t.byFingerprint[p], t.byFingerprint[q]
+	if n, m := t.crashCount(now, ep), t.crashCount(now, eq); n != m {
 		return n > m
 	}
-	return shortest(ep) < shortest(eq)
+	return shortestRunTime(ep) < shortestRunTime(eq)
 }
 
-func shortest(entries []*Entry) time.Duration {
+func shortestRunTime(entries []*Entry) time.Duration {
 	var d time.Duration
 	for i, e := range entries {
 		if i == 0 || e.RunTime < d {
@@ -233,11 +233,11 @@
 }
 
 // Cases returns the suspects and convicts, in the order of their fingerprints.
-func (b *Table) Cases(now time.Time) []Case {
+func (t *Table) Cases(now time.Time) []Case {
 	var out []Case
-	for p, entries := range b.byPrint {
-		c := Case{Fingerprint: p, Convicted: b.convicted(now, p), Crashes: b.count(now, entries)}
-		if !c.Convicted && b.first(now, entries) == nil {
+	for p, entries := range t.byFingerprint {
+		c := Case{Fingerprint: p, Convicted: t.isConvicted(now, p), Crashes: t.crashCount(now, entries)}
+		if !c.Convicted && t.firstSuspicion(now, entries) == nil {
 			continue
 		}
 		for _, e := range entries {
@@ -252,10 +252,10 @@
 }
 
 // Convicted returns the convicted fingerprints.
-func (b *Table) Convicted(now time.Time) []Fingerprint {
+func (t *Table) Convicted(now time.Time) []Fingerprint {
 	var out []Fingerprint
-	for p := range b.byPrint {
-		if b.convicted(now, p) {
+	for p := range t.byFingerprint {
+		if t.isConvicted(now, p) {
 			out = append(out, p)
 		}
 	}
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -47,8 +47,8 @@
 
 // key identifies an Entry.
 type key struct {
-	print Fingerprint
-	crash Crash
+	fingerprint Fingerprint
+	crash       Crash
 }
 
 func (e *Entry) key() key { return key{e.Fingerprint, e.Crash} }
@@ -66,10 +66,10 @@
 	return e.At.Add(e.ttl())
 }
 
-// live reports whether the entry counts at now. One from the future is from a
+// isLive reports whether the entry counts at now. One from the future is from a
 // node whose clock is wrong, and would never age out.
-func (e *Entry) live(now time.Time) bool {
-	return now.Before(e.Expires()) && e.At.Before(now.Add(maxSkew))
+func (e *Entry) isLive(now time.Time) bool {
+	return now.Before(e.Expires()) && e.At.Before(now.Add(maxClockSkew))
 }
 
 const (
@@ -83,10 +83,10 @@
 
 	// maxEntries bounds the entries of a Book.
 	maxEntries = 4096
-	// evictShare of the entries leave at a time when a Book is full.
-	evictShare = 8
-	// maxSkew is how far a crash may lie in the future by the clock of another VM.
-	maxSkew = time.Minute
-	// minAlone is the least time for which a suspect runs alone.
-	minAlone = time.Second
+	// evictDivisor of the entries leave at a time when a Book is full.
+	evictDivisor = 8
+	// maxClockSkew is how far a crash may lie in the future by the clock of another VM.
+	maxClockSkew = time.Minute
+	// minAloneTime is the least time for which a suspect runs alone.
+	minAloneTime = time.Second
 )
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	poison   Fingerprint = 1
-	lastGood Fingerprint = 8
+	poison       Fingerprint = 1
+	lastHarmless Fingerprint = 8
 
-	leaveFor = time.Minute
-	maxHops  = 6
+	grantTime = time.Minute
+	maxHops   = 6
 )
 
-// node is a sidecar or, without an upstream, a router.
-type node struct {
-	book    *Table
-	down    bool // the upstream
-	running []run
-	queue   []run // wait to run alone
+// process is a sidecar or, without an upstream, a router.
+type process struct {
+	table    *Table
+	down     bool // the upstream
+	running  []run
+	suspects []run // wait to run alone
 }
 
 type run struct {
 	RunningRequest
-	router *node
+	router *process
 	alone  bool
 }
 
 // fleet is sidecars and routers in virtual time. Routers offer requests in the
 // order of their home; gossip is lost and late; reports arrive.
 type fleet struct {
-	now      time.Time
-	sidecars []*node
-	routers  []*node
-	gossip   []json.RawMessage
-	losses   int  // upstreams that the poison crashed
-	spoiled  bool // an upstream has failed for a reason of its own
-	finished map[Fingerprint]int
-	crashed  map[Fingerprint]bool // has been running at a crash
+	now               time.Time
+	sidecars          []*process
+	routers           []*process
+	gossip            []json.RawMessage
+	poisonCrashes     int  // upstreams that the poison crashed
+	hadUnrelatedCrash bool // an upstream has failed for a reason of its own
+	finished          map[Fingerprint]int
+	crashed           map[Fingerprint]bool // has been running at a crash
 }
 
 func newFleet() *fleet {
 	f := &fleet{now: epoch, finished: make(map[Fingerprint]int), crashed: make(map[Fingerprint]bool)}
 	for i := range 4 {
-		f.sidecars = append(f.sidecars, &node{book: New(fmt.Sprint("vm-", i), uint64(i))})
+		f.sidecars = append(f.sidecars, &process{table: New(fmt.Sprint("vm-", i), uint64(i))})
 	}
 	for range 3 {
-		f.routers = append(f.routers, &node{book: New("", 0)})
+		f.routers = append(f.routers, &process{table: New("", 0)})
 	}
 	return f
 }
 
-// order returns where p is offered, its home first, or its ticket's VM.
-func (f *fleet) order(p Fingerprint, ticket bool) []*node {
+// offerOrder returns where p is offered, its home first, or its ticket's VM.
+func (f *fleet) offerOrder(p Fingerprint, ticket bool) []*process {
 	home := int(p) % len(f.sidecars)
 	if ticket {
 		home++
@@ -66,46 +66,46 @@
 	return out[home : home+len(f.sidecars)]
 }
 
-func (f *fleet) site(name string) *node {
-	i := slices.IndexFunc(f.sidecars, func(s *node) bool { return s.book.vm == name })
+func (f *fleet) sidecarOf(name string) *process {
+	i := slices.IndexFunc(f.sidecars, func(s *process) bool { return s.table.vm == name })
 	return f.sidecars[i]
 }
 
 // send offers p to sidecars through r until one accepts or refuses it for good.
 // busy says for each whether it refuses for its load.
-func (f *fleet) send(r *node, p Fingerprint, order []*node, busy func() bool) {
-	leave := false
-	told := r.book.Decide(f.now, p, false)
-	if told.Action == Refuse {
+func (f *fleet) send(r *process, p Fingerprint, order []*process, busy func() bool) {
+	permitted := false
+	decision := r.table.Decide(f.now, p, false)
+	if decision.Action == Refuse {
 		return
 	}
-	if told.Action == Redirect {
-		order = append([]*node{f.site(told.VM)}, order...)
+	if decision.Action == Redirect {
+		order = append([]*process{f.sidecarOf(decision.VM)}, order...)
 	}
 	for hops := 0; hops < maxHops && len(order) > 0; hops++ {
 		s := order[0]
 		order = order[1:]
-		_ = s.book.Merge(f.now, r.book.EvidenceFor(f.now, p))
-		ruling := s.book.Decide(f.now, p, leave)
-		_ = r.book.Merge(f.now, s.book.EvidenceFor(f.now, p))
+		_ = s.table.Merge(f.now, r.table.EvidenceFor(f.now, p))
+		ruling := s.table.Decide(f.now, p, permitted)
+		_ = r.table.Merge(f.now, s.table.EvidenceFor(f.now, p))
 		switch ruling.Action {
 		case Allow:
-			if s.down || len(s.queue) > 0 || s.lonely() || busy() {
+			if s.down || len(s.suspects) > 0 || s.hasAloneRun() || busy() {
 				continue
 			}
 			s.running = append(s.running, run{RunningRequest: RunningRequest{p, f.now}, router: r})
 			return
 		case Redirect:
-			order = append([]*node{f.site(ruling.VM)}, order...)
+			order = append([]*process{f.sidecarOf(ruling.VM)}, order...)
 		case RunAlone:
-			if s.down && (leave || !s.book.HasGrant(f.now)) {
-				s.book.Grant(p, f.now.Add(leaveFor))
-				leave = true
+			if s.down && (permitted || !s.table.HasGrant(f.now)) {
+				s.table.Grant(p, f.now.Add(grantTime))
+				permitted = true
 				continue
 			}
 			if !s.down {
-				s.book.Grant(p, f.now.Add(leaveFor))
-				s.queue = append(s.queue, run{RunningRequest: RunningRequest{Fingerprint: p}, router: r, alone: true})
+				s.table.Grant(p, f.now.Add(grantTime))
+				s.suspects = append(s.suspects, run{RunningRequest: RunningRequest{Fingerprint: p}, router: r, alone: true})
 				f.schedule(s)
 			}
 			return
@@ -115,28 +115,28 @@
 	}
 }
 
-func (s *node) lonely() bool {
+func (s *process) hasAloneRun() bool {
 	return slices.ContainsFunc(s.running, func(r run) bool { return r.alone })
 }
 
-// mixed reports whether more than one fingerprint is running.
-func (s *node) mixed() bool {
+// isMixed reports whether more than one fingerprint is running.
+func (s *process) isMixed() bool {
 	return slices.ContainsFunc(s.running, func(r run) bool { return r.Fingerprint != s.running[0].Fingerprint })
 }
 
 // schedule starts the likeliest suspect once nothing runs.
-func (f *fleet) schedule(s *node) {
-	for len(s.running) == 0 && len(s.queue) > 0 && !s.down {
-		slices.SortFunc(s.queue, func(x, y run) int {
-			if s.book.IsLikelierCause(f.now, x.Fingerprint, y.Fingerprint) {
+func (f *fleet) schedule(s *process) {
+	for len(s.running) == 0 && len(s.suspects) > 0 && !s.down {
+		slices.SortFunc(s.suspects, func(x, y run) int {
+			if s.table.IsLikelierCause(f.now, x.Fingerprint, y.Fingerprint) {
 				return -1
 			}
 			return 1
 		})
-		next := s.queue[0]
-		s.queue = s.queue[1:]
-		if s.book.Recheck(f.now, next.Fingerprint) == Refuse {
-			s.book.Revoke(next.Fingerprint)
+		next := s.suspects[0]
+		s.suspects = s.suspects[1:]
+		if s.table.Recheck(f.now, next.Fingerprint) == Refuse {
+			s.table.Revoke(next.Fingerprint)
 			continue
 		}
 		next.Started = f.now
@@ -145,78 +145,80 @@
 }
 
 // end ends a run well.
-func (f *fleet) end(s *node, i int) {
+func (f *fleet) end(s *process, i int) {
 	p := s.running[i].Fingerprint
-	s.book.RecordFinished(f.now, p)
+	s.table.RecordFinished(f.now, p)
 	f.finished[p]++
 	s.running = slices.Delete(s.running, i, i+1)
 	f.schedule(s)
 }
 
 // crash breaks all that runs at s. Each router reports before it answers.
-func (f *fleet) crash(s *node) {
+func (f *fleet) crash(s *process) {
 	running := s.running
-	waiting := s.queue
-	s.running, s.queue, s.down = nil, nil, true
+	waiting := s.suspects
+	s.running, s.suspects, s.down = nil, nil, true
 	at := make([]RunningRequest, len(running))
 	for i, r := range running {
 		at[i] = r.RunningRequest
 		f.crashed[r.Fingerprint] = true
 	}
-	s.book.RecordCrash(f.now, at)
+	s.table.RecordCrash(f.now, at)
 	for _, w := range waiting {
-		s.book.Revoke(w.Fingerprint)
+		s.table.Revoke(w.Fingerprint)
 	}
 	for _, r := range running {
-		_ = r.router.book.Merge(f.now, s.book.EvidenceFor(f.now, r.Fingerprint))
+		_ = r.router.table.Merge(f.now, s.table.EvidenceFor(f.now, r.Fingerprint))
 		for _, ticket := range []bool{true, false} {
-			_ = f.order(r.Fingerprint, ticket)[0].book.Merge(f.now, r.router.book.EvidenceFor(f.now, r.Fingerprint))
+			_ = f.offerOrder(r.Fingerprint, ticket)[0].table.Merge(f.now, r.router.table.EvidenceFor(f.now, r.Fingerprint))
 		}
-		for _, first := range s.book.byPrint[r.Fingerprint] {
-			_ = f.site(first.VM).book.Merge(f.now, r.router.book.EvidenceFor(f.now, r.Fingerprint))
+		for _, first := range s.table.byFingerprint[r.Fingerprint] {
+			_ = f.sidecarOf(first.VM).table.Merge(f.now, r.router.table.EvidenceFor(f.now, r.Fingerprint))
 		}
 	}
 }
 
-func (s *node) runs(p Fingerprint) bool {
+func (s *process) isRunning(p Fingerprint) bool {
 	return slices.ContainsFunc(s.running, func(r run) bool { return r.Fingerprint == p })
 }
 
 func (f *fleet) inFlight(p Fingerprint) bool {
-	return slices.ContainsFunc(f.sidecars, func(s *node) bool { return s.runs(p) })
+	return slices.ContainsFunc(f.sidecars, func(s *process) bool { return s.isRunning(p) })
 }
 
 func (f *fleet) actions(t *rapid.T) map[string]func(*rapid.T) {
 	all := slices.Concat(f.sidecars, f.routers)
-	pick := func(t *rapid.T, of []*node) *node { return rapid.SampledFrom(of).Draw(t, "node") }
+	pick := func(t *rapid.T, of []*process) *process { return rapid.SampledFrom(of).Draw(t, "node") }
 	send := func(t *rapid.T, p Fingerprint) {
 		busy := func() bool { return rapid.IntRange(0, 3).Draw(t, "busy") == 0 }
-		f.send(pick(t, f.routers), p, f.order(p, rapid.Bool().Draw(t, "ticket")), busy)
+		f.send(pick(t, f.routers), p, f.offerOrder(p, rapid.Bool().Draw(t, "ticket")), busy)
 	}
 	return map[string]func(*rapid.T){
-		"innocent": func(t *rapid.T) { send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastGood)).Draw(t, "print"))) },
+		"innocent": func(t *rapid.T) {
+			send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastHarmless)).Draw(t, "print")))
+		},
 		"poison": func(t *rapid.T) {
-			if f.losses > 0 || !f.inFlight(poison) {
+			if f.poisonCrashes > 0 || !f.inFlight(poison) {
 				send(t, poison)
 			}
 		},
 		"resends": func(t *rapid.T) { // at once, through different routers
 			for range f.routers {
-				if f.losses > 0 {
+				if f.poisonCrashes > 0 {
 					send(t, poison)
 				}
 			}
 		},
 		"crash": func(t *rapid.T) {
-			if s := pick(t, f.sidecars); s.runs(poison) {
-				f.losses++
+			if s := pick(t, f.sidecars); s.isRunning(poison) {
+				f.poisonCrashes++
 				f.crash(s)
 			}
 		},
 		"fail": func(t *rapid.T) { // for a reason of its own
 			s := pick(t, f.sidecars)
-			if len(s.running) > 0 && (s.mixed() || !f.crashed[s.running[0].Fingerprint]) && !s.runs(poison) {
-				f.spoiled = true
+			if len(s.running) > 0 && (s.isMixed() || !f.crashed[s.running[0].Fingerprint]) && !s.isRunning(poison) {
+				f.hadUnrelatedCrash = true
 				f.crash(s)
 			}
 		},
@@ -232,7 +234,7 @@
 			}
 		},
 		"tell": func(t *rapid.T) {
-			if m := pick(t, all).book.Gossip(f.now, 256); len(m) > 0 {
+			if m := pick(t, all).table.Gossip(f.now, 256); len(m) > 0 {
 				if len(m) > 256 {
 					t.Fatalf("%d bytes of gossip", len(m))
 				}
@@ -241,7 +243,7 @@
 		},
 		"hear": func(t *rapid.T) {
 			if len(f.gossip) > 0 {
-				_ = pick(t, all).book.Merge(f.now, rapid.SampledFrom(f.gossip).Draw(t, "gossip"))
+				_ = pick(t, all).table.Merge(f.now, rapid.SampledFrom(f.gossip).Draw(t, "gossip"))
 			}
 		},
 		"pass": func(t *rapid.T) {
@@ -251,12 +253,12 @@
 	}
 }
 
-func (f *fleet) check(t *rapid.T, all []*node) {
-	if f.losses > 2 {
-		t.Fatalf("the poison has crashed %d upstreams", f.losses)
+func (f *fleet) check(t *rapid.T, all []*process) {
+	if f.poisonCrashes > 2 {
+		t.Fatalf("the poison has crashed %d upstreams", f.poisonCrashes)
 	}
 	for _, n := range all {
-		for _, p := range n.book.Convicted(f.now) {
+		for _, p := range n.table.Convicted(f.now) {
 			if p != poison {
 				t.Fatalf("%d is convicted, and is innocent", p)
 			}
@@ -278,8 +280,8 @@
 // innocent request is sent again and again.
 func (f *fleet) settle(t *rapid.T) {
 	for _, s := range f.sidecars {
-		if s.runs(poison) {
-			f.losses++
+		if s.isRunning(poison) {
+			f.poisonCrashes++
 			f.crash(s)
 		}
 		s.down = false
@@ -287,38 +289,38 @@
 	f.check(t, f.sidecars)
 	f.drain()
 	f.finished = make(map[Fingerprint]int)
-	for range 2 * int(lastGood) {
-		f.now = f.now.Add(leaveFor / 4)
+	for range 2 * int(lastHarmless) {
+		f.now = f.now.Add(grantTime / 4)
 		f.drain()
-		for p := poison + 1; p <= lastGood; p++ {
+		for p := poison + 1; p <= lastHarmless; p++ {
 			if !f.inFlight(p) {
-				f.send(f.routers[int(p)%len(f.routers)], p, f.order(p, false), func() bool { return false })
+				f.send(f.routers[int(p)%len(f.routers)], p, f.offerOrder(p, false), func() bool { return false })
 			}
 		}
 	}
-	for p := poison + 1; p <= lastGood; p++ {
+	for p := poison + 1; p <= lastHarmless; p++ {
 		if f.finished[p] == 0 {
 			t.Fatalf("%d never ran", p)
 		}
 	}
-	f.allFree(t, "has run since")
+	f.checkAllAllowed(t, "has run since")
 }
 
-// allFree lets all nodes tell each other everything, and checks that no
+// checkAllAllowed lets all nodes tell each other everything, and checks that no
 // innocent request is a suspect any more.
-func (f *fleet) allFree(t *rapid.T, why string) {
+func (f *fleet) checkAllAllowed(t *rapid.T, why string) {
 	all := slices.Concat(f.sidecars, f.routers)
 	for range 2 {
 		for _, n := range all {
 			for _, o := range all {
-				_ = n.book.Merge(f.now, o.book.All(f.now))
+				_ = n.table.Merge(f.now, o.table.All(f.now))
 			}
 		}
 	}
 	for _, n := range all {
-		for p := poison + 1; p <= lastGood; p++ {
-			if a := n.book.Decide(f.now, p, false).Action; a != Allow && a != Wait {
-				t.Fatalf("%d %s and is still ruled %d at %q", p, why, a, n.book.vm)
+		for p := poison + 1; p <= lastHarmless; p++ {
+			if a := n.table.Decide(f.now, p, false).Action; a != Allow && a != Wait {
+				t.Fatalf("%d %s and is still ruled %d at %q", p, why, a, n.table.vm)
 			}
 		}
 	}
@@ -330,27 +332,27 @@
 // too. Without a bound the fleet loses an engine to each resend; without care
 // for the bystanders they are refused for good.
 func TestPoisonCostsTwoUpstreams(t *testing.T) {
-	convicted, two := 0, 0
+	convictedRuns, doubleLosses := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		t.Repeat(f.actions(t))
-		if f.losses == 2 && !f.spoiled {
-			f.allFree(t, "was beside the convict")
+		if f.poisonCrashes == 2 && !f.hadUnrelatedCrash {
+			f.checkAllAllowed(t, "was beside the convict")
 		}
 		f.settle(t)
-		guilty := slices.ContainsFunc(f.sidecars, func(s *node) bool { return len(s.book.Convicted(f.now)) > 0 })
-		if f.losses == 2 {
-			two++
+		convictedAny := slices.ContainsFunc(f.sidecars, func(s *process) bool { return len(s.table.Convicted(f.now)) > 0 })
+		if f.poisonCrashes == 2 {
+			doubleLosses++
 		}
-		if guilty {
-			convicted++
+		if convictedAny {
+			convictedRuns++
 		}
-		if f.losses == 2 && !guilty {
+		if f.poisonCrashes == 2 && !convictedAny {
 			t.Fatal("two upstreams are lost, and nobody knows to whom")
 		}
 	})
-	t.Logf("%d runs with two losses, %d with a conviction", two, convicted)
-	if two == 0 {
+	t.Logf("%d runs with two losses, %d with a conviction", doubleLosses, convictedRuns)
+	if doubleLosses == 0 {
 		t.Fatal("the poison never crashed two upstreams: the test shows nothing")
 	}
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// tellFor is how long after it has learnt something a node tells others.
-	tellFor = 30 * time.Second
-	// tellRate bounds what a node tells unasked, in bytes a second.
-	tellRate = 512
-	// tellBurst is how many bytes a node may tell at once.
-	tellBurst = 2048
-
-	// minTold is what a message must have room for, in bytes. Between the few
+	// gossipFor is how long after it has learnt something a node tells others.
+	gossipFor = 30 * time.Second
+	// gossipBytesPerSecond bounds what a node tells unasked, in bytes a second.
+	gossipBytesPerSecond = 512
+	// gossipBurstBytes is how many bytes a node may tell at once.
+	gossipBurstBytes = 2048
+
+	// minGossipBytes is what a message must have room for, in bytes. Between the few
 	// messages that the rate allows, nothing is sorted.
-	minTold = 128
+	minGossipBytes = 128
 
-	// maxGossip is the longest message that a Book reads, in bytes.
-	maxGossip = 64 << 10
+	// maxMessageBytes is the longest message that a Book reads, in bytes.
+	maxMessageBytes = 64 << 10
 )
 
 // crashJSON is the wire form of the entries of one crash. It names the crash
@@ -35,87 +35,87 @@
 	Suspects [][3]int64 `json:"s"` // fingerprint (its bits), exposure in ms, standing
 }
 
-// teller knows what others have not been told yet.
-type teller struct {
-	news   map[key]*news
-	bytes  float64 // that may be told now
-	filled time.Time
+// outbox knows what others have not been told yet.
+type outbox struct {
+	pending    map[key]*pendingEntry
+	tokens     float64 // that may be told now
+	refilledAt time.Time
 }
 
-// news is an entry that others should hear of.
-type news struct {
+// pendingEntry is an entry that others should hear of.
+type pendingEntry struct {
 	entry *Entry
 	since time.Time
-	told  int
+	sent  int
 }
 
-func newTeller() teller {
-	return teller{news: make(map[key]*news), bytes: tellBurst}
+func newOutbox() outbox {
+	return outbox{pending: make(map[key]*pendingEntry), tokens: gossipBurstBytes}
 }
 
-func (t *teller) add(now time.Time, e *Entry) {
-	t.news[e.key()] = &news{entry: e, since: now}
+func (t *outbox) add(now time.Time, e *Entry) {
+	t.pending[e.key()] = &pendingEntry{entry: e, since: now}
 }
 
-func (t *teller) drop(e *Entry) {
-	delete(t.news, e.key())
+func (t *outbox) drop(e *Entry) {
+	delete(t.pending, e.key())
 }
 
-func (t *teller) refill(now time.Time) {
-	if passed := now.Sub(t.filled); passed > 0 {
-		t.bytes = min(tellBurst, t.bytes+passed.Seconds()*tellRate)
-		t.filled = now
+func (t *outbox) refill(now time.Time) {
+	if elapsed := now.Sub(t.refilledAt); elapsed > 0 {
+		t.tokens = min(gossipBurstBytes, t.tokens+elapsed.Seconds()*gossipBytesPerSecond)
+		t.refilledAt = now
 	}
 }
 
 // Gossip returns what to tell another node on the back of a message, in at
 // most budget bytes, or nil when there is nothing new or it would come to more
 // than the node's rate.
-func (b *Table) Gossip(now time.Time, budget int) json.RawMessage {
-	if len(b.tell.news) == 0 {
+func (t *Table) Gossip(now time.Time, budget int) json.RawMessage {
+	if len(t.outbox.pending) == 0 {
 		return nil
 	}
-	b.tell.refill(now)
-	budget = min(budget, int(b.tell.bytes))
-	if budget < minTold {
+	t.outbox.refill(now)
+	budget = min(budget, int(t.outbox.tokens))
+	if budget < minGossipBytes {
 		return nil
 	}
-	picked := b.tell.pick(now)
+	picked := t.outbox.pick(now)
 	out, n := encode(picked, budget)
-	b.tell.bytes -= float64(len(out))
+	t.outbox.tokens -= float64(len(out))
 	for _, e := range picked[:n] {
-		b.tell.news[e.key()].told++
+		t.outbox.pending[e.key()].sent++
 	}
 	return out
 }
 
 // pick returns the news, in the order in which to tell them: what was told
 // least often, then what weighs most. It forgets what has become old.
-func (t *teller) pick(now time.Time) []*Entry {
-	fresh := make([]*news, 0, len(t.news))
-	for k, n := range t.news {
-		if now.Sub(n.since) > tellFor || !n.entry.live(now) {
-			delete(t.news, k)
+func (t *outbox) pick(now time.Time) []*Entry {
+	current := make([]*pendingEntry, 0, len(t.pending))
+	for k, n := range t.pending {
+		if now.Sub(n.since) > gossipFor || !n.entry.isLive(now) {
+			delete(t.pending, k)
 			continue
 		}
-		fresh = append(fresh, n)
+		current = append(current, n)
 	}
-	slices.SortFunc(fresh, func(x, y *news) int {
+	slices.SortFunc(current, func(x, y *pendingEntry) int {
 		return cmp.Or(
-			cmp.Compare(x.told, y.told),
+			cmp.Compare(x.sent, y.sent),
 			cmp.Compare(y.entry.Status, x.entry.Status),
 			compare(x.entry, y.entry),
 		)
 	})
-	out := make([]*Entry, len(fresh))
-	for i, n := range fresh {
+	out := make([]*Entry, len(current))
+	for i, n := range current {
 		out[i] = n.entry
 	}
 	return out
 }
 
 func compare(x, y *Entry) int {
-	if earlier(x, y) {
+	if isEarlier(x, y) {
 		return -1
 	}
 	return 1
@@ -125,23 +125,23 @@
 // not: all of p, and all of those whose guilt explains its crashes. It goes
 // with reports, and with the refusal or submission of p itself, so that two
 // nodes that disagree about p agree after one exchange.
-func (b *Table) EvidenceFor(now time.Time, p Fingerprint) json.RawMessage {
-	entries := b.liveOf(now, p)
+func (t *Table) EvidenceFor(now time.Time, p Fingerprint) json.RawMessage {
+	entries := t.liveEntries(now, p)
 	for _, e := range entries {
-		for _, o := range b.byCrash[e.Crash] {
-			if o.Fingerprint != p && b.convicted(now, o.Fingerprint) && !slices.Contains(entries, o) {
-				entries = append(entries, b.liveOf(now, o.Fingerprint)...)
+		for _, o := range t.byCrash[e.Crash] {
+			if o.Fingerprint != p && t.isConvicted(now, o.Fingerprint) && !slices.Contains(entries, o) {
+				entries = append(entries, t.liveEntries(now, o.Fingerprint)...)
 			}
 		}
 	}
-	out, _ := encode(entries, maxGossip)
+	out, _ := encode(entries, maxMessageBytes)
 	return out
 }
 
-func (b *Table) liveOf(now time.Time, p Fingerprint) []*Entry {
+func (t *Table) liveEntries(now time.Time, p Fingerprint) []*Entry {
 	var out []*Entry
-	for _, e := range b.byPrint[p] {
-		if e.live(now) {
+	for _, e := range t.byFingerprint[p] {
+		if e.isLive(now) {
 			out = append(out, e)
 		}
 	}
@@ -150,36 +150,36 @@
 
 // All returns all that counts at now: for a node that has just started, and
 // for a sidecar that leaves.
-func (b *Table) All(now time.Time) json.RawMessage {
+func (t *Table) All(now time.Time) json.RawMessage {
 	var entries []*Entry
-	for _, known := range b.byPrint {
+	for _, known := range t.byFingerprint {
 		for _, e := range known {
-			if e.live(now) {
+			if e.isLive(now) {
 				entries = append(entries, e)
 			}
 		}
 	}
 	slices.SortFunc(entries, compare)
-	out, _ := encode(entries, maxGossip)
+	out, _ := encode(entries, maxMessageBytes)
 	return out
 }
 
 // Merge takes in what another node told. Merging commutes, associates and is
 // idempotent, so it does not matter in which order and how often news arrive.
-func (b *Table) Merge(now time.Time, told json.RawMessage) error {
-	if len(told) == 0 {
+func (t *Table) Merge(now time.Time, message json.RawMessage) error {
+	if len(message) == 0 {
 		return nil
 	}
-	if len(told) > maxGossip {
-		return errors.Errorf("quarantine: %d bytes of suspects", len(told))
+	if len(message) > maxMessageBytes {
+		return errors.Errorf("quarantine: %d bytes of suspects", len(message))
 	}
 	var crashes []crashJSON
-	if err := json.Unmarshal(told, &crashes); err != nil {
+	if err := json.Unmarshal(message, &crashes); err != nil {
 		return errors.Wrap(err, "quarantine")
 	}
 	for _, c := range crashes {
 		for _, s := range c.Suspects {
-			b.enter(now, c.entry(s))
+			t.mergeEntry(now, c.entry(s))
 		}
 	}
 	return nil
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -19,12 +19,12 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// picture is what a Book rules on each fingerprint, and what it would tell a
+// snapshot is what a Book rules on each fingerprint, and what it would tell a
 // node that has just started.
-func picture(b *Table, now time.Time) string {
-	out := string(b.All(now))
+func snapshot(t *Table, now time.Time) string {
+	out := string(t.All(now))
 	for p := Fingerprint(1); p <= 6; p++ {
-		r := b.Decide(now, p, false)
+		r := t.Decide(now, p, false)
 		out += string(rune('0'+int(r.Action))) + r.VM
 	}
 	return out
@@ -35,7 +35,7 @@
 // resend to an upstream that the other keeps it from.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told [][]byte
+		var messages [][]byte
 		sites := []*Table{New("a", 1), New("b", 2), New("c", 3)}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			b := rapid.SampledFrom(sites).Draw(t, "site")
@@ -52,22 +52,22 @@
 			case 3:
 				_ = b.Merge(epoch, rapid.SampledFrom(sites).Draw(t, "from").All(epoch))
 			}
-			told = append(told, b.All(epoch))
+			messages = append(messages, b.All(epoch))
 		}
 		seed := rapid.Uint64().Draw(t, "order")
 		one, two := New("", 0), New("", 0)
-		for _, m := range told {
+		for _, m := range messages {
 			_ = one.Merge(epoch, m)
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
-		again := slices.Concat(told, told[:len(told)/2])
-		rng.Shuffle(len(again), func(i, j int) { again[i], again[j] = again[j], again[i] })
+		shuffled := slices.Concat(messages, messages[:len(messages)/2])
+		rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		half := New("", 0)
-		for i, m := range again {
+		for i, m := range shuffled {
 			_ = []*Table{two, half}[i%2].Merge(epoch, m)
 		}
 		_ = two.Merge(epoch, half.All(epoch))
-		if a, b := picture(one, epoch), picture(two, epoch); a != b {
+		if a, b := snapshot(one, epoch), snapshot(two, epoch); a != b {
 			t.Fatalf("books disagree:\n%s\n%s", a, b)
 		}
 	})
@@ -77,50 +77,50 @@
 // a bound would grow into the memory of the answers; one that forgot convictions
 // first would lose two more engines to each convict.
 func TestFullBookKeepsConvictions(t *testing.T) {
-	b := New("a", 1)
+	table := New("a", 1)
 	for range 2 {
-		b.RecordCrash(epoch, []RunningRequest{{Fingerprint: 1, Started: epoch}})
+		table.RecordCrash(epoch, []RunningRequest{{Fingerprint: 1, Started: epoch}})
 	}
 	for i := range 200 {
 		running := make([]RunningRequest, 50)
 		for j := range running {
 			running[j] = RunningRequest{Fingerprint: Fingerprint(100 + 50*i + j), Started: epoch}
 		}
-		b.RecordCrash(epoch.Add(time.Duration(i)*time.Second), running)
+		table.RecordCrash(epoch.Add(time.Duration(i)*time.Second), running)
 	}
-	if b.size > maxEntries || b.size < maxEntries-maxEntries/evictShare {
-		t.Fatalf("%d entries, of %d", b.size, maxEntries)
+	if table.size > maxEntries || table.size < maxEntries-maxEntries/evictDivisor {
+		t.Fatalf("%d entries, of %d", table.size, maxEntries)
 	}
-	if r := b.Decide(epoch, 1, false); r.Action != Refuse {
+	if r := table.Decide(epoch, 1, false); r.Action != Refuse {
 		t.Fatalf("the convict is ruled %d", r.Action)
 	}
-	b.Expire(epoch.Add(ConvictionTTL))
-	if b.size != 0 || len(b.byPrint) != 0 || len(b.byCrash) != 0 || len(b.tell.news) != 0 {
-		t.Fatalf("%d entries are left after a day", b.size)
+	table.Expire(epoch.Add(ConvictionTTL))
+	if table.size != 0 || len(table.byFingerprint) != 0 || len(table.byCrash) != 0 || len(table.outbox.pending) != 0 {
+		t.Fatalf("%d entries are left after a day", table.size)
 	}
 }
 
 // A router sends thousands of messages after a crash. What it tells with them
 // must stay within what a node may spend on control, and end.
 func TestGossipKeepsToItsRate(t *testing.T) {
-	b := New("a", 1)
+	sender := New("a", 1)
 	running := make([]RunningRequest, 500)
 	for i := range running {
 		running[i] = RunningRequest{Fingerprint: Fingerprint(i), Started: epoch}
 	}
-	b.RecordCrash(epoch, running)
-	told, heard := 0, New("b", 2)
+	sender.RecordCrash(epoch, running)
+	sentBytes, receiver := 0, New("b", 2)
 	for ms := range 60_000 {
-		m := b.Gossip(epoch.Add(time.Duration(ms)*time.Millisecond), 256)
-		told += len(m)
-		if err := heard.Merge(epoch, m); err != nil {
+		m := sender.Gossip(epoch.Add(time.Duration(ms)*time.Millisecond), 256)
+		sentBytes += len(m)
+		if err := receiver.Merge(epoch, m); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if limit := tellBurst + tellRate*int(tellFor.Seconds()); told > limit {
-		t.Fatalf("%d bytes told, more than %d", told, limit)
+	if limit := gossipBurstBytes + gossipBytesPerSecond*int(gossipFor.Seconds()); sentBytes > limit {
+		t.Fatalf("%d bytes told, more than %d", sentBytes, limit)
 	}
-	if heard.size < len(running)/2 {
-		t.Fatalf("only %d of %d were heard of", heard.size, len(running))
+	if receiver.size < len(running)/2 {
+		t.Fatalf("only %d of %d were heard of", receiver.size, len(running))
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -110,11 +110,11 @@
 	SuspectTime time.Duration
 }
 
-// shareEvery is how often routers tell each other what they know beside the sets. It goes
+// maxReportInterval is how often routers tell each other what they know beside the sets. It goes
 // over four hops in a region of several failure domains, and loads change within a second
 // or two: at a hop each half second they were known so late that routers believed in three
 // times the mean of what ran, five seconds after a surge.
-const shareEvery = 90 * time.Millisecond
+const maxReportInterval = 90 * time.Millisecond
 
 // TimingFor returns the Timing that keeps what the store has accepted within
 // bound of being in force. A parent that falls silent is noticed after a third of
@@ -126,7 +126,7 @@
 func TimingFor(bound time.Duration) Timing {
 	return Timing{
 		HeartbeatInterval: bound / 8,
-		ReportInterval:    min(bound/8, shareEvery),
+		ReportInterval:    min(bound/8, maxReportInterval),
 		HeartbeatTimeout:  bound / 3,
 		PullTimeout:       bound / 5,
 		MaxAge:            bound * 70 / 100,
@@ -136,71 +136,71 @@
 	}
 }
 
-// flatMost is up to how many routers of a region subscribe to its reader
+// maxFlatRouters is up to how many routers of a region subscribe to its reader
 // directly. Beyond it those of a failure domain share one subscription, so that no
 // router sends to more than the others of its failure domain and the first of each.
-const flatMost = 33
+const maxFlatRouters = 33
 
-// order ranks routers for who reads, the lowest first: by capacity, and then by a
+// rank ranks routers for who reads, the lowest first: by capacity, and then by a
 // hash of their names. All routers agree on it.
-type order struct {
+type rank struct {
 	capacity int
 	hash     uint64
 	name     string
 }
 
-func orderOf(n Router) order {
-	return order{capacity: n.Capacity, hash: xxh3.HashString(n.Name), name: n.Name}
+func rankOf(n Router) rank {
+	return rank{capacity: n.Capacity, hash: xxh3.HashString(n.Name), name: n.Name}
 }
 
 // compare returns a negative number if a router of order o is to read before one
 // of order p.
-func (o order) compare(p order) int {
-	return cmp.Or(cmp.Compare(p.capacity, o.capacity), cmp.Compare(o.hash, p.hash), cmp.Compare(o.name, p.name))
+func (r rank) compare(other rank) int {
+	return cmp.Or(cmp.Compare(other.capacity, r.capacity), cmp.Compare(r.hash, other.hash), cmp.Compare(r.name, other.name))
 }
 
 // peer is another router and what has been heard of it.
 type peer struct {
-	node       Router
-	order      order
-	beat       Heartbeat
-	beatAt     time.Time // zero: no beat was heard
-	heard      time.Time // when anything was heard of it
-	asked      time.Time // when a subscription was sent last
-	unanswered time.Time // since when one has brought no beat; zero: none is open
-	behind     time.Time // since when it knows what this router could not pull; zero: it does not
-	suspect    time.Time // until when it is not tried
-	wants      time.Time // until when it is subscribed to this router
+	node            Router
+	rank            rank
+	heartbeat       Heartbeat
+	heartbeatAt     time.Time // zero: no beat was heard
+	lastSeen        time.Time // when anything was heard of it
+	subscribedAt    time.Time // when a subscription was sent last
+	unansweredSince time.Time // since when one has brought no beat; zero: none is open
+	unpulledSince   time.Time // since when it knows what this router could not pull; zero: it does not
+	suspectUntil    time.Time // until when it is not tried
+	subscribedUntil time.Time // until when it is subscribed to this router
 }
 
-// byOrder sorts peers by who is to read first.
-func byOrder(a, b *peer) int {
-	return a.order.compare(b.order)
+// byRank sorts peers by who is to read first.
+func byRank(a, b *peer) int {
+	return a.rank.compare(b.rank)
 }
 
 // State is what one router knows of the others.
 type State struct {
 	self   Router
-	order  order
+	rank   rank
 	timing Timing
 	peers  map[string]*peer // of the router's region, by name
 	sorted []*peer
 
-	parent    *peer // whom this router relies on; nil: its own reading
-	listed    bool  // the register was read
-	reading   bool  // the store is read by this router now
-	failing   bool  // and does not answer it
-	own       Sets[Progress]
-	ownAt     time.Time // when own was true
-	nextBeat  time.Time
-	nextShare time.Time
-	told      Sets[config.Summary] // in the last beat
-	toldAt    Sets[time.Time]      // when that was known to be the newest; zero: it was not
+	parent        *peer // whom this router relies on; nil: its own reading
+	isListed      bool  // the register was read
+	reading       bool  // the store is read by this router now
+	storeFailing  bool  // and does not answer it
+	own           Sets[Progress]
+	ownSince      time.Time // when own was true
+	nextHeartbeat time.Time
+	nextReport    time.Time
+	published     Sets[config.Summary] // in the last beat
+	publishedAt   Sets[time.Time]      // when that was known to be the newest; zero: it was not
 }
 
 // New returns the State of a router that knows of no other. It reads the store.
 func New(self Router, t Timing) *State {
-	s := &State{self: self, order: orderOf(self), timing: t, peers: make(map[string]*peer), reading: true}
+	s := &State{self: self, rank: rankOf(self), timing: t, peers: make(map[string]*peer), reading: true}
 	for i := range s.own {
 		s.own[i] = Progress{Age: -1, SinceRecovery: -1}
 	}
@@ -223,17 +223,17 @@
 // ListedRouters is how many routers of the region are listed, this one included, whether they
 // answer or not; zero: the register was not read yet.
 func (s *State) ListedRouters() int {
-	if !s.listed {
+	if !s.isListed {
 		return 0
 	}
 	return len(s.peers) + 1
 }
 
-// eager is how many routers, those next in order, take the place of a reader as soon
+// immediateSuccessors is how many routers, those next in order, take the place of a reader as soon
 // as it says that the store does not answer it. If the store answers nobody, few have
 // tried in vain; the others wait until what they know has grown old. Of nodes that a
 // store refuses by thirds, all of three are among them once in 27 times.
-const eager = 2
+const immediateSuccessors = 2
 
 // forgetAfter is after how long without a word a router is forgotten. They come
 // and go by the hundred in a day.
@@ -242,16 +242,16 @@
 // forget drops the routers that have not been heard of for long.
 func (s *State) forget(now time.Time) {
 	s.sorted = slices.DeleteFunc(s.sorted, func(p *peer) bool {
-		gone := p != s.parent && now.Sub(p.heard) > forgetAfter
-		if gone {
+		expired := p != s.parent && now.Sub(p.lastSeen) > forgetAfter
+		if expired {
 			delete(s.peers, p.node.Name)
 		}
-		return gone
+		return expired
 	})
 }
 
-// learn takes in that a router exists.
-func (s *State) learn(now time.Time, n Router) *peer {
+// recordPeer takes in that a router exists.
+func (s *State) recordPeer(now time.Time, n Router) *peer {
 	if n.Name == s.self.Name || topo.Region(n.Domain) != topo.Region(s.self.Domain) {
 		return nil
 	}
@@ -261,10 +261,10 @@
 		s.peers[n.Name] = p
 		s.sorted = append(s.sorted, p)
 	}
-	if o := orderOf(n); p.order != o {
-		p.order = o
-		slices.SortFunc(s.sorted, byOrder)
+	if o := rankOf(n); p.rank != o {
+		p.rank = o
+		slices.SortFunc(s.sorted, byRank)
 	}
-	p.node, p.heard = n, now
+	p.node, p.lastSeen = n, now
 	return p
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,51 +22,51 @@
 }
 
 const (
-	bound = 2 * time.Second
-	step  = 20 * time.Millisecond
-	// hop is how long a message or a pull takes.
-	hop = step
-	// watch is how long a watch of the store waits; it answers at once on news.
-	watch = time.Second
-	// refusedRetry is the pause after a refused call.
-	refusedRetry = 250 * time.Millisecond
+	bound        = 2 * time.Second
+	tickInterval = 20 * time.Millisecond
+	// hopDelay is how long a message or a pull takes.
+	hopDelay = tickInterval
+	// watchTimeout is how long a watchTimeout of the store waits; it answers at once on news.
+	watchTimeout = time.Second
+	// refusedRetryDelay is the pause after a refused call.
+	refusedRetryDelay = 250 * time.Millisecond
 	// storeTimeout is how long a call of a store that does not answer takes.
 	storeTimeout = 1300 * time.Millisecond
 )
 
-// world is routers that play by their States, a store, and what lies between.
-type world struct {
-	now     time.Time
-	version topo.Version
-	written []time.Time // when each version was accepted, by version
-	nodes   []*testNode
-	cut     map[[2]string]bool
-	queue   []delivery
-	loss    func() bool
-	turns   int            // how often a router began or ceased to read the store
-	shares  map[string]int // how often each router has shared what it heard; nil: not counted
-	told    map[string]int // what routers that are relied on know, by who is told
+// simulation is routers that play by their States, a store, and what lies between.
+type simulation struct {
+	now               time.Time
+	version           topo.Version
+	written           []time.Time // when each version was accepted, by version
+	routers           []*testRouter
+	cutLinks          map[[2]string]bool
+	inFlight          []delivery
+	isLost            func() bool
+	roleChanges       int            // how often a router began or ceased to read the store
+	reportsSent       map[string]int // how often each router has shared what it heard; nil: not counted
+	summariesReceived map[string]int // what routers that are relied on know, by who is told
 }
 
-// testNode is a router in the world.
-type testNode struct {
+// testRouter is a router in the world.
+type testRouter struct {
 	state   *State
-	node    Router
+	router  Router
 	version topo.Version // that it knows, of both sets
-	relies  Router
+	parent  Router
 	reading bool
 
-	frozen    bool
-	mute      bool      // nobody can pull from it
-	blind     bool      // it cannot reach the store
-	refused   bool      // the store answers it at once that it will not serve it
-	failures  int       // of calls in a row
-	answered  time.Time // when the store answered it last
-	calling   time.Time // when its present call of the store ends in a timeout; zero: none
-	calls     int
-	troubled  time.Time // when anything befell it last
-	since     topo.Version
-	watchedAt time.Time
+	frozen           bool
+	pullsFail        bool      // nobody can pull from it
+	storeUnreachable bool      // it cannot reach the store
+	storeRefuses     bool      // the store answers it at once that it will not serve it
+	failures         int       // of calls in a row
+	storeAnsweredAt  time.Time // when the store answered it last
+	callDeadline     time.Time // when its present call of the store ends in a timeout; zero: none
+	callCount        int
+	lastFault        time.Time // when anything befell it last
+	watchVersion     topo.Version
+	callStarted      time.Time
 }
 
 type delivery struct {
@@ -75,71 +75,71 @@
 	e  func(now time.Time) Event
 }
 
-func newWorld(n, domains int) *world {
-	w := &world{now: time.Unix(1000, 0), version: 1, cut: make(map[[2]string]bool), loss: func() bool { return false }}
-	w.written = []time.Time{w.now, w.now}
+func newSimulation(n, domains int) *simulation {
+	s := &simulation{now: time.Unix(1000, 0), version: 1, cutLinks: make(map[[2]string]bool), isLost: func() bool { return false }}
+	s.written = []time.Time{s.now, s.now}
 	for i := range n {
-		node := Router{Name: fmt.Sprintf("front-%d", i), Addr: fmt.Sprint(i), Domain: fmt.Sprintf("r/%d", i%domains)}
-		w.nodes = append(w.nodes, &testNode{node: node, state: New(node, TimingFor(bound)), reading: true})
+		router := Router{Name: fmt.Sprintf("front-%d", i), Addr: fmt.Sprint(i), Domain: fmt.Sprintf("r/%d", i%domains)}
+		s.routers = append(s.routers, &testRouter{router: router, state: New(router, TimingFor(bound)), reading: true})
 	}
-	for _, n := range w.nodes {
-		w.register(n)
+	for _, n := range s.routers {
+		s.register(n)
 	}
-	return w
+	return s
 }
 
-func (w *world) register(n *testNode) {
+func (s *simulation) register(n *testRouter) {
 	var all []Router
-	for _, o := range w.nodes {
-		all = append(all, o.node)
+	for _, o := range s.routers {
+		all = append(all, o.router)
 	}
-	w.act(n, n.state.Step(Registered{Now: w.now, Routers: all}))
+	s.apply(n, n.state.Step(Registered{Now: s.now, Routers: all}))
 }
 
-func (w *world) find(name string) *testNode {
-	for _, n := range w.nodes {
-		if n.node.Name == name {
+func (s *simulation) find(name string) *testRouter {
+	for _, n := range s.routers {
+		if n.router.Name == name {
 			return n
 		}
 	}
 	return nil
 }
 
-func (w *world) act(n *testNode, effects []Effect) {
+func (s *simulation) apply(n *testRouter, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case SendHeartbeat:
-			w.send(n, e.To, func(now time.Time) Event { return HeartbeatReceived{Now: now, Heartbeat: e.Heartbeat} })
+			s.send(n, e.To, func(now time.Time) Event { return HeartbeatReceived{Now: now, Heartbeat: e.Heartbeat} })
 		case SendSubscribe:
-			w.send(n, e.To, func(now time.Time) Event { return SubscribeReceived{Now: now, Subscribe: e.Subscribe} })
+			s.send(n, e.To, func(now time.Time) Event { return SubscribeReceived{Now: now, Subscribe: e.Subscribe} })
 		case SendReport:
 			switch {
-			case w.shares == nil:
+			case s.reportsSent == nil:
 			case e.Report.IsSummary:
-				w.told[e.To.Name]++
-			case e.To.Name == n.relies.Name:
-				w.shares[n.node.Name]++
+				s.summariesReceived[e.To.Name]++
+			case e.To.Name == n.parent.Name:
+				s.reportsSent[n.router.Name]++
 			}
 		case SwitchStoreReading:
 			n.reading = e.On
-			w.turns++
-			n.since = 0 // a listing, then watches
+			s.roleChanges++
+			n.watchVersion = 0 // a listing, then watches
 		case SetParent:
-			n.relies = e.Parent
+			n.parent = e.Parent
 		case ParentProgress:
-			w.pull(n, e)
+			s.pull(n, e)
 		}
 	}
 }
 
-func (w *world) send(from *testNode, to Router, e func(time.Time) Event) {
-	if w.cut[pair(from.node.Name, to.Name)] || w.loss() {
+func (s *simulation) send(from *testRouter, to Router, e func(time.Time) Event) {
+	if s.cutLinks[linkKey(from.router.Name, to.Name)] || s.isLost() {
 		return
 	}
-	w.queue = append(w.queue, delivery{at: w.now.Add(hop), to: to.Name, e: e})
+	s.inFlight = append(s.inFlight, delivery{at: s.now.Add(hopDelay), to: to.Name, e: e})
 }
 
-func pair(a, b string) [2]string {
+func linkKey(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
@@ -147,101 +147,101 @@
 }
 
 // pull takes over what the parent has, unless the way is cut.
-func (w *world) pull(n *testNode, e ParentProgress) {
-	p := w.find(e.Parent.Name)
-	if p.frozen || p.mute || w.cut[pair(n.node.Name, p.node.Name)] {
+func (s *simulation) pull(n *testRouter, e ParentProgress) {
+	p := s.find(e.Parent.Name)
+	if p.frozen || p.pullsFail || s.cutLinks[linkKey(n.router.Name, p.router.Name)] {
 		return
 	}
 	if p.version > n.version {
 		n.version = p.version
-		w.followed(n)
+		s.reportProgress(n)
 	}
 }
 
-func (w *world) followed(n *testNode) {
+func (s *simulation) reportProgress(n *testRouter) {
 	k := Progress{Summary: config.Summary{Version: n.version}, Age: -1, SinceRecovery: -1}
-	if !n.answered.IsZero() {
-		k.Age = w.now.Sub(n.answered).Milliseconds()
+	if !n.storeAnsweredAt.IsZero() {
+		k.Age = s.now.Sub(n.storeAnsweredAt).Milliseconds()
 	}
 	failing := n.reading && n.failures >= 2
-	w.act(n, n.state.Step(ProgressUpdated{Now: w.now, Progress: Sets[Progress]{k, k}, StoreFailing: failing}))
+	s.apply(n, n.state.Step(ProgressUpdated{Now: s.now, Progress: Sets[Progress]{k, k}, StoreFailing: failing}))
 }
 
-// read plays a router's calls of the store.
-func (w *world) read(n *testNode) {
+// callStore plays a router's calls of the store.
+func (s *simulation) callStore(n *testRouter) {
 	if !n.reading {
-		n.calling, n.failures = time.Time{}, 0
+		n.callDeadline, n.failures = time.Time{}, 0
 		return
 	}
-	if n.calling.IsZero() {
-		n.calls++
-		n.calling = w.now.Add(storeTimeout)
-		n.watchedAt = w.now
+	if n.callDeadline.IsZero() {
+		n.callCount++
+		n.callDeadline = s.now.Add(storeTimeout)
+		n.callStarted = s.now
 	}
 	switch {
-	case n.refused && w.now.Sub(n.watchedAt) >= refusedRetry, n.blind && !w.now.Before(n.calling):
-		n.calling = time.Time{}
+	case n.storeRefuses && s.now.Sub(n.callStarted) >= refusedRetryDelay, n.storeUnreachable && !s.now.Before(n.callDeadline):
+		n.callDeadline = time.Time{}
 		n.failures++
-	case n.refused, n.blind:
-	case n.since == 0 || w.version > n.since || w.now.Sub(n.watchedAt) >= watch:
-		n.since, n.version = w.version, max(n.version, w.version)
-		n.answered, n.calling, n.failures = w.now, time.Time{}, 0
-		w.followed(n)
+	case n.storeRefuses, n.storeUnreachable:
+	case n.watchVersion == 0 || s.version > n.watchVersion || s.now.Sub(n.callStarted) >= watchTimeout:
+		n.watchVersion, n.version = s.version, max(n.version, s.version)
+		n.storeAnsweredAt, n.callDeadline, n.failures = s.now, time.Time{}, 0
+		s.reportProgress(n)
 	}
 }
 
 // advance lets the world go on for a step.
-func (w *world) advance() {
-	w.now = w.now.Add(step)
-	due := w.queue
-	w.queue = nil
+func (s *simulation) advance() {
+	s.now = s.now.Add(tickInterval)
+	due := s.inFlight
+	s.inFlight = nil
 	for _, d := range due {
-		n := w.find(d.to)
-		if w.now.Before(d.at) || n.frozen {
-			w.queue = append(w.queue, d) // a frozen router reads it when it wakes
+		n := s.find(d.to)
+		if s.now.Before(d.at) || n.frozen {
+			s.inFlight = append(s.inFlight, d) // a frozen router reads it when it wakes
 			continue
 		}
-		w.act(n, n.state.Step(d.e(w.now)))
+		s.apply(n, n.state.Step(d.e(s.now)))
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.routers {
 		if n.frozen {
 			continue
 		}
-		w.read(n)
-		w.followed(n)
-		w.act(n, n.state.Step(Ticked{Now: w.now}))
+		s.callStore(n)
+		s.reportProgress(n)
+		s.apply(n, n.state.Step(Ticked{Now: s.now}))
 	}
 }
 
-// stale returns a router that is in touch and does not know what the store
+// staleRouter returns a router that is in touch and does not know what the store
 // accepted bound ago.
-func (w *world) stale(calm time.Duration) *testNode {
-	for _, n := range w.nodes {
-		if n.frozen || n.blind || n.refused || w.now.Sub(n.troubled) < calm {
+func (s *simulation) staleRouter(minQuiet time.Duration) *testRouter {
+	for _, n := range s.routers {
+		if n.frozen || n.storeUnreachable || n.storeRefuses || s.now.Sub(n.lastFault) < minQuiet {
 			continue
 		}
-		if next := int(n.version) + 1; next < len(w.written) && w.now.Sub(w.written[next]) > bound {
+		if next := int(n.version) + 1; next < len(s.written) && s.now.Sub(s.written[next]) > bound {
 			return n
 		}
 	}
 	return nil
 }
 
-func (w *world) write() {
-	w.version++
-	w.written = append(w.written, w.now)
+func (s *simulation) write() {
+	s.version++
+	s.written = append(s.written, s.now)
 }
 
-func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.advance()
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.advance()
 	}
 }
 
-func (w *world) readers() int {
+func (s *simulation) readers() int {
 	n := 0
-	for _, node := range w.nodes {
-		if node.reading {
+	for _, router := range s.routers {
+		if router.reading {
 			n++
 		}
 	}
@@ -251,18 +251,18 @@
 // On a calm day one router reads the store for all, and what is written is known
 // everywhere at once. Were each to read it, calls would grow with the fleet and
 // soon pass what the store serves.
-func TestOneReadsForAll(t *testing.T) {
+func TestOneRouterReadsTheStore(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 28, 100} {
-		w := newWorld(size, 4)
-		w.run(5 * time.Second)
-		if n := w.readers(); n != 1 {
+		s := newSimulation(size, 4)
+		s.run(5 * time.Second)
+		if n := s.readers(); n != 1 {
 			t.Errorf("%d of %d routers read the store", n, size)
 		}
-		w.write()
-		w.run(10 * hop)
-		for _, n := range w.nodes {
-			if n.version != w.version {
-				t.Errorf("%s of %d routers does not know after %v", n.node.Name, size, 10*hop)
+		s.write()
+		s.run(10 * hopDelay)
+		for _, n := range s.routers {
+			if n.version != s.version {
+				t.Errorf("%s of %d routers does not know after %v", n.router.Name, size, 10*hopDelay)
 			}
 		}
 	}
@@ -272,62 +272,62 @@
 // messages are lost, several at a time. A router that is in touch itself must
 // know what the store has accepted within the bound, whoever it relied on: else
 // its callers are served by routes and keys that were taken away.
-func TestNobodyInTouchIsKeptInTheDark(t *testing.T) {
+func TestConnectedRoutersStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 7).Draw(t, "routers"), rapid.IntRange(1, 3).Draw(t, "domains"))
-		lossy := rapid.IntRange(0, 10).Draw(t, "loss")
-		luck := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "luck"), 0))
-		w.loss = func() bool { return luck.IntN(100) < lossy }
-		w.run(3 * time.Second)
+		s := newSimulation(rapid.IntRange(1, 7).Draw(t, "routers"), rapid.IntRange(1, 3).Draw(t, "domains"))
+		lossPercent := rapid.IntRange(0, 10).Draw(t, "loss")
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "luck"), 0))
+		s.isLost = func() bool { return rng.IntN(100) < lossPercent }
+		s.run(3 * time.Second)
 		for range rapid.IntRange(1, 12).Draw(t, "troubles") {
-			w.trouble(t)
+			s.injectFault(t)
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
-				w.advance()
-				if n := w.stale(3 * time.Second); n != nil {
+				s.advance()
+				if n := s.staleRouter(3 * time.Second); n != nil {
 					t.Fatalf("%s knows version %d, %d was written %v ago (reads: %v, relies on %q)",
-						n.node.Name, n.version, n.version+1, w.now.Sub(w.written[n.version+1]), n.reading, n.relies.Name)
+						n.router.Name, n.version, n.version+1, s.now.Sub(s.written[n.version+1]), n.reading, n.parent.Name)
 				}
 			}
 		}
 	})
 }
 
-// trouble lets something befall the world, or end.
-func (w *world) trouble(t *rapid.T) {
-	n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "who")]
+// injectFault lets something befall the world, or end.
+func (s *simulation) injectFault(t *rapid.T) {
+	n := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "who")]
 	switch rapid.IntRange(0, 6).Draw(t, "trouble") {
 	case 0:
-		n.frozen, n.troubled = !n.frozen, w.now
+		n.frozen, n.lastFault = !n.frozen, s.now
 	case 1:
-		n.blind, n.troubled = !n.blind, w.now
+		n.storeUnreachable, n.lastFault = !n.storeUnreachable, s.now
 	case 2:
-		other := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "other")]
-		p := pair(n.node.Name, other.node.Name)
-		w.cut[p] = !w.cut[p]
+		other := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "other")]
+		p := linkKey(n.router.Name, other.router.Name)
+		s.cutLinks[p] = !s.cutLinks[p]
 	case 3: // calls get nowhere, messages do
-		n.mute = !n.mute
+		n.pullsFail = !n.pullsFail
 	case 4:
-		n.refused, n.troubled = !n.refused, w.now
+		n.storeRefuses, n.lastFault = !n.storeRefuses, s.now
 	default:
-		w.write()
+		s.write()
 	}
 }
 
 // What routers have heard of loads goes up to the one that they rely on at its own pace,
 // and what that one knows comes down to each at the same. A router that reads the store
 // itself has nobody to tell.
-func TestFollowersShareAtTheirPace(t *testing.T) {
-	w := newWorld(5, 1)
-	w.run(5 * time.Second)
-	w.shares, w.told = make(map[string]int), make(map[string]int)
-	const turns = 8
-	w.run(turns * TimingFor(bound).ReportInterval)
-	for _, n := range w.nodes {
-		if got := w.shares[n.node.Name]; n.reading && got > 0 || !n.reading && (got < turns-1 || got > turns) {
-			t.Errorf("%s shares %d times in %d turns (reads: %v)", n.node.Name, got, turns, n.reading)
+func TestReportsAreSentAtTheirInterval(t *testing.T) {
+	s := newSimulation(5, 1)
+	s.run(5 * time.Second)
+	s.reportsSent, s.summariesReceived = make(map[string]int), make(map[string]int)
+	const intervals = 8
+	s.run(intervals * TimingFor(bound).ReportInterval)
+	for _, n := range s.routers {
+		if got := s.reportsSent[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
+			t.Errorf("%s shares %d times in %d turns (reads: %v)", n.router.Name, got, intervals, n.reading)
 		}
-		if got := w.told[n.node.Name]; n.reading && got > 0 || !n.reading && (got < turns-1 || got > turns) {
-			t.Errorf("%s is told %d times in %d turns (reads: %v)", n.node.Name, got, turns, n.reading)
+		if got := s.summariesReceived[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
+			t.Errorf("%s is told %d times in %d turns (reads: %v)", n.router.Name, got, intervals, n.reading)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 // Operators want configuration in force within seven seconds, so that a beat a second is
 // enough for it. Loads are old by then: a load goes from a router to the reader and from
 // there to all within a second, over the four hops of a region with domains.
-func TestLoadsArriveWithinASecondHoweverLongTheBound(t *testing.T) {
+func TestLoadsArriveWithinASecondForAnyBound(t *testing.T) {
 	const hops = 4
 	for _, bound := range []time.Duration{time.Second, 4 * time.Second, 7 * time.Second} {
 		if worst := hops * TimingFor(bound).ReportInterval; worst > time.Second {
@@ -348,29 +348,29 @@
 // all, the former reader relies on it, and neither relies on itself through the
 // other.
 func TestReaderThatLosesTheStoreIsReplaced(t *testing.T) {
-	w := newWorld(5, 1)
-	w.run(5 * time.Second)
-	reader := w.nodes[slices.IndexFunc(w.nodes, func(n *testNode) bool { return n.reading })]
-	reader.blind = true
-	w.run(5 * time.Second)
-	w.write()
-	w.run(time.Second)
-	for _, n := range w.nodes {
-		if n.version != w.version {
-			t.Errorf("%s does not know", n.node.Name)
+	s := newSimulation(5, 1)
+	s.run(5 * time.Second)
+	reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+	reader.storeUnreachable = true
+	s.run(5 * time.Second)
+	s.write()
+	s.run(time.Second)
+	for _, n := range s.routers {
+		if n.version != s.version {
+			t.Errorf("%s does not know", n.router.Name)
 		}
 	}
-	if n := w.readers(); n != 2 {
+	if n := s.readers(); n != 2 {
 		t.Errorf("%d routers read the store: the new reader, and the former that goes on trying, make two", n)
 	}
-	turns := w.turns
-	w.run(10 * time.Second)
-	if w.turns != turns {
-		t.Errorf("routers began or ceased to read %d times while nothing changed", w.turns-turns)
+	changes := s.roleChanges
+	s.run(10 * time.Second)
+	if s.roleChanges != changes {
+		t.Errorf("routers began or ceased to read %d times while nothing changed", s.roleChanges-changes)
 	}
-	reader.blind = false
-	w.run(10 * time.Second)
-	if n := w.readers(); n != 1 {
+	reader.storeUnreachable = false
+	s.run(10 * time.Second)
+	if n := s.readers(); n != 1 {
 		t.Errorf("%d routers read the store after it is back", n)
 	}
 }
@@ -380,39 +380,39 @@
 // routers know. Those that are turned away learn it from others: nobody waits until
 // what the reader knew has grown too old, and nobody relies in a circle on those who
 // rely on it.
-func TestRefusedReaderSaysSo(t *testing.T) {
+func TestReaderRefusedByTheStoreIsReplaced(t *testing.T) {
 	const soon = bound / 2
 	for _, size := range []int{3, 5, 21, 28, 100} {
-		most := 0
+		maxChanges := 0
 		for seed := range uint64(200 / size) {
-			w := newWorld(size, 4)
-			luck := rand.New(rand.NewPCG(seed, 0))
-			w.run(5 * time.Second)
-			for _, n := range w.nodes {
-				n.refused = n.reading || luck.IntN(3) == 0
+			s := newSimulation(size, 4)
+			rng := rand.New(rand.NewPCG(seed, 0))
+			s.run(5 * time.Second)
+			for _, n := range s.routers {
+				n.storeRefuses = n.reading || rng.IntN(3) == 0
 			}
-			if !slices.ContainsFunc(w.nodes, func(n *testNode) bool { return !n.refused }) {
+			if !slices.ContainsFunc(s.routers, func(n *testRouter) bool { return !n.storeRefuses }) {
 				continue // the store answers nobody
 			}
-			w.run(5 * hop)
-			w.write()
-			turns := w.turns
-			told := 0
-			for end := w.now.Add(bound); w.now.Before(end); {
-				w.advance()
-				if w.now.Sub(w.written[w.version]) <= soon {
-					told = w.knowing()
+			s.run(5 * hopDelay)
+			s.write()
+			changesBefore := s.roleChanges
+			upToDateSoon := 0
+			for end := s.now.Add(bound); s.now.Before(end); {
+				s.advance()
+				if s.now.Sub(s.written[s.version]) <= soon {
+					upToDateSoon = s.upToDate()
 				}
 			}
-			if known := w.knowing(); known < size {
-				t.Errorf("seed %d: %d of %d routers know after %v", seed, known, size, bound)
+			if upToDateCount := s.upToDate(); upToDateCount < size {
+				t.Errorf("seed %d: %d of %d routers know after %v", seed, upToDateCount, size, bound)
 			}
-			if told < size*9/10 {
-				t.Errorf("seed %d: %d of %d routers know after %v", seed, told, size, soon)
+			if upToDateSoon < size*9/10 {
+				t.Errorf("seed %d: %d of %d routers know after %v", seed, upToDateSoon, size, soon)
 			}
-			most = max(most, w.turns-turns)
-			if most > 24 {
-				t.Errorf("seed %d: %d routers began or ceased to read %d times", seed, size, most)
+			maxChanges = max(maxChanges, s.roleChanges-changesBefore)
+			if maxChanges > 24 {
+				t.Errorf("seed %d: %d routers began or ceased to read %d times", seed, size, maxChanges)
 			}
 		}
 	}
@@ -422,32 +422,32 @@
 // nobody can pull from it, while its messages arrive. A router that relies on it waits
 // until what it knew is too old, and then again until it is clear that nothing can be
 // pulled: both together must fit into the bound.
-func TestReaderThatIsOldAndMute(t *testing.T) {
-	w := newWorld(4, 1)
-	w.run(3040 * time.Millisecond)
-	reader := w.nodes[slices.IndexFunc(w.nodes, func(n *testNode) bool { return n.reading })]
-	reader.mute = true
-	w.nodes[2].frozen, w.nodes[2].troubled = true, w.now
-	w.run(2 * step)
-	reader.frozen, reader.troubled = true, w.now
-	w.write()
-	w.run(3 * step)
-	reader.blind = true
-	w.run(2 * step)
+func TestStaleReaderThatCannotBePulledFrom(t *testing.T) {
+	s := newSimulation(4, 1)
+	s.run(3040 * time.Millisecond)
+	reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+	reader.pullsFail = true
+	s.routers[2].frozen, s.routers[2].lastFault = true, s.now
+	s.run(2 * tickInterval)
+	reader.frozen, reader.lastFault = true, s.now
+	s.write()
+	s.run(3 * tickInterval)
+	reader.storeUnreachable = true
+	s.run(2 * tickInterval)
 	reader.frozen = false
-	for range 2 * bound / step {
-		w.advance()
-		if n := w.stale(3 * time.Second); n != nil {
-			t.Fatalf("%s does not know what was written %v ago", n.node.Name, w.now.Sub(w.written[n.version+1]))
+	for range 2 * bound / tickInterval {
+		s.advance()
+		if n := s.staleRouter(3 * time.Second); n != nil {
+			t.Fatalf("%s does not know what was written %v ago", n.router.Name, s.now.Sub(s.written[n.version+1]))
 		}
 	}
 }
 
-// knowing counts the routers that know what was written last.
-func (w *world) knowing() int {
+// upToDate counts the routers that know what was written last.
+func (s *simulation) upToDate() int {
 	n := 0
-	for _, node := range w.nodes {
-		if node.version == w.version {
+	for _, router := range s.routers {
+		if router.version == s.version {
 			n++
 		}
 	}
@@ -457,17 +457,17 @@
 // The reader freezes just after it has told the others that all is well. A key is
 // taken away at that moment; the others notice the silence long before what they
 // know has grown too old.
-func TestFrozenReaderIsNoticedByItsSilence(t *testing.T) {
+func TestFrozenReaderIsDetectedByHeartbeatTimeout(t *testing.T) {
 	for phase := range 10 {
-		w := newWorld(5, 1)
-		w.run(5*time.Second + time.Duration(phase)*watch/10)
-		reader := w.nodes[slices.IndexFunc(w.nodes, func(n *testNode) bool { return n.reading })]
+		s := newSimulation(5, 1)
+		s.run(5*time.Second + time.Duration(phase)*watchTimeout/10)
+		reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
 		reader.frozen = true
-		w.write()
-		w.run(TimingFor(bound).HeartbeatTimeout + 5*hop)
-		for _, n := range w.nodes {
-			if n != reader && n.version != w.version {
-				t.Fatalf("%s does not know after %v", n.node.Name, TimingFor(bound).HeartbeatTimeout+5*hop)
+		s.write()
+		s.run(TimingFor(bound).HeartbeatTimeout + 5*hopDelay)
+		for _, n := range s.routers {
+			if n != reader && n.version != s.version {
+				t.Fatalf("%s does not know after %v", n.router.Name, TimingFor(bound).HeartbeatTimeout+5*hopDelay)
 			}
 		}
 	}
@@ -477,18 +477,18 @@
 // its own domain and the first of each.
 func TestFanOutIsBounded(t *testing.T) {
 	const size, domains = 240, 12
-	w := newWorld(size, domains)
-	w.run(5 * time.Second)
-	most := slices.MaxFunc(w.nodes, func(a, b *testNode) int { return cmp.Compare(a.subscribers(w.now), b.subscribers(w.now)) })
-	if n := most.subscribers(w.now); n > size/domains+domains {
-		t.Errorf("%s has %d subscribers", most.node.Name, n)
+	s := newSimulation(size, domains)
+	s.run(5 * time.Second)
+	busiest := slices.MaxFunc(s.routers, func(a, b *testRouter) int { return cmp.Compare(a.subscribers(s.now), b.subscribers(s.now)) })
+	if n := busiest.subscribers(s.now); n > size/domains+domains {
+		t.Errorf("%s has %d subscribers", busiest.router.Name, n)
 	}
 }
 
-func (n *testNode) subscribers(now time.Time) int {
+func (n *testRouter) subscribers(now time.Time) int {
 	count := 0
 	for _, p := range n.state.sorted {
-		if now.Before(p.wants) {
+		if now.Before(p.subscribedUntil) {
 			count++
 		}
 	}
@@ -498,24 +498,24 @@
 // The router that reads the store for a large region is lost, or loses the store.
 // Were all others to notice at the same moment, each would list the whole store.
 // Few do, and everybody knows what is written meanwhile.
-func TestLossOfTheReaderWakesFew(t *testing.T) {
+func TestLossOfTheReaderCausesFewRoleChanges(t *testing.T) {
 	for _, size := range []int{5, 20, 28, 100} {
-		for _, lost := range []string{"frozen", "blind"} {
-			w := newWorld(size, 4)
-			w.run(5 * time.Second)
-			reader := w.nodes[slices.IndexFunc(w.nodes, func(n *testNode) bool { return n.reading })]
-			reader.frozen, reader.blind = lost == "frozen", lost == "blind"
-			before := w.turns
-			w.write()
-			w.run(bound)
-			for _, n := range w.nodes {
-				if n != reader && n.version != w.version {
-					t.Errorf("%d routers, reader %s: %s does not know after %v", size, lost, n.node.Name, bound)
+		for _, fault := range []string{"frozen", "blind"} {
+			s := newSimulation(size, 4)
+			s.run(5 * time.Second)
+			reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+			reader.frozen, reader.storeUnreachable = fault == "frozen", fault == "blind"
+			changesBefore := s.roleChanges
+			s.write()
+			s.run(bound)
+			for _, n := range s.routers {
+				if n != reader && n.version != s.version {
+					t.Errorf("%d routers, reader %s: %s does not know after %v", size, fault, n.router.Name, bound)
 				}
 			}
-			w.run(3 * bound)
-			if turns := w.turns - before; turns > 10 {
-				t.Errorf("%d routers, reader %s: routers began or ceased to read %d times", size, lost, turns)
+			s.run(3 * bound)
+			if changes := s.roleChanges - changesBefore; changes > 10 {
+				t.Errorf("%d routers, reader %s: routers began or ceased to read %d times", size, fault, changes)
 			}
 		}
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -12,22 +12,22 @@
 	case Registered:
 		return s.registered(e)
 	case HeartbeatReceived:
-		return s.beatHeard(e)
+		return s.heartbeatReceived(e)
 	case SubscribeReceived:
-		return s.subscribeHeard(e)
+		return s.subscribeReceived(e)
 	case ProgressUpdated:
-		return s.followed(e)
+		return s.progressUpdated(e)
 	case Resumed:
-		return s.woke(e.Now)
+		return s.resumed(e.Now)
 	}
 	return nil
 }
 
-func (s *State) followed(e ProgressUpdated) []Effect {
-	news := e.StoreFailing != s.failing
-	s.own, s.ownAt, s.failing = e.Progress, e.Now, e.StoreFailing
-	s.compare(e.Now)
-	return s.beats(e.Now, s.changed(e.Now) || news)
+func (s *State) progressUpdated(e ProgressUpdated) []Effect {
+	failingChanged := e.StoreFailing != s.storeFailing
+	s.own, s.ownSince, s.storeFailing = e.Progress, e.Now, e.StoreFailing
+	s.updateUnpulled(e.Now)
+	return s.sendHeartbeats(e.Now, s.hasNews(e.Now) || failingChanged)
 }
 
 // HasParent reports whether this router relies on another one, whose knowledge is
@@ -39,97 +39,97 @@
 // registered makes this router known to those that it learns of.
 func (s *State) registered(e Registered) []Effect {
 	var out []Effect
-	s.listed = true
+	s.isListed = true
 	for _, n := range e.Routers {
-		if s.peers[n.Name] == nil && s.learn(e.Now, n) != nil {
+		if s.peers[n.Name] == nil && s.recordPeer(e.Now, n) != nil {
 			out = append(out, SendSubscribe{To: n, Subscribe: Subscribe{From: s.self}})
 		}
 	}
 	return append(out, s.tick(e.Now)...)
 }
 
-func (s *State) subscribeHeard(e SubscribeReceived) []Effect {
-	p := s.learn(e.Now, e.Subscribe.From)
+func (s *State) subscribeReceived(e SubscribeReceived) []Effect {
+	p := s.recordPeer(e.Now, e.Subscribe.From)
 	if p == nil {
 		return nil
 	}
-	p.suspect = time.Time{}
+	p.suspectUntil = time.Time{}
 	if !e.Subscribe.WantHeartbeats {
 		return nil
 	}
-	news := e.Now.After(p.wants)
-	p.wants = e.Now.Add(3 * s.timing.RenewInterval)
-	if news { // the first beat is awaited
-		return []Effect{SendHeartbeat{To: p.node, Heartbeat: s.beat(e.Now)}}
+	isNew := e.Now.After(p.subscribedUntil)
+	p.subscribedUntil = e.Now.Add(3 * s.timing.RenewInterval)
+	if isNew { // the first beat is awaited
+		return []Effect{SendHeartbeat{To: p.node, Heartbeat: s.heartbeat(e.Now)}}
 	}
 	return nil
 }
 
-func (s *State) beatHeard(e HeartbeatReceived) []Effect {
-	p := s.learn(e.Now, e.Heartbeat.From)
+func (s *State) heartbeatReceived(e HeartbeatReceived) []Effect {
+	p := s.recordPeer(e.Now, e.Heartbeat.From)
 	if p == nil {
 		return nil
 	}
-	p.beat, p.beatAt = e.Heartbeat, e.Now
-	p.unanswered, p.suspect = time.Time{}, time.Time{}
-	s.compare(e.Now)
-	out := s.choose(e.Now)
+	p.heartbeat, p.heartbeatAt = e.Heartbeat, e.Now
+	p.unansweredSince, p.suspectUntil = time.Time{}, time.Time{}
+	s.updateUnpulled(e.Now)
+	out := s.chooseParent(e.Now)
 	if p != s.parent {
 		return out
 	}
 	out = append(out, ParentProgress{Parent: p.node, Progress: e.Heartbeat.Progress})
-	return append(out, s.beats(e.Now, s.changed(e.Now))...)
+	return append(out, s.sendHeartbeats(e.Now, s.hasNews(e.Now))...)
 }
 
-// compare notes since when the parent knows more than this router has pulled.
-func (s *State) compare(now time.Time) {
+// updateUnpulled notes since when the parent knows more than this router has pulled.
+func (s *State) updateUnpulled(now time.Time) {
 	p := s.parent
 	if p == nil {
 		return
 	}
-	for i, k := range p.beat.Progress {
+	for i, k := range p.heartbeat.Progress {
 		if s.own[i].Summary.CaughtUp(k.Summary) {
 			continue
 		}
-		if p.behind.IsZero() {
-			p.behind = now
+		if p.unpulledSince.IsZero() {
+			p.unpulledSince = now
 		}
 		return
 	}
-	p.behind = time.Time{}
+	p.unpulledSince = time.Time{}
 }
 
-// woke forgets how old anything is.
-func (s *State) woke(now time.Time) []Effect {
+// resumed forgets how old anything is.
+func (s *State) resumed(now time.Time) []Effect {
 	for _, p := range s.peers {
-		p.beatAt = time.Time{}
+		p.heartbeatAt = time.Time{}
 	}
 	for i := range s.own {
 		s.own[i].Age = -1
 	}
-	return s.choose(now)
+	return s.chooseParent(now)
 }
 
 func (s *State) tick(now time.Time) []Effect {
 	s.forget(now)
-	out := s.choose(now)
+	out := s.chooseParent(now)
 	out = append(out, s.subscribe(now)...)
-	out = append(out, s.share(now)...)
-	return append(out, s.beats(now, false)...)
+	out = append(out, s.sendReports(now)...)
+	return append(out, s.sendHeartbeats(now, false)...)
 }
 
-// share tells the parent what this router has heard, and its subscribers what it knows.
-func (s *State) share(now time.Time) []Effect {
-	if now.Before(s.nextShare) {
+// sendReports tells the parent what this router has heard, and its subscribers what it knows.
+func (s *State) sendReports(now time.Time) []Effect {
+	if now.Before(s.nextReport) {
 		return nil
 	}
-	s.nextShare = now.Add(s.timing.ReportInterval)
+	s.nextReport = now.Add(s.timing.ReportInterval)
 	var out []Effect
 	if s.parent != nil {
 		out = append(out, SendReport{To: s.parent.node, Report: Report{From: s.self.Name}})
 	}
 	for _, p := range s.sorted {
-		if now.Before(p.wants) {
+		if now.Before(p.subscribedUntil) {
 			out = append(out, SendReport{To: p.node, Report: Report{From: s.self.Name, IsSummary: true}})
 		}
 	}
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -19,11 +19,11 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-func secret(id byte) Secret {
+func testSecret(id byte) Secret {
 	return Secret{ID: id, Value: bytes.Repeat([]byte{id ^ 0x5a}, 32)}
 }
 
-func ring(t interface{ Fatal(...any) }, secrets ...Secret) *Keyring {
+func newTestKeyring(t interface{ Fatal(...any) }, secrets ...Secret) *Keyring {
 	r, err := NewKeyring(secrets...)
 	if err != nil {
 		t.Fatal(err)
@@ -51,14 +51,14 @@
 func TestRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawToken(t)
-		r := ring(t, secret(1))
+		r := newTestKeyring(t, testSecret(1))
 		sealed := r.Seal(want)
-		if err := r.Set(secret(2), secret(1)); err != nil {
+		if err := r.Set(testSecret(2), testSecret(1)); err != nil {
 			t.Fatal(err)
 		}
-		late := ring(t, secret(1), secret(2)) // has the new secret, signs with the former
-		for _, s := range []string{sealed, r.Seal(want), late.Seal(want)} {
-			for _, opener := range []*Keyring{r, late} {
+		lagging := newTestKeyring(t, testSecret(1), testSecret(2)) // has the new secret, signs with the former
+		for _, s := range []string{sealed, r.Seal(want), lagging.Seal(want)} {
+			for _, opener := range []*Keyring{r, lagging} {
 				if got, err := opener.Open(s, want.Purpose); err != nil || got != want {
 					t.Fatalf("got %+v, %v, want %+v", got, err, want)
 				}
@@ -72,24 +72,24 @@
 		if _, err := r.Open(forged, want.Purpose); err == nil {
 			t.Fatalf("a token with byte %d changed was taken", at)
 		}
-		if _, err := ring(t, secret(2)).Open(sealed, want.Purpose); !errors.Is(err, ErrForged) {
+		if _, err := newTestKeyring(t, testSecret(2)).Open(sealed, want.Purpose); !errors.Is(err, ErrForged) {
 			t.Fatalf("signed by a secret that was taken out: %v", err)
 		}
 	})
 }
 
 func FuzzOpen(f *testing.F) {
-	r := ring(f, secret(2), secret(1))
+	r := newTestKeyring(f, testSecret(2), testSecret(1))
 	sealed := r.Seal(Token{Purpose: PurposeKey, VM: "vm-12", Expires: time.Unix(1<<31, 0)})
 	f.Add(sealed)
 	f.Add(sealed[:20] + "\n" + sealed[20:])
 	f.Add(sealed[:len(sealed)-1] + string(sealed[len(sealed)-1]+1))
-	f.Add(ring(f, secret(1)).Seal(Token{Purpose: PurposeKey}))
+	f.Add(newTestKeyring(f, testSecret(1)).Seal(Token{Purpose: PurposeKey}))
 	f.Add("")
 	f.Add(strings.Repeat("A", maxEncodedLen))
 	f.Fuzz(func(t *testing.T, s string) {
 		got, err := r.Open(s, PurposeKey)
-		if err == nil && r.Seal(got) != s && ring(t, secret(1)).Seal(got) != s {
+		if err == nil && r.Seal(got) != s && newTestKeyring(t, testSecret(1)).Seal(got) != s {
 			t.Errorf("%q was taken but is not the spelling that we gave out", s)
 		}
 	})
@@ -121,10 +121,10 @@
 // first 16 to 31 bytes of a secret are good hexadecimal, so the router would
 // sign with half a secret and every other router refuse its tokens.
 func TestHalfWrittenSecretIsRefused(t *testing.T) {
-	whole := "1:" + strings.Repeat("5e", 32) + "\n"
-	for n := 1; n < len(whole); n++ {
-		if _, err := ParseSecrets(whole[:n]); err == nil {
-			t.Errorf("the first %d bytes of %d were taken for the whole file", n, len(whole))
+	content := "1:" + strings.Repeat("5e", 32) + "\n"
+	for n := 1; n < len(content); n++ {
+		if _, err := ParseSecrets(content[:n]); err == nil {
+			t.Errorf("the first %d bytes of %d were taken for the whole file", n, len(content))
 		}
 	}
 }
