--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -86,9 +86,9 @@
 		s := order[0]
 		order = order[1:]
 		_ = s.table.Merge(f.now, r.table.EvidenceFor(f.now, p))
-		ruling := s.table.Decide(f.now, p, permitted)
+		sidecarDecision := s.table.Decide(f.now, p, permitted)
 		_ = r.table.Merge(f.now, s.table.EvidenceFor(f.now, p))
-		switch ruling.Action {
+		switch sidecarDecision.Action {
 		case Allow:
 			if s.down || len(s.suspects) > 0 || s.hasAloneRun() || busy() {
 				continue
@@ -96,7 +96,7 @@
 			s.running = append(s.running, run{RunningRequest: RunningRequest{p, f.now}, router: r})
 			return
 		case Redirect:
-			order = append([]*process{f.sidecarOf(ruling.VM)}, order...)
+			order = append([]*process{f.sidecarOf(sidecarDecision.VM)}, order...)
 		case RunAlone:
 			if s.down && (permitted || !s.table.HasGrant(f.now)) {
 				s.table.Grant(p, f.now.Add(grantTime))
--- a/internal/relay/beat.go
+++ b/internal/relay/beat.go
@@ -26,7 +26,7 @@
 			if p.unansweredSince.IsZero() && now.Sub(p.heartbeatAt) > s.timing.HeartbeatTimeout {
 				p.unansweredSince = now
 			}
-			out = append(out, SendSubscribe{To: p.node, Subscribe: Subscribe{From: s.self, WantHeartbeats: true}})
+			out = append(out, SendSubscribe{To: p.router, Subscribe: Subscribe{From: s.self, WantHeartbeats: true}})
 		}
 		isUsableParent := p == s.parent && s.isFresh(now, p, 0) && !p.heartbeat.StoreFailing
 		if isUsableParent || !p.unansweredSince.IsZero() {
@@ -64,7 +64,7 @@
 	b := s.heartbeat(now)
 	for _, p := range s.sorted {
 		if now.Before(p.subscribedUntil) {
-			out = append(out, SendHeartbeat{To: p.node, Heartbeat: b})
+			out = append(out, SendHeartbeat{To: p.router, Heartbeat: b})
 		}
 	}
 	s.nextHeartbeat = now.Add(s.timing.HeartbeatInterval)
@@ -78,10 +78,10 @@
 // the ages are those of whom it relies on.
 func (s *State) heartbeat(now time.Time) Heartbeat {
 	b := Heartbeat{From: s.self, Progress: s.own, StoreFailing: s.reading && s.storeFailing}
-	source, at := s.own, s.ownSince
+	source, at := s.own, s.ownAsOf
 	if s.parent != nil {
 		b.StoreFailing = s.reading && s.parent.heartbeat.StoreFailing
-		b.Path = append(slices.Clone(s.parent.heartbeat.Path), s.parent.node.Name)
+		b.Path = append(slices.Clone(s.parent.heartbeat.Path), s.parent.router.Name)
 		source, at = s.parent.heartbeat.Progress, s.parent.heartbeatAt
 	}
 	elapsed := now.Sub(at).Milliseconds()
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -36,7 +36,7 @@
 	if ahead > 1 {
 		staggers++
 	}
-	if len(s.sorted) >= maxFlatRouters && ahead > 0 && candidates[0].node.Domain == s.self.Domain {
+	if len(s.sorted) >= maxFlatRouters && ahead > 0 && candidates[0].router.Domain == s.self.Domain {
 		staggers += 2
 	}
 	return time.Duration(staggers) * s.timing.Stagger
@@ -49,7 +49,7 @@
 		return true
 	}
 	for _, k := range s.own {
-		if k.Age < 0 || milliseconds(k.Age)+now.Sub(s.ownSince) > s.timing.MaxAge {
+		if k.Age < 0 || milliseconds(k.Age)+now.Sub(s.ownAsOf) > s.timing.MaxAge {
 			return true
 		}
 	}
@@ -81,7 +81,7 @@
 		s.parent = parent
 		effect := SetParent{}
 		if parent != nil {
-			effect.Parent = parent.node
+			effect.Parent = parent.router
 		}
 		out = append(out, effect)
 	}
@@ -132,11 +132,11 @@
 		if now.Before(p.suspectUntil) {
 			continue
 		}
-		if p.node.Domain == s.self.Domain {
+		if p.router.Domain == s.self.Domain {
 			own = append(own, p)
 		}
-		if !seen[p.node.Domain] {
-			seen[p.node.Domain] = true
+		if !seen[p.router.Domain] {
+			seen[p.router.Domain] = true
 			first = append(first, p)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -161,7 +161,7 @@
 
 // peer is another router and what has been heard of it.
 type peer struct {
-	node            Router
+	router          Router
 	rank            rank
 	heartbeat       Heartbeat
 	heartbeatAt     time.Time // zero: no beat was heard
@@ -187,11 +187,11 @@
 	sorted []*peer
 
 	parent        *peer // whom this router relies on; nil: its own reading
-	isListed      bool  // the register was read
+	registerRead  bool  // the register was read
 	reading       bool  // the store is read by this router now
 	storeFailing  bool  // and does not answer it
 	own           Sets[Progress]
-	ownSince      time.Time // when own was true
+	ownAsOf       time.Time // when own was true
 	nextHeartbeat time.Time
 	nextReport    time.Time
 	published     Sets[config.Summary] // in the last beat
@@ -217,13 +217,13 @@
 	if s.parent == nil {
 		return Router{}, false
 	}
-	return s.parent.node, true
+	return s.parent.router, true
 }
 
 // ListedRouters is how many routers of the region are listed, this one included, whether they
 // answer or not; zero: the register was not read yet.
 func (s *State) ListedRouters() int {
-	if !s.isListed {
+	if !s.registerRead {
 		return 0
 	}
 	return len(s.peers) + 1
@@ -244,7 +244,7 @@
 	s.sorted = slices.DeleteFunc(s.sorted, func(p *peer) bool {
 		expired := p != s.parent && now.Sub(p.lastSeen) > forgetAfter
 		if expired {
-			delete(s.peers, p.node.Name)
+			delete(s.peers, p.router.Name)
 		}
 		return expired
 	})
@@ -265,6 +265,6 @@
 		p.rank = o
 		slices.SortFunc(s.sorted, byRank)
 	}
-	p.node, p.lastSeen = n, now
+	p.router, p.lastSeen = n, now
 	return p
 }
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -25,7 +25,7 @@
 
 func (s *State) progressUpdated(e ProgressUpdated) []Effect {
 	failingChanged := e.StoreFailing != s.storeFailing
-	s.own, s.ownSince, s.storeFailing = e.Progress, e.Now, e.StoreFailing
+	s.own, s.ownAsOf, s.storeFailing = e.Progress, e.Now, e.StoreFailing
 	s.updateUnpulled(e.Now)
 	return s.sendHeartbeats(e.Now, s.hasNews(e.Now) || failingChanged)
 }
@@ -39,7 +39,7 @@
 // registered makes this router known to those that it learns of.
 func (s *State) registered(e Registered) []Effect {
 	var out []Effect
-	s.isListed = true
+	s.registerRead = true
 	for _, n := range e.Routers {
 		if s.peers[n.Name] == nil && s.recordPeer(e.Now, n) != nil {
 			out = append(out, SendSubscribe{To: n, Subscribe: Subscribe{From: s.self}})
@@ -60,7 +60,7 @@
 	isNew := e.Now.After(p.subscribedUntil)
 	p.subscribedUntil = e.Now.Add(3 * s.timing.RenewInterval)
 	if isNew { // the first beat is awaited
-		return []Effect{SendHeartbeat{To: p.node, Heartbeat: s.heartbeat(e.Now)}}
+		return []Effect{SendHeartbeat{To: p.router, Heartbeat: s.heartbeat(e.Now)}}
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 	if p != s.parent {
 		return out
 	}
-	out = append(out, ParentProgress{Parent: p.node, Progress: e.Heartbeat.Progress})
+	out = append(out, ParentProgress{Parent: p.router, Progress: e.Heartbeat.Progress})
 	return append(out, s.sendHeartbeats(e.Now, s.hasNews(e.Now))...)
 }
 
@@ -126,11 +126,11 @@
 	s.nextReport = now.Add(s.timing.ReportInterval)
 	var out []Effect
 	if s.parent != nil {
-		out = append(out, SendReport{To: s.parent.node, Report: Report{From: s.self.Name}})
+		out = append(out, SendReport{To: s.parent.router, Report: Report{From: s.self.Name}})
 	}
 	for _, p := range s.sorted {
 		if now.Before(p.subscribedUntil) {
-			out = append(out, SendReport{To: p.node, Report: Report{From: s.self.Name, IsSummary: true}})
+			out = append(out, SendReport{To: p.router, Report: Report{From: s.self.Name, IsSummary: true}})
 		}
 	}
 	return out
