--- a/internal/relay/beat.go
+++ b/internal/relay/beat.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// subscribe asks the candidates for beats, in order, up to the one that this
-// router may rely on or that has yet to answer. One that does not answer is left
-// alone for a while. A router whose own reading lags asks all.
+// subscribe subscribes to the candidates by rank, up to the first that is a usable
+// parent or has yet to answer. A candidate that does not answer is skipped for
+// SuspectTime. A router whose own reading lags subscribes to all peers.
 func (s *State) subscribe(now time.Time) []Effect {
 	candidates := s.candidates(now)
 	if s.reading && s.isLagging(now) {
@@ -36,8 +36,9 @@
 	return out
 }
 
-// hasNews reports whether its subscribers should hear of what this router knows at
-// once: there is something new, or what they were told has meanwhile grown old.
+// hasNews reports whether subscribers need a heartbeat at once: a summary has changed,
+// or the last confirmation by the store is more than MaxAge later than the published
+// one.
 func (s *State) hasNews(now time.Time) bool {
 	for i, k := range s.heartbeat(now).Progress {
 		if k.Summary != s.published[i] || k.Age >= 0 && confirmedAt(now, k).Sub(s.publishedAt[i]) > s.timing.MaxAge {
@@ -47,7 +48,8 @@
 	return false
 }
 
-// confirmedAt returns when knowledge was known to be the newest; zero: it was not.
+// confirmedAt returns when the store confirmed that k was the newest state; zero if it
+// is not known.
 func confirmedAt(now time.Time, k Progress) time.Time {
 	if k.Age < 0 {
 		return time.Time{}
@@ -55,7 +57,7 @@
 	return now.Add(-milliseconds(k.Age))
 }
 
-// sendHeartbeats sends a beat to each subscriber when one is due or there is news.
+// sendHeartbeats sends a heartbeat to each subscriber, immediately or when one is due.
 func (s *State) sendHeartbeats(now time.Time, immediately bool) []Effect {
 	if !immediately && now.Before(s.nextHeartbeat) {
 		return nil
@@ -74,8 +76,8 @@
 	return out
 }
 
-// heartbeat returns what this router knows at now. Its marks are what it has itself;
-// the ages are those of whom it relies on.
+// heartbeat returns the heartbeat to send at now. Its summaries are those of this
+// router's own state; its ages are the parent's, if there is one.
 func (s *State) heartbeat(now time.Time) Heartbeat {
 	b := Heartbeat{From: s.self, Progress: s.own, StoreFailing: s.reading && s.storeFailing}
 	source, at := s.own, s.ownAsOf
@@ -89,12 +91,14 @@
 		b.Progress[i].Age = addElapsed(source[i].Age, elapsed)
 		b.Progress[i].SinceRecovery = addElapsed(source[i].SinceRecovery, elapsed)
 		if s.parent != nil && !b.Progress[i].Summary.CaughtUp(source[i].Summary) {
-			b.Progress[i].Age = -1 // it has not pulled yet what its parent knows
+			b.Progress[i].Age = -1 // the parent's state is not pulled yet
 		}
 	}
 	return b
 }
 
+// addElapsed adds the elapsed time to an age, both in milliseconds. A negative age
+// means unknown and stays.
 func addElapsed(ms, elapsed int64) int64 {
 	if ms < 0 {
 		return ms
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// isFresh reports whether what p told last may still be relied on, with some patience
-// more than usual.
+// isFresh reports whether this router may follow p according to p's last heartbeat.
+// grace extends each of the time limits.
 func (s *State) isFresh(now time.Time, p *peer, grace time.Duration) bool {
 	since := now.Sub(p.heartbeatAt)
 	if p.heartbeatAt.IsZero() || since > s.timing.HeartbeatTimeout+grace {
 		return false
 	}
 	if !p.unpulledSince.IsZero() && now.Sub(p.unpulledSince) > s.timing.PullTimeout+grace {
-		return false // its messages arrive, and what is pulled from it does not
+		return false // heartbeats arrive, but pulls bring nothing
 	}
 	for _, k := range p.heartbeat.Progress {
 		if k.Age < 0 || milliseconds(k.Age)+since > s.timing.MaxAge+grace {
@@ -23,9 +23,9 @@
 	return true
 }
 
-// gracePeriod returns how much longer than the next in order this router relies on a
-// parent. Those that rely on one of their failure domain wait for that one to find
-// another, and of all others only the first takes the reader's place at once.
+// gracePeriod returns how much longer than the next router in rank this one keeps a
+// parent. Routers that follow one of their own failure domain wait for that one to find
+// another parent, and of all others only the first replaces the reader at once.
 func (s *State) gracePeriod(now time.Time, candidates []*peer) time.Duration {
 	staggers, ahead := 0, 0
 	for _, p := range candidates {
@@ -42,8 +42,8 @@
 	return time.Duration(staggers) * s.timing.Stagger
 }
 
-// isLagging reports whether this router's own reading of the store fails or has brought
-// nothing for too long.
+// isLagging reports whether this router's own reading of the store fails or its state
+// was not confirmed within MaxAge.
 func (s *State) isLagging(now time.Time) bool {
 	if s.storeFailing {
 		return true
@@ -56,11 +56,12 @@
 	return false
 }
 
-// chooseParent settles whom this router relies on, and whether it reads the store: it
-// does unless it relies on one that is to read before it. A reader that the store does
-// not answer is followed by those next in order, and by none whose own reading works.
-// While its own reading lags, as when it alone is cut off from the store, a router
-// relies on any that is fresh, and goes on trying.
+// chooseParent sets the parent, and whether this router reads the store: it does so
+// unless it follows a router that ranks before it. If the store does not answer the
+// reader, the next in rank read too, but a router whose own reading works does not
+// follow the failing reader. While its own reading lags, for instance because this
+// router alone cannot reach the store, it follows any fresh router and keeps trying the
+// store.
 func (s *State) chooseParent(now time.Time) []Effect {
 	candidates := s.candidates(now)
 	parent, reading := s.firstFresh(now, candidates), false
@@ -92,8 +93,8 @@
 	return out
 }
 
-// firstFresh returns the first of candidates that this router may rely on. One that
-// the store does not answer comes after all others.
+// firstFresh returns the first of candidates that this router may follow, or nil. A
+// candidate that gets no answer from the store is used only if there is no other.
 func (s *State) firstFresh(now time.Time, candidates []*peer) *peer {
 	var failing *peer
 	for _, p := range candidates {
@@ -108,7 +109,8 @@
 	return failing
 }
 
-// isImmediateSuccessor reports whether this router is among those that are to read next.
+// isImmediateSuccessor reports whether this router is among the immediateSuccessors of
+// a failing reader.
 func (s *State) isImmediateSuccessor(now time.Time, candidates []*peer) bool {
 	ahead := 0
 	for _, p := range candidates {
@@ -119,9 +121,9 @@
 	return ahead < immediateSuccessors
 }
 
-// candidates returns the routers that are to read before this one, in order. In a
-// large region it is the first of its failure domain that relies on those of
-// others.
+// candidates returns the routers that may read the store in preference to this one, by
+// rank. In a large region, the first router of a failure domain chooses among the first
+// routers of all failure domains, and every other router among those of its own.
 func (s *State) candidates(now time.Time) []*peer {
 	if len(s.sorted) < maxFlatRouters {
 		return s.rankedBefore(s.sorted)
@@ -146,7 +148,7 @@
 	return s.rankedBefore(first)
 }
 
-// rankedBefore returns those of sorted that are to read rankedBefore this router.
+// rankedBefore returns the part of sorted that ranks before this router.
 func (s *State) rankedBefore(sorted []*peer) []*peer {
 	for i, p := range sorted {
 		if s.rank.compare(p.rank) < 0 {
--- a/internal/relay/event.go
+++ b/internal/relay/event.go
@@ -4,43 +4,43 @@
 	"time"
 )
 
-// Event is something that has happened to a State.
+// Event is an input of a State.
 type Event interface {
 	// When returns the time of the event, on the monotonic clock.
 	When() time.Time
 }
 
-// Ticked is the passing of time.
+// Ticked reports the current time. It drives all timeouts and intervals.
 type Ticked struct{ Now time.Time }
 
-// Registered names routers that the store knows.
+// Registered lists the routers that are registered in the store.
 type Registered struct {
 	Now     time.Time
 	Routers []Router
 }
 
-// HeartbeatReceived is a beat of another router.
+// HeartbeatReceived is a heartbeat from another router.
 type HeartbeatReceived struct {
 	Now       time.Time
 	Heartbeat Heartbeat
 }
 
-// SubscribeReceived is a subscription of another router.
+// SubscribeReceived is a subscription from another router.
 type SubscribeReceived struct {
 	Now       time.Time
 	Subscribe Subscribe
 }
 
-// ProgressUpdated is how far this router follows the sets. The ages are those of its own
-// reading of the store.
+// ProgressUpdated reports the progress of this router on each set. The ages come from
+// its own reading of the store.
 type ProgressUpdated struct {
 	Now          time.Time
 	Progress     Sets[Progress]
-	StoreFailing bool // the store does not answer it
+	StoreFailing bool // the store does not answer this router
 }
 
-// Resumed is the end of a time in which the router did not run and its clock may
-// have stood still: ages that were worked out before mean nothing.
+// Resumed marks the end of a suspension of the process, during which its clock may have
+// stopped. Ages computed before it are invalid.
 type Resumed struct{ Now time.Time }
 
 // When implements Event.
@@ -61,10 +61,10 @@
 // When implements Event.
 func (e Resumed) When() time.Time { return e.Now }
 
-// Effect is something that a State wants done.
+// Effect is an action that a State asks its caller to perform.
 type Effect interface{ isRelayEffect() }
 
-// SendHeartbeat sends a beat to a router.
+// SendHeartbeat sends a heartbeat to a router.
 type SendHeartbeat struct {
 	To        Router
 	Heartbeat Heartbeat
@@ -76,20 +76,20 @@
 	Subscribe Subscribe
 }
 
-// SendReport sends a router what this one has heard, or knows, beside the sets.
+// SendReport sends a Report to a router. The caller fills in its payload.
 type SendReport struct {
 	To     Router
 	Report Report
 }
 
-// SwitchStoreReading starts or ends the reading of the store.
+// SwitchStoreReading starts or stops the reading of the store.
 type SwitchStoreReading struct{ On bool }
 
-// SetParent names the router to pull from what a beat shows to be missing; an empty
-// Node: none.
+// SetParent sets the router to pull missing objects from. An empty Router means that
+// there is none.
 type SetParent struct{ Parent Router }
 
-// ParentProgress is what the parent knows.
+// ParentProgress is the progress that the parent has published.
 type ParentProgress struct {
 	Parent   Router
 	Progress Sets[Progress]
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -5,17 +5,19 @@
 	"github.com/pkg/errors"
 )
 
-// MaxMessageBytes bounds a message, in bytes: it travels as one datagram.
+// MaxMessageBytes limits an encoded message, so that it fits into one datagram.
 const MaxMessageBytes = 1400
 
-// message is what travels between routers: exactly one field is set.
+// message is the wire form of a datagram between routers. Exactly one field is set.
 type message struct {
 	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
 	Subscribe *Subscribe `cbor:"2,keyasint,omitempty"`
 	Report    *Report    `cbor:"3,keyasint,omitempty"`
 }
 
-// Encode returns the message of a SendBeat, SendSubscribe or SendShare.
+// Encode returns the datagram for a SendHeartbeat, SendSubscribe or SendReport effect.
+// It returns an error for any other effect and for a message longer than
+// MaxMessageBytes.
 func Encode(e Effect) ([]byte, error) {
 	var m message
 	switch e := e.(type) {
@@ -26,19 +28,20 @@
 	case SendReport:
 		m.Report = &e.Report
 	default:
-		return nil, errors.Errorf("relay: %T is no message", e)
+		return nil, errors.Errorf("relay: %T cannot be encoded as a message", e)
 	}
 	b, err := cbor.Marshal(m)
 	if err == nil && len(b) > MaxMessageBytes {
-		err = errors.Errorf("relay: a message of %d bytes", len(b))
+		err = errors.Errorf("relay: message of %d bytes exceeds the limit of %d", len(b), MaxMessageBytes)
 	}
 	return b, errors.WithStack(err)
 }
 
-// ErrMalformed is a datagram that makes no sense.
+// ErrMalformed is returned for a datagram that is not a valid message.
 var ErrMalformed = errors.New("relay: malformed message")
 
-// Decode reads a message: a *Beat, a *Subscribe or a *Share.
+// Decode parses a datagram and returns a *Heartbeat, a *Subscribe or a *Report. Its
+// error wraps ErrMalformed.
 func Decode(b []byte) (any, error) {
 	var m message
 	if err := cbor.Unmarshal(b, &m); err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,14 +1,15 @@
-// Package relay lets few routers read the platform's store for many. The routers
-// of a region agree without a vote on who reads: the first of a fixed order that
-// is alive. The others subscribe to it, directly or through one of their failure
-// domain, and hear in small messages how far the reader is and how old that
-// knowledge is. Who hears nothing fresh reads the store itself, so that being
-// wrong about who is alive costs calls and never time.
+// Package relay lets a few routers read the platform's store on behalf of many. The
+// routers of a region choose the reader without an election: it is the first live
+// router in a fixed ranking. The others subscribe to it, directly or through one router
+// of their failure domain, and receive small heartbeats that say how far the reader has
+// followed the store and how old that state is. A router that receives nothing fresh
+// reads the store itself, so a wrong view of which routers are alive costs extra store
+// calls but never delays configuration.
 //
-// State is the reducer of one router. It is pure: the role that runs it sends its
-// messages, reads the store when told to, and pulls what it lacks from the parent
-// that it is told of. What it may assume of a message: a fresh one comes from a
-// router whose knowledge was true at most Age before it was sent.
+// State is the reducer of one router. It is pure: its caller sends the messages, reads
+// the store when told to, and pulls missing objects from the parent that State chooses.
+// State may assume of a fresh message that the sender's state was confirmed by the
+// store at most Age before the message was sent.
 package relay
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Set names one of the sets of objects that routers follow.
+// Set identifies one of the sets of objects that routers follow.
 type Set uint8
 
 // The sets.
@@ -32,97 +33,106 @@
 	setCount
 )
 
-// Sets is something for each of the sets.
+// Sets holds one value for each Set.
 type Sets[T any] [setCount]T
 
-// Router is a router as others know it.
+// Router identifies a router to other routers.
 type Router struct {
 	Name   string `cbor:"1,keyasint" json:"name"`
-	Addr   string `cbor:"2,keyasint" json:"addr"` // of its messages and calls, host:port
+	Addr   string `cbor:"2,keyasint" json:"addr"` // for messages and calls, host:port
 	Domain string `cbor:"3,keyasint" json:"domain"`
 	// Capacity is a rough measure of the router's processor and link. The strongest
-	// read the store: a large configuration costs the reader as much as hundreds of
-	// requests, and goes over its link once for each that pulls it.
+	// routers read the store: reading a large configuration costs as much as hundreds
+	// of requests, and the reader sends it over its link once for each router that
+	// pulls it.
 	Capacity int `cbor:"4,keyasint" json:"capacity"`
 }
 
-// Progress is how far a router follows one set.
+// Progress is how far a router has followed one set.
 type Progress struct {
 	Summary config.Summary `cbor:"1,keyasint"`
-	// Age is how long ago the store confirmed that nothing newer existed, in
-	// milliseconds; negative: not known.
+	// Age is the time since the store confirmed that nothing newer existed, in
+	// milliseconds. Negative: unknown.
 	Age int64 `cbor:"2,keyasint"`
-	// SinceRecovery is how long ago the store answered again after an outage, in
-	// milliseconds; negative: there was none lately.
+	// SinceRecovery is the time since the store answered again after an outage, in
+	// milliseconds. Negative: no recent outage.
 	SinceRecovery int64 `cbor:"3,keyasint"`
 }
 
-// Heartbeat is what a router tells its subscribers.
+// Heartbeat is the message that a router sends to its subscribers.
 type Heartbeat struct {
 	From Router `cbor:"1,keyasint"`
-	// Path names the routers that the ages have come through since they were read
-	// from the store, the one that read them first; empty: the sender itself. Without
-	// it routers that lost the store would rely on each other in a circle, until what
-	// one of them knew before has grown too old.
+	// Path lists the routers that the ages have passed through since they were read
+	// from the store, starting with the router that read them. It is empty if the
+	// sender read them itself. Without Path, routers that have lost the store would
+	// follow each other in a cycle until the state known to one of them exceeds MaxAge.
 	Path []string `cbor:"4,keyasint,omitempty"`
-	// StoreFailing tells that the store does not answer the sender, which is to read it, and
-	// nobody else does in its place: what it knows only grows older. Those who only
-	// pass that on do not say so, or a whole region would read at once.
+	// StoreFailing is set by a sender that is to read the store and gets no answer from
+	// it, while no other router reads in its place, so its state only ages. Routers
+	// that merely relay that state don't set it; otherwise the whole region would start
+	// to read at once.
 	StoreFailing bool           `cbor:"5,keyasint,omitempty"`
 	Progress     Sets[Progress] `cbor:"2,keyasint"`
 }
 
-// Subscribe asks a router for its beats. One without Wanted only makes its sender
-// known.
+// Subscribe requests heartbeats from a router. Without WantHeartbeats it only announces
+// its sender.
 type Subscribe struct {
 	From           Router `cbor:"1,keyasint"`
 	WantHeartbeats bool   `cbor:"2,keyasint"`
 }
 
-// Report tells what the sender has heard beside the sets, to the router that it relies
-// on, or what it knows, to its subscribers. A State does not look at it.
+// Report carries data other than the sets. A subscriber sends what it has observed to
+// its parent; a parent sends its summary to its subscribers. State does not inspect the
+// payload.
 type Report struct {
 	From    string `cbor:"1,keyasint"`
 	Payload []byte `cbor:"2,keyasint"`
-	// IsSummary tells that the sender is relied on.
+	// IsSummary is set on a report from a parent to a subscriber.
 	IsSummary bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Timing is the times of a State.
+// Timing holds the intervals and timeouts of a State.
 type Timing struct {
-	// HeartbeatInterval is how often subscribers hear of what has not changed.
+	// HeartbeatInterval is the interval of heartbeats to subscribers while nothing
+	// changes.
 	HeartbeatInterval time.Duration
-	// ReportInterval is how often routers tell each other what they know beside the sets.
+	// ReportInterval is the interval at which routers send each other Reports.
 	ReportInterval time.Duration
-	// HeartbeatTimeout is after how long without a beat a parent counts as gone.
+	// HeartbeatTimeout is the time without a heartbeat after which a parent counts as
+	// lost.
 	HeartbeatTimeout time.Duration
-	// PullTimeout is for how long a parent may know what this router has not pulled from it.
+	// PullTimeout is how long a parent may be ahead of this router before it is given
+	// up because pulls from it bring nothing.
 	PullTimeout time.Duration
-	// MaxAge is how old knowledge may be of which a router relies on a parent.
+	// MaxAge is the greatest age of a parent's state at which this router still follows
+	// it.
 	MaxAge time.Duration
-	// Stagger is added to Fresh and Silence for those that are not the next to read,
-	// once, twice or three times. Without it all would give up a reader at the same
-	// moment, and each would list the whole store.
+	// Stagger is added once, twice or three times to MaxAge, HeartbeatTimeout and
+	// PullTimeout on routers that are not the next to read. Without it all routers
+	// would give up a reader at the same moment, and each would list the whole store.
 	Stagger time.Duration
-	// RenewInterval is how often a subscription is renewed. It lasts three times as long.
+	// RenewInterval is how often a subscription is renewed. A subscription lasts three
+	// times as long.
 	RenewInterval time.Duration
 	// SuspectTime is how long a router that did not answer is not tried again.
 	SuspectTime time.Duration
 }
 
-// maxReportInterval is how often routers tell each other what they know beside the sets. It goes
-// over four hops in a region of several failure domains, and loads change within a second
-// or two: at a hop each half second they were known so late that routers believed in three
-// times the mean of what ran, five seconds after a surge.
+// maxReportInterval limits the interval of Reports. In a region with several failure
+// domains, a report takes four hops, and loads change within one or two seconds. With
+// half a second at each hop, load reports arrived so late that routers assumed three
+// times the mean running load five seconds after a surge.
 const maxReportInterval = 90 * time.Millisecond
 
-// TimingFor returns the Timing that keeps what the store has accepted within
-// bound of being in force. A parent that falls silent is noticed after a third of
-// it, and one whose knowledge grows old after nearly three quarters; reading the
-// store then takes some hundredths of a second. If the next parent cannot be pulled
-// from, a fifth is left to find that out: a pull takes milliseconds, and a tenth of a
-// second where a small machine takes in a thousand routes. A reader hears of the store at
-// least every half of the bound and passes that on an eighth of it later.
+// TimingFor returns the Timing with which a change accepted by the store is in force
+// within bound. A parent that stops sending heartbeats is detected after a third of the
+// bound, and a parent whose state grows old after nearly three quarters; reading the
+// store then takes some hundredths of a second. If pulls from the next parent fail, a
+// fifth of the bound is left to detect that: a pull takes milliseconds, and a tenth of
+// a second on a small VM that applies a thousand routes. A reader gets an answer from
+// the store at least every half of the bound and passes it on an eighth of the bound
+// later.
 func TimingFor(bound time.Duration) Timing {
 	return Timing{
 		HeartbeatInterval: bound / 8,
@@ -136,13 +146,14 @@
 	}
 }
 
-// maxFlatRouters is up to how many routers of a region subscribe to its reader
-// directly. Beyond it those of a failure domain share one subscription, so that no
-// router sends to more than the others of its failure domain and the first of each.
+// maxFlatRouters is the greatest number of routers in a region that all subscribe to
+// the reader directly. In a larger region the routers of a failure domain share one
+// subscription, so that a router sends to no more than the other routers of its failure
+// domain and the first of each failure domain.
 const maxFlatRouters = 33
 
-// rank ranks routers for who reads, the lowest first: by capacity, and then by a
-// hash of their names. All routers agree on it.
+// rank orders routers by who reads the store, the lowest first: by capacity, then by a
+// hash of the name. All routers compute the same order.
 type rank struct {
 	capacity int
 	hash     uint64
@@ -153,52 +164,53 @@
 	return rank{capacity: n.Capacity, hash: xxh3.HashString(n.Name), name: n.Name}
 }
 
-// compare returns a negative number if a router of order o is to read before one
-// of order p.
+// compare returns a negative number if a router of rank r reads the store in preference
+// to one of rank other.
 func (r rank) compare(other rank) int {
 	return cmp.Or(cmp.Compare(other.capacity, r.capacity), cmp.Compare(r.hash, other.hash), cmp.Compare(r.name, other.name))
 }
 
-// peer is another router and what has been heard of it.
+// peer is another router and its last known state.
 type peer struct {
 	router          Router
 	rank            rank
 	heartbeat       Heartbeat
-	heartbeatAt     time.Time // zero: no beat was heard
-	lastSeen        time.Time // when anything was heard of it
-	subscribedAt    time.Time // when a subscription was sent last
-	unansweredSince time.Time // since when one has brought no beat; zero: none is open
-	unpulledSince   time.Time // since when it knows what this router could not pull; zero: it does not
-	suspectUntil    time.Time // until when it is not tried
-	subscribedUntil time.Time // until when it is subscribed to this router
+	heartbeatAt     time.Time // zero: no heartbeat was received
+	lastSeen        time.Time // when it last sent a message or was first listed
+	subscribedAt    time.Time // when the last subscription was sent to it
+	unansweredSince time.Time // time of the oldest subscription without a heartbeat; zero: none
+	unpulledSince   time.Time // since when it is ahead of this router; zero: it is not
+	suspectUntil    time.Time // it is not tried until then
+	subscribedUntil time.Time // its subscription to this router ends then
 }
 
-// byRank sorts peers by who is to read first.
+// byRank compares peers by rank.
 func byRank(a, b *peer) int {
 	return a.rank.compare(b.rank)
 }
 
-// State is what one router knows of the others.
+// State is one router's view of the other routers of its region.
 type State struct {
 	self   Router
 	rank   rank
 	timing Timing
 	peers  map[string]*peer // of the router's region, by name
-	sorted []*peer
+	sorted []*peer          // all peers, by rank
 
-	parent        *peer // whom this router relies on; nil: its own reading
-	registerRead  bool  // the register was read
-	reading       bool  // the store is read by this router now
-	storeFailing  bool  // and does not answer it
+	parent        *peer // the router that this one follows; nil: it relies on its own reading
+	registerRead  bool  // the register of routers was read
+	reading       bool  // this router reads the store
+	storeFailing  bool  // the store does not answer this router
 	own           Sets[Progress]
-	ownAsOf       time.Time // when own was true
+	ownAsOf       time.Time // when own was current
 	nextHeartbeat time.Time
 	nextReport    time.Time
-	published     Sets[config.Summary] // in the last beat
-	publishedAt   Sets[time.Time]      // when that was known to be the newest; zero: it was not
+	published     Sets[config.Summary] // in the last heartbeat
+	publishedAt   Sets[time.Time]      // when published was confirmed to be the newest; zero: never
 }
 
-// New returns the State of a router that knows of no other. It reads the store.
+// New returns the State of a router that knows no other routers. It starts by reading
+// the store.
 func New(self Router, t Timing) *State {
 	s := &State{self: self, rank: rankOf(self), timing: t, peers: make(map[string]*peer), reading: true}
 	for i := range s.own {
@@ -212,7 +224,7 @@
 	return s.reading
 }
 
-// Parent returns the router that this one relies on, if it does.
+// Parent returns the router that this one follows. It returns false if there is none.
 func (s *State) Parent() (Router, bool) {
 	if s.parent == nil {
 		return Router{}, false
@@ -220,8 +232,8 @@
 	return s.parent.router, true
 }
 
-// ListedRouters is how many routers of the region are listed, this one included, whether they
-// answer or not; zero: the register was not read yet.
+// ListedRouters returns the number of registered routers in the region, including this
+// one, whether they answer or not. It returns zero until the register has been read.
 func (s *State) ListedRouters() int {
 	if !s.registerRead {
 		return 0
@@ -229,17 +241,18 @@
 	return len(s.peers) + 1
 }
 
-// immediateSuccessors is how many routers, those next in order, take the place of a reader as soon
-// as it says that the store does not answer it. If the store answers nobody, few have
-// tried in vain; the others wait until what they know has grown old. Of nodes that a
-// store refuses by thirds, all of three are among them once in 27 times.
+// immediateSuccessors is how many routers, the next in rank, take over as soon as a
+// reader says that the store does not answer it. If the store answers no router, only
+// these few have tried in vain; the others wait until their state has grown old. If the
+// store refuses a third of the routers, the reader and both successors are all refused
+// once in 27 times.
 const immediateSuccessors = 2
 
-// forgetAfter is after how long without a word a router is forgotten. They come
-// and go by the hundred in a day.
+// forgetAfter is the time since a router was last seen after which it is removed.
+// Hundreds of routers come and go in a day.
 const forgetAfter = 10 * time.Minute
 
-// forget drops the routers that have not been heard of for long.
+// forget removes peers that were not seen for forgetAfter, except the parent.
 func (s *State) forget(now time.Time) {
 	s.sorted = slices.DeleteFunc(s.sorted, func(p *peer) bool {
 		expired := p != s.parent && now.Sub(p.lastSeen) > forgetAfter
@@ -250,7 +263,8 @@
 	})
 }
 
-// recordPeer takes in that a router exists.
+// recordPeer adds or updates the peer for n and marks it as seen. It returns nil for
+// this router itself and for routers of other regions.
 func (s *State) recordPeer(now time.Time, n Router) *peer {
 	if n.Name == s.self.Name || topo.Region(n.Domain) != topo.Region(s.self.Domain) {
 		return nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -26,45 +26,46 @@
 	tickInterval = 20 * time.Millisecond
 	// hopDelay is how long a message or a pull takes.
 	hopDelay = tickInterval
-	// watchTimeout is how long a watchTimeout of the store waits; it answers at once on news.
+	// watchTimeout is how long the store holds a watch without news. With news it
+	// answers at once.
 	watchTimeout = time.Second
 	// refusedRetryDelay is the pause after a refused call.
 	refusedRetryDelay = 250 * time.Millisecond
-	// storeTimeout is how long a call of a store that does not answer takes.
+	// storeTimeout is when a call fails that the store does not answer.
 	storeTimeout = 1300 * time.Millisecond
 )
 
-// simulation is routers that play by their States, a store, and what lies between.
+// simulation runs the States of several routers, a store, and the network between them.
 type simulation struct {
 	now               time.Time
 	version           topo.Version
-	written           []time.Time // when each version was accepted, by version
+	written           []time.Time // when the store accepted each version, by version
 	routers           []*testRouter
 	cutLinks          map[[2]string]bool
 	inFlight          []delivery
 	isLost            func() bool
-	roleChanges       int            // how often a router began or ceased to read the store
-	reportsSent       map[string]int // how often each router has shared what it heard; nil: not counted
-	summariesReceived map[string]int // what routers that are relied on know, by who is told
+	roleChanges       int            // how often a router started or stopped reading the store
+	reportsSent       map[string]int // reports to the parent by sender; nil: not counted
+	summariesReceived map[string]int // summaries sent to subscribers, by receiver
 }
 
-// testRouter is a router in the world.
+// testRouter is a simulated router.
 type testRouter struct {
 	state   *State
 	router  Router
-	version topo.Version // that it knows, of both sets
+	version topo.Version // its version of both sets
 	parent  Router
 	reading bool
 
 	frozen           bool
-	pullsFail        bool      // nobody can pull from it
-	storeUnreachable bool      // it cannot reach the store
-	storeRefuses     bool      // the store answers it at once that it will not serve it
-	failures         int       // of calls in a row
-	storeAnsweredAt  time.Time // when the store answered it last
-	callDeadline     time.Time // when its present call of the store ends in a timeout; zero: none
+	pullsFail        bool      // pulls from it fail
+	storeUnreachable bool      // its calls of the store time out
+	storeRefuses     bool      // the store refuses its calls at once
+	failures         int       // consecutive failed calls
+	storeAnsweredAt  time.Time // when the store last answered
+	callDeadline     time.Time // when the current call of the store times out; zero: no call
 	callCount        int
-	lastFault        time.Time // when anything befell it last
+	lastFault        time.Time // when a fault last began or ended
 	watchVersion     topo.Version
 	callStarted      time.Time
 }
@@ -123,7 +124,7 @@
 		case SwitchStoreReading:
 			n.reading = e.On
 			s.roleChanges++
-			n.watchVersion = 0 // a listing, then watches
+			n.watchVersion = 0 // it lists the store, then watches it
 		case SetParent:
 			n.parent = e.Parent
 		case ParentProgress:
@@ -146,7 +147,8 @@
 	return [2]string{a, b}
 }
 
-// pull takes over what the parent has, unless the way is cut.
+// pull copies the parent's version, unless the link is cut or pulls from the parent
+// fail.
 func (s *simulation) pull(n *testRouter, e ParentProgress) {
 	p := s.find(e.Parent.Name)
 	if p.frozen || p.pullsFail || s.cutLinks[linkKey(n.router.Name, p.router.Name)] {
@@ -167,7 +169,7 @@
 	s.apply(n, n.state.Step(ProgressUpdated{Now: s.now, Progress: Sets[Progress]{k, k}, StoreFailing: failing}))
 }
 
-// callStore plays a router's calls of the store.
+// callStore simulates a router's calls of the store.
 func (s *simulation) callStore(n *testRouter) {
 	if !n.reading {
 		n.callDeadline, n.failures = time.Time{}, 0
@@ -190,7 +192,7 @@
 	}
 }
 
-// advance lets the world go on for a step.
+// advance runs the simulation for one tickInterval.
 func (s *simulation) advance() {
 	s.now = s.now.Add(tickInterval)
 	due := s.inFlight
@@ -198,7 +200,7 @@
 	for _, d := range due {
 		n := s.find(d.to)
 		if s.now.Before(d.at) || n.frozen {
-			s.inFlight = append(s.inFlight, d) // a frozen router reads it when it wakes
+			s.inFlight = append(s.inFlight, d) // a frozen router receives it when it resumes
 			continue
 		}
 		s.apply(n, n.state.Step(d.e(s.now)))
@@ -213,8 +215,9 @@
 	}
 }
 
-// staleRouter returns a router that is in touch and does not know what the store
-// accepted bound ago.
+// staleRouter returns a router that is running and reaches the store, had no fault for
+// minQuiet, and has not applied a version accepted more than bound ago. It returns nil
+// if there is none.
 func (s *simulation) staleRouter(minQuiet time.Duration) *testRouter {
 	for _, n := range s.routers {
 		if n.frozen || n.storeUnreachable || n.storeRefuses || s.now.Sub(n.lastFault) < minQuiet {
@@ -248,9 +251,9 @@
 	return n
 }
 
-// On a calm day one router reads the store for all, and what is written is known
-// everywhere at once. Were each to read it, calls would grow with the fleet and
-// soon pass what the store serves.
+// Without faults, one router reads the store for all, and a write reaches every router
+// at once. If each router read the store, calls would grow with the fleet and soon
+// exceed the store's capacity.
 func TestOneRouterReadsTheStore(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 28, 100} {
 		s := newSimulation(size, 4)
@@ -262,29 +265,29 @@
 		s.run(10 * hopDelay)
 		for _, n := range s.routers {
 			if n.version != s.version {
-				t.Errorf("%s of %d routers does not know after %v", n.router.Name, size, 10*hopDelay)
+				t.Errorf("%s of %d routers lacks the new version after %v", n.router.Name, size, 10*hopDelay)
 			}
 		}
 	}
 }
 
-// Routers freeze and wake, lose their way to the store or to each other, and
-// messages are lost, several at a time. A router that is in touch itself must
-// know what the store has accepted within the bound, whoever it relied on: else
-// its callers are served by routes and keys that were taken away.
+// Routers freeze and resume, lose the store or each other, and messages are lost, with
+// several faults at a time. A router that is running and reaches the store must apply
+// within the bound what the store has accepted, whichever router it follows. Otherwise
+// its callers are served with routes and keys that were removed.
 func TestConnectedRoutersStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.IntRange(1, 7).Draw(t, "routers"), rapid.IntRange(1, 3).Draw(t, "domains"))
 		lossPercent := rapid.IntRange(0, 10).Draw(t, "loss")
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "luck"), 0))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		s.isLost = func() bool { return rng.IntN(100) < lossPercent }
 		s.run(3 * time.Second)
-		for range rapid.IntRange(1, 12).Draw(t, "troubles") {
+		for range rapid.IntRange(1, 12).Draw(t, "faults") {
 			s.injectFault(t)
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
 				s.advance()
 				if n := s.staleRouter(3 * time.Second); n != nil {
-					t.Fatalf("%s knows version %d, %d was written %v ago (reads: %v, relies on %q)",
+					t.Fatalf("%s has version %d, %d was written %v ago (reads: %v, parent %q)",
 						n.router.Name, n.version, n.version+1, s.now.Sub(s.written[n.version+1]), n.reading, n.parent.Name)
 				}
 			}
@@ -292,10 +295,10 @@
 	})
 }
 
-// injectFault lets something befall the world, or end.
+// injectFault starts or ends a random fault, or writes a new version.
 func (s *simulation) injectFault(t *rapid.T) {
-	n := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "who")]
-	switch rapid.IntRange(0, 6).Draw(t, "trouble") {
+	n := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "router")]
+	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0:
 		n.frozen, n.lastFault = !n.frozen, s.now
 	case 1:
@@ -304,7 +307,7 @@
 		other := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "other")]
 		p := linkKey(n.router.Name, other.router.Name)
 		s.cutLinks[p] = !s.cutLinks[p]
-	case 3: // calls get nowhere, messages do
+	case 3: // pulls fail, messages arrive
 		n.pullsFail = !n.pullsFail
 	case 4:
 		n.storeRefuses, n.lastFault = !n.storeRefuses, s.now
@@ -313,9 +316,9 @@
 	}
 }
 
-// What routers have heard of loads goes up to the one that they rely on at its own pace,
-// and what that one knows comes down to each at the same. A router that reads the store
-// itself has nobody to tell.
+// Routers report observed loads to their parent once per ReportInterval, and the parent
+// sends its summary to each subscriber at the same interval. A router that reads the
+// store itself has no parent to report to.
 func TestReportsAreSentAtTheirInterval(t *testing.T) {
 	s := newSimulation(5, 1)
 	s.run(5 * time.Second)
@@ -324,29 +327,30 @@
 	s.run(intervals * TimingFor(bound).ReportInterval)
 	for _, n := range s.routers {
 		if got := s.reportsSent[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
-			t.Errorf("%s shares %d times in %d turns (reads: %v)", n.router.Name, got, intervals, n.reading)
+			t.Errorf("%s sent %d reports in %d intervals (reads: %v)", n.router.Name, got, intervals, n.reading)
 		}
 		if got := s.summariesReceived[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
-			t.Errorf("%s is told %d times in %d turns (reads: %v)", n.router.Name, got, intervals, n.reading)
+			t.Errorf("%s received %d summaries in %d intervals (reads: %v)", n.router.Name, got, intervals, n.reading)
 		}
 	}
 }
 
-// Operators want configuration in force within seven seconds, so that a beat a second is
-// enough for it. Loads are old by then: a load goes from a router to the reader and from
-// there to all within a second, over the four hops of a region with domains.
+// With a bound of seven seconds for configuration, a heartbeat every second would be
+// enough, but loads would be outdated at that interval. Whatever the bound, a load must
+// get from a router to the reader and from there to all others within a second, over
+// the four hops of a region with failure domains.
 func TestLoadsArriveWithinASecondForAnyBound(t *testing.T) {
 	const hops = 4
 	for _, bound := range []time.Duration{time.Second, 4 * time.Second, 7 * time.Second} {
 		if worst := hops * TimingFor(bound).ReportInterval; worst > time.Second {
-			t.Errorf("a bound of %v: a load is %v on its way", bound, worst)
+			t.Errorf("bound %v: a load report takes %v", bound, worst)
 		}
 	}
 }
 
-// The reader loses the store while it reaches the others. Another one reads for
-// all, the former reader relies on it, and neither relies on itself through the
-// other.
+// The reader loses the store but still reaches the other routers. Another router must
+// start to read for all, and the former reader must follow it. Neither may follow
+// itself through the other.
 func TestReaderThatLosesTheStoreIsReplaced(t *testing.T) {
 	s := newSimulation(5, 1)
 	s.run(5 * time.Second)
@@ -357,29 +361,28 @@
 	s.run(time.Second)
 	for _, n := range s.routers {
 		if n.version != s.version {
-			t.Errorf("%s does not know", n.router.Name)
+			t.Errorf("%s lacks the new version", n.router.Name)
 		}
 	}
 	if n := s.readers(); n != 2 {
-		t.Errorf("%d routers read the store: the new reader, and the former that goes on trying, make two", n)
+		t.Errorf("%d routers read the store, want 2: the new reader and the former one, which keeps trying", n)
 	}
 	changes := s.roleChanges
 	s.run(10 * time.Second)
 	if s.roleChanges != changes {
-		t.Errorf("routers began or ceased to read %d times while nothing changed", s.roleChanges-changes)
+		t.Errorf("%d role changes while nothing changed", s.roleChanges-changes)
 	}
 	reader.storeUnreachable = false
 	s.run(10 * time.Second)
 	if n := s.readers(); n != 1 {
-		t.Errorf("%d routers read the store after it is back", n)
+		t.Errorf("%d routers read the store after it has recovered", n)
 	}
 }
 
-// The store turns a third of the routers away, the one that reads for all among them,
-// and a runner says at that moment that it leaves. Its requests go on until the
-// routers know. Those that are turned away learn it from others: nobody waits until
-// what the reader knew has grown too old, and nobody relies in a circle on those who
-// rely on it.
+// The store refuses a third of the routers, including the reader, and at that moment an
+// upstream announces that it is leaving. Requests still go to it until the routers
+// learn of it. Refused routers must learn it from others without waiting until the
+// reader's state has grown too old, and no router may follow one that follows it.
 func TestReaderRefusedByTheStoreIsReplaced(t *testing.T) {
 	const soon = bound / 2
 	for _, size := range []int{3, 5, 21, 28, 100} {
@@ -392,7 +395,7 @@
 				n.storeRefuses = n.reading || rng.IntN(3) == 0
 			}
 			if !slices.ContainsFunc(s.routers, func(n *testRouter) bool { return !n.storeRefuses }) {
-				continue // the store answers nobody
+				continue // the store answers no router
 			}
 			s.run(5 * hopDelay)
 			s.write()
@@ -405,23 +408,23 @@
 				}
 			}
 			if upToDateCount := s.upToDate(); upToDateCount < size {
-				t.Errorf("seed %d: %d of %d routers know after %v", seed, upToDateCount, size, bound)
+				t.Errorf("seed %d: %d of %d routers are up to date after %v", seed, upToDateCount, size, bound)
 			}
 			if upToDateSoon < size*9/10 {
-				t.Errorf("seed %d: %d of %d routers know after %v", seed, upToDateSoon, size, soon)
+				t.Errorf("seed %d: %d of %d routers are up to date after %v", seed, upToDateSoon, size, soon)
 			}
 			maxChanges = max(maxChanges, s.roleChanges-changesBefore)
 			if maxChanges > 24 {
-				t.Errorf("seed %d: %d routers began or ceased to read %d times", seed, size, maxChanges)
+				t.Errorf("seed %d: %d routers had %d role changes", seed, size, maxChanges)
 			}
 		}
 	}
 }
 
-// The reader freezes for a moment, has lost its way to the store when it wakes, and
-// nobody can pull from it, while its messages arrive. A router that relies on it waits
-// until what it knew is too old, and then again until it is clear that nothing can be
-// pulled: both together must fit into the bound.
+// The reader freezes for a moment and has lost the store when it resumes. Its messages
+// still arrive, but pulls from it fail. A subscriber first waits until the reader's
+// state is too old, and then again until the failure of pulls is detected. Both delays
+// together must fit into the bound.
 func TestStaleReaderThatCannotBePulledFrom(t *testing.T) {
 	s := newSimulation(4, 1)
 	s.run(3040 * time.Millisecond)
@@ -438,12 +441,12 @@
 	for range 2 * bound / tickInterval {
 		s.advance()
 		if n := s.staleRouter(3 * time.Second); n != nil {
-			t.Fatalf("%s does not know what was written %v ago", n.router.Name, s.now.Sub(s.written[n.version+1]))
+			t.Fatalf("%s lacks a version written %v ago", n.router.Name, s.now.Sub(s.written[n.version+1]))
 		}
 	}
 }
 
-// upToDate counts the routers that know what was written last.
+// upToDate counts the routers that have the version written last.
 func (s *simulation) upToDate() int {
 	n := 0
 	for _, router := range s.routers {
@@ -454,9 +457,9 @@
 	return n
 }
 
-// The reader freezes just after it has told the others that all is well. A key is
-// taken away at that moment; the others notice the silence long before what they
-// know has grown too old.
+// The reader freezes just after a heartbeat, and a key is revoked at that moment. The
+// other routers must detect the missing heartbeats long before their state has grown
+// too old.
 func TestFrozenReaderIsDetectedByHeartbeatTimeout(t *testing.T) {
 	for phase := range 10 {
 		s := newSimulation(5, 1)
@@ -467,14 +470,14 @@
 		s.run(TimingFor(bound).HeartbeatTimeout + 5*hopDelay)
 		for _, n := range s.routers {
 			if n != reader && n.version != s.version {
-				t.Fatalf("%s does not know after %v", n.router.Name, TimingFor(bound).HeartbeatTimeout+5*hopDelay)
+				t.Fatalf("%s lacks the new version after %v", n.router.Name, TimingFor(bound).HeartbeatTimeout+5*hopDelay)
 			}
 		}
 	}
 }
 
-// A thousand routers in twelve failure domains: none sends to more than those of
-// its own domain and the first of each.
+// In a large region with twelve failure domains, a router may send heartbeats to no
+// more than the routers of its own failure domain and the first router of each.
 func TestFanOutIsBounded(t *testing.T) {
 	const size, domains = 240, 12
 	s := newSimulation(size, domains)
@@ -495,27 +498,27 @@
 	return count
 }
 
-// The router that reads the store for a large region is lost, or loses the store.
-// Were all others to notice at the same moment, each would list the whole store.
-// Few do, and everybody knows what is written meanwhile.
+// The reader of a large region freezes or loses the store. If all other routers
+// detected this at the same moment, each would list the whole store. Only a few may do
+// so, and every router must still receive what is written meanwhile.
 func TestLossOfTheReaderCausesFewRoleChanges(t *testing.T) {
 	for _, size := range []int{5, 20, 28, 100} {
-		for _, fault := range []string{"frozen", "blind"} {
+		for _, fault := range []string{"frozen", "without the store"} {
 			s := newSimulation(size, 4)
 			s.run(5 * time.Second)
 			reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
-			reader.frozen, reader.storeUnreachable = fault == "frozen", fault == "blind"
+			reader.frozen, reader.storeUnreachable = fault == "frozen", fault == "without the store"
 			changesBefore := s.roleChanges
 			s.write()
 			s.run(bound)
 			for _, n := range s.routers {
 				if n != reader && n.version != s.version {
-					t.Errorf("%d routers, reader %s: %s does not know after %v", size, fault, n.router.Name, bound)
+					t.Errorf("%d routers, reader %s: %s lacks the new version after %v", size, fault, n.router.Name, bound)
 				}
 			}
 			s.run(3 * bound)
 			if changes := s.roleChanges - changesBefore; changes > 10 {
-				t.Errorf("%d routers, reader %s: routers began or ceased to read %d times", size, fault, changes)
+				t.Errorf("%d routers, reader %s: %d role changes", size, fault, changes)
 			}
 		}
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Step applies an event.
+// Step applies an event and returns the effects to perform.
 func (s *State) Step(event Event) []Effect {
 	switch e := event.(type) {
 	case Ticked:
@@ -30,13 +30,12 @@
 	return s.sendHeartbeats(e.Now, s.hasNews(e.Now) || failingChanged)
 }
 
-// HasParent reports whether this router relies on another one, whose knowledge is
-// fresh.
+// HasParent reports whether this router follows another one, whose state is fresh.
 func (s *State) HasParent() bool {
 	return s.parent != nil
 }
 
-// registered makes this router known to those that it learns of.
+// registered announces this router to the routers that are new to it.
 func (s *State) registered(e Registered) []Effect {
 	var out []Effect
 	s.registerRead = true
@@ -59,7 +58,7 @@
 	}
 	isNew := e.Now.After(p.subscribedUntil)
 	p.subscribedUntil = e.Now.Add(3 * s.timing.RenewInterval)
-	if isNew { // the first beat is awaited
+	if isNew { // a new subscriber gets its first heartbeat at once
 		return []Effect{SendHeartbeat{To: p.router, Heartbeat: s.heartbeat(e.Now)}}
 	}
 	return nil
@@ -81,7 +80,7 @@
 	return append(out, s.sendHeartbeats(e.Now, s.hasNews(e.Now))...)
 }
 
-// updateUnpulled notes since when the parent knows more than this router has pulled.
+// updateUnpulled records since when the parent is ahead of what this router has pulled.
 func (s *State) updateUnpulled(now time.Time) {
 	p := s.parent
 	if p == nil {
@@ -99,7 +98,7 @@
 	p.unpulledSince = time.Time{}
 }
 
-// resumed forgets how old anything is.
+// resumed discards all known ages.
 func (s *State) resumed(now time.Time) []Effect {
 	for _, p := range s.peers {
 		p.heartbeatAt = time.Time{}
@@ -118,7 +117,8 @@
 	return append(out, s.sendHeartbeats(now, false)...)
 }
 
-// sendReports tells the parent what this router has heard, and its subscribers what it knows.
+// sendReports sends a Report to the parent, and a summary to each subscriber, once per
+// ReportInterval.
 func (s *State) sendReports(now time.Time) []Effect {
 	if now.Before(s.nextReport) {
 		return nil
