--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// benchSizes are numbers of entries of a Book: one crash of a busy engine, a
-// bad hour, and a full table.
+// benchSizes are numbers of entries in a Table: one crash of a busy upstream, many
+// crashes in an hour, and a nearly full Table.
 var benchSizes = []int{50, 500, 4000}
 
-// newFilledTable returns a Book of n entries, 50 to a crash.
+// newFilledTable returns a Table of n entries, 50 for each crash.
 func newFilledTable(n int) *Table {
 	table := New("vm-123", 1)
 	for i := 0; i < n; i += 50 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A request that is no suspect: what every request costs.
+// BenchmarkDecideFree measures the cost for each request that is not a suspect.
 func BenchmarkDecideFree(b *testing.B) {
 	benchTables(b, func(b *testing.B, table *Table) {
 		for b.Loop() {
@@ -48,7 +48,7 @@
 	})
 }
 
-// One message of 256 bytes, written and merged; with bytes an entry on the wire.
+// BenchmarkGossip measures encoding one message of at most 256 bytes.
 func BenchmarkGossip(b *testing.B) {
 	benchTables(b, func(b *testing.B, table *Table) {
 		now := epoch
@@ -62,6 +62,8 @@
 	})
 }
 
+// BenchmarkMerge measures merging a message of 50 entries and reports its size per
+// entry.
 func BenchmarkMerge(b *testing.B) {
 	message := newFilledTable(50).All(epoch)
 	benchTables(b, func(b *testing.B, table *Table) {
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -9,20 +9,20 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Table is what one node knows of crashes.
+// Table holds the crash entries that one process has seen or received.
 type Table struct {
-	vm            string // of the node; empty for a router
+	vm            string // VM of the sidecar; empty for a router
 	incarnation   uint64
-	crashes       uint64 // seen by this incarnation
+	crashes       uint64 // crashes recorded by this incarnation
 	byFingerprint map[Fingerprint][]*Entry
 	byCrash       map[Crash][]*Entry
 	size          int
-	grants        map[Fingerprint]time.Time // when leave to run alone ends
+	grants        map[Fingerprint]time.Time // when the permission to run alone ends
 	outbox        outbox
 }
 
-// New returns an empty Book. vm and incarnation are those of a sidecar; a
-// router's Book has neither.
+// New returns an empty Table. vm and incarnation identify a sidecar; a router passes ""
+// and 0.
 func New(vm string, incarnation uint64) *Table {
 	return &Table{
 		vm:            vm,
@@ -34,37 +34,38 @@
 	}
 }
 
-// Action says how a request may run.
+// Action says whether and how a request may run.
 type Action uint8
 
 const (
-	// Allow may run beside others.
+	// Allow: the request may run alongside others.
 	Allow Action = iota
-	// RunAlone may run when nothing else does; nothing else may start until it has
-	// ended or Released reports true.
+	// RunAlone: the request may run only while nothing else does. No other request may
+	// start until it has ended or ClearIfSurvived reports true.
 	RunAlone
-	// Redirect may run alone at the VM that Ruling.Site names, and nowhere else.
+	// Redirect: the request may run alone, but only on the VM named by Decision.VM.
 	Redirect
-	// Wait may run alone here, but a copy of it has leave to do so already.
+	// Wait: the request may run alone here, but a copy of it already has a grant to do
+	// so.
 	Wait
-	// Refuse never runs: it is convicted.
+	// Refuse: the fingerprint is convicted and must not run.
 	Refuse
 )
 
-// Decision is the answer to Decide.
+// Decision is the result of Decide.
 type Decision struct {
 	Action  Action
-	VM      string // for Elsewhere
-	Crashes int    // crashes at which the fingerprint was running
+	VM      string // only for Redirect
+	Crashes int    // number of crashes during which the fingerprint was running
 }
 
-// Decide rules on a request with fingerprint p. leave is what came with it: a
-// word of the site of its crash that it may run alone at another VM.
+// Decide returns how a request with fingerprint p may run. permitted says that the
+// sidecar of its crash has permitted it to run alone on another VM.
 //
-// A suspect runs alone at the upstream whose crash made it one: every node
-// that knows of the suspicion knows that VM, whatever list of VMs it has, so
-// all copies of the request meet one sidecar and run one after the other. That
-// upstream has just lost its cache and its work, so it costs least there.
+// A suspect runs alone on the VM whose crash made it a suspect. Every process that
+// knows of the suspicion knows that VM, whatever its list of VMs, so all copies of the
+// request reach the same sidecar and run one after another. That upstream has just lost
+// its cache and its work, so another crash costs least there.
 func (t *Table) Decide(now time.Time, p Fingerprint, permitted bool) Decision {
 	entries := t.byFingerprint[p]
 	if len(entries) == 0 && !permitted {
@@ -87,8 +88,8 @@
 	return r
 }
 
-// Recheck rules anew on a request with leave to run alone here that is about
-// to start: it may have been convicted or cleared while it waited.
+// Recheck decides again on a request with permission to run alone here that is about to
+// start: it may have been convicted or cleared while it waited.
 func (t *Table) Recheck(now time.Time, p Fingerprint) Action {
 	entries := t.byFingerprint[p]
 	switch {
@@ -101,17 +102,17 @@
 	}
 }
 
-// Grant gives a copy of p leave to run alone until a time: here, or at the VM
-// to which the site sends it while its own upstream is down. Until the outcome
-// is known or the time has passed, Decide answers Wait to other copies, so
-// that no two of them take an upstream with them.
+// Grant permits a copy of p to run alone until the given time, either here or on the VM
+// that p is sent to while this upstream is down. Until the outcome is known or the time
+// has passed, Decide returns Wait for other copies, so that no two of them crash an
+// upstream each.
 func (t *Table) Grant(p Fingerprint, until time.Time) {
 	t.grants[p] = until
 }
 
-// HasGrant reports whether some suspect has leave to run alone elsewhere or here.
-// A site lends to one VM at a time, so that one crash of a busy upstream does
-// not empty many others.
+// HasGrant reports whether any suspect has permission to run alone, here or on another
+// VM. A sidecar sends a suspect to one other VM at a time, so that one crash of a busy
+// upstream does not empty many others.
 func (t *Table) HasGrant(now time.Time) bool {
 	for p := range t.grants {
 		if t.isGranted(now, p) {
@@ -121,8 +122,8 @@
 	return false
 }
 
-// Revoke ends the leave of p without an outcome: its run was cancelled or
-// never began.
+// Revoke ends the grant of p without an outcome, because its run was cancelled or never
+// began.
 func (t *Table) Revoke(p Fingerprint) {
 	delete(t.grants, p)
 }
@@ -136,15 +137,15 @@
 	return ok
 }
 
-// RunningRequest is a request at the upstream when it crashed.
+// RunningRequest is a request that was running on the upstream when it crashed.
 type RunningRequest struct {
 	Fingerprint Fingerprint
 	Started     time.Time
 }
 
-// RecordCrash enters a crash of this sidecar's upstream and returns what it
-// entered. A crash with one fingerprint running convicts it only if it is a
-// suspect of an earlier crash: upstreams also fail for reasons of their own.
+// RecordCrash records a crash of this sidecar's upstream and returns the new entries.
+// If only one fingerprint was running, it is convicted only if it was already a suspect
+// of an earlier crash: upstreams also crash for unrelated reasons.
 func (t *Table) RecordCrash(now time.Time, running []RunningRequest) []Entry {
 	t.crashes++
 	c := crashID(t.vm, t.incarnation, t.crashes)
@@ -165,19 +166,20 @@
 	return out
 }
 
-// isSingleFingerprint reports whether only one fingerprint was running, if in several copies.
+// isSingleFingerprint reports whether all running requests, if any, have the same
+// fingerprint.
 func isSingleFingerprint(running []RunningRequest) bool {
 	return !slices.ContainsFunc(running, func(r RunningRequest) bool { return r.Fingerprint != running[0].Fingerprint })
 }
 
-// isSuspect reports whether p was running at a crash that nothing explains, or
-// has leave to run alone from a sidecar that knows of one.
+// isSuspect reports whether p was running at an unexplained crash, or was granted to
+// run alone by a sidecar that knows of one.
 func (t *Table) isSuspect(now time.Time, p Fingerprint) bool {
 	return t.firstSuspicion(now, t.byFingerprint[p]) != nil || t.isGranted(now, p)
 }
 
-// RecordFinished enters that p has run to its end. Whatever crashed the upstreams,
-// it is not a request that crashes each upstream that runs it.
+// RecordFinished records that p has run to its end, and clears it: a request that has
+// finished once does not crash every upstream that runs it.
 func (t *Table) RecordFinished(now time.Time, p Fingerprint) {
 	t.Revoke(p)
 	for _, e := range t.byFingerprint[p] {
@@ -185,11 +187,10 @@
 	}
 }
 
-// ClearIfSurvived reports whether p has run alone, since started, for so long that
-// it counts as finished, and enters it as such. It must have outlived twice
-// the time after which it last was part of a crash. Without this a bystander
-// with a long answer would hold the upstream, and all other suspects, until
-// its end.
+// ClearIfSurvived reports whether p has run alone since started for long enough to
+// count as finished, and if so records that. It must have run for twice the longest
+// time that it ran before a crash. Without this a harmless request with a long response
+// would block the upstream, and all other suspects, until its end.
 func (t *Table) ClearIfSurvived(now time.Time, p Fingerprint, started time.Time) bool {
 	minRunTime := minAloneTime
 	for _, e := range t.byFingerprint[p] {
@@ -202,10 +203,10 @@
 	return true
 }
 
-// IsLikelierCause orders suspects that wait to run alone: it reports whether p is a
-// likelier culprit than q. What was running at more crashes is, and then what
-// had started last, since a request that crashes its upstream mostly does so
-// soon.
+// IsLikelierCause orders suspects that wait to run alone: it reports whether p is more
+// likely than q to be the cause of the crashes. The fingerprint that was running at
+// more crashes is likelier, and then the one that had started more recently, since a
+// request that crashes its upstream mostly does so soon.
 func (t *Table) IsLikelierCause(now time.Time, p, q Fingerprint) bool {
 	ep, eq := t.byFingerprint[p], t.byFingerprint[q]
 	if n, m := t.crashCount(now, ep), t.crashCount(now, eq); n != m {
@@ -224,15 +225,15 @@
 	return d
 }
 
-// Case is what operators are told of a fingerprint.
+// Case is a suspected or convicted fingerprint as shown to operators.
 type Case struct {
 	Fingerprint Fingerprint
-	Convicted   bool // else a suspect
+	Convicted   bool // false: suspect
 	Crashes     int
 	Until       time.Time
 }
 
-// Cases returns the suspects and convicts, in the order of their fingerprints.
+// Cases returns the suspected and convicted fingerprints in ascending order.
 func (t *Table) Cases(now time.Time) []Case {
 	var out []Case
 	for p, entries := range t.byFingerprint {
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -1,9 +1,9 @@
-// Package quarantine decides what becomes of requests that may crash the
-// upstream that runs them.
+// Package quarantine decides how requests may run that are suspected of crashing the
+// upstreams that run them.
 //
-// Each node keeps a Book. A sidecar enters the crashes of its upstream with
-// the fingerprints that were running; the Books tell each other on the back of
-// traffic and by reports. A Book is pure: it does no I/O and reads no clock.
+// Each process keeps a Table. A sidecar records the crashes of its upstream with the
+// fingerprints that were running. Tables exchange entries in messages that are sent
+// anyway and in reports. A Table is pure: it does no I/O and reads no clock.
 package quarantine
 
 import (
@@ -11,37 +11,38 @@
 	"time"
 )
 
-// Fingerprint is the fingerprint of a request: a hash of its organisation and call.
+// Fingerprint identifies a request: a hash of its organisation and call.
 type Fingerprint uint64
 
-// String returns the fingerprint in hexadecimal, as operators see it.
+// String returns the fingerprint as 16 hexadecimal digits, the form shown to operators.
 func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
 
-// Crash names one crash of one upstream.
+// Crash identifies one crash of one upstream.
 type Crash uint64
 
-// Status is what is known of a fingerprint in respect of one crash. Higher
-// values replace lower ones, so Books that merge in any order agree.
+// Status is the state of a fingerprint with respect to one crash. Higher values replace
+// lower ones, so Tables that merge in any order agree.
 type Status uint8
 
 const (
-	// Suspect was running when the upstream crashed.
+	// Suspect: it was running when the upstream crashed.
 	Suspect Status = iota
-	// Cleared has since run without a crash.
+	// Cleared: it has since run without a crash.
 	Cleared
-	// Convicted crashed the upstream while it ran alone, as a suspect of another crash.
+	// Convicted: it crashed the upstream while running alone as a suspect of another
+	// crash.
 	Convicted
 )
 
-// Entry is one fingerprint that was running at one crash. All but Standing
-// are fixed by the sidecar that saw the crash.
+// Entry records one fingerprint that was running at one crash. All fields but Status
+// are set by the sidecar that saw the crash and never change.
 type Entry struct {
 	Fingerprint Fingerprint
 	Crash       Crash
-	VM          string        // VM of the crash
-	At          time.Time     // of the crash, whole milliseconds
-	RunTime     time.Duration // for which it had run, whole milliseconds
-	Alone       bool          // nothing else was running
+	VM          string        // VM that crashed
+	At          time.Time     // time of the crash, in whole milliseconds
+	RunTime     time.Duration // how long it had run, in whole milliseconds
+	Alone       bool          // no other fingerprint was running
 	Status      Status
 }
 
@@ -53,7 +54,7 @@
 
 func (e *Entry) key() key { return key{e.Fingerprint, e.Crash} }
 
-// ttl is how long the entry counts, from the crash on.
+// ttl returns how long after the crash the entry is valid.
 func (e *Entry) ttl() time.Duration {
 	if e.Status == Convicted {
 		return ConvictionTTL
@@ -61,32 +62,33 @@
 	return SuspectTTL
 }
 
-// Expires is when the entry ceases to count.
+// Expires returns when the entry ceases to be valid.
 func (e *Entry) Expires() time.Time {
 	return e.At.Add(e.ttl())
 }
 
-// isLive reports whether the entry counts at now. One from the future is from a
-// node whose clock is wrong, and would never age out.
+// isLive reports whether the entry is valid at now. An entry from the future comes from
+// a VM whose clock is wrong, and would never expire.
 func (e *Entry) isLive(now time.Time) bool {
 	return now.Before(e.Expires()) && e.At.Before(now.Add(maxClockSkew))
 }
 
 const (
-	// SuspectTTL is how long after a crash its suspects count as such.
+	// SuspectTTL is how long after a crash its suspects remain suspects.
 	SuspectTTL = 15 * time.Minute
-	// ConvictionTTL is how long a conviction stands.
+	// ConvictionTTL is how long after the crash a conviction is valid.
 	ConvictionTTL = 24 * time.Hour
-	// RetryAfter is when a caller should come back whose request waits for its
-	// turn to run alone.
+	// RetryAfter is the delay to send to a caller whose request must wait for its turn
+	// to run alone.
 	RetryAfter = time.Second
 
-	// maxEntries bounds the entries of a Book.
+	// maxEntries limits the number of entries in a Table.
 	maxEntries = 4096
-	// evictDivisor of the entries leave at a time when a Book is full.
+	// evictDivisor sets the part of the entries that is evicted at once from a full
+	// Table: one in evictDivisor.
 	evictDivisor = 8
 	// maxClockSkew is how far a crash may lie in the future by the clock of another VM.
 	maxClockSkew = time.Minute
-	// minAloneTime is the least time for which a suspect runs alone.
+	// minAloneTime is the shortest time for which a suspect runs alone.
 	minAloneTime = time.Second
 )
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -18,12 +18,12 @@
 	maxHops   = 6
 )
 
-// process is a sidecar or, without an upstream, a router.
+// process is a sidecar with its upstream, or a router, which has no upstream.
 type process struct {
 	table    *Table
-	down     bool // the upstream
+	down     bool // the upstream is down
 	running  []run
-	suspects []run // wait to run alone
+	suspects []run // requests that wait to run alone
 }
 
 type run struct {
@@ -32,17 +32,17 @@
 	alone  bool
 }
 
-// fleet is sidecars and routers in virtual time. Routers offer requests in the
-// order of their home; gossip is lost and late; reports arrive.
+// fleet simulates sidecars and routers in virtual time. Routers offer a request to its
+// home upstream first. Gossip may be lost or late; reports always arrive.
 type fleet struct {
 	now               time.Time
 	sidecars          []*process
 	routers           []*process
 	gossip            []json.RawMessage
-	poisonCrashes     int  // upstreams that the poison crashed
-	hadUnrelatedCrash bool // an upstream has failed for a reason of its own
+	poisonCrashes     int  // crashes caused by the poison request
+	hadUnrelatedCrash bool // an upstream has crashed for an unrelated reason
 	finished          map[Fingerprint]int
-	crashed           map[Fingerprint]bool // has been running at a crash
+	crashed           map[Fingerprint]bool // was running at a crash
 }
 
 func newFleet() *fleet {
@@ -56,7 +56,8 @@
 	return f
 }
 
-// offerOrder returns where p is offered, its home first, or its ticket's VM.
+// offerOrder returns the sidecars in the order in which p is offered to them, starting
+// with its home, or with the VM of its ticket.
 func (f *fleet) offerOrder(p Fingerprint, ticket bool) []*process {
 	home := int(p) % len(f.sidecars)
 	if ticket {
@@ -71,8 +72,8 @@
 	return f.sidecars[i]
 }
 
-// send offers p to sidecars through r until one accepts or refuses it for good.
-// busy says for each whether it refuses for its load.
+// send offers p to sidecars through r until one accepts it or refuses it for good. busy
+// decides at each offer whether the sidecar rejects it because of its load.
 func (f *fleet) send(r *process, p Fingerprint, order []*process, busy func() bool) {
 	permitted := false
 	decision := r.table.Decide(f.now, p, false)
@@ -124,7 +125,7 @@
 	return slices.ContainsFunc(s.running, func(r run) bool { return r.Fingerprint != s.running[0].Fingerprint })
 }
 
-// schedule starts the likeliest suspect once nothing runs.
+// schedule starts the likeliest suspect of s while nothing runs there.
 func (f *fleet) schedule(s *process) {
 	for len(s.running) == 0 && len(s.suspects) > 0 && !s.down {
 		slices.SortFunc(s.suspects, func(x, y run) int {
@@ -144,7 +145,7 @@
 	}
 }
 
-// end ends a run well.
+// end finishes a run without a crash.
 func (f *fleet) end(s *process, i int) {
 	p := s.running[i].Fingerprint
 	s.table.RecordFinished(f.now, p)
@@ -153,7 +154,8 @@
 	f.schedule(s)
 }
 
-// crash breaks all that runs at s. Each router reports before it answers.
+// crash ends all runs at s with a crash. Each router reports the crash before it
+// responds to its caller.
 func (f *fleet) crash(s *process) {
 	running := s.running
 	waiting := s.suspects
@@ -186,16 +188,18 @@
 	return slices.ContainsFunc(f.sidecars, func(s *process) bool { return s.isRunning(p) })
 }
 
+// actions returns the actions for Repeat, which draws from the sorted names: renaming
+// an action changes the sequences that a seed produces.
 func (f *fleet) actions(t *rapid.T) map[string]func(*rapid.T) {
 	all := slices.Concat(f.sidecars, f.routers)
-	pick := func(t *rapid.T, of []*process) *process { return rapid.SampledFrom(of).Draw(t, "node") }
+	pick := func(t *rapid.T, of []*process) *process { return rapid.SampledFrom(of).Draw(t, "process") }
 	send := func(t *rapid.T, p Fingerprint) {
 		busy := func() bool { return rapid.IntRange(0, 3).Draw(t, "busy") == 0 }
 		f.send(pick(t, f.routers), p, f.offerOrder(p, rapid.Bool().Draw(t, "ticket")), busy)
 	}
 	return map[string]func(*rapid.T){
 		"innocent": func(t *rapid.T) {
-			send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastHarmless)).Draw(t, "print")))
+			send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastHarmless)).Draw(t, "fingerprint")))
 		},
 		"poison": func(t *rapid.T) {
 			if f.poisonCrashes > 0 || !f.inFlight(poison) {
@@ -215,7 +219,7 @@
 				f.crash(s)
 			}
 		},
-		"fail": func(t *rapid.T) { // for a reason of its own
+		"fail": func(t *rapid.T) { // a crash for an unrelated reason
 			s := pick(t, f.sidecars)
 			if len(s.running) > 0 && (s.isMixed() || !f.crashed[s.running[0].Fingerprint]) && !s.isRunning(poison) {
 				f.hadUnrelatedCrash = true
@@ -255,18 +259,18 @@
 
 func (f *fleet) check(t *rapid.T, all []*process) {
 	if f.poisonCrashes > 2 {
-		t.Fatalf("the poison has crashed %d upstreams", f.poisonCrashes)
+		t.Fatalf("the poison request has crashed %d upstreams", f.poisonCrashes)
 	}
 	for _, n := range all {
 		for _, p := range n.table.Convicted(f.now) {
 			if p != poison {
-				t.Fatalf("%d is convicted, and is innocent", p)
+				t.Fatalf("harmless request %d is convicted", p)
 			}
 		}
 	}
 }
 
-// drain ends all that runs and waits.
+// drain finishes all running and waiting requests.
 func (f *fleet) drain() {
 	for _, s := range f.sidecars {
 		f.schedule(s)
@@ -276,8 +280,8 @@
 	}
 }
 
-// settle lets the fleet come to rest: upstreams restart, runs end, and every
-// innocent request is sent again and again.
+// settle brings the fleet to rest: upstreams restart, runs end, and every harmless
+// request is sent repeatedly.
 func (f *fleet) settle(t *rapid.T) {
 	for _, s := range f.sidecars {
 		if s.isRunning(poison) {
@@ -300,14 +304,14 @@
 	}
 	for p := poison + 1; p <= lastHarmless; p++ {
 		if f.finished[p] == 0 {
-			t.Fatalf("%d never ran", p)
+			t.Fatalf("request %d never ran", p)
 		}
 	}
 	f.checkAllAllowed(t, "has run since")
 }
 
-// checkAllAllowed lets all nodes tell each other everything, and checks that no
-// innocent request is a suspect any more.
+// checkAllAllowed exchanges all entries between all processes and checks that no
+// harmless request is a suspect any more.
 func (f *fleet) checkAllAllowed(t *rapid.T, why string) {
 	all := slices.Concat(f.sidecars, f.routers)
 	for range 2 {
@@ -320,24 +324,24 @@
 	for _, n := range all {
 		for p := poison + 1; p <= lastHarmless; p++ {
 			if a := n.table.Decide(f.now, p, false).Action; a != Allow && a != Wait {
-				t.Fatalf("%d %s and is still ruled %d at %q", p, why, a, n.table.vm)
+				t.Fatalf("request %d %s, but its action is %d at %q", p, why, a, n.table.vm)
 			}
 		}
 	}
 }
 
-// A chat crashes each engine that runs it, and its caller sends it again,
-// several times at once and through different routers, also while the engine
-// of its home is down. Seven innocent requests run beside it and are sent again
-// too. Without a bound the fleet loses an engine to each resend; without care
-// for the bystanders they are refused for good.
+// A request crashes each upstream that runs it, and its caller retries it, several
+// times at once and through different routers, also while its home upstream is down.
+// Seven harmless requests run beside it and are retried too. Without a limit the fleet
+// loses an upstream to each retry; without clearing the harmless requests they would be
+// refused permanently.
 func TestPoisonCostsTwoUpstreams(t *testing.T) {
 	convictedRuns, doubleLosses := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		t.Repeat(f.actions(t))
 		if f.poisonCrashes == 2 && !f.hadUnrelatedCrash {
-			f.checkAllAllowed(t, "was beside the convict")
+			f.checkAllAllowed(t, "ran beside the convicted one")
 		}
 		f.settle(t)
 		convictedAny := slices.ContainsFunc(f.sidecars, func(s *process) bool { return len(s.table.Convicted(f.now)) > 0 })
@@ -348,11 +352,11 @@
 			convictedRuns++
 		}
 		if f.poisonCrashes == 2 && !convictedAny {
-			t.Fatal("two upstreams are lost, and nobody knows to whom")
+			t.Fatal("two upstreams crashed, but no fingerprint is convicted")
 		}
 	})
-	t.Logf("%d runs with two losses, %d with a conviction", doubleLosses, convictedRuns)
+	t.Logf("%d runs with two crashes, %d with a conviction", doubleLosses, convictedRuns)
 	if doubleLosses == 0 {
-		t.Fatal("the poison never crashed two upstreams: the test shows nothing")
+		t.Fatal("the poison request never crashed two upstreams, so the test checks nothing")
 	}
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// gossipFor is how long after it has learnt something a node tells others.
+	// gossipFor is how long a process gossips an entry after it was added or its status
+	// changed.
 	gossipFor = 30 * time.Second
-	// gossipBytesPerSecond bounds what a node tells unasked, in bytes a second.
+	// gossipBytesPerSecond limits the gossip of a process.
 	gossipBytesPerSecond = 512
-	// gossipBurstBytes is how many bytes a node may tell at once.
+	// gossipBurstBytes is how many bytes a process may gossip at once.
 	gossipBurstBytes = 2048
 
-	// minGossipBytes is what a message must have room for, in bytes. Between the few
-	// messages that the rate allows, nothing is sorted.
+	// minGossipBytes is the least space for which Gossip encodes a message. Below it,
+	// for instance between the few messages that the rate allows, nothing is sorted.
 	minGossipBytes = 128
 
-	// maxMessageBytes is the longest message that a Book reads, in bytes.
+	// maxMessageBytes limits the messages that a Table accepts.
 	maxMessageBytes = 64 << 10
 )
 
-// crashJSON is the wire form of the entries of one crash. It names the crash
-// once, since the suspects of a crash mostly travel together.
+// crashJSON is the wire form of the entries of one crash. It contains the crash once,
+// since the suspects of a crash are mostly sent together.
 type crashJSON struct {
 	Crash    Crash      `json:"c"`
 	Site     string     `json:"vm"`
 	At       int64      `json:"t"` // Unix milliseconds
 	Alone    bool       `json:"a,omitempty"`
-	Suspects [][3]int64 `json:"s"` // fingerprint (its bits), exposure in ms, standing
+	Suspects [][3]int64 `json:"s"` // fingerprint (its bits), run time in ms, status
 }
 
-// outbox knows what others have not been told yet.
+// outbox holds the entries to gossip and a token bucket that limits their rate.
 type outbox struct {
 	pending    map[key]*pendingEntry
-	tokens     float64 // that may be told now
+	tokens     float64 // bytes that may be sent now
 	refilledAt time.Time
 }
 
-// pendingEntry is an entry that others should hear of.
+// pendingEntry is an entry to gossip.
 type pendingEntry struct {
 	entry *Entry
-	since time.Time
-	sent  int
+	since time.Time // when the entry was added or its status changed
+	sent  int       // number of messages that carried it
 }
 
 func newOutbox() outbox {
@@ -68,9 +69,8 @@
 	}
 }
 
-// Gossip returns what to tell another node on the back of a message, in at
-// most budget bytes, or nil when there is nothing new or it would come to more
-// than the node's rate.
+// Gossip returns entries to add to a message to another process, in at most budget
+// bytes. It returns nil if there is nothing to send or the rate limit is reached.
 func (t *Table) Gossip(now time.Time, budget int) json.RawMessage {
 	if len(t.outbox.pending) == 0 {
 		return nil
@@ -89,8 +89,8 @@
 	return out
 }
 
-// pick returns the news, in the order in which to tell them: what was told
-// least often, then what weighs most. It forgets what has become old.
+// pick returns the entries to send, in order: those sent least often first, then those
+// with the highest status. It removes entries that are older than gossipFor.
 func (t *outbox) pick(now time.Time) []*Entry {
 	current := make([]*pendingEntry, 0, len(t.pending))
 	for k, n := range t.pending {
@@ -121,10 +121,10 @@
 	return 1
 }
 
-// EvidenceFor returns what the ruling on p rests on, whether others were told or
-// not: all of p, and all of those whose guilt explains its crashes. It goes
-// with reports, and with the refusal or submission of p itself, so that two
-// nodes that disagree about p agree after one exchange.
+// EvidenceFor returns the entries that the decision on p depends on, whether they were
+// sent before or not: those of p, and those of the convicted fingerprints that explain
+// its crashes. They are sent with reports, and with the refusal or submission of p
+// itself, so that two processes that disagree about p agree after one exchange.
 func (t *Table) EvidenceFor(now time.Time, p Fingerprint) json.RawMessage {
 	entries := t.liveEntries(now, p)
 	for _, e := range entries {
@@ -148,8 +148,8 @@
 	return out
 }
 
-// All returns all that counts at now: for a node that has just started, and
-// for a sidecar that leaves.
+// All returns all entries that are valid at now, up to maxMessageBytes, for a process
+// that has just started and from a sidecar that is leaving.
 func (t *Table) All(now time.Time) json.RawMessage {
 	var entries []*Entry
 	for _, known := range t.byFingerprint {
@@ -164,18 +164,18 @@
 	return out
 }
 
-// Merge takes in what another node told. Merging commutes, associates and is
-// idempotent, so it does not matter in which order and how often news arrive.
+// Merge adds the entries of a message from another process. Merging is commutative,
+// associative and idempotent, so the order and number of deliveries do not matter.
 func (t *Table) Merge(now time.Time, message json.RawMessage) error {
 	if len(message) == 0 {
 		return nil
 	}
 	if len(message) > maxMessageBytes {
-		return errors.Errorf("quarantine: %d bytes of suspects", len(message))
+		return errors.Errorf("quarantine: message of %d bytes exceeds the limit of %d", len(message), maxMessageBytes)
 	}
 	var crashes []crashJSON
 	if err := json.Unmarshal(message, &crashes); err != nil {
-		return errors.Wrap(err, "quarantine")
+		return errors.Wrap(err, "quarantine: malformed message")
 	}
 	for _, c := range crashes {
 		for _, s := range c.Suspects {
@@ -197,8 +197,8 @@
 	}
 }
 
-// encode writes as many of the entries, from the first on, as fit into budget
-// bytes, and returns how many those are.
+// encode encodes as many of the entries, in order, as fit into budget bytes, and
+// returns their number.
 func encode(entries []*Entry, budget int) (json.RawMessage, int) {
 	var crashes []crashJSON
 	at := make(map[Crash]int)
@@ -226,7 +226,7 @@
 	if n == 0 {
 		return nil, 0
 	}
-	out, _ := json.Marshal(crashes) // has no value that could fail
+	out, _ := json.Marshal(crashes) // cannot fail for these types
 	return out, n
 }
 
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// crashCount returns at how many crashes the entries' fingerprint was running.
+// crashCount returns the number of valid entries, which is the number of crashes during
+// which their fingerprint was running.
 func (t *Table) crashCount(now time.Time, entries []*Entry) int {
 	n := 0
 	for _, e := range entries {
@@ -16,8 +17,8 @@
 	return n
 }
 
-// isConvicted reports whether p is isConvicted: by the word of the sidecar that
-// saw it, or because two sidecars each saw a part of it.
+// isConvicted reports whether p is convicted: either by the sidecar that saw the crash,
+// or by entries of two sidecars that each saw one crash.
 func (t *Table) isConvicted(now time.Time, p Fingerprint) bool {
 	return t.isConvictedBySidecar(now, p) || t.isConvictedByEvidence(now, p)
 }
@@ -29,9 +30,9 @@
 	})
 }
 
-// isConvictedByEvidence reports whether p was alone at a crash after it had been running at
-// another that no other convict explains. Two sidecars saw one crash each here,
-// and neither knew of the other's.
+// isConvictedByEvidence reports whether p ran alone at a crash after it had been
+// running at another, where no other convicted fingerprint explains either. This covers
+// two sidecars that saw one crash each and did not know of the other's.
 func (t *Table) isConvictedByEvidence(now time.Time, p Fingerprint) bool {
 	var first, alone *Entry
 	for _, e := range t.byFingerprint[p] {
@@ -48,17 +49,18 @@
 	return alone != nil && alone.At.After(first.At)
 }
 
-// isExplained reports whether another fingerprint that was running at e's
-// crash is guilty. This clears all bystanders of a crash at once, and because
-// it is worked out from what the Book holds, not stored, Books that hold the
-// same agree whatever they heard first.
+// isExplained reports whether another fingerprint that was running at e's crash is
+// guilty. A conviction thereby clears all other fingerprints of the crash at once. The
+// result is computed from the entries and not stored, so Tables with the same entries
+// agree in whatever order they received them.
 func (t *Table) isExplained(now time.Time, e *Entry, isGuilty func(time.Time, Fingerprint) bool) bool {
 	return slices.ContainsFunc(t.byCrash[e.Crash], func(o *Entry) bool {
 		return o.Fingerprint != e.Fingerprint && isGuilty(now, o.Fingerprint)
 	})
 }
 
-// firstSuspicion returns the earliest entry that makes its fingerprint a suspect, or nil.
+// firstSuspicion returns the earliest entry that makes its fingerprint a suspect, or
+// nil.
 func (t *Table) firstSuspicion(now time.Time, entries []*Entry) *Entry {
 	var first *Entry
 	for _, e := range entries {
@@ -72,7 +74,8 @@
 	return first
 }
 
-// isEarlier orders entries by what is fixed in them, the same at all nodes.
+// isEarlier reports whether x sorts before y: by time, crash and fingerprint, which
+// never change and are the same in all Tables.
 func isEarlier(x, y *Entry) bool {
 	if !x.At.Equal(y.At) {
 		return x.At.Before(y.At)
@@ -83,7 +86,7 @@
 	return x.Fingerprint < y.Fingerprint
 }
 
-// mergeEntry merges an entry.
+// mergeEntry adds an entry, or raises the status of the one already known.
 func (t *Table) mergeEntry(now time.Time, e Entry) {
 	if !e.isLive(now) {
 		return
@@ -103,8 +106,8 @@
 	t.outbox.add(now, &e)
 }
 
-// raiseStatus lifts an entry's standing. An outcome ends the leave to run alone,
-// also when it was another sidecar that saw it.
+// raiseStatus sets a higher status; a lower one has no effect. An outcome ends the
+// grant to run alone, even if another sidecar observed it.
 func (t *Table) raiseStatus(now time.Time, e *Entry, to Status) {
 	if to <= e.Status {
 		return
@@ -114,7 +117,7 @@
 	t.outbox.add(now, e)
 }
 
-// Expire forgets what has aged out.
+// Expire removes entries that are no longer valid.
 func (t *Table) Expire(now time.Time) {
 	for _, entries := range t.byFingerprint {
 		for _, e := range slices.Clone(entries) {
@@ -125,10 +128,10 @@
 	}
 }
 
-// evict forgets what has aged out, or else the oldest part, and reports
-// whether e has a place among the rest. Convictions go last: forgetting one
-// costs upstreams. Entries leave many at a time, because to find the oldest
-// means to look at all.
+// evict makes room for e: it removes expired entries or, if that is not enough, the
+// first part in eviction order, and reports whether e may be added. Convictions are
+// evicted last, because losing one costs upstreams. Many entries are evicted at once,
+// because finding the oldest requires a scan of all.
 func (t *Table) evict(now time.Time, e *Entry) bool {
 	t.Expire(now)
 	if t.size < maxEntries {
@@ -153,7 +156,7 @@
 	return true
 }
 
-// isEvictedBefore orders entries by what a full Book gives up first.
+// isEvictedBefore reports whether a full Table evicts x before y.
 func isEvictedBefore(x, y *Entry) bool {
 	xc, yc := x.Status == Convicted, y.Status == Convicted
 	if xc != yc {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -19,8 +19,8 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// snapshot is what a Book rules on each fingerprint, and what it would tell a
-// node that has just started.
+// snapshot returns the decision of a Table on each fingerprint and all entries that it
+// would send to a process that has just started.
 func snapshot(t *Table, now time.Time) string {
 	out := string(t.All(now))
 	for p := Fingerprint(1); p <= 6; p++ {
@@ -30,16 +30,16 @@
 	return out
 }
 
-// Two routers hear of the same crashes on different ways: some news come late,
-// twice or in another order. If their pictures differed, one would send a
-// resend to an upstream that the other keeps it from.
+// Two routers receive entries of the same crashes on different paths: late, twice or in
+// another order. If their Tables differed, one router would send a retried request to
+// an upstream that the other keeps it away from.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var messages [][]byte
 		sites := []*Table{New("a", 1), New("b", 2), New("c", 3)}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			b := rapid.SampledFrom(sites).Draw(t, "site")
-			p := Fingerprint(rapid.IntRange(1, 6).Draw(t, "print"))
+			b := rapid.SampledFrom(sites).Draw(t, "sidecar")
+			p := Fingerprint(rapid.IntRange(1, 6).Draw(t, "fingerprint"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				running := []RunningRequest{{Fingerprint: p, Started: epoch}}
@@ -68,14 +68,14 @@
 		}
 		_ = two.Merge(epoch, half.All(epoch))
 		if a, b := snapshot(one, epoch), snapshot(two, epoch); a != b {
-			t.Fatalf("books disagree:\n%s\n%s", a, b)
+			t.Fatalf("tables differ:\n%s\n%s", a, b)
 		}
 	})
 }
 
-// Engines crash by the dozen, each with fifty requests running. A table without
-// a bound would grow into the memory of the answers; one that forgot convictions
-// first would lose two more engines to each convict.
+// Dozens of upstreams crash with fifty running requests each. A Table without a limit
+// would take the memory that responses need; one that evicted convictions first would
+// lose two more upstreams to each convicted fingerprint.
 func TestFullBookKeepsConvictions(t *testing.T) {
 	table := New("a", 1)
 	for range 2 {
@@ -92,16 +92,16 @@
 		t.Fatalf("%d entries, of %d", table.size, maxEntries)
 	}
 	if r := table.Decide(epoch, 1, false); r.Action != Refuse {
-		t.Fatalf("the convict is ruled %d", r.Action)
+		t.Fatalf("action for the convicted fingerprint is %d", r.Action)
 	}
 	table.Expire(epoch.Add(ConvictionTTL))
 	if table.size != 0 || len(table.byFingerprint) != 0 || len(table.byCrash) != 0 || len(table.outbox.pending) != 0 {
-		t.Fatalf("%d entries are left after a day", table.size)
+		t.Fatalf("%d entries remain after ConvictionTTL", table.size)
 	}
 }
 
-// A router sends thousands of messages after a crash. What it tells with them
-// must stay within what a node may spend on control, and end.
+// A router sends thousands of messages after a crash. The gossip added to them must
+// stay within the rate for control traffic, and must end.
 func TestGossipKeepsToItsRate(t *testing.T) {
 	sender := New("a", 1)
 	running := make([]RunningRequest, 500)
@@ -118,9 +118,9 @@
 		}
 	}
 	if limit := gossipBurstBytes + gossipBytesPerSecond*int(gossipFor.Seconds()); sentBytes > limit {
-		t.Fatalf("%d bytes told, more than %d", sentBytes, limit)
+		t.Fatalf("%d bytes sent, limit %d", sentBytes, limit)
 	}
 	if receiver.size < len(running)/2 {
-		t.Fatalf("only %d of %d were heard of", receiver.size, len(running))
+		t.Fatalf("only %d of %d entries were received", receiver.size, len(running))
 	}
 }
