--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkDecideFree measures the cost for each request that is not a suspect.
-func BenchmarkDecideFree(b *testing.B) {
+// BenchmarkDecideAllow measures the cost for each request that is not a suspect.
+func BenchmarkDecideAllow(b *testing.B) {
 	benchTables(b, func(b *testing.B, table *Table) {
 		for b.Loop() {
 			table.Decide(epoch, 1, false)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -36,9 +36,9 @@
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var messages [][]byte
-		sites := []*Table{New("a", 1), New("b", 2), New("c", 3)}
+		sidecars := []*Table{New("a", 1), New("b", 2), New("c", 3)}
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			b := rapid.SampledFrom(sites).Draw(t, "sidecar")
+			sidecar := rapid.SampledFrom(sidecars).Draw(t, "sidecar")
 			p := Fingerprint(rapid.IntRange(1, 6).Draw(t, "fingerprint"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
@@ -46,13 +46,13 @@
 				if rapid.Bool().Draw(t, "beside") {
 					running = append(running, RunningRequest{Fingerprint: p%6 + 1, Started: epoch})
 				}
-				b.RecordCrash(epoch.Add(time.Second), running)
+				sidecar.RecordCrash(epoch.Add(time.Second), running)
 			case 2:
-				b.RecordFinished(epoch, p)
+				sidecar.RecordFinished(epoch, p)
 			case 3:
-				_ = b.Merge(epoch, rapid.SampledFrom(sites).Draw(t, "from").All(epoch))
+				_ = sidecar.Merge(epoch, rapid.SampledFrom(sidecars).Draw(t, "from").All(epoch))
 			}
-			messages = append(messages, b.All(epoch))
+			messages = append(messages, sidecar.All(epoch))
 		}
 		seed := rapid.Uint64().Draw(t, "order")
 		one, two := New("", 0), New("", 0)
@@ -76,7 +76,7 @@
 // Dozens of upstreams crash with fifty running requests each. A Table without a limit
 // would take the memory that responses need; one that evicted convictions first would
 // lose two more upstreams to each convicted fingerprint.
-func TestFullBookKeepsConvictions(t *testing.T) {
+func TestFullTableKeepsConvictions(t *testing.T) {
 	table := New("a", 1)
 	for range 2 {
 		table.RecordCrash(epoch, []RunningRequest{{Fingerprint: 1, Started: epoch}})
