--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -57,8 +57,8 @@
 type Queue struct {
 	config        Config
 	classes       []*class // by priority, the highest first
-	waiting       map[token.Nonce]*item
-	running       map[token.Nonce]*slot
+	waiting       map[token.Nonce]*waitingRequest
+	running       map[token.Nonce]*runningRequest
 	organisations map[string]*organisation
 	queueLengths  map[queueKey]int
 	bytes         int // of the waiting requests
@@ -69,14 +69,14 @@
 	firstByte     map[string]average // time until the first byte, by profile
 }
 
-// item is a waiting request.
-type item struct {
+// waitingRequest is a waiting request.
+type waitingRequest struct {
 	Request
 	seq uint64
 }
 
-// slot is a running request.
-type slot struct {
+// runningRequest is a running request.
+type runningRequest struct {
 	Request
 	started      time.Time
 	charged      float64 // in seconds
@@ -91,8 +91,8 @@
 func NewQueue(c Config) *Queue {
 	return &Queue{
 		config:        c,
-		waiting:       make(map[token.Nonce]*item),
-		running:       make(map[token.Nonce]*slot),
+		waiting:       make(map[token.Nonce]*waitingRequest),
+		running:       make(map[token.Nonce]*runningRequest),
 		organisations: make(map[string]*organisation),
 		queueLengths:  make(map[queueKey]int),
 		firstByte:     make(map[string]average),
@@ -124,7 +124,7 @@
 		return err
 	}
 	q.lastSeq++
-	it := &item{Request: r, seq: q.lastSeq}
+	it := &waitingRequest{Request: r, seq: q.lastSeq}
 	q.waiting[r.ID] = it
 	q.class(r.Priority).push(it)
 	q.addToQueue(&r, 1)
@@ -192,8 +192,8 @@
 	q.begin(now, r)
 }
 
-func (q *Queue) begin(now time.Time, r Request) *slot {
-	s := &slot{Request: r, started: now, charged: q.expectedServiceTime().Seconds()}
+func (q *Queue) begin(now time.Time, r Request) *runningRequest {
+	s := &runningRequest{Request: r, started: now, charged: q.expectedServiceTime().Seconds()}
 	q.running[r.ID] = s
 	q.organisations[r.Org].running++
 	return s
@@ -232,7 +232,7 @@
 	q.class(s.Priority).correctCharge(&s.Request, max(duration.Seconds(), minCostSeconds)-s.charged)
 }
 
-func (q *Queue) dequeue(it *item) {
+func (q *Queue) dequeue(it *waitingRequest) {
 	delete(q.waiting, it.ID)
 	q.class(it.Priority).remove(it)
 	q.addToQueue(&it.Request, -1)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// model drives a Queue and keeps its own books.
-type model struct {
+// queueModel drives a Queue and keeps its own books.
+type queueModel struct {
 	q       *Queue
 	now     time.Time
 	offered int
@@ -52,7 +52,7 @@
 			MaxBytes:   6,
 		}
 		c.Reserve = rapid.IntRange(0, c.Slots-1).Draw(t, "reserve")
-		m := &model{q: NewQueue(c), now: epoch, waiting: make(map[token.Nonce]Request), running: make(map[token.Nonce]Request)}
+		m := &queueModel{q: NewQueue(c), now: epoch, waiting: make(map[token.Nonce]Request), running: make(map[token.Nonce]Request)}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": m.offer,
 			"end":   m.end,
@@ -82,7 +82,7 @@
 	return rapid.SampledFrom(all).Draw(t, "request"), true
 }
 
-func (m *model) offer(t *rapid.T) {
+func (m *queueModel) offer(t *rapid.T) {
 	m.offered++
 	r := Request{
 		ID:            id(m.offered),
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *model) end(t *rapid.T) {
+func (m *queueModel) end(t *rapid.T) {
 	if r, ok := anyOf(t, m.running); ok {
 		delete(m.running, r.ID)
 		m.q.FirstByte(m.now, r.ID)
@@ -124,7 +124,7 @@
 }
 
 // startWaiting does what the sidecar does after each event, and checks it.
-func (m *model) startWaiting(t *rapid.T) {
+func (m *queueModel) startWaiting(t *rapid.T) {
 	for _, r := range m.waiting {
 		if t := r.Expires(); !t.IsZero() && !m.now.Before(t) {
 			delete(m.waiting, r.ID)
@@ -143,7 +143,7 @@
 	m.checkState(t)
 }
 
-func (m *model) checkStart(t *rapid.T, r Request) {
+func (m *queueModel) checkStart(t *rapid.T, r Request) {
 	if _, ok := m.waiting[r.ID]; !ok {
 		t.Fatalf("started %v, which does not wait", r)
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-func (m *model) checkState(t *rapid.T) {
+func (m *queueModel) checkState(t *rapid.T) {
 	if len(m.waiting) != len(m.q.waiting) || len(m.running) != m.q.Running() {
 		t.Fatalf("books differ: %d of %d wait, %d of %d run", len(m.q.waiting), len(m.waiting), m.q.Running(), len(m.running))
 	}
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -63,6 +63,6 @@
 	}
 	rounds := float64(q.ahead(r)+1) / float64(q.config.Slots)
 	wait := time.Duration(rounds * float64(q.expectedServiceTime()))
-	estimate := now.Add(wait + q.firstByte[r.Profile].value())
-	return max(0, estimate.Sub(expires))
+	firstByteAt := now.Add(wait + q.firstByte[r.Profile].value())
+	return max(0, firstByteAt.Sub(expires))
 }
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -23,7 +23,7 @@
 type flow struct {
 	tag    float64 // in seconds over weight
 	weight float64
-	items  []*item // in order of arrival
+	items  []*waitingRequest // in order of arrival
 }
 
 // class returns the class of a priority, making it if need be.
@@ -38,7 +38,7 @@
 	return q.classes[at]
 }
 
-func (c *class) push(it *item) {
+func (c *class) push(it *waitingRequest) {
 	f := c.flows[it.Org]
 	if f == nil {
 		f = &flow{}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *class) remove(it *item) {
+func (c *class) remove(it *waitingRequest) {
 	f := c.flows[it.Org]
 	at := slices.Index(f.items, it)
 	f.items = slices.Delete(f.items, at, at+1)
--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -48,13 +48,13 @@
 }
 
 func (q *Queue) capacity(priority int) capacity {
-	lower := 0
+	lowerPriority := 0
 	for _, s := range q.running {
 		if s.Priority < priority {
-			lower++
+			lowerPriority++
 		}
 	}
-	c := capacity{queue: q, freeSlots: q.config.Slots - q.Running() + min(lower, q.config.Headroom)}
+	c := capacity{queue: q, freeSlots: q.config.Slots - q.Running() + min(lowerPriority, q.config.Headroom)}
 	for _, o := range q.organisations {
 		c.totalWeight += o.weight
 	}
