--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides which requests an upstream takes and in which
-// order they start.
+// Package admission decides which requests an upstream accepts and in which order they
+// start.
 //
-// A request is refused at once when it would take the load over its bound,
-// cannot meet its deadline, or finds its queue full. Those that wait start by
-// priority, and within a priority by fair shares of the organisations.
+// A request is refused at once if it would take the load over its bound, cannot meet
+// its deadline, or finds its queue full. Waiting requests start by priority and, within
+// a priority, by weighted fair queueing between organisations.
 package admission
 
 import (
@@ -13,39 +13,39 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// Config bounds what an upstream is given.
+// Config limits the requests that an upstream runs and that wait for it.
 type Config struct {
-	// Slots is how many requests may run at once.
+	// Slots is how many requests may run at a time. Zero or less: no limit.
 	Slots int
-	// Reserve is how many of the slots are kept for organisations that use less
-	// than their share, while several organisations are active.
+	// Reserve is the number of slots kept free, while several organisations are active,
+	// for those that use less than their share.
 	Reserve int
-	// Headroom is how many requests may run beyond Slots while as many of lower
-	// priority run; for upstreams that honour priorities themselves.
+	// Headroom is how many requests may run beyond Slots while at least as many of
+	// lower priority run. It is for upstreams that honour priorities themselves.
 	Headroom int
-	// MaxWaiting is how many requests may wait at most.
+	// MaxWaiting is the greatest number of waiting requests.
 	MaxWaiting int
-	// MaxBytes is how large those may be together, in bytes.
+	// MaxBytes is the greatest total size of the waiting requests, in bytes.
 	MaxBytes int
 }
 
-// Request is a request as admission sees it.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	ID            token.Nonce
 	Org           string
 	Profile       string
 	Priority      int       // higher starts earlier
 	Size          int       // in bytes
-	Weight        int       // of the organisation; below one counts as one
+	Weight        int       // of the organisation; values below one count as one
 	FirstByteBy   time.Time // zero: no deadline
 	Deadline      time.Time // zero: no deadline
-	LoadBound     int       // load up to which it is admitted, itself included
-	QueueBound    int       // waiting requests of the profile; zero: unbounded
-	OrgQueueBound int       // those of them of the organisation; zero: unbounded
+	LoadBound     int       // greatest load after admission, this request included
+	QueueBound    int       // greatest number of waiting requests of the profile; zero: no limit
+	OrgQueueBound int       // the same for the organisation within the profile; zero: no limit
 }
 
-// Expires is when the request is too late to start; zero: never. Who holds the
-// queue removes it then and answers it at once.
+// Expires returns when it is too late to start the request; zero: never. The owner of
+// the queue removes the request then and responds at once.
 func (r *Request) Expires() time.Time {
 	if r.FirstByteBy.IsZero() || (!r.Deadline.IsZero() && r.Deadline.Before(r.FirstByteBy)) {
 		return r.Deadline
@@ -53,37 +53,37 @@
 	return r.FirstByteBy
 }
 
-// Queue holds the requests that wait for an upstream and those that run there.
+// Queue holds the requests that wait for an upstream and those that run on it.
 type Queue struct {
 	config        Config
-	classes       []*class // by priority, the highest first
+	classes       []*class // by descending priority
 	waiting       map[token.Nonce]*waitingRequest
 	running       map[token.Nonce]*runningRequest
 	organisations map[string]*organisation
 	queueLengths  map[queueKey]int
-	bytes         int // of the waiting requests
-	external      int // requests at the upstream that are not ours
-	lastSeq       uint64
+	bytes         int    // of the waiting requests
+	external      int    // requests on the upstream that this queue did not start
+	lastSeq       uint64 // sequence number of the last request admitted
 	sweptAt       time.Time
-	service       average            // time at the upstream
+	service       average            // running time on the upstream
 	firstByte     map[string]average // time until the first byte, by profile
 }
 
-// waitingRequest is a waiting request.
+// waitingRequest is an admitted request that has not started.
 type waitingRequest struct {
 	Request
 	seq uint64
 }
 
-// runningRequest is a running request.
+// runningRequest is a request that has started.
 type runningRequest struct {
 	Request
 	started      time.Time
-	charged      float64 // in seconds
+	charged      float64 // charged to its flow at the start, in seconds
 	hasFirstByte bool
 }
 
-// queueKey names a queue with a bound: of a profile, or of an organisation in
+// queueKey identifies a bounded queue: that of a profile, or of one organisation within
 // a profile.
 type queueKey struct{ profile, org string }
 
@@ -99,24 +99,25 @@
 	}
 }
 
-// Load is the number of requests that have been admitted and have not ended,
-// with those at the upstream that are not ours.
+// Load returns the number of admitted requests that have not ended, plus those on the
+// upstream that this queue did not start.
 func (q *Queue) Load() int {
 	return len(q.waiting) + q.Running()
 }
 
-// Running is the number of requests at the upstream.
+// Running returns the number of requests that run on the upstream.
 func (q *Queue) Running() int {
 	return len(q.running) + q.external
 }
 
-// SetExternal says how many requests run at the upstream that this queue did not start.
+// SetExternal sets the number of requests on the upstream that this queue did not
+// start.
 func (q *Queue) SetExternal(n int) {
 	q.external = max(0, n)
 }
 
-// Offer admits a request, or says why not. A refusal is NotRun and carries the
-// time after which there should be room.
+// Offer admits a request to the queue. Otherwise it returns an error with the verdict
+// NotRun and the time after which capacity is likely to be free.
 func (q *Queue) Offer(now time.Time, r Request) *verdict.Error {
 	r.Weight = max(1, r.Weight)
 	q.markActive(now, &r)
@@ -133,6 +134,7 @@
 	return nil
 }
 
+// check returns why a request is refused, or nil.
 func (q *Queue) check(now time.Time, r *Request) *verdict.Error {
 	if q.Load() >= r.LoadBound {
 		return notRun(verdict.ReasonOverBound, "the upstream is at its bound of %d", r.LoadBound).WithRetryAfter(q.Backoff())
@@ -166,7 +168,7 @@
 	return q.capacity(r.Priority).fits(r.Org)
 }
 
-// Next takes the request that is to start now, if one is.
+// Next starts the next request and returns it. It returns false if none may start now.
 func (q *Queue) Next(now time.Time) (Request, bool) {
 	q.dropInactive(now)
 	for _, c := range q.classes {
@@ -175,7 +177,7 @@
 		}
 		f := c.next(q.capacity(c.priority))
 		if f == nil {
-			return Request{}, false // lower priorities do not pass
+			return Request{}, false // lower priorities must not overtake
 		}
 		it := f.items[0]
 		q.dequeue(it)
@@ -185,7 +187,7 @@
 	return Request{}, false
 }
 
-// Begin starts a request past the queue.
+// Begin records the start of a request that bypasses the queue.
 func (q *Queue) Begin(now time.Time, r Request) {
 	r.Weight = max(1, r.Weight)
 	q.markActive(now, &r)
@@ -199,7 +201,7 @@
 	return s
 }
 
-// Remove takes a waiting request out. It reports false when it does not wait.
+// Remove removes a waiting request. It returns false if the request is not waiting.
 func (q *Queue) Remove(id token.Nonce) bool {
 	it := q.waiting[id]
 	if it == nil {
@@ -209,7 +211,7 @@
 	return true
 }
 
-// FirstByte records that a running request's answer has begun.
+// FirstByte records that the response to a running request has begun.
 func (q *Queue) FirstByte(now time.Time, id token.Nonce) {
 	s := q.running[id]
 	if s == nil || s.hasFirstByte {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// queueModel drives a Queue and keeps its own books.
+// queueModel drives a Queue and tracks the expected state independently.
 type queueModel struct {
 	q       *Queue
 	now     time.Time
@@ -39,10 +39,10 @@
 	running map[token.Nonce]Request
 }
 
-// Coaches and guests send at all priorities, with deadlines and bounds, while
-// requests end, are withdrawn and time passes. No upstream goes over its bound
-// or its slots, none idles while work may start, notes go before overnight
-// work, and what was withdrawn is never started.
+// Organisations send requests of all priorities, with deadlines and bounds, while other
+// requests end or are removed and time passes. The load must stay within its bound and
+// running requests within the slots, no slot may stay idle while a request may start,
+// higher priorities start first, and a removed request is never started.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{
@@ -103,15 +103,15 @@
 	if err == nil {
 		m.waiting[r.ID] = r
 		if m.q.Load() > r.LoadBound {
-			t.Fatalf("load %d over the bound %d", m.q.Load(), r.LoadBound)
+			t.Fatalf("load %d exceeds the bound %d", m.q.Load(), r.LoadBound)
 		}
 		return
 	}
 	if err.Verdict != verdict.NotRun || err.RetryAfter <= 0 {
-		t.Fatalf("refusal %v without a time to come back", err)
+		t.Fatalf("refusal %v has no verdict NotRun or no retry time", err)
 	}
 	if canStart && err.Reason != verdict.ReasonOverBound {
-		t.Fatalf("refused with %s though a slot is free", err.Reason)
+		t.Fatalf("refused with %s while a slot is free", err.Reason)
 	}
 }
 
@@ -123,7 +123,8 @@
 	}
 }
 
-// startWaiting does what the sidecar does after each event, and checks it.
+// startWaiting removes expired requests and starts all that may start, as the sidecar
+// does after each event, and checks the result.
 func (m *queueModel) startWaiting(t *rapid.T) {
 	for _, r := range m.waiting {
 		if t := r.Expires(); !t.IsZero() && !m.now.Before(t) {
@@ -145,7 +146,7 @@
 
 func (m *queueModel) checkStart(t *rapid.T, r Request) {
 	if _, ok := m.waiting[r.ID]; !ok {
-		t.Fatalf("started %v, which does not wait", r)
+		t.Fatalf("started %v, which is not waiting", r)
 	}
 	lower := 0
 	for _, other := range m.running {
@@ -154,32 +155,32 @@
 		}
 	}
 	if len(m.running) >= m.q.config.Slots+min(lower, m.q.config.Headroom) {
-		t.Fatalf("%d run before %v starts", len(m.running), r)
+		t.Fatalf("%d requests run before %v starts", len(m.running), r)
 	}
 	for _, other := range m.waiting {
 		if other.Priority > r.Priority {
-			t.Fatalf("%v passed %v", r, other)
+			t.Fatalf("%v overtook %v", r, other)
 		}
 	}
 }
 
 func (m *queueModel) checkState(t *rapid.T) {
 	if len(m.waiting) != len(m.q.waiting) || len(m.running) != m.q.Running() {
-		t.Fatalf("books differ: %d of %d wait, %d of %d run", len(m.q.waiting), len(m.waiting), m.q.Running(), len(m.running))
+		t.Fatalf("queue and model differ: %d of %d requests wait, %d of %d run", len(m.q.waiting), len(m.waiting), m.q.Running(), len(m.running))
 	}
 	size := 0
 	for _, r := range m.waiting {
 		size += r.Size
 	}
 	if size > m.q.config.MaxBytes || size != m.q.bytes {
-		t.Fatalf("%d bytes wait, %d are counted", size, m.q.bytes)
+		t.Fatalf("%d bytes of requests wait, the queue counts %d", size, m.q.bytes)
 	}
 	idle := m.q.config.Slots - len(m.running)
 	if len(m.q.organisations) > 1 {
 		idle -= m.q.config.Reserve
 	}
 	if idle > 0 && len(m.waiting) > 0 {
-		t.Fatalf("%d slots idle while %d wait", idle, len(m.waiting))
+		t.Fatalf("%d slots are idle while %d requests wait", idle, len(m.waiting))
 	}
 }
 
@@ -191,8 +192,8 @@
 
 const serviceSeconds = 10
 
-// simulate runs arrivals, in order of time, through a queue whose requests all
-// take serviceSeconds, and returns how long each of org's waited.
+// simulate runs arrivals, in order of time, through a queue in which each request takes
+// serviceSeconds, and returns how long each request of org waited, in seconds.
 func simulate(c Config, arrivals []arrival, org string) []int {
 	q := NewQueue(c)
 	var waits []int
@@ -221,17 +222,17 @@
 	return waits
 }
 
-// One club sends hundreds of requests at once, another has always more to do
-// than its share, and their requests take longer. A third, which uses no more
-// than its share of the slots, must wait as without the surge, but for the time
-// until slots that the surge already holds come free: one service time.
+// One organisation sends up to eighty requests at once, and another always has more
+// requests than its share of the slots. A third, which uses no more than its share,
+// must wait no longer than without the surge, except for the time until slots that the
+// surge already holds become free: one service time.
 func TestSurgeDelaysOnlyItsOrganisation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 3).Draw(t, "share")
 		c := Config{Slots: 3 * share, Reserve: rapid.IntRange(0, 1).Draw(t, "reserve"), MaxWaiting: 10000, MaxBytes: 1}
 		var arrivals []arrival
 		for i := range rapid.IntRange(1, 12).Draw(t, "steady") {
-			// share requests in each service time
+			// share requests per service time
 			at := rapid.IntRange(0, serviceSeconds-1).Draw(t, "at") / share
 			arrivals = append(arrivals, arrival{"b", (i/share)*2*serviceSeconds + at})
 		}
@@ -247,14 +248,14 @@
 		}
 		slices.SortStableFunc(arrivals, byTime)
 		if worst := slices.Max(simulate(c, arrivals, "b")); worst > baseline+serviceSeconds {
-			t.Fatalf("waits %d s in the surge, %d s without", worst, baseline)
+			t.Fatalf("waits %d s during the surge, %d s without it", worst, baseline)
 		}
 	})
 }
 
-// A surge holds all slots, and a club that asks for one note at a time waits
-// for a slot each time. One slot in reserve lets it start at once; the surge's
-// own club, once alone again, has that slot as well.
+// A surge holds all slots, so an organisation that sends one request at a time waits
+// for a slot each time. With one slot in reserve it starts at once. When the surging
+// organisation is the only active one again, it gets the reserved slot too.
 func TestReserveLetsSmallOrganisationsStartAtOnce(t *testing.T) {
 	var arrivals []arrival
 	for range 200 {
@@ -275,9 +276,9 @@
 	}
 }
 
-// Half-time: three hundred notes are asked for within seconds, far more than
-// can be ready in time. Those too many must hear so at once, with a time to
-// come back, and not be held until their deadline passes in the queue.
+// Three hundred requests arrive within five minutes, far more than can meet their deadlines.
+// Those that cannot must be refused at once with a retry time, and not wait in the
+// queue until their deadline has passed.
 func TestUnmeetableDeadlineIsRejectedAtOnce(t *testing.T) {
 	const slots = 4
 	q := NewQueue(Config{Slots: slots, MaxWaiting: 1000, MaxBytes: 1})
@@ -314,10 +315,10 @@
 	}
 }
 
-// Organisations that all have more to do than there is room for, with requests
-// of different lengths, the first of which comes back after a long pause. From
-// then on each gets time at the upstream in proportion to its weight, whatever
-// the others send, so none starves; the pause is not made up for.
+// All organisations have more requests than capacity, with different running times, and
+// the first returns after a long pause. From then on each must get running time in
+// proportion to its weight, whatever the others send, so that none starves. The pause
+// earns no credit.
 func TestNoOrganisationStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(Config{Slots: 1, MaxWaiting: 10000, MaxBytes: 1})
@@ -356,7 +357,7 @@
 		run(resumeAt, resumeAt+window)
 		for org, w := range weights {
 			if fairShare := window * w / total; used[org] < fairShare*8/10-10 {
-				t.Fatalf("organisation %d of weight %d had %d s, fair were %d (of %v)", org, w, used[org], fairShare, used)
+				t.Fatalf("organisation %d of weight %d got %d s, its fair share is %d s (all: %v)", org, w, used[org], fairShare, used)
 			}
 		}
 	})
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -5,13 +5,13 @@
 const (
 	// smoothing is the weight of a new observation in an average.
 	smoothing = 0.1
-	// defaultServiceTime stands in for the service time until one was observed.
+	// defaultServiceTime is used as the service time until one has been observed.
 	defaultServiceTime = time.Second
-	// maxAverages bounds the profiles whose first-byte times are kept.
+	// maxAverages limits the number of profiles whose first-byte times are kept.
 	maxAverages = 256
 )
 
-// average is an exponentially weighted mean of durations.
+// average is an exponentially weighted moving average of durations.
 type average struct {
 	seconds  float64
 	observed bool
@@ -29,7 +29,7 @@
 	return time.Duration(a.seconds * float64(time.Second))
 }
 
-// expectedServiceTime is how long a request is thought to run.
+// expectedServiceTime returns how long a request is expected to run.
 func (q *Queue) expectedServiceTime() time.Duration {
 	if !q.service.observed {
 		return defaultServiceTime
@@ -46,16 +46,15 @@
 	q.firstByte[profile] = a
 }
 
-// Backoff is how long it takes until a running request is likely to end, and
-// room with it.
+// Backoff returns the expected time until a running request ends and frees its slot.
 func (q *Queue) Backoff() time.Duration {
 	return q.expectedServiceTime() / time.Duration(max(1, q.Running()))
 }
 
-// lateness is by how much a request that has to wait would miss its first-byte
-// or whole deadline, by the measured service time. Until one has been measured
-// nothing is ruled out. A request that need not wait is never refused for
-// this, or an average that has grown too long would never be corrected.
+// lateness returns by how much a request that has to wait would miss its first-byte or
+// total deadline, based on the measured service time. It returns zero until a service
+// time has been measured. A request that can start at once is never refused for
+// lateness; otherwise an average that has become too long would never be corrected.
 func (q *Queue) lateness(now time.Time, r *Request) time.Duration {
 	expires := r.Expires()
 	if expires.IsZero() || !q.service.observed || q.config.Slots <= 0 {
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// minCostSeconds is the least that a request is charged, in seconds. Without it
-// requests that fail at once would be free and could keep others waiting.
+// minCostSeconds is the smallest charge for a request. Without it requests that fail at
+// once would cost nothing and could keep others waiting.
 const minCostSeconds = 0.001
 
-// class is the waiting requests of one priority, shared out by start-time fair
-// queueing: each organisation's flow has a tag that grows by the time its
-// requests take at the upstream over its weight, and the lowest tag starts.
+// class holds the waiting requests of one priority and orders them by start-time fair
+// queueing: each organisation's flow has a tag that grows by the running time of its
+// requests divided by its weight, and the flow with the lowest tag starts next.
 type class struct {
 	priority    int
 	waiting     int
-	virtualTime float64 // the tag of the flow that started last
+	virtualTime float64 // tag of the flow that started last
 	flows       map[string]*flow
 }
 
-// flow is what one organisation has waiting in one class.
+// flow holds the waiting requests of one organisation in one class.
 type flow struct {
-	tag    float64 // in seconds over weight
+	tag    float64 // virtual time, in seconds divided by weight
 	weight float64
 	items  []*waitingRequest // in order of arrival
 }
 
-// class returns the class of a priority, making it if need be.
+// class returns the class of a priority and creates it if it doesn't exist.
 func (q *Queue) class(priority int) *class {
 	at, found := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int {
 		return cmp.Compare(p, c.priority)
@@ -45,15 +45,16 @@
 		c.flows[it.Org] = f
 	}
 	if len(f.items) == 0 {
-		f.tag = max(f.tag, c.virtualTime) // time spent idle earns no credit
+		f.tag = max(f.tag, c.virtualTime) // idle time earns no credit
 	}
 	f.weight = float64(it.Weight)
 	f.items = append(f.items, it)
 	c.waiting++
 }
 
-// next returns the flow whose first request is to start, among those for which
-// there is room. Equal tags go by arrival, so the order does not hang on the map's.
+// next returns the flow whose first request is to start next, or nil if none fits into
+// the spare capacity. Equal tags are ordered by arrival, so the result does not depend
+// on map order.
 func (c *class) next(spare capacity) *flow {
 	var best *flow
 	for _, f := range c.flows {
@@ -74,13 +75,14 @@
 	return f.items[0].seq < g.items[0].seq
 }
 
-// charge records that a request of f has started.
+// charge records that a request of f has started, at an estimated cost in seconds.
 func (c *class) charge(f *flow, seconds float64) {
 	c.virtualTime = max(c.virtualTime, f.tag)
 	f.tag += seconds / f.weight
 }
 
-// correctCharge corrects the charge of a request that has ended.
+// correctCharge adds seconds to the charge of a request that has ended, to make up for
+// a wrong estimate.
 func (c *class) correctCharge(r *Request, seconds float64) {
 	if f := c.flows[r.Org]; f != nil {
 		f.tag += seconds / f.weight
@@ -88,8 +90,8 @@
 	c.prune()
 }
 
-// prune forgets the flows that are idle and owe nothing, or all once none
-// waits and the tags mean nothing any more.
+// prune removes idle flows whose tags are not ahead of virtual time, or all idle flows
+// once no request waits and tags have no meaning.
 func (c *class) prune() {
 	for org, f := range c.flows {
 		if len(f.items) == 0 && (c.waiting == 0 || f.tag <= c.virtualTime) {
@@ -108,9 +110,9 @@
 	c.waiting--
 }
 
-// ahead estimates how many waiting requests start before a new one: all of
-// higher priority, and of each other flow as many as its weight earns while
-// this organisation's turn comes.
+// ahead estimates how many waiting requests start before a new one: all of higher
+// priority, and from each other flow as many as its weight entitles it to before this
+// organisation's turn.
 func (q *Queue) ahead(r *Request) int {
 	n := 0
 	for _, c := range q.classes {
--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -5,19 +5,19 @@
 const (
 	// activeTime is how long an organisation counts as active after a request.
 	activeTime = time.Minute
-	// sweepInterval is how often inactive organisations are looked for.
+	// sweepInterval is how often inactive organisations are removed.
 	sweepInterval = time.Second
 )
 
-// organisation is what admission knows of an organisation over all classes.
+// organisation is the state of one organisation across all priorities.
 type organisation struct {
 	weight   int
 	running  int
 	waiting  int
-	lastSeen time.Time
+	lastSeen time.Time // time of its last request
 }
 
-// markActive notes that an organisation is active.
+// markActive records a request of an organisation.
 func (q *Queue) markActive(now time.Time, r *Request) {
 	o := q.organisations[r.Org]
 	if o == nil {
@@ -27,7 +27,7 @@
 	o.weight, o.lastSeen = r.Weight, now
 }
 
-// dropInactive drops the organisations that are no longer active.
+// dropInactive removes organisations that are no longer active.
 func (q *Queue) dropInactive(now time.Time) {
 	if now.Sub(q.sweptAt) < sweepInterval {
 		return
@@ -40,10 +40,10 @@
 	}
 }
 
-// capacity is what is free for the requests of one priority.
+// capacity is the spare capacity for requests of one priority.
 type capacity struct {
 	queue       *Queue
-	freeSlots   int // slots, those of lower priority that may be outrun included
+	freeSlots   int // free slots, including those that Headroom adds for this priority
 	totalWeight int // weight of the active organisations
 }
 
@@ -61,10 +61,10 @@
 	return c
 }
 
-// fits reports whether a request of org may start. The last slots, the
-// reserve, are for organisations that use less than their share: a surge that
-// fills all slots makes others wait until one of its requests ends. The sole
-// active organisation has all slots as its share, so nothing idles then.
+// fits reports whether a request of org may start. The last free slots, the reserve,
+// are for organisations that use less than their share: a surge that fills all slots
+// makes other organisations wait until one of its requests ends. The share of a sole
+// active organisation is all slots, so none stays idle then.
 func (r capacity) fits(org string) bool {
 	config := &r.queue.config
 	if config.Slots <= 0 || r.freeSlots > config.Reserve {
