--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -65,12 +65,12 @@
 // are for organisations that use less than their share: a surge that fills all slots
 // makes other organisations wait until one of its requests ends. The share of a sole
 // active organisation is all slots, so none stays idle then.
-func (r capacity) fits(org string) bool {
-	config := &r.queue.config
-	if config.Slots <= 0 || r.freeSlots > config.Reserve {
+func (c capacity) fits(org string) bool {
+	config := &c.queue.config
+	if config.Slots <= 0 || c.freeSlots > config.Reserve {
 		return true
 	}
-	o := r.queue.organisations[org]
-	share := float64(config.Slots) * float64(o.weight) / float64(r.totalWeight)
-	return r.freeSlots > 0 && float64(o.running) < share
+	o := c.queue.organisations[org]
+	share := float64(config.Slots) * float64(o.weight) / float64(c.totalWeight)
+	return c.freeSlots > 0 && float64(o.running) < share
 }
