--- a/internal/order/desk.go
+++ b/internal/order/desk.go
@@ -1,6 +1,6 @@
-// Package order is a sidecar's side of the controller's orders: it refuses
-// those of former holders, empties the upstream before a load, and gives the
-// upstream one order at a time.
+// Package order handles the controller's orders in a sidecar. It rejects orders of
+// former lease holders, drains the upstream before a load, and gives the upstream one
+// order at a time.
 package order
 
 import (
@@ -14,56 +14,58 @@
 )
 
 const (
-	// readyTimeout is how long an emptied upstream waits for its load. After that
-	// it serves again: the controller may be gone.
+	// readyTimeout is how long a drained upstream waits for its load. After that it is
+	// put back into service, because the controller may be gone.
 	readyTimeout = 2 * time.Minute
-	// pollInterval is how often a loading upstream is asked how far it is.
+	// pollInterval is how often the status of a load is polled.
 	pollInterval = 500 * time.Millisecond
-	// callTimeout bounds one call of the upstream or the store.
+	// callTimeout limits one call of the upstream or the store.
 	callTimeout = 3 * time.Second
 )
 
-// Upstream is what takes orders.
+// Upstream carries out orders.
 type Upstream interface {
-	// OrderStatus returns the latest order that the upstream has had, and what
-	// it serves. An upstream that takes no orders answers ReasonNoOrders.
+	// OrderStatus returns the latest order that the upstream has received, and what it
+	// serves. The error of an upstream that takes no orders has the reason
+	// verdict.ReasonNoOrders.
 	OrderStatus(ctx context.Context) (wire.OrderStatus, error)
-	// Load has the upstream begin a load. The fencing token goes with it, for
-	// upstreams that check it themselves.
+	// Load starts a load. The order includes its fencing token, for upstreams that
+	// check it themselves.
 	Load(ctx context.Context, o wire.Order) error
 }
 
-// Config is what a Desk works with.
+// Config configures a Handler.
 type Config struct {
 	Upstream Upstream
-	// Token reads the current fencing token from the store; nil: there is none.
+	// Token reads the current fencing token from the store. It is nil if there is no
+	// store.
 	Token func(ctx context.Context) (wire.FencingToken, error)
-	// Drain takes the upstream out of service and returns when nothing runs;
-	// resume puts it back.
+	// Drain takes the upstream out of service and returns when no request runs there.
+	// resume puts it back into service.
 	Drain func(ctx context.Context) (resume func(), err error)
 }
 
-// Handler takes orders.
+// Handler handles the orders for one upstream.
 type Handler struct {
 	config Config
 	ctx    context.Context
 
-	mu         sync.Mutex // held across calls of the upstream, so that orders come one by one
+	mu         sync.Mutex // held across calls of the upstream, so that orders are handled one at a time
 	fence      lease.Fence
-	id         string // of the order at hand
+	id         string // of the current order
 	phase      wire.OrderPhase
 	resume     func()
 	readyTimer *time.Timer
-	cancel     context.CancelFunc // of what empties the upstream
+	cancel     context.CancelFunc // stops draining
 }
 
-// NewHandler returns a Desk that works until ctx ends.
+// NewHandler returns a Handler that works until ctx ends.
 func NewHandler(ctx context.Context, c Config) *Handler {
 	return &Handler{config: c, ctx: ctx}
 }
 
-// Handle handles an order. A refusal is in the status, with what the controller
-// needs to know besides.
+// Handle carries out an order and returns the status after it. A rejection is returned
+// in the status, together with the state that the controller needs.
 func (h *Handler) Handle(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,9 +94,9 @@
 	return h.status(ctx)
 }
 
-// checkToken applies the fence. A sidecar that has just started knows no token and
-// reads it from the store first; without it, an order that a former holder sent
-// before the restart would be taken.
+// checkToken rejects fenced tokens. A sidecar that has just started has seen no token
+// and first reads the current one from the store; without that, it would accept an
+// order that a former lease holder sent before the restart.
 func (h *Handler) checkToken(ctx context.Context, t wire.FencingToken) *verdict.Error {
 	if !h.fence.Known() && h.config.Token != nil {
 		if current, err := h.config.Token(ctx); err == nil {
@@ -104,8 +106,8 @@
 	return h.fence.Check(t)
 }
 
-// status tells how far the order at hand is; what is at the upstream, the
-// upstream tells, so a restarted sidecar knows it as well.
+// status returns the progress of the current order. What the upstream serves comes from
+// the upstream itself, so a restarted sidecar reports it as well.
 func (h *Handler) status(ctx context.Context) (wire.OrderStatus, error) {
 	status, err := h.config.Upstream.OrderStatus(ctx)
 	status.Token = h.fence.Highest()
@@ -115,7 +117,8 @@
 	return status, err
 }
 
-// prepare begins to empty the upstream, or goes on with that under a new id.
+// prepare starts to drain the upstream. If that has already started for another order,
+// it continues under the new ID.
 func (h *Handler) prepare(o wire.Order) {
 	isDraining := h.id != ""
 	h.id = o.ID
@@ -141,7 +144,7 @@
 	h.restartReadyTimer()
 }
 
-// restartReadyTimer lets the upstream wait for its load for another while.
+// restartReadyTimer gives a drained upstream another readyTimeout to wait for its load.
 func (h *Handler) restartReadyTimer() {
 	if h.phase != wire.PhaseReady {
 		return
@@ -168,8 +171,8 @@
 	h.id, h.phase = "", wire.PhaseNone
 }
 
-// load hands a prepared order to the upstream. One that is not at hand, or is
-// on its way already, is left: the status tells.
+// load passes a prepared order to the upstream. It does nothing for an order that is
+// not the current one or that is not ready; the status shows that.
 func (h *Handler) load(ctx context.Context, o wire.Order) error {
 	if h.id != o.ID || h.phase != wire.PhaseReady {
 		return nil
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// waitForLoad waits until the upstream has finished the load.
+// waitForLoad polls the upstream until it has finished the load.
 func (h *Handler) waitForLoad(id string) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -204,7 +207,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
 	status, err := h.config.Upstream.OrderStatus(ctx)
-	// An upstream that has restarted no longer knows the order: it is over.
+	// A restarted upstream no longer has the order, so the load has ended.
 	if err != nil || (status.ID == id && status.Phase == wire.PhaseRunning) {
 		return false
 	}
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -12,7 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// engine takes orders, ignores fencing tokens and loads in a second.
+// engine is an upstream that carries out orders, ignores fencing tokens and loads in
+// one second.
 type engine struct {
 	loads   int
 	order   wire.Order
@@ -36,12 +37,12 @@
 	return nil
 }
 
-// vm is a sidecar's desk with what it works with.
+// vm is a sidecar's Handler with its upstream and store.
 type vm struct {
 	*Handler
 	engine  engine
 	serving atomic.Bool
-	stored  wire.FencingToken // zero: the store is out
+	stored  wire.FencingToken // zero: the store refuses calls
 }
 
 func newVM(t *testing.T) *vm {
@@ -57,7 +58,7 @@
 		},
 		Drain: func(context.Context) (func(), error) {
 			v.serving.Store(false)
-			time.Sleep(10 * time.Second) // until the longest answer has ended
+			time.Sleep(10 * time.Second) // until the longest response has ended
 			return func() { v.serving.Store(true) }, nil
 		},
 	})
@@ -73,16 +74,16 @@
 	return status
 }
 
-// The controller orders a load twice, since the first answer was lost, while
-// requests still run. Cut requests, two loads at the weight store, or an
-// upstream that never serves again would be what users see.
+// The controller sends a load order twice, since the first reply was lost, while
+// requests still run. The load must not abort those requests or run twice, and the
+// upstream must serve again afterwards.
 func TestLoadWaitsUntilNothingRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
 		v.handle(t, 5, wire.OrderPrepare)
 		time.Sleep(time.Second)
 		if s := v.handle(t, 5, wire.OrderLoad); s.Phase != wire.PhaseDraining || v.engine.loads != 0 {
-			t.Fatalf("loaded while requests ran: %+v", s)
+			t.Fatalf("loaded while requests were running: %+v", s)
 		}
 		time.Sleep(10 * time.Second)
 		v.handle(t, 5, wire.OrderLoad)
@@ -94,38 +95,39 @@
 	})
 }
 
-// The controller is gone after it has had an upstream emptied, and no other
-// takes over. The upstream must not stay out of service.
+// The controller fails after an upstream was drained, and no other takes over. The
+// upstream must not stay out of service.
 func TestPreparedUpstreamServesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
 		v.handle(t, 5, wire.OrderPrepare)
 		time.Sleep(20 * time.Second)
 		if v.serving.Load() {
-			t.Fatal("not emptied")
+			t.Fatal("the upstream was not drained")
 		}
 		time.Sleep(readyTimeout)
 		if !v.serving.Load() {
-			t.Fatal("still out of service")
+			t.Fatal("the upstream is still out of service")
 		}
 	})
 }
 
-// A sidecar restarts while the store is out, and an order of a former holder of
-// the lease arrives. It knows no token, so it would take any.
+// A sidecar restarts while the store does not answer, and an order of a former lease
+// holder arrives. The sidecar has no token to compare with, so without a check it would
+// accept any.
 func TestRestartedSidecarRejectsFencedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
 		v.stored = 0
 		if s := v.handle(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonStoreDown {
-			t.Fatalf("taken without a token to compare with: %+v", s)
+			t.Fatalf("accepted without a token to compare with: %+v", s)
 		}
 		v.stored = 5
 		if s := v.handle(t, 4, wire.OrderPrepare); s.Error == nil || s.Error.Reason != verdict.ReasonFenced {
-			t.Fatalf("an old order was taken: %+v", s)
+			t.Fatalf("an outdated order was accepted: %+v", s)
 		}
 		if s := v.handle(t, 5, wire.OrderQuery); s.Error != nil {
-			t.Fatalf("the holder's order was refused: %+v", s)
+			t.Fatalf("the lease holder's order was refused: %+v", s)
 		}
 	})
 }
--- a/internal/token/secret.go
+++ b/internal/token/secret.go
@@ -11,44 +11,45 @@
 	"github.com/pkg/errors"
 )
 
-// minSecretLen is the shortest secret in bytes: as strong as its signatures.
+// minSecretLen is the shortest secret in bytes: no shorter than the MACs made with it.
 const minSecretLen = 16
 
-// Secret is a signing key with the id by which tokens name it. It never prints
-// its value, in whatever format or log line it ends up.
+// Secret is a signing key and the ID by which tokens refer to it. All formatting and
+// marshalling redacts its value.
 type Secret struct {
 	ID    byte
 	Value []byte
 }
 
-// Equal reports whether o is the same secret under the same id.
+// Equal reports whether o has the same ID and value. It compares the values in constant
+// time.
 func (s Secret) Equal(o Secret) bool {
 	return s.ID == o.ID && subtle.ConstantTimeCompare(s.Value, o.Value) == 1
 }
 
-// redacted stands in for the value of a secret.
+// redacted replaces the value of a secret in output.
 const redacted = "[redacted]"
 
-// Format implements fmt.Formatter for every verb.
+// Format implements fmt.Formatter for every verb and redacts the value.
 func (s Secret) Format(f fmt.State, _ rune) {
 	_, _ = io.WriteString(f, strconv.Itoa(int(s.ID))+":"+redacted)
 }
 
-// MarshalText implements encoding.TextMarshaler, for JSON and log lines.
+// MarshalText implements encoding.TextMarshaler, which JSON and log lines use, and
+// redacts the value.
 func (s Secret) MarshalText() ([]byte, error) {
 	return []byte(fmt.Sprint(s)), nil
 }
 
-// ParseSecrets reads the content of a file of secrets: one id:hex a line, the
-// one to sign with first; blank lines and lines that begin with # are skipped.
-// Its errors name lines and never repeat them.
+// ParseSecrets parses the content of a secrets file: one id:hex per line, the signing
+// secret first. Blank lines and lines that begin with # are skipped. Its errors give
+// line numbers and never contain the line.
 //
-// The last line must end with a line break. A file that is read while it is
-// being written is cut short somewhere, and half of a secret is as good
-// hexadecimal as the whole.
+// The last line must end with a line break. A file that is read while it is being
+// written ends at an arbitrary position, and half of a secret is valid hexadecimal too.
 func ParseSecrets(content string) ([]Secret, error) {
 	if content != "" && !strings.HasSuffix(content, "\n") {
-		return nil, errors.New("token: the last line has no end: the file may be half written")
+		return nil, errors.New("token: the last line has no line break: the file may be incomplete")
 	}
 	var secrets []Secret
 	n := 0
@@ -80,10 +81,10 @@
 	return Secret{ID: byte(n), Value: b}, nil
 }
 
-// checkSecrets returns what is wrong with the secrets of a Ring.
+// checkSecrets returns an error if secrets are not valid for a Keyring.
 func checkSecrets(secrets []Secret) error {
 	if len(secrets) == 0 {
-		return errors.New("token: no secret")
+		return errors.New("token: no secrets")
 	}
 	seen := make(map[byte]bool, len(secrets))
 	for _, s := range secrets {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -1,10 +1,9 @@
-// Package token makes and checks the signed tokens that the fleet hands to
-// callers: request keys, which name the one sidecar incarnation on which a
-// request may run, and placement tickets, which remember where a session's
-// prompt prefix was cached last.
+// Package token creates and verifies the signed tokens that the fleet gives to callers:
+// request keys, which name the one sidecar incarnation that may run a request, and
+// placement tickets, which record where the prompt prefix of a session was last cached.
 //
-// A token is opaque to callers. Only routers make and check tokens; sidecars
-// trust what an authenticated router tells them.
+// Tokens are opaque to callers. Only routers create and verify tokens; sidecars trust
+// what an authenticated router sends them.
 package token
 
 import (
@@ -20,7 +19,7 @@
 	"github.com/pkg/errors"
 )
 
-// Purpose separates the kinds of token, so that one cannot stand in for another.
+// Purpose distinguishes the kinds of token, so that one cannot be used as another.
 type Purpose byte
 
 const (
@@ -30,7 +29,7 @@
 	PurposeTicket Purpose = 't'
 )
 
-// MaxVMLen is the longest VM id that a token can carry, in bytes.
+// MaxVMLen is the longest VM ID that a token can carry, in bytes.
 const MaxVMLen = 64
 
 const (
@@ -41,16 +40,16 @@
 	maxEncodedLen = 256
 )
 
-// encoding is strict: it refuses stray bits after the last byte.
+// encoding is strict: it rejects non-zero trailing padding bits.
 var encoding = base64.RawURLEncoding.Strict()
 
 // Errors that Open returns.
 var (
-	ErrForged  = errors.New("token: not signed by this fleet")
-	ErrPurpose = errors.New("token: of another kind")
+	ErrForged  = errors.New("token: not signed by this fleet") // malformed or signed with no known secret
+	ErrPurpose = errors.New("token: of another kind")          // valid, but with another Purpose
 )
 
-// Nonce tells apart the tokens of one incarnation.
+// Nonce distinguishes the tokens of one incarnation.
 type Nonce [nonceSize]byte
 
 // NewNonce returns a random nonce.
@@ -90,18 +89,19 @@
 	VM          string    // at most MaxVMLen bytes
 }
 
-// Expired reports whether the token's time is over at now.
+// Expired reports whether the token has expired at now.
 func (t Token) Expired(now time.Time) bool {
 	return now.After(t.Expires)
 }
 
-// Keyring signs with its first secret and accepts all of them, so that a secret
-// can be rotated while tokens signed with the former one are still in use.
+// Keyring signs with its first secret and accepts signatures by all of them, so that a
+// secret can be rotated while tokens signed with the previous one are in use. It is
+// safe for concurrent use.
 type Keyring struct {
 	secrets atomic.Pointer[[]Secret]
 }
 
-// NewKeyring returns a Ring over secrets, the one to sign with first.
+// NewKeyring returns a Keyring of secrets, the signing secret first.
 func NewKeyring(secrets ...Secret) (*Keyring, error) {
 	r := &Keyring{}
 	if err := r.Set(secrets...); err != nil {
@@ -110,8 +110,8 @@
 	return r, nil
 }
 
-// Set replaces the secrets, the one to sign with first. After an error the
-// former ones stay.
+// Set replaces the secrets, the signing secret first. After an error the previous
+// secrets stay in use.
 func (r *Keyring) Set(secrets ...Secret) error {
 	if err := checkSecrets(secrets); err != nil {
 		return err
@@ -136,8 +136,8 @@
 	return encoding.EncodeToString(b)
 }
 
-// Open checks and decodes s. It does not judge the expiry, because an expired
-// key still names the sidecar that knows what became of its request.
+// Open verifies and decodes s. It does not check the expiry, because an expired key
+// still names the sidecar that has the outcome of its request.
 func (r *Keyring) Open(s string, p Purpose) (Token, error) {
 	if len(s) > maxEncodedLen {
 		return Token{}, ErrForged
@@ -146,7 +146,7 @@
 	if err != nil || len(b) < fixedSize+macSize || b[0] != formatVersion {
 		return Token{}, ErrForged
 	}
-	// The decoder skips line breaks. A token has one spelling only, so that
+	// The decoder skips line breaks. Each token must have a single encoding, so that
 	// two requests with the same key also carry the same text.
 	if len(s) != encoding.EncodedLen(len(b)) {
 		return Token{}, ErrForged
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -43,11 +43,11 @@
 	}
 }
 
-// A guest returns with a ticket or key from before the night's rotation of the
-// secret, through routers that have and have not yet read the new file. Each
-// must know it as its own, or a returning chat loses its cached prefix and a
-// retried booking its at-most-once. Nothing else may pass: not a changed byte,
-// not a ticket as a key, not one signed by a secret that was taken out.
+// After the signing secret was rotated, a caller sends a ticket or key from before the
+// rotation through routers that have or have not yet read the new file. Each router
+// must accept it; otherwise a session loses its cached prefix, or a retried request may
+// run twice. Anything else must be rejected: a changed byte, a ticket used as a key, a
+// token signed with a removed secret.
 func TestRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawToken(t)
@@ -56,7 +56,7 @@
 		if err := r.Set(testSecret(2), testSecret(1)); err != nil {
 			t.Fatal(err)
 		}
-		lagging := newTestKeyring(t, testSecret(1), testSecret(2)) // has the new secret, signs with the former
+		lagging := newTestKeyring(t, testSecret(1), testSecret(2)) // has the new secret, signs with the previous one
 		for _, s := range []string{sealed, r.Seal(want), lagging.Seal(want)} {
 			for _, opener := range []*Keyring{r, lagging} {
 				if got, err := opener.Open(s, want.Purpose); err != nil || got != want {
@@ -65,15 +65,15 @@
 			}
 		}
 		if _, err := r.Open(sealed, 'k'^'t'^want.Purpose); !errors.Is(err, ErrPurpose) {
-			t.Fatalf("as another kind of token: %v", err)
+			t.Fatalf("opened as another kind of token: %v", err)
 		}
 		at := rapid.IntRange(0, len(sealed)-1).Draw(t, "at")
 		forged := sealed[:at] + string(rapid.Byte().Filter(func(b byte) bool { return b != sealed[at] }).Draw(t, "byte")) + sealed[at+1:]
 		if _, err := r.Open(forged, want.Purpose); err == nil {
-			t.Fatalf("a token with byte %d changed was taken", at)
+			t.Fatalf("a token with byte %d changed was accepted", at)
 		}
 		if _, err := newTestKeyring(t, testSecret(2)).Open(sealed, want.Purpose); !errors.Is(err, ErrForged) {
-			t.Fatalf("signed by a secret that was taken out: %v", err)
+			t.Fatalf("token signed with a removed secret: %v", err)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		got, err := r.Open(s, PurposeKey)
 		if err == nil && r.Seal(got) != s && newTestKeyring(t, testSecret(1)).Seal(got) != s {
-			t.Errorf("%q was taken but is not the spelling that we gave out", s)
+			t.Errorf("%q was accepted but is not the encoding that Seal returns", s)
 		}
 	})
 }
@@ -105,26 +105,26 @@
 		secrets, err := ParseSecrets(content)
 		if err == nil {
 			if _, err := NewKeyring(secrets...); err != nil {
-				t.Errorf("read from %q, refused by the ring: %v", content, err)
+				t.Errorf("parsed from %q, rejected by NewKeyring: %v", content, err)
 			}
 			return
 		}
 		for line := range strings.Lines(content) {
 			if _, value, _ := strings.Cut(strings.TrimSpace(line), ":"); len(value) >= minSecretLen && strings.Contains(err.Error(), value) {
-				t.Errorf("the error %q shows a secret", err)
+				t.Errorf("the error %q contains a secret", err)
 			}
 		}
 	})
 }
 
-// A deploy tool is still writing the file while a router reads it: all of the
-// first 16 to 31 bytes of a secret are good hexadecimal, so the router would
-// sign with half a secret and every other router refuse its tokens.
+// A router reads the file while a deployment tool is still writing it. The first 16 to
+// 31 bytes of a secret are valid hexadecimal too, so the router would sign with half a
+// secret and every other router would reject its tokens.
 func TestHalfWrittenSecretIsRefused(t *testing.T) {
 	content := "1:" + strings.Repeat("5e", 32) + "\n"
 	for n := 1; n < len(content); n++ {
 		if _, err := ParseSecrets(content[:n]); err == nil {
-			t.Errorf("the first %d bytes of %d were taken for the whole file", n, len(content))
+			t.Errorf("the first %d of %d bytes were accepted as the whole file", n, len(content))
 		}
 	}
 }
@@ -138,6 +138,6 @@
 	j, err := json.Marshal(holder)
 	out := fmt.Sprintf("%v %+v %#v %s %x %d %q %v", s, s, s, s, s, s, &s, holder) + log.String() + string(j)
 	if err != nil || strings.Contains(out, "booking") || strings.Contains(out, "626f6f6b") || strings.Contains(out, "98 111") {
-		t.Errorf("%v, a secret in %s", err, out)
+		t.Errorf("error %v, or a secret in %s", err, out)
 	}
 }
