--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -128,7 +128,7 @@
 	it := &waitingRequest{Request: r, seq: q.lastSeq}
 	q.waiting[r.ID] = it
 	q.class(r.Priority).push(it)
-	q.addToQueue(&r, 1)
+	q.adjustQueueLengths(&r, 1)
 	q.organisations[r.Org].waiting++
 	q.bytes += r.Size
 	return nil
@@ -237,12 +237,12 @@
 func (q *Queue) dequeue(it *waitingRequest) {
 	delete(q.waiting, it.ID)
 	q.class(it.Priority).remove(it)
-	q.addToQueue(&it.Request, -1)
+	q.adjustQueueLengths(&it.Request, -1)
 	q.organisations[it.Org].waiting--
 	q.bytes -= it.Size
 }
 
-func (q *Queue) addToQueue(r *Request, by int) {
+func (q *Queue) adjustQueueLengths(r *Request, by int) {
 	for _, k := range [...]queueKey{{profile: r.Profile}, {r.Profile, r.Org}} {
 		q.queueLengths[k] += by
 		if q.queueLengths[k] == 0 {
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -12,15 +12,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// engine is an upstream that carries out orders, ignores fencing tokens and loads in
+// testUpstream is an upstream that carries out orders, ignores fencing tokens and loads in
 // one second.
-type engine struct {
+type testUpstream struct {
 	loads   int
 	order   wire.Order
 	started time.Time
 }
 
-func (e *engine) OrderStatus(context.Context) (wire.OrderStatus, error) {
+func (e *testUpstream) OrderStatus(context.Context) (wire.OrderStatus, error) {
 	switch {
 	case e.loads == 0:
 		return wire.OrderStatus{}, nil
@@ -31,7 +31,7 @@
 	}
 }
 
-func (e *engine) Load(_ context.Context, o wire.Order) error {
+func (e *testUpstream) Load(_ context.Context, o wire.Order) error {
 	e.loads++
 	e.order, e.started = o, time.Now()
 	return nil
@@ -40,16 +40,16 @@
 // vm is a sidecar's Handler with its upstream and store.
 type vm struct {
 	*Handler
-	engine  engine
-	serving atomic.Bool
-	stored  wire.FencingToken // zero: the store refuses calls
+	upstream testUpstream
+	serving  atomic.Bool
+	stored   wire.FencingToken // zero: the store refuses calls
 }
 
 func newVM(t *testing.T) *vm {
 	v := &vm{stored: 5}
 	v.serving.Store(true)
 	v.Handler = NewHandler(t.Context(), Config{
-		Upstream: &v.engine,
+		Upstream: &v.upstream,
 		Token: func(context.Context) (wire.FencingToken, error) {
 			if v.stored == 0 {
 				return 0, topo.ErrRefused
@@ -82,15 +82,15 @@
 		v := newVM(t)
 		v.handle(t, 5, wire.OrderPrepare)
 		time.Sleep(time.Second)
-		if s := v.handle(t, 5, wire.OrderLoad); s.Phase != wire.PhaseDraining || v.engine.loads != 0 {
+		if s := v.handle(t, 5, wire.OrderLoad); s.Phase != wire.PhaseDraining || v.upstream.loads != 0 {
 			t.Fatalf("loaded while requests were running: %+v", s)
 		}
 		time.Sleep(10 * time.Second)
 		v.handle(t, 5, wire.OrderLoad)
 		v.handle(t, 5, wire.OrderLoad)
 		time.Sleep(2 * time.Second)
-		if s := v.handle(t, 5, wire.OrderQuery); v.engine.loads != 1 || !v.serving.Load() || s.Loaded.Model != "m" {
-			t.Fatalf("%d loads, serving %v, %+v", v.engine.loads, v.serving.Load(), s)
+		if s := v.handle(t, 5, wire.OrderQuery); v.upstream.loads != 1 || !v.serving.Load() || s.Loaded.Model != "m" {
+			t.Fatalf("%d loads, serving %v, %+v", v.upstream.loads, v.serving.Load(), s)
 		}
 	})
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	poison       Fingerprint = 1
-	lastHarmless Fingerprint = 8
+	poisonRequest Fingerprint = 1
+	lastHarmless  Fingerprint = 8
 
 	grantTime = time.Minute
 	maxHops   = 6
@@ -199,29 +199,29 @@
 	}
 	return map[string]func(*rapid.T){
 		"innocent": func(t *rapid.T) {
-			send(t, Fingerprint(rapid.IntRange(int(poison)+1, int(lastHarmless)).Draw(t, "fingerprint")))
+			send(t, Fingerprint(rapid.IntRange(int(poisonRequest)+1, int(lastHarmless)).Draw(t, "fingerprint")))
 		},
 		"poison": func(t *rapid.T) {
-			if f.poisonCrashes > 0 || !f.inFlight(poison) {
-				send(t, poison)
+			if f.poisonCrashes > 0 || !f.inFlight(poisonRequest) {
+				send(t, poisonRequest)
 			}
 		},
 		"resends": func(t *rapid.T) { // at once, through different routers
 			for range f.routers {
 				if f.poisonCrashes > 0 {
-					send(t, poison)
+					send(t, poisonRequest)
 				}
 			}
 		},
 		"crash": func(t *rapid.T) {
-			if s := pick(t, f.sidecars); s.isRunning(poison) {
+			if s := pick(t, f.sidecars); s.isRunning(poisonRequest) {
 				f.poisonCrashes++
 				f.crash(s)
 			}
 		},
 		"fail": func(t *rapid.T) { // a crash for an unrelated reason
 			s := pick(t, f.sidecars)
-			if len(s.running) > 0 && (s.isMixed() || !f.crashed[s.running[0].Fingerprint]) && !s.isRunning(poison) {
+			if len(s.running) > 0 && (s.isMixed() || !f.crashed[s.running[0].Fingerprint]) && !s.isRunning(poisonRequest) {
 				f.hadUnrelatedCrash = true
 				f.crash(s)
 			}
@@ -233,7 +233,7 @@
 		},
 		"end": func(t *rapid.T) {
 			s := pick(t, f.sidecars)
-			if i := len(s.running) - 1; i >= 0 && s.running[i].Fingerprint != poison {
+			if i := len(s.running) - 1; i >= 0 && s.running[i].Fingerprint != poisonRequest {
 				f.end(s, i)
 			}
 		},
@@ -263,7 +263,7 @@
 	}
 	for _, n := range all {
 		for _, p := range n.table.Convicted(f.now) {
-			if p != poison {
+			if p != poisonRequest {
 				t.Fatalf("harmless request %d is convicted", p)
 			}
 		}
@@ -284,7 +284,7 @@
 // request is sent repeatedly.
 func (f *fleet) settle(t *rapid.T) {
 	for _, s := range f.sidecars {
-		if s.isRunning(poison) {
+		if s.isRunning(poisonRequest) {
 			f.poisonCrashes++
 			f.crash(s)
 		}
@@ -296,13 +296,13 @@
 	for range 2 * int(lastHarmless) {
 		f.now = f.now.Add(grantTime / 4)
 		f.drain()
-		for p := poison + 1; p <= lastHarmless; p++ {
+		for p := poisonRequest + 1; p <= lastHarmless; p++ {
 			if !f.inFlight(p) {
 				f.send(f.routers[int(p)%len(f.routers)], p, f.offerOrder(p, false), func() bool { return false })
 			}
 		}
 	}
-	for p := poison + 1; p <= lastHarmless; p++ {
+	for p := poisonRequest + 1; p <= lastHarmless; p++ {
 		if f.finished[p] == 0 {
 			t.Fatalf("request %d never ran", p)
 		}
@@ -322,7 +322,7 @@
 		}
 	}
 	for _, n := range all {
-		for p := poison + 1; p <= lastHarmless; p++ {
+		for p := poisonRequest + 1; p <= lastHarmless; p++ {
 			if a := n.table.Decide(f.now, p, false).Action; a != Allow && a != Wait {
 				t.Fatalf("request %d %s, but its action is %d at %q", p, why, a, n.table.vm)
 			}
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -30,7 +30,7 @@
 // since the suspects of a crash are mostly sent together.
 type crashJSON struct {
 	Crash    Crash      `json:"c"`
-	Site     string     `json:"vm"`
+	VM       string     `json:"vm"`
 	At       int64      `json:"t"` // Unix milliseconds
 	Alone    bool       `json:"a,omitempty"`
 	Suspects [][3]int64 `json:"s"` // fingerprint (its bits), run time in ms, status
@@ -189,7 +189,7 @@
 	return Entry{
 		Fingerprint: Fingerprint(s[0]),
 		Crash:       c.Crash,
-		VM:          c.Site,
+		VM:          c.VM,
 		At:          time.UnixMilli(c.At),
 		RunTime:     time.Duration(s[1]) * time.Millisecond,
 		Alone:       c.Alone,
@@ -209,7 +209,7 @@
 		size += jsonSize(suspect) + len(",")
 		if !known {
 			i = len(crashes)
-			c := crashJSON{Crash: e.Crash, Site: e.VM, At: e.At.UnixMilli(), Alone: e.Alone, Suspects: [][3]int64{}}
+			c := crashJSON{Crash: e.Crash, VM: e.VM, At: e.At.UnixMilli(), Alone: e.Alone, Suspects: [][3]int64{}}
 			size += jsonSize(c) + len(",")
 			at[e.Crash] = i
 			crashes = append(crashes, c)
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -168,11 +168,11 @@
 func (t *Table) deleteEntry(e *Entry) {
 	t.size--
 	t.outbox.drop(e)
-	removeEntry(t.byFingerprint, e.Fingerprint, e)
-	removeEntry(t.byCrash, e.Crash, e)
+	removeFrom(t.byFingerprint, e.Fingerprint, e)
+	removeFrom(t.byCrash, e.Crash, e)
 }
 
-func removeEntry[K comparable](m map[K][]*Entry, k K, e *Entry) {
+func removeFrom[K comparable](m map[K][]*Entry, k K, e *Entry) {
 	left := slices.DeleteFunc(m[k], func(o *Entry) bool { return o == e })
 	if len(left) == 0 {
 		delete(m, k)
