--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -12,8 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// testUpstream is an upstream that carries out orders, ignores fencing tokens and loads in
-// one second.
+// testUpstream carries out orders, ignores fencing tokens and loads in one second.
 type testUpstream struct {
 	loads   int
 	order   wire.Order
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -38,17 +38,18 @@
 type Action uint8
 
 const (
-	// Allow: the request may run alongside others.
+	// Allow means that the request may run alongside others.
 	Allow Action = iota
-	// RunAlone: the request may run only while nothing else does. No other request may
-	// start until it has ended or ClearIfSurvived reports true.
+	// RunAlone means that the request may run only while nothing else does. No other
+	// request may start until it has ended or ClearIfSurvived reports true.
 	RunAlone
-	// Redirect: the request may run alone, but only on the VM named by Decision.VM.
+	// Redirect means that the request may run alone, but only on the VM named by
+	// Decision.VM.
 	Redirect
-	// Wait: the request may run alone here, but a copy of it already has a grant to do
-	// so.
+	// Wait means that the request may run alone here, but that a copy of it already has
+	// a grant to do so.
 	Wait
-	// Refuse: the fingerprint is convicted and must not run.
+	// Refuse means that the fingerprint is convicted and must not run.
 	Refuse
 )
 
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -25,12 +25,12 @@
 type Status uint8
 
 const (
-	// Suspect: it was running when the upstream crashed.
+	// Suspect means that the fingerprint was running when the upstream crashed.
 	Suspect Status = iota
-	// Cleared: it has since run without a crash.
+	// Cleared means that it has since run without a crash.
 	Cleared
-	// Convicted: it crashed the upstream while running alone as a suspect of another
-	// crash.
+	// Convicted means that it crashed the upstream while running alone as a suspect of
+	// another crash.
 	Convicted
 )
 
