--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -19,107 +19,107 @@
 
 // send submits a copy where its key says. Its reply, or the message itself,
 // may be lost; then the router sends it again some time.
-func (f *fleet) send(t *rapid.T, c *copyOf) {
-	n := f.node(c.key.VM)
-	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: print(c.req), HasPermit: c.leave}
+func (f *fleet) send(t *rapid.T, c *requestCopy) {
+	n := f.vm(c.key.VM)
+	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), HasPermit: c.leave}
 	sub.Treatment = wire.Treatment{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
 		Idempotent:   idempotent(c.req),
 	}
-	if c.links < 4 {
-		next := f.newKey(rapid.SampledFrom(f.nodes).Draw(t, "successor"), c.req)
+	if c.hops < 4 {
+		next := f.newKey(rapid.SampledFrom(f.vms).Draw(t, "successor"), c.req)
 		sub.Successor = &next
 	}
 	if rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
-		f.late = append(f.late, lateSubmit{to: n.vm, sub: sub})
+		f.delayed = append(f.delayed, delayedSubmit{to: n.id, sub: sub})
 	}
 	if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
 		return
 	}
 	if a := f.submit(t, n, sub); a != nil && rapid.IntRange(0, 5).Draw(t, "reply lost") > 0 {
-		f.replied(t, c, a)
+		f.onReply(t, c, a)
 	}
 }
 
 // submit delivers a submission, with what some router knows on its back, and
 // checks the bound if it is admitted.
-func (f *fleet) submit(t *rapid.T, n *node, sub wire.Submit) *wire.Admission {
+func (f *fleet) submit(t *rapid.T, n *testVM, sub wire.Submit) *wire.Admission {
 	f.tickets++
 	r := &f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
 	sub.Control = wire.Control{Samples: r.loads.Pack(f.now, 8), Suspects: r.suspects}
-	n.state.hear(f.now, "", sub.Control)
-	before, bound := n.state.load(), n.state.bound(f.now, sub.Treatment.LoadMultiple)
+	n.state.mergeControl(f.now, "", sub.Control)
+	before, bound := n.state.load(), n.state.loadBound(f.now, sub.Treatment.LoadMultiple)
 	a := f.step(t, n, Submitted{Now: f.now, Ticket: f.tickets, Submit: sub})
 	if a == nil {
 		return nil
 	}
 	if a.Error == nil && !a.Joined && before+1 > bound {
-		t.Fatalf("%s admits at load %d with a bound of %d", n.vm, before, bound)
+		t.Fatalf("%s admits at load %d with a bound of %d", n.id, before, bound)
 	}
-	r.loads.Observe(f.now, load.Hash(n.vm), load.Report{Load: a.Control.Load})
+	r.loads.Observe(f.now, load.Hash(n.id), load.Report{Load: a.Control.Load})
 	r.suspects = a.Control.Suspects
 	return a
 }
 
-func (f *fleet) replied(t *rapid.T, c *copyOf, a *wire.Admission) {
+func (f *fleet) onReply(t *rapid.T, c *requestCopy, a *wire.Admission) {
 	if a.Error != nil {
-		f.refused(t, c, a.Error, a.Moved, a.HasPermit)
+		f.onRejected(t, c, a.Error, a.Moved, a.HasPermit)
 		return
 	}
 	c.admitted = true
-	n := f.node(c.key.VM)
+	n := f.vm(c.key.VM)
 	if r := n.state.requests[c.key.Nonce]; r == nil || r.phase == ended {
-		f.refused(t, c, verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, ""), nil, false)
+		f.onRejected(t, c, verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, ""), nil, false)
 		return
 	}
-	f.readers(t, n, c.key.Nonce)
+	f.updateReaders(t, n, c.key.Nonce)
 }
 
-// readers tells a sidecar how many copies read an answer.
-func (f *fleet) readers(t *rapid.T, n *node, nonce token.Nonce) {
+// updateReaders tells a sidecar how many copies read an answer.
+func (f *fleet) updateReaders(t *rapid.T, n *testVM, nonce token.Nonce) {
 	f.tickets++
-	f.step(t, n, Readers{Now: f.now, Nonce: nonce, Seq: uint64(f.tickets), Count: f.reading(nonce)})
+	f.step(t, n, ReadersChanged{Now: f.now, Nonce: nonce, Seq: uint64(f.tickets), Count: f.readerCount(nonce)})
 	if rapid.IntRange(0, 3).Draw(t, "late count") == 0 {
-		f.step(t, n, Readers{Now: f.now, Nonce: nonce, Seq: 1})
+		f.step(t, n, ReadersChanged{Now: f.now, Nonce: nonce, Seq: 1})
 	}
 }
 
 // cancel has a caller cancel a request, under the key that it holds.
 func (f *fleet) cancel(t *rapid.T, req int) {
-	key := f.first[req]
-	f.ended[req] = true
-	r := f.node(key.VM).state.requests[key.Nonce]
-	waiting := r != nil && r.phase == queued
-	a := f.step(t, f.node(key.VM), Cancelled{Now: f.now, Cancel: wire.Cancel{Key: key, Org: "club"}})
-	if a != nil && a.Error == nil && (!a.Joined || waiting) {
-		f.told[req] = append(f.told[req], verdict.NotRun) // it never came, or waited
+	key := f.firstKey[req]
+	f.cancelled[req] = true
+	r := f.vm(key.VM).state.requests[key.Nonce]
+	isQueued := r != nil && r.phase == queued
+	a := f.step(t, f.vm(key.VM), Cancelled{Now: f.now, Cancel: wire.Cancel{Key: key, Org: "club"}})
+	if a != nil && a.Error == nil && (!a.Joined || isQueued) {
+		f.verdicts[req] = append(f.verdicts[req], verdict.NotRun) // it never came, or waited
 	}
 }
 
 // endCall ends a call at the upstream in one of the ways in which calls end.
-func (f *fleet) endCall(t *rapid.T, n *node) {
+func (f *fleet) endCall(t *rapid.T, n *testVM) {
 	c, nonce, ok := f.anyCall(t, n)
 	if !ok {
 		return
 	}
 	var err *verdict.Error
-	switch fate := rapid.IntRange(0, 3).Draw(t, "fate"); {
-	case !c.arrived:
+	switch outcome := rapid.IntRange(0, 3).Draw(t, "fate"); {
+	case !c.received:
 		err = verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "")
 	case c.aborted:
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "")
-	case fate == 0:
+	case outcome == 0:
 		err = verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")
-	case fate == 1: // it could not connect: nothing ran
+	case outcome == 1: // it could not connect: nothing ran
 		f.runs[c.req]--
 		err = verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "")
 	}
-	f.step(t, n, Ended{Now: f.now, Nonce: nonce, Err: err})
+	f.step(t, n, CallEnded{Now: f.now, Nonce: nonce, Err: err})
 	delete(n.calls, nonce)
 }
 
-func (f *fleet) anyCall(t *rapid.T, n *node) (*call, token.Nonce, bool) {
+func (f *fleet) anyCall(t *rapid.T, n *testVM) (*call, token.Nonce, bool) {
 	if len(n.calls) == 0 {
 		return nil, token.Nonce{}, false
 	}
@@ -128,59 +128,59 @@
 }
 
 // nonces returns the keys of the calls under way, in order.
-func (n *node) nonces() []token.Nonce {
+func (n *testVM) nonces() []token.Nonce {
 	return slices.SortedFunc(maps.Keys(n.calls), func(x, y token.Nonce) int { return bytes.Compare(x[:], y[:]) })
 }
 
-func (f *fleet) crash(t *rapid.T, n *node) {
+func (f *fleet) crash(t *rapid.T, n *testVM) {
 	n.up = false
-	n.orphans = 0
+	n.external = 0
 	for _, nonce := range n.nonces() {
-		if n.calls[nonce].arrived {
-			f.step(t, n, Ended{Now: f.now, Nonce: nonce, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")})
+		if n.calls[nonce].received {
+			f.step(t, n, CallEnded{Now: f.now, Nonce: nonce, Err: verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")})
 			delete(n.calls, nonce)
 		}
 	}
 }
 
-func (f *fleet) probe(t *rapid.T, n *node) {
+func (f *fleet) probe(t *rapid.T, n *testVM) {
 	if !n.probing {
 		return
 	}
 	n.probing = false
 	h := upstream.Health{State: upstream.Gone}
 	if n.up {
-		h = upstream.Health{Instance: upstream.Instance(fmt.Sprint(n.instance)), Running: n.orphans}
+		h = upstream.Health{Instance: upstream.Instance(fmt.Sprint(n.instance)), Running: n.external}
 		for _, c := range n.calls {
-			if c.arrived {
+			if c.received {
 				h.Running++
 			}
 		}
 	}
 	f.step(t, n, Probed{Now: f.now, Health: h})
-	if n.up && !n.exited && n.state.probe.foreign != n.orphans {
-		t.Fatalf("%s counts %d calls of former sidecars, there are %d", n.vm, n.state.probe.foreign, n.orphans)
+	if n.up && !n.exited && n.state.probe.external != n.external {
+		t.Fatalf("%s counts %d calls of former sidecars, there are %d", n.id, n.state.probe.external, n.external)
 	}
 }
 
-func (f *fleet) notice(t *rapid.T, n *node) {
+func (f *fleet) notice(t *rapid.T, n *testVM) {
 	v := topo.Version(rapid.IntRange(0, 20).Draw(t, "version")) // zero: from the list of VMs
 	leaving := rapid.Bool().Draw(t, "leaving")
-	f.step(t, n, Noticed{Now: f.now, Notice: wire.Notice{Leaving: leaving, Version: v}})
+	f.step(t, n, NoticeReceived{Now: f.now, Notice: wire.Notice{Leaving: leaving, Version: v}})
 	if v == 0 && leaving {
-		n.listed = f.now.Add(listedFor)
+		n.listedUntil = f.now.Add(listedTTL)
 	}
 	if v > n.version {
 		n.version, n.leaving = v, leaving
 	}
-	if n.state.leaving(f.now) != (n.leaving || n.stopping || f.now.Before(n.listed)) {
-		t.Fatalf("%s: leaving after notices up to %d: %v", n.vm, n.version, !n.leaving)
+	if n.state.draining(f.now) != (n.leaving || n.stopping || f.now.Before(n.listedUntil)) {
+		t.Fatalf("%s: leaving after notices up to %d: %v", n.id, n.version, !n.leaving)
 	}
 }
 
 func (f *fleet) advance(t *rapid.T, d time.Duration) {
 	f.now = f.now.Add(d)
-	for _, n := range f.nodes {
+	for _, n := range f.vms {
 		f.step(t, n, Ticked{Now: f.now})
 	}
 }
--- a/internal/sidecar/alive.go
+++ b/internal/sidecar/alive.go
@@ -9,5 +9,5 @@
 
 // Ready reports whether new work is taken: the upstream answers and is not leaving.
 func (s *Sidecar) Ready() bool {
-	return !s.out.Load()
+	return !s.unavailable.Load()
 }
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -10,49 +10,49 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// answer holds what an upstream has said to one request, for the routers that
+// responseBuffer holds what an upstream has said to one request, for the routers that
 // read it: the one that asked, and any that resumes after it. It keeps as much
 // as its window allows; when that is full it forgets what all its readers have
 // had, or else makes the upstream wait.
-type answer struct {
-	store *answers
+type responseBuffer struct {
+	store *responseStore
 	nonce token.Nonce
 
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced at each change
-	head    *head
-	base    int64 // offset of the first byte that is kept
-	body    []byte
-	end     *Finish
-	unheld  bool // what does not fit is forgotten while nobody reads
-	readers map[*sender]bool
-	seq     uint64        // counts the changes of readers
-	place   *list.Element // among the ended; guarded by the store
-	whole   bool          // some reader has had all of it
+	mu        sync.Mutex
+	changed   chan struct{} // closed and replaced at each change
+	head      *responseHead
+	base      int64 // offset of the first byte that is kept
+	body      []byte
+	end       *Finish
+	discards  bool // what does not fit is forgotten while nobody reads
+	readers   map[*sender]bool
+	readerSeq uint64        // counts the changes of readers
+	endedElem *list.Element // among the ended; guarded by the store
+	delivered bool          // some reader has had all of it
 }
 
-type head struct {
+type responseHead struct {
 	status int
 	header http.Header
 }
 
-// update needs a.mu held.
-func (a *answer) update() {
+// notify needs a.mu held.
+func (a *responseBuffer) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-func (a *answer) setHead(status int, header http.Header) {
+func (a *responseBuffer) setHead(status int, header http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.head = &head{status: status, header: header}
-	a.update()
+	a.head = &responseHead{status: status, header: header}
+	a.notify()
 }
 
 // write adds b, waiting while there is no room for it.
-func (a *answer) write(ctx context.Context, b []byte) error {
+func (a *responseBuffer) write(ctx context.Context, b []byte) error {
 	for len(b) > 0 {
-		n, changed := a.put(b)
+		n, changed := a.tryWrite(b)
 		b = b[n:]
 		if n > 0 {
 			continue
@@ -66,35 +66,35 @@
 	return nil
 }
 
-// put adds what there is room for.
-func (a *answer) put(b []byte) (n int, changed <-chan struct{}) {
+// tryWrite adds what there is room for.
+func (a *responseBuffer) tryWrite(b []byte) (n int, changed <-chan struct{}) {
 	window := a.store.window()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if missing := len(a.body) + len(b) - window; missing > 0 {
-		a.slide(missing)
+	if excess := len(a.body) + len(b) - window; excess > 0 {
+		a.discardDelivered(excess)
 	}
 	n = min(len(b), max(0, window-len(a.body)))
 	if n > 0 {
 		a.body = append(a.body, b[:n]...)
 		a.store.used.Add(int64(n))
-		a.update()
+		a.notify()
 	}
 	return n, a.changed
 }
 
-// slide forgets at least missing bytes from the front, as far as all readers
+// discardDelivered forgets at least missing bytes from the front, as far as all readers
 // have had them. It moves in large steps, since each copies the rest; the
 // former bytes may be in use by a sender and are not overwritten.
-func (a *answer) slide(missing int) {
-	had := len(a.body)
+func (a *responseBuffer) discardDelivered(excess int) {
+	delivered := len(a.body)
 	for r := range a.readers {
-		had = min(had, int(r.taken()-a.base))
+		delivered = min(delivered, int(r.deliveredUpTo()-a.base))
 	}
-	if len(a.readers) == 0 && !a.unheld {
-		had = 0
+	if len(a.readers) == 0 && !a.discards {
+		delivered = 0
 	}
-	n := min(had, max(missing, len(a.body)/4))
+	n := min(delivered, max(excess, len(a.body)/4))
 	if n <= 0 {
 		return
 	}
@@ -103,80 +103,80 @@
 	a.store.used.Add(int64(-n))
 }
 
-func (a *answer) unhold() {
+func (a *responseBuffer) discardOverflow() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unheld = true
-	a.update()
+	a.discards = true
+	a.notify()
 }
 
-func (a *answer) finish(f Finish) {
+func (a *responseBuffer) finish(f Finish) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.end = &f
-	a.update()
+	a.notify()
 }
 
-// forget frees the bytes.
-func (a *answer) forget() {
+// free frees the bytes.
+func (a *responseBuffer) free() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store.used.Add(int64(-len(a.body)))
 	a.base += int64(len(a.body))
 	a.body = nil
-	a.update()
+	a.notify()
 }
 
 // wake tells the writer that a reader has had more.
-func (a *answer) wake() {
+func (a *responseBuffer) wake() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.update()
+	a.notify()
 }
 
-// read reports whether a router reads the answer.
-func (a *answer) read() bool {
+// hasReaders reports whether a router reads the answer.
+func (a *responseBuffer) hasReaders() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.readers) > 0
 }
 
-func (a *answer) length() int64 {
+func (a *responseBuffer) length() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.base + int64(len(a.body))
 }
 
-// join adds a reader and returns the new count. It reports false when what the
+// addReader adds a reader and returns the new count. It reports false when what the
 // reader asks for is no longer held.
-func (a *answer) join(r *sender, offset int64) (Readers, bool) {
+func (a *responseBuffer) addReader(r *sender, offset int64) (ReadersChanged, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if offset < a.base {
-		return Readers{}, false
+		return ReadersChanged{}, false
 	}
 	a.readers[r] = true
-	return a.count(), true
+	return a.readersChanged(), true
 }
 
-// part removes a reader, which has had the whole answer if whole.
-func (a *answer) part(r *sender, whole bool) Readers {
+// removeReader removes a reader, which has had the whole answer if whole.
+func (a *responseBuffer) removeReader(r *sender, delivered bool) ReadersChanged {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.readers, r)
-	a.whole = a.whole || whole
-	a.update()
-	return a.count()
+	a.delivered = a.delivered || delivered
+	a.notify()
+	return a.readersChanged()
 }
 
-func (a *answer) count() Readers {
-	a.seq++
-	return Readers{Nonce: a.nonce, Seq: a.seq, Count: len(a.readers), Delivered: a.whole}
+func (a *responseBuffer) readersChanged() ReadersChanged {
+	a.readerSeq++
+	return ReadersChanged{Nonce: a.nonce, Seq: a.readerSeq, Count: len(a.readers), Delivered: a.delivered}
 }
 
 // view is what a reader at some offset can see of an answer.
 type view struct {
-	head    *head
+	head    *responseHead
 	bytes   []byte
 	length  int64
 	gone    bool // what was asked for is no longer held
@@ -184,8 +184,8 @@
 	changed <-chan struct{}
 }
 
-// from returns up to limit bytes from offset on.
-func (a *answer) from(offset int64, limit int64) view {
+// viewAt returns up to limit bytes viewAt offset on.
+func (a *responseBuffer) viewAt(offset int64, limit int64) view {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v := view{head: a.head, length: a.base + int64(len(a.body)), end: a.end, changed: a.changed}
@@ -198,13 +198,13 @@
 	return v
 }
 
-// answers holds the answers of a sidecar within a bound of memory.
-type answers struct {
+// responseStore holds the responseStore of a sidecar within a bound of memory.
+type responseStore struct {
 	buffer BufferLimits
 	used   atomic.Int64
 
 	mu      sync.Mutex
-	byNonce map[token.Nonce]*answer
+	byNonce map[token.Nonce]*responseBuffer
 	ended   list.List // of *answer, in the order of their end
 }
 
@@ -218,27 +218,27 @@
 // in bytes: with less it could not go on.
 const minWindow = 64 << 10
 
-func newAnswers(b BufferLimits) *answers {
-	return &answers{buffer: b, byNonce: make(map[token.Nonce]*answer)}
+func newResponseStore(b BufferLimits) *responseStore {
+	return &responseStore{buffer: b, byNonce: make(map[token.Nonce]*responseBuffer)}
 }
 
-func (s *answers) open(n token.Nonce) {
+func (s *responseStore) open(n token.Nonce) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.byNonce[n] = &answer{store: s, nonce: n, changed: make(chan struct{}), readers: make(map[*sender]bool)}
+	s.byNonce[n] = &responseBuffer{store: s, nonce: n, changed: make(chan struct{}), readers: make(map[*sender]bool)}
 }
 
-func (s *answers) get(n token.Nonce) *answer {
+func (s *responseStore) get(n token.Nonce) *responseBuffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byNonce[n]
 }
 
-func (s *answers) finish(f Finish) {
+func (s *responseStore) finish(f Finish) {
 	s.mu.Lock()
 	a := s.byNonce[f.Nonce]
 	if a != nil {
-		a.place = s.ended.PushBack(a)
+		a.endedElem = s.ended.PushBack(a)
 	}
 	s.mu.Unlock()
 	if a != nil {
@@ -246,23 +246,23 @@
 	}
 }
 
-func (s *answers) drop(n token.Nonce) {
+func (s *responseStore) drop(n token.Nonce) {
 	s.mu.Lock()
 	a := s.byNonce[n]
 	delete(s.byNonce, n)
-	if a != nil && a.place != nil {
-		s.ended.Remove(a.place)
+	if a != nil && a.endedElem != nil {
+		s.ended.Remove(a.endedElem)
 	}
 	s.mu.Unlock()
 	if a != nil {
-		a.forget()
+		a.free()
 	}
 }
 
 // window is how much one running answer may hold now. While all together hold
 // too much, those that ended first make room; who asks for one of them hears
 // that the answer is gone.
-func (s *answers) window() int {
+func (s *responseStore) window() int {
 	for s.used.Load() > int64(s.buffer.Total) {
 		if !s.evict() {
 			return min(minWindow, s.buffer.PerResponse)
@@ -273,21 +273,21 @@
 
 // evict drops the answer that ended first among those that nobody reads, or
 // reports false.
-func (s *answers) evict() bool {
+func (s *responseStore) evict() bool {
 	a := s.oldestUnread()
 	if a == nil {
 		return false
 	}
-	droppedAnswers.Inc()
+	droppedResponses.Inc()
 	s.drop(a.nonce)
 	return true
 }
 
-func (s *answers) oldestUnread() *answer {
+func (s *responseStore) oldestUnread() *responseBuffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.ended.Front(); e != nil; e = e.Next() {
-		if a := e.Value.(*answer); !a.read() {
+		if a := e.Value.(*responseBuffer); !a.hasReaders() {
 			return a
 		}
 	}
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -21,21 +21,21 @@
 // which the coach has it. Whoever reads gets every byte in its place or is told
 // that it is gone; the sidecar stays within its memory; and nothing is gone
 // that a reader still has to come for.
-func TestAnswersAreWholeOrSaidToBeGone(t *testing.T) {
+func TestReadersGetEveryByteOrAnError(t *testing.T) {
 	whole := make([]byte, 1<<20)
 	for i := range whole {
 		whole[i] = byte(i ^ i>>8 ^ i>>16)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.IntRange(8, 256).Draw(t, "window") << 10
-		store := newAnswers(BufferLimits{PerResponse: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
+		store := newResponseStore(BufferLimits{PerResponse: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
 		for n := range byte(3) { // finished answers fill the buffer
 			store.open(token.Nonce{n})
-			store.get(token.Nonce{n}).put(whole[:window])
+			store.get(token.Nonce{n}).tryWrite(whole[:window])
 			store.finish(Finish{Nonce: token.Nonce{n}})
 		}
-		read := store.get(token.Nonce{2})
-		read.join(newSender(nil, read, wire.Attach{Window: 1}), 0)
+		pinned := store.get(token.Nonce{2})
+		pinned.addReader(newSender(nil, pinned, wire.Attach{Window: 1}), 0)
 		live := token.Nonce{9}
 		store.open(live)
 		a := store.get(live)
@@ -43,7 +43,7 @@
 		var readers []*reader
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
-				n, _ := a.put(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
+				n, _ := a.tryWrite(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
 				written += n
 				if have, most := store.used.Load(), int64(store.buffer.Total+min(window, minWindow)+window); have > most {
 					t.Fatalf("%d bytes held, at most %d", have, most)
@@ -52,7 +52,7 @@
 			"join": func(t *rapid.T) {
 				r := &reader{offset: rapid.Int64Range(0, int64(written)).Draw(t, "offset")}
 				r.s = newSender(nil, a, wire.Attach{Offset: r.offset, Window: 16 << 10})
-				if _, ok := a.join(r.s, r.offset); ok {
+				if _, ok := a.addReader(r.s, r.offset); ok {
 					readers = append(readers, r)
 				} else if r.offset >= a.base {
 					t.Fatalf("refused at %d, kept from %d", r.offset, a.base)
@@ -66,12 +66,12 @@
 			"part": func(t *rapid.T) {
 				if len(readers) > 0 {
 					i := rapid.IntRange(0, len(readers)-1).Draw(t, "reader")
-					a.part(readers[i].s, false)
+					a.removeReader(readers[i].s, false)
 					readers = append(readers[:i], readers[i+1:]...)
 				}
 			},
 			"": func(t *rapid.T) {
-				if read.base > 0 {
+				if pinned.base > 0 {
 					t.Fatal("forgot an answer that is being read")
 				}
 				if len(readers) == 0 && written < min(window, minWindow) && a.base > 0 {
@@ -85,16 +85,16 @@
 		if store.ended.Len() > 0 || store.used.Load() != 0 {
 			t.Fatalf("%d dropped answers are listed, %d bytes counted", store.ended.Len(), store.used.Load())
 		}
-		if v := read.from(0, 1); !v.gone {
+		if v := pinned.viewAt(0, 1); !v.gone {
 			t.Fatal("a dropped answer is not said to be gone")
 		}
 	})
 }
 
 // read takes what is there, passes it on and grants as much again.
-func (r *reader) read(t *rapid.T, a *answer, whole []byte) {
+func (r *reader) read(t *rapid.T, a *responseBuffer, whole []byte) {
 	upTo, _ := r.s.credit()
-	v := a.from(r.offset, min(upTo-r.offset, frameSize))
+	v := a.viewAt(r.offset, min(upTo-r.offset, maxFrameBytes))
 	if v.gone {
 		t.Fatalf("gone at %d for a reader that is there; kept from %d", r.offset, a.base)
 	}
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -39,31 +39,31 @@
 	}
 }
 
-// heapOf returns the bytes in use after f, over those before.
-func heapOf(f func() any) float64 {
+// heapGrowth returns the bytes in use after f, over those before.
+func heapGrowth(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	keep := f()
+	result := f()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(keep)
+	runtime.KeepAlive(result)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
 // BenchmarkMemory measures what one more of each costs, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	cases := map[string]func(n int) any{
-		"waiting":  waiting,
+		"waiting":  waitingRequests,
 		"finished": finishedRequests,
-		"answer":   openAnswers,
+		"answer":   openResponses,
 	}
 	for _, name := range []string{"waiting", "finished", "answer"} {
 		for _, n := range []int{1_000, 4_000, 16_000} {
 			b.Run(fmt.Sprintf("%s=%d", name, n), func(b *testing.B) {
 				total := 0.0
 				for b.Loop() {
-					total += heapOf(func() any { return cases[name](n) })
+					total += heapGrowth(func() any { return cases[name](n) })
 				}
 				b.ReportMetric(total/float64(b.N)/float64(n), "bytes/each")
 			})
@@ -71,8 +71,8 @@
 	}
 }
 
-// waiting holds n requests that wait, with their bodies.
-func waiting(n int) any {
+// waitingRequests holds n requests that wait, with their bodies.
+func waitingRequests(n int) any {
 	s := benchState(1, 1<<20)
 	for i := range n {
 		s.Step(Submitted{Now: benchStart, Submit: benchSubmit(i)})
@@ -86,20 +86,20 @@
 	for i := range n {
 		sub := benchSubmit(i)
 		s.Step(Submitted{Now: benchStart, Submit: sub})
-		s.Step(Ended{Now: benchStart, Nonce: sub.Key.Nonce})
+		s.Step(CallEnded{Now: benchStart, Nonce: sub.Key.Nonce})
 	}
 	return s
 }
 
-// openAnswers holds n answers of 1 KB that are read.
-func openAnswers(n int) any {
-	store := newAnswers(BufferLimits{PerResponse: 1 << 20, Total: 1 << 30})
+// openResponses holds n answers of 1 KB that are read.
+func openResponses(n int) any {
+	store := newResponseStore(BufferLimits{PerResponse: 1 << 20, Total: 1 << 30})
 	for i := range n {
 		nonce := benchSubmit(i).Key.Nonce
 		store.open(nonce)
 		a := store.get(nonce)
-		a.put(make([]byte, 1<<10))
-		a.join(newSender(nil, a, wire.Attach{Window: 16 << 10}), 0)
+		a.tryWrite(make([]byte, 1<<10))
+		a.addReader(newSender(nil, a, wire.Attach{Window: 16 << 10}), 0)
 	}
 	return store
 }
@@ -128,10 +128,10 @@
 				sub.Key.Expires = now.Unix() + 900
 				n := sub.Key.Nonce
 				step(Submitted{Now: now, Submit: sub})
-				step(Readers{Now: now, Nonce: n, Seq: 1, Count: 1})
-				step(Headed{Now: now, Nonce: n})
-				step(Ended{Now: now, Nonce: n})
-				step(Readers{Now: now, Nonce: n, Seq: 2, Delivered: true})
+				step(ReadersChanged{Now: now, Nonce: n, Seq: 1, Count: 1})
+				step(FirstByteReceived{Now: now, Nonce: n})
+				step(CallEnded{Now: now, Nonce: n})
+				step(ReadersChanged{Now: now, Nonce: n, Seq: 2, Delivered: true})
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(events), "ns/event")
 		})
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -15,44 +15,44 @@
 func (s *Sidecar) accept(c net.Conn) {
 	s.mu.Lock()
 	conn := wire.NewConn(s.ctx, c, s)
-	s.peers++
+	s.connCount++
 	id, _ := secure.PeerOf(c)
 	s.conns[conn] = &routerConn{
-		peer:    config.Peer(strconv.FormatUint(s.peers, 10)),
+		peer:    config.Peer(strconv.FormatUint(s.connCount, 10)),
 		role:    id.Role,
 		senders: make(map[wire.StreamID]*sender),
 	}
 	s.mu.Unlock()
-	conn.MonitorPeer(wire.ReaderTiming(), func() bool { return s.reads(conn) })
-	s.peersChanged()
+	conn.MonitorPeer(wire.ReaderTiming(), func() bool { return s.isSending(conn) })
+	s.postPeers()
 	go func() {
 		<-conn.Done()
-		s.drop(conn)
+		s.dropConn(conn)
 	}()
 }
 
-func (s *Sidecar) drop(conn *wire.Conn) {
+func (s *Sidecar) dropConn(conn *wire.Conn) {
 	s.mu.Lock()
 	for _, sender := range s.conns[conn].senders {
 		sender.stop()
 	}
 	delete(s.conns, conn)
 	s.mu.Unlock()
-	s.peersChanged()
+	s.postPeers()
 }
 
-// reads reports whether an answer is being sent over conn.
-func (s *Sidecar) reads(conn *wire.Conn) bool {
+// isSending reports whether an answer is being sent over conn.
+func (s *Sidecar) isSending(conn *wire.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.conns[conn]
 	return r != nil && len(r.senders) > 0
 }
 
-// permits reports whether a peer of a role may make a call. A sidecar runs
+// isPermitted reports whether a peer of a role may make a call. A sidecar runs
 // beside an upstream, which runs what others have written: what gets hold of
 // one sidecar's certificate must not run work on all other upstreams.
-func permits(r secure.Role, m wire.Method) bool {
+func isPermitted(r secure.Role, m wire.Method) bool {
 	switch r {
 	case secure.RoleSidecar:
 		return m == wire.MethodHello || m == wire.MethodImport || m == wire.MethodJoined
@@ -63,16 +63,16 @@
 	}
 }
 
-// admits returns an error for a call that the peer of a connection may not make.
+// authorize returns an error for a call that the peer of a connection may not make.
 // The peer of one that has ended is not known any more, so it may make none.
-func (s *Sidecar) admits(c *wire.Conn, m wire.Method) error {
+func (s *Sidecar) authorize(c *wire.Conn, m wire.Method) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.conns[c]
 	if r == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonConnection, "the connection has ended")
 	}
-	if !permits(r.role, m) {
+	if !isPermitted(r.role, m) {
 		forbiddenCalls.Inc()
 		return verdict.New(verdict.NotRun, verdict.ReasonForbidden, "a %s may not call %s here", r.role, m)
 	}
@@ -81,48 +81,48 @@
 
 // HandleCall implements wire.Handler.
 func (s *Sidecar) HandleCall(ctx context.Context, c *wire.Conn, m wire.Method, params wire.Params) (any, error) {
-	if err := s.admits(c, m); err != nil {
+	if err := s.authorize(c, m); err != nil {
 		return nil, err
 	}
 	switch m {
 	case wire.MethodHello:
 		return s.hello(ctx)
 	case wire.MethodSubmit:
-		return serve(params, func(p wire.Submit) (any, error) { return s.submit(ctx, c, p) })
+		return withParams(params, func(p wire.Submit) (any, error) { return s.submit(ctx, c, p) })
 	case wire.MethodAttach:
-		return serve(params, func(p wire.Attach) (any, error) { return s.attach(ctx, c, p) })
+		return withParams(params, func(p wire.Attach) (any, error) { return s.attach(ctx, c, p) })
 	case wire.MethodCancel:
-		return serve(params, func(p wire.Cancel) (any, error) {
+		return withParams(params, func(p wire.Cancel) (any, error) {
 			return s.admission(ctx, func(t Ticket) Event { return Cancelled{Now: time.Now(), Ticket: t, Cancel: p} })
 		})
 	case wire.MethodStatus:
-		return serve(params, func(p wire.StatusRequest) (any, error) { return s.status(ctx, p) })
+		return withParams(params, func(p wire.StatusRequest) (any, error) { return s.status(ctx, p) })
 	case wire.MethodNotice:
-		return serve(params, func(p wire.Notice) (any, error) {
-			return s.admission(ctx, func(t Ticket) Event { return Noticed{Now: time.Now(), Ticket: t, Notice: p} })
+		return withParams(params, func(p wire.Notice) (any, error) {
+			return s.admission(ctx, func(t Ticket) Event { return NoticeReceived{Now: time.Now(), Ticket: t, Notice: p} })
 		})
 	case wire.MethodReport:
-		return serve(params, func(p wire.Report) (any, error) {
-			return s.admission(ctx, func(t Ticket) Event { return Reported{Now: time.Now(), Ticket: t, Report: p} })
+		return withParams(params, func(p wire.Report) (any, error) {
+			return s.admission(ctx, func(t Ticket) Event { return ReportReceived{Now: time.Now(), Ticket: t, Report: p} })
 		})
 	case wire.MethodConfigSince:
-		return serve(params, func(p wire.ConfigSince) (any, error) { return s.configSince(ctx, c, p) })
+		return withParams(params, func(p wire.ConfigSince) (any, error) { return s.configSince(ctx, c, p) })
 	case wire.MethodOrder:
-		return serve(params, func(p wire.Order) (any, error) { return s.order(ctx, p) })
+		return withParams(params, func(p wire.Order) (any, error) { return s.order(ctx, p) })
 	case wire.MethodJoined:
-		return serve(params, func(p wire.Joined) (any, error) {
-			s.loop.Post(Welcomed{Now: time.Now(), VM: p.VM})
+		return withParams(params, func(p wire.Joined) (any, error) {
+			s.loop.Post(VMJoined{Now: time.Now(), VM: p.VM})
 			return wire.Empty{}, nil
 		})
 	case wire.MethodImport:
-		return serve(params, func(p wire.Import) (any, error) { return s.takeImport(ctx, p) })
+		return withParams(params, func(p wire.Import) (any, error) { return s.importPrefix(ctx, p) })
 	}
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "unknown method %q", m)
 }
 
 // hello introduces the sidecar, with its load and whether it takes new work.
 func (s *Sidecar) hello(ctx context.Context) (any, error) {
-	a, err := s.admission(ctx, func(t Ticket) Event { return Greeted{Now: time.Now(), Ticket: t} })
+	a, err := s.admission(ctx, func(t Ticket) Event { return HelloReceived{Now: time.Now(), Ticket: t} })
 	if err != nil {
 		return nil, err
 	}
@@ -130,8 +130,8 @@
 	return wire.Hello{VM: c.VM, Incarnation: c.Incarnation, Control: a.Control}, nil
 }
 
-// serve decodes the parameters of a call for f.
-func serve[P any](params wire.Params, f func(P) (any, error)) (any, error) {
+// withParams decodes the parameters of a call for f.
+func withParams[P any](params wire.Params, f func(P) (any, error)) (any, error) {
 	var p P
 	if err := params.Decode(&p); err != nil {
 		return nil, err
@@ -143,17 +143,17 @@
 func (s *Sidecar) HandleFrame(c *wire.Conn, f wire.Frame) {
 	switch f := f.(type) {
 	case wire.Credit:
-		if out := s.sender(c, f.Stream); out != nil {
+		if out := s.senderOf(c, f.Stream); out != nil {
 			out.grant(f.UpTo)
 		}
 	case wire.Detach:
-		if out := s.sender(c, f.Stream); out != nil {
+		if out := s.senderOf(c, f.Stream); out != nil {
 			out.stop()
 		}
 	}
 }
 
-func (s *Sidecar) sender(c *wire.Conn, id wire.StreamID) *sender {
+func (s *Sidecar) senderOf(c *wire.Conn, id wire.StreamID) *sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.conns[c]; r != nil {
@@ -164,7 +164,7 @@
 
 func (s *Sidecar) submit(ctx context.Context, c *wire.Conn, sub wire.Submit) (any, error) {
 	span := s.spans.begin(&sub)
-	from := s.peer(c)
+	from := s.peerOf(c)
 	a, err := s.admission(ctx, func(t Ticket) Event {
 		return Submitted{Now: time.Now(), Ticket: t, Peer: from, Submit: sub}
 	})
@@ -172,7 +172,7 @@
 	if err != nil || a.Error != nil {
 		return a, err
 	}
-	s.read(c, wire.Attach{Key: sub.Key, Org: sub.Org, Stream: sub.Stream, Window: sub.Window}, &a)
+	s.sendResponse(c, wire.Attach{Key: sub.Key, Org: sub.Org, Stream: sub.Stream, Window: sub.Window}, &a)
 	return a, nil
 }
 
@@ -181,45 +181,45 @@
 	if err != nil || a.Error != nil {
 		return a, err
 	}
-	s.read(c, p, &a)
+	s.sendResponse(c, p, &a)
 	return a, nil
 }
 
-// read starts sending an answer to a router, or says in adm that it is gone.
-func (s *Sidecar) read(c *wire.Conn, p wire.Attach, adm *wire.Admission) {
+// sendResponse starts sending an answer to a router, or says in adm that it is gone.
+func (s *Sidecar) sendResponse(c *wire.Conn, p wire.Attach, adm *wire.Admission) {
 	n := p.Key.Nonce
-	ans := s.answers.get(n)
-	if ans == nil || p.Offset < 0 {
-		adm.Error = errAnswerGone()
+	resp := s.responses.get(n)
+	if resp == nil || p.Offset < 0 {
+		adm.Error = errResponseGone()
 		return
 	}
-	out := newSender(connFrames{conn: c, attach: p}, ans, p)
-	joined, ok := ans.join(out, p.Offset)
+	out := newSender(connFrames{conn: c, attach: p}, resp, p)
+	change, ok := resp.addReader(out, p.Offset)
 	if !ok {
-		adm.Error = errAnswerGone()
+		adm.Error = errResponseGone()
 		return
 	}
-	s.post(joined)
-	s.enlist(c, p.Stream, out)
+	s.postReaders(change)
+	s.addSender(c, p.Stream, out)
 	go func() {
-		whole := out.send()
-		s.delist(c, p.Stream)
-		s.post(ans.part(out, whole))
+		delivered := out.send()
+		s.removeSender(c, p.Stream)
+		s.postReaders(resp.removeReader(out, delivered))
 	}()
 }
 
-func errAnswerGone() *verdict.Error {
+func errResponseGone() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, "the answer is no longer held")
 }
 
-// post tells the reducer of a change of readers.
-func (s *Sidecar) post(r Readers) {
+// postReaders tells the reducer of a change of readers.
+func (s *Sidecar) postReaders(r ReadersChanged) {
 	r.Now = time.Now()
 	s.loop.Post(r)
 }
 
-// enlist lets credit reach a sender.
-func (s *Sidecar) enlist(c *wire.Conn, id wire.StreamID, out *sender) {
+// addSender lets credit reach a sender.
+func (s *Sidecar) addSender(c *wire.Conn, id wire.StreamID, out *sender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.conns[c]; r != nil {
@@ -229,7 +229,7 @@
 	out.stop() // the connection has ended
 }
 
-func (s *Sidecar) delist(c *wire.Conn, id wire.StreamID) {
+func (s *Sidecar) removeSender(c *wire.Conn, id wire.StreamID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.conns[c]; r != nil {
@@ -238,7 +238,7 @@
 }
 
 func (s *Sidecar) status(ctx context.Context, p wire.StatusRequest) (any, error) {
-	e, err := s.ask(ctx, func(t Ticket) Event { return StatusAsked{Now: time.Now(), Ticket: t, Status: p} })
+	e, err := s.ask(ctx, func(t Ticket) Event { return StatusRequested{Now: time.Now(), Ticket: t, Status: p} })
 	if err != nil {
 		return nil, err
 	}
@@ -246,7 +246,7 @@
 	if reply.Error != nil {
 		return nil, reply.Error
 	}
-	if a := s.answers.get(reply.Nonce); a != nil {
+	if a := s.responses.get(reply.Nonce); a != nil {
 		reply.Status.Length = a.length()
 	}
 	return reply.Status, nil
@@ -258,7 +258,7 @@
 	attach wire.Attach
 }
 
-func (f connFrames) head(h *head) error {
+func (f connFrames) head(h *responseHead) error {
 	return f.conn.Send(wire.Head{Stream: f.attach.Stream, Nonce: f.attach.Key.Nonce, Status: h.status, Header: h.header})
 }
 
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -14,7 +14,7 @@
 		"Requests whose key was known: they were given the answer that was there.")
 	failedRequests = telemetry.NewFamily[verdict.Reason]("sidecar_failed_total", "reason",
 		"Admitted requests that ended without a whole answer, by reason.")
-	droppedAnswers = telemetry.NewCounter("sidecar_dropped_answers_total",
+	droppedResponses = telemetry.NewCounter("sidecar_dropped_answers_total",
 		"Finished answers dropped before their time because the buffer was full.")
 	crashes = telemetry.NewCounter("sidecar_crashes_total",
 		"Crashes of the upstream.", telemetry.Alert)
@@ -35,12 +35,12 @@
 		"Requests at the upstream, those of a former sidecar included.")
 	keysGauge = telemetry.NewGauge("sidecar_key_entries",
 		"Request keys that are remembered.")
-	usedBytes = telemetry.NewGauge("sidecar_answer_bytes",
+	responseBytes = telemetry.NewGauge("sidecar_answer_bytes",
 		"Bytes of the answers that are kept.")
 )
 
-// gauge shows the state to operators.
-func (s *State) gauge() {
+// updateGauges shows the state to operators.
+func (s *State) updateGauges() {
 	loadGauge.Set(int64(s.load()))
 	runningGauge.Set(int64(s.queue.Running()))
 	keysGauge.Set(int64(s.table.Len()))
--- a/internal/sidecar/event.go
+++ b/internal/sidecar/event.go
@@ -24,8 +24,8 @@
 	Submit wire.Submit
 }
 
-// Greeted is a router that has connected.
-type Greeted struct {
+// HelloReceived is a router that has connected.
+type HelloReceived struct {
 	Now    time.Time
 	Ticket Ticket
 }
@@ -44,16 +44,16 @@
 	Cancel wire.Cancel
 }
 
-// StatusAsked is a router that asks what became of a request.
-type StatusAsked struct {
+// StatusRequested is a router that asks what became of a request.
+type StatusRequested struct {
 	Now    time.Time
 	Ticket Ticket
 	Status wire.StatusRequest
 }
 
-// Readers is how many routers read an answer. Seq orders the counts of one
+// ReadersChanged is how many routers read an answer. Seq orders the counts of one
 // answer, since they come from different goroutines.
-type Readers struct {
+type ReadersChanged struct {
 	Now       time.Time
 	Nonce     token.Nonce
 	Seq       uint64
@@ -61,15 +61,15 @@
 	Delivered bool // some router has been sent the whole answer
 }
 
-// Headed is an answer that has begun.
-type Headed struct {
+// FirstByteReceived is an answer that has begun.
+type FirstByteReceived struct {
 	Now   time.Time
 	Nonce token.Nonce
 }
 
-// Ended is a call of the upstream that is over. A nil Err means that the
+// CallEnded is a call of the upstream that is over. A nil Err means that the
 // answer is whole.
-type Ended struct {
+type CallEnded struct {
 	Now   time.Time
 	Nonce token.Nonce
 	Err   *verdict.Error
@@ -81,51 +81,51 @@
 	Health upstream.Health
 }
 
-// Noticed is word that the VM is to leave or to stay.
-type Noticed struct {
+// NoticeReceived is word that the VM is to leave or to stay.
+type NoticeReceived struct {
 	Now    time.Time
 	Ticket Ticket
 	Notice wire.Notice
 }
 
-// Reported is a router's report of suspects.
-type Reported struct {
+// ReportReceived is a router's report of suspects.
+type ReportReceived struct {
 	Now    time.Time
 	Ticket Ticket
 	Report wire.Report
 }
 
-// Exported is the end of the export of cached prefixes before leaving.
-type Exported struct {
+// ExportFinished is the end of the export of cached prefixes before leaving.
+type ExportFinished struct {
 	Now time.Time
 }
 
-// Welcomed is word that another upstream has joined the pool.
-type Welcomed struct {
+// VMJoined is word that another upstream has joined the pool.
+type VMJoined struct {
 	Now time.Time
 	VM  string
 }
 
-// Imported is a cached prefix that another sidecar has handed over.
-type Imported struct {
+// PrefixImported is a cached prefix that another sidecar has handed over.
+type PrefixImported struct {
 	Now     time.Time
 	Session uint64
 }
 
-// Emptying is an order to take no new work until Refilled. The reply comes when
+// OrderDrainStarted is an order to take no new work until Refilled. The reply comes when
 // nothing runs.
-type Emptying struct {
+type OrderDrainStarted struct {
 	Now    time.Time
 	Ticket Ticket
 }
 
-// Refilled ends Emptying.
-type Refilled struct {
+// OrderDrainEnded ends Emptying.
+type OrderDrainEnded struct {
 	Now time.Time
 }
 
-// Stopping is the order to end the process once nothing is in flight.
-type Stopping struct {
+// StopRequested is the order to end the process once nothing is in flight.
+type StopRequested struct {
 	Now time.Time
 }
 
@@ -134,24 +134,24 @@
 	Now time.Time
 }
 
-func (e Submitted) at() time.Time   { return e.Now }
-func (e Greeted) at() time.Time     { return e.Now }
-func (e Attached) at() time.Time    { return e.Now }
-func (e Cancelled) at() time.Time   { return e.Now }
-func (e StatusAsked) at() time.Time { return e.Now }
-func (e Readers) at() time.Time     { return e.Now }
-func (e Headed) at() time.Time      { return e.Now }
-func (e Ended) at() time.Time       { return e.Now }
-func (e Probed) at() time.Time      { return e.Now }
-func (e Noticed) at() time.Time     { return e.Now }
-func (e Reported) at() time.Time    { return e.Now }
-func (e Exported) at() time.Time    { return e.Now }
-func (e Welcomed) at() time.Time    { return e.Now }
-func (e Imported) at() time.Time    { return e.Now }
-func (e Emptying) at() time.Time    { return e.Now }
-func (e Refilled) at() time.Time    { return e.Now }
-func (e Stopping) at() time.Time    { return e.Now }
-func (e Ticked) at() time.Time      { return e.Now }
+func (e Submitted) at() time.Time         { return e.Now }
+func (e HelloReceived) at() time.Time     { return e.Now }
+func (e Attached) at() time.Time          { return e.Now }
+func (e Cancelled) at() time.Time         { return e.Now }
+func (e StatusRequested) at() time.Time   { return e.Now }
+func (e ReadersChanged) at() time.Time    { return e.Now }
+func (e FirstByteReceived) at() time.Time { return e.Now }
+func (e CallEnded) at() time.Time         { return e.Now }
+func (e Probed) at() time.Time            { return e.Now }
+func (e NoticeReceived) at() time.Time    { return e.Now }
+func (e ReportReceived) at() time.Time    { return e.Now }
+func (e ExportFinished) at() time.Time    { return e.Now }
+func (e VMJoined) at() time.Time          { return e.Now }
+func (e PrefixImported) at() time.Time    { return e.Now }
+func (e OrderDrainStarted) at() time.Time { return e.Now }
+func (e OrderDrainEnded) at() time.Time   { return e.Now }
+func (e StopRequested) at() time.Time     { return e.Now }
+func (e Ticked) at() time.Time            { return e.Now }
 
 // Effect is something that a sidecar is to do.
 type Effect interface{ isEffect() }
@@ -173,9 +173,9 @@
 	Nonce token.Nonce
 }
 
-// Unhold lets a call go on whose answer nobody reads: what does not fit into
+// DiscardOverflow lets a call go on whose answer nobody reads: what does not fit into
 // the buffer is dropped, instead of being held back.
-type Unhold struct {
+type DiscardOverflow struct {
 	Nonce token.Nonce
 }
 
@@ -215,42 +215,42 @@
 	Sessions []uint64
 }
 
-// Welcome hands the cached prefixes of those of sessions that rank first at a
+// ExportTo hands the cached prefixes of those of sessions that rank first at a
 // VM that has joined to that VM.
-type Welcome struct {
+type ExportTo struct {
 	VM       string
 	Sessions []uint64
 }
 
-// Announce tells the other upstreams of the pool that this one has joined.
-type Announce struct{}
+// AnnounceJoin tells the other upstreams of the pool that this one has joined.
+type AnnounceJoin struct{}
 
-// Crashed tells operators of a crash of the upstream.
-type Crashed struct {
+// ReportCrash tells operators of a crash of the upstream.
+type ReportCrash struct {
 	Running int // calls that were under way
 }
 
-// Turned tells operators that the upstream has begun or ceased to be served.
-type Turned struct {
-	Down    bool
-	Leaving bool
+// ReportAvailability tells operators that the upstream has begun or ceased to be served.
+type ReportAvailability struct {
+	Down     bool
+	Draining bool
 }
 
 // Exit ends the process.
 type Exit struct{}
 
-func (Open) isEffect()        {}
-func (Start) isEffect()       {}
-func (Abort) isEffect()       {}
-func (Unhold) isEffect()      {}
-func (Finish) isEffect()      {}
-func (Drop) isEffect()        {}
-func (Reply) isEffect()       {}
-func (ReplyStatus) isEffect() {}
-func (Probe) isEffect()       {}
-func (Export) isEffect()      {}
-func (Welcome) isEffect()     {}
-func (Announce) isEffect()    {}
-func (Crashed) isEffect()     {}
-func (Turned) isEffect()      {}
-func (Exit) isEffect()        {}
+func (Open) isEffect()               {}
+func (Start) isEffect()              {}
+func (Abort) isEffect()              {}
+func (DiscardOverflow) isEffect()    {}
+func (Finish) isEffect()             {}
+func (Drop) isEffect()               {}
+func (Reply) isEffect()              {}
+func (ReplyStatus) isEffect()        {}
+func (Probe) isEffect()              {}
+func (Export) isEffect()             {}
+func (ExportTo) isEffect()           {}
+func (AnnounceJoin) isEffect()       {}
+func (ReportCrash) isEffect()        {}
+func (ReportAvailability) isEffect() {}
+func (Exit) isEffect()               {}
--- a/internal/sidecar/export.go
+++ b/internal/sidecar/export.go
@@ -13,116 +13,116 @@
 )
 
 const (
-	// exportAtOnce is how many prefixes are on their way at a time.
-	exportAtOnce = 4
-	// announceWithin bounds the wait for the list of VMs to name a new VM, and
+	// exportConcurrency is how many prefixes are on their way at a time.
+	exportConcurrency = 4
+	// announceTimeout bounds the wait for the list of VMs to name a new VM, and
 	// its announcement to the others.
-	announceWithin = 2 * time.Minute
-	// listAgain is how often the list is read meanwhile.
-	listAgain = 2 * time.Second
+	announceTimeout = 2 * time.Minute
+	// listPollInterval is how often the list is read meanwhile.
+	listPollInterval = 2 * time.Second
 )
 
 // export hands the cached prefixes of sessions to the upstreams that rank first
 // for them once this one has left. It is best effort and bounded in time: a
 // prefix that is not handed over is computed anew.
 func (s *Sidecar) export(sessions []uint64) {
-	defer func() { s.loop.Post(Exported{Now: time.Now()}) }()
+	defer func() { s.loop.Post(ExportFinished{Now: time.Now()}) }()
 	if s.config.VMs == nil || len(sessions) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, exportWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, exportTimeout)
 	defer cancel()
 	list, _, err := s.config.VMs.VMs(ctx, "")
 	if err != nil {
 		exportFailures.Add(int64(len(sessions)))
 		return
 	}
-	heirs := newHeirs(list.Entries, s.config.Settings.VM)
-	s.hand(ctx, sessions, heirs.of)
+	pool := newSuccessors(list.Entries, s.config.Settings.VM)
+	s.exportSessions(ctx, sessions, pool.successorOf)
 }
 
-// welcome hands the cached prefixes of those of sessions that rank first at a
+// exportTo hands the cached prefixes of those of sessions that rank first at a
 // VM that has joined to that VM. Whoever asks for it, they go to VMs that the
 // list of VMs names, by their rank.
-func (s *Sidecar) welcome(e Welcome) {
+func (s *Sidecar) exportTo(e ExportTo) {
 	if s.config.VMs == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, exportWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, exportTimeout)
 	defer cancel()
 	list, _, err := s.config.VMs.VMs(ctx, "")
 	if err != nil {
 		return
 	}
-	heirs := newHeirs(list.Entries, s.config.Settings.VM)
-	s.hand(ctx, e.Sessions, func(session uint64) (topo.VM, bool) {
-		home, ok := heirs.home(session)
+	pool := newSuccessors(list.Entries, s.config.Settings.VM)
+	s.exportSessions(ctx, e.Sessions, func(session uint64) (topo.VM, bool) {
+		home, ok := pool.home(session)
 		return home, ok && home.ID == e.VM
 	})
 }
 
-// announce asks the other upstreams of the pool for the cached prefixes of the
+// announceJoin asks the other upstreams of the pool for the cached prefixes of the
 // sessions that rank first here now that this one has joined. Routers send
 // those here as soon as they see this VM in the list, and without their
 // prefixes each of them would be computed anew.
-func (s *Sidecar) announce() {
+func (s *Sidecar) announceJoin() {
 	if s.config.VMs == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(s.ctx, announceWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, announceTimeout)
 	defer cancel()
-	heirs, ok := s.listed(ctx)
+	pool, ok := s.waitUntilListed(ctx)
 	if !ok {
 		return
 	}
 	x := exporter{sidecar: s, peers: make(map[string]*wire.Peer)}
 	defer x.close()
-	atOnce(exportAtOnce, heirs.others(), func(vm topo.VM) {
+	forEachConcurrently(exportConcurrency, pool.others(), func(vm topo.VM) {
 		_ = x.peer(vm).Call(ctx, wire.MethodJoined, wire.Joined{VM: s.config.Settings.VM}, nil)
 	})
 }
 
-// listed waits until the list of VMs names this one.
-func (s *Sidecar) listed(ctx context.Context) (h heirs, ok bool) {
+// waitUntilListed waits until the list of VMs names this one.
+func (s *Sidecar) waitUntilListed(ctx context.Context) (h successors, ok bool) {
 	for {
 		list, _, err := s.config.VMs.VMs(ctx, "")
 		if err == nil {
-			if h = newHeirs(list.Entries, s.config.Settings.VM); h.self != placement.None {
+			if h = newSuccessors(list.Entries, s.config.Settings.VM); h.self != placement.None {
 				return h, true
 			}
 		}
 		select {
-		case <-time.After(listAgain):
+		case <-time.After(listPollInterval):
 		case <-ctx.Done():
 			return h, false
 		}
 	}
 }
 
-// takeImport gives the engine a prefix that another sidecar hands over.
-func (s *Sidecar) takeImport(ctx context.Context, p wire.Import) (any, error) {
+// importPrefix gives the engine a prefix that another sidecar hands over.
+func (s *Sidecar) importPrefix(ctx context.Context, p wire.Import) (any, error) {
 	if err := s.config.Upstream.Import(ctx, p.Session, p.Cached); err != nil {
 		return nil, err
 	}
-	s.loop.Post(Imported{Now: time.Now(), Session: p.Session})
+	s.loop.Post(PrefixImported{Now: time.Now(), Session: p.Session})
 	importedSessions.Inc()
 	return wire.Empty{}, nil
 }
 
-// hand exports the prefixes of sessions and hands each to the VM that to names,
+// exportSessions exports the prefixes of sessions and hands each to the VM that to names,
 // if it names one.
-func (s *Sidecar) hand(ctx context.Context, sessions []uint64, to func(uint64) (topo.VM, bool)) {
+func (s *Sidecar) exportSessions(ctx context.Context, sessions []uint64, to func(uint64) (topo.VM, bool)) {
 	x := exporter{sidecar: s, peers: make(map[string]*wire.Peer)}
 	defer x.close()
-	atOnce(exportAtOnce, sessions, func(session uint64) {
+	forEachConcurrently(exportConcurrency, sessions, func(session uint64) {
 		if vm, ok := to(session); ok {
-			x.hand(ctx, session, vm)
+			x.exportSession(ctx, session, vm)
 		}
 	})
 }
 
-// atOnce calls do for each of items, for up to n at a time.
-func atOnce[T any](n int, items []T, do func(T)) {
+// forEachConcurrently calls do for each of items, for up to n at a time.
+func forEachConcurrently[T any](n int, items []T, do func(T)) {
 	work := make(chan T)
 	var workers sync.WaitGroup
 	for range n {
@@ -147,7 +147,7 @@
 	peers map[string]*wire.Peer // by VM
 }
 
-func (x *exporter) hand(ctx context.Context, session uint64, to topo.VM) {
+func (x *exporter) exportSession(ctx context.Context, session uint64, to topo.VM) {
 	cached, err := x.sidecar.config.Upstream.Export(ctx, session)
 	if err == upstream.ErrNotCached {
 		return
--- a/internal/sidecar/heirs.go
+++ b/internal/sidecar/heirs.go
@@ -8,15 +8,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// heirs are the upstreams of a pool, to which one of them hands its prefixes.
-type heirs struct {
+// successors are the upstreams of a pool, to which one of them hands its prefixes.
+type successors struct {
 	vms  []topo.VM
 	pool *placement.Pool
 	self int // index of the one that hands over, or placement.None
 }
 
-func newHeirs(list []topo.VM, self string) heirs {
-	h := heirs{self: placement.None}
+func newSuccessors(list []topo.VM, self string) successors {
+	h := successors{self: placement.None}
 	var own topo.VM
 	for _, vm := range list {
 		if vm.ID == self {
@@ -43,22 +43,22 @@
 	return h
 }
 
-// of returns the upstream that serves a session once this one has left.
-func (h *heirs) of(session uint64) (topo.VM, bool) {
-	return h.at(h.pool.Successor(session, h.self))
+// successorOf returns the upstream that serves a session once this one has left.
+func (h *successors) successorOf(session uint64) (topo.VM, bool) {
+	return h.vmAt(h.pool.Successor(session, h.self))
 }
 
 // home returns the upstream that ranks first for a session.
-func (h *heirs) home(session uint64) (topo.VM, bool) {
-	return h.at(h.pool.Home(session))
+func (h *successors) home(session uint64) (topo.VM, bool) {
+	return h.vmAt(h.pool.Home(session))
 }
 
 // others returns all but this one.
-func (h *heirs) others() []topo.VM {
+func (h *successors) others() []topo.VM {
 	return slices.DeleteFunc(slices.Clone(h.vms), func(vm topo.VM) bool { return vm.ID == h.vms[h.self].ID })
 }
 
-func (h *heirs) at(i int) (topo.VM, bool) {
+func (h *successors) vmAt(i int) (topo.VM, bool) {
 	if i == placement.None {
 		return topo.VM{}, false
 	}
--- a/internal/sidecar/join.go
+++ b/internal/sidecar/join.go
@@ -6,39 +6,39 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// welcomeAgain is how long after a hand-over to a VM another one is not begun:
+// handoverInterval is how long after a hand-over to a VM another one is not begun:
 // the sidecar that asks for it may be restarting all the time.
-const welcomeAgain = time.Minute
+const handoverInterval = time.Minute
 
-// join is what is known of upstreams that have joined.
-type join struct {
+// joinState is what is known of upstreams that have joined.
+type joinState struct {
 	announced bool                 // this one
-	welcomed  map[string]time.Time // others, within welcomeAgain
+	handovers map[string]time.Time // others, within welcomeAgain
 }
 
-// reviewJoin announces this upstream once it serves.
-func (s *State) reviewJoin(is upstream.State) []Effect {
-	if s.join.announced || is != upstream.Up {
+// announceOnce announces this upstream once it serves.
+func (s *State) announceOnce(state upstream.State) []Effect {
+	if s.join.announced || state != upstream.Up {
 		return nil
 	}
 	s.join.announced = true
-	return []Effect{Announce{}}
+	return []Effect{AnnounceJoin{}}
 }
 
-// welcomed begins a hand-over to another upstream that has joined.
-func (s *State) welcomed(e Welcomed) []Effect {
+// handleVMJoined begins a hand-over to another upstream that has joined.
+func (s *State) handleVMJoined(e VMJoined) []Effect {
 	j := &s.join
-	if j.welcomed == nil {
-		j.welcomed = make(map[string]time.Time)
+	if j.handovers == nil {
+		j.handovers = make(map[string]time.Time)
 	}
-	for vm, at := range j.welcomed {
-		if e.Now.Sub(at) >= welcomeAgain {
-			delete(j.welcomed, vm)
+	for vm, at := range j.handovers {
+		if e.Now.Sub(at) >= handoverInterval {
+			delete(j.handovers, vm)
 		}
 	}
-	if _, again := j.welcomed[e.VM]; again || e.VM == s.settings.VM {
+	if _, recent := j.handovers[e.VM]; recent || e.VM == s.settings.VM {
 		return nil
 	}
-	j.welcomed[e.VM] = e.Now
-	return []Effect{Welcome{VM: e.VM, Sessions: s.recent.latest()}}
+	j.handovers[e.VM] = e.Now
+	return []Effect{ExportTo{VM: e.VM, Sessions: s.recent.mostRecent()}}
 }
--- a/internal/sidecar/join_test.go
+++ b/internal/sidecar/join_test.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (u *kvUpstream) taken() []uint64 {
+func (u *kvUpstream) importedSessions() []uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Sorted(slices.Values(u.imported))
@@ -62,7 +62,7 @@
 type kvPool struct {
 	mu    sync.Mutex
 	list  []topo.VM
-	pipes map[string]*pipes
+	pipes map[string]*pipeListener
 }
 
 func (p *kvPool) VMs(context.Context, string) (topo.VMs, bool, error) {
@@ -78,10 +78,10 @@
 	return to.dial(ctx)
 }
 
-func (p *kvPool) add(id string) *pipes {
+func (p *kvPool) add(id string) *pipeListener {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pipes[id] = &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+	p.pipes[id] = &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	p.list = append(p.list, topo.VM{ID: id, Role: topo.RoleUpstream, Pool: "notes"})
 	return p.pipes[id]
 }
@@ -109,9 +109,9 @@
 // routers send those to it that rank it first. Were they not handed over, each
 // would be computed anew. When the new engine leaves before they have returned,
 // they are to come back with it.
-func TestPrefixesFollowTheirSessionsAsUpstreamsJoinAndLeave(t *testing.T) {
+func TestPrefixesAreExportedWhenUpstreamsJoinAndLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &kvPool{pipes: make(map[string]*pipes)}
+		p := &kvPool{pipes: make(map[string]*pipeListener)}
 		first, stopFirst := p.start("vm-0")
 		peer := wire.NewPeer(wire.PeerConfig{Dial: p.pipes["vm-0"].dial})
 		const sessions = 40
@@ -125,19 +125,19 @@
 		peer.Close()
 
 		second, stopSecond := p.start("vm-1")
-		heirs := newHeirs(p.list, "vm-1")
-		var homed []uint64
+		ranked := newSuccessors(p.list, "vm-1")
+		var expected []uint64
 		for session := uint64(1); session <= sessions; session++ {
-			if vm, _ := heirs.home(session); vm.ID == "vm-1" {
-				homed = append(homed, session)
+			if vm, _ := ranked.home(session); vm.ID == "vm-1" {
+				expected = append(expected, session)
 			}
 		}
-		if got := second.taken(); len(homed) == 0 || !slices.Equal(got, homed) {
-			t.Errorf("handed over at the join: %v, want %v", got, homed)
+		if got := second.importedSessions(); len(expected) == 0 || !slices.Equal(got, expected) {
+			t.Errorf("handed over at the join: %v, want %v", got, expected)
 		}
 		stopSecond()
-		if got := first.taken(); !slices.Equal(got, homed) {
-			t.Errorf("handed back at the leave: %v, want %v", got, homed)
+		if got := first.importedSessions(); !slices.Equal(got, expected) {
+			t.Errorf("handed back at the leave: %v, want %v", got, expected)
 		}
 		stopFirst()
 	})
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -11,11 +11,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// peersChanged tells the copy of the configuration whom it can ask. One at a
+// postPeers tells the copy of the configuration whom it can ask. One at a
 // time does, or an older list could be posted after a newer one.
-func (s *Sidecar) peersChanged() {
-	s.peering.Lock()
-	defer s.peering.Unlock()
+func (s *Sidecar) postPeers() {
+	s.peersMu.Lock()
+	defer s.peersMu.Unlock()
 	s.mu.Lock()
 	var names []config.Peer
 	for _, r := range s.conns {
@@ -26,11 +26,11 @@
 	s.mu.Unlock()
 	slices.Sort(names)
 	now := time.Now()
-	s.loop.Post(Configured{Now: now, Event: config.PeersChanged{Now: now, Peers: names}})
+	s.loop.Post(ConfigEvent{Now: now, Event: config.PeersChanged{Now: now, Peers: names}})
 }
 
-// peer is the name of a router's connection for the copy of the configuration.
-func (s *Sidecar) peer(c *wire.Conn) config.Peer {
+// peerOf is the name of a router's connection for the copy of the configuration.
+func (s *Sidecar) peerOf(c *wire.Conn) config.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.conns[c]; r != nil {
@@ -39,7 +39,7 @@
 	return ""
 }
 
-func (s *Sidecar) conn(p config.Peer) *wire.Conn {
+func (s *Sidecar) connOf(p config.Peer) *wire.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, r := range s.conns {
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// askConfig asks a router for what is new in the configuration.
-func (s *Sidecar) askConfig(ctx context.Context, to config.Peer, q config.Query) (config.Delta, error) {
-	c := s.conn(to)
+// queryConfig asks a router for what is new in the configuration.
+func (s *Sidecar) queryConfig(ctx context.Context, to config.Peer, q config.Query) (config.Delta, error) {
+	c := s.connOf(to)
 	if c == nil {
 		return config.Delta{}, verdict.New(verdict.NotRun, verdict.ReasonConnection, "the router has gone")
 	}
@@ -63,9 +63,9 @@
 
 // configSince tells a router what is new in the configuration.
 func (s *Sidecar) configSince(ctx context.Context, c *wire.Conn, q wire.ConfigSince) (any, error) {
-	from := s.peer(c)
+	from := s.peerOf(c)
 	e, err := s.ask(ctx, func(t Ticket) Event {
-		return ConfigAsked{Now: time.Now(), Ticket: t, Peer: from, Query: q}
+		return ConfigRequested{Now: time.Now(), Ticket: t, Peer: from, Query: q}
 	})
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -11,20 +11,20 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// readSize is how much of an answer is read from the upstream at a time, in bytes.
-const readSize = 8 << 10
+// readBufferSize is how much of an answer is read from the upstream at a time, in bytes.
+const readBufferSize = 8 << 10
 
-// start runs a call on a goroutine of its own.
-func (s *Sidecar) start(e Start) {
+// startCall runs a call on a goroutine of its own.
+func (s *Sidecar) startCall(e Start) {
 	n := e.Submit.Key.Nonce
 	ctx, cancel := withDeadline(s.ctx, e.Deadline)
 	s.mu.Lock()
 	s.calls[n] = cancel
 	s.mu.Unlock()
 	go func() {
-		defer s.release(n)
-		err := s.call(ctx, e, s.answers.get(n))
-		s.loop.Post(Ended{Now: time.Now(), Nonce: n, Err: verdict.From(err)})
+		defer s.releaseCall(n)
+		err := s.call(ctx, e, s.responses.get(n))
+		s.loop.Post(CallEnded{Now: time.Now(), Nonce: n, Err: verdict.From(err)})
 	}()
 }
 
@@ -35,8 +35,8 @@
 	return context.WithDeadline(ctx, at)
 }
 
-// release frees what belongs to a call that is over.
-func (s *Sidecar) release(n token.Nonce) {
+// releaseCall frees what belongs to a call that is over.
+func (s *Sidecar) releaseCall(n token.Nonce) {
 	s.mu.Lock()
 	cancel := s.calls[n]
 	delete(s.calls, n)
@@ -44,7 +44,7 @@
 	cancel()
 }
 
-func (s *Sidecar) abort(n token.Nonce) {
+func (s *Sidecar) abortCall(n token.Nonce) {
 	s.mu.Lock()
 	cancel := s.calls[n]
 	s.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // call makes the call of the upstream and collects the answer.
-func (s *Sidecar) call(ctx context.Context, e Start, a *answer) error {
+func (s *Sidecar) call(ctx context.Context, e Start, out *responseBuffer) error {
 	span := telemetry.Start(telemetry.HopUpstream, telemetry.Traceparent(e.Submit.Trace))
 	defer span.End()
 	resp, err := s.config.Upstream.Do(ctx, upstream.Request{
@@ -70,24 +70,24 @@
 		return err
 	}
 	defer resp.Body.Close()
-	a.setHead(resp.Status, resp.Header)
-	err = s.collect(ctx, resp.Body, a)
+	out.setHead(resp.Status, resp.Header)
+	err = s.copyBody(ctx, resp.Body, out)
 	if err != nil {
 		span.Fail(string(verdict.From(err).Reason))
 	}
 	return err
 }
 
-func (s *Sidecar) collect(ctx context.Context, body io.Reader, a *answer) error {
-	buf := make([]byte, readSize)
+func (s *Sidecar) copyBody(ctx context.Context, body io.Reader, out *responseBuffer) error {
+	buf := make([]byte, readBufferSize)
 	first := true
 	for {
 		n, err := body.Read(buf)
 		if n > 0 && first {
 			first = false
-			s.loop.Post(Headed{Now: time.Now(), Nonce: a.nonce})
+			s.loop.Post(FirstByteReceived{Now: time.Now(), Nonce: out.nonce})
 		}
-		if werr := a.write(ctx, buf[:n]); werr != nil {
+		if werr := out.write(ctx, buf[:n]); werr != nil {
 			return upstream.ResponseInterrupted(werr)
 		}
 		if err == io.EOF {
--- a/internal/sidecar/sender.go
+++ b/internal/sidecar/sender.go
@@ -7,15 +7,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// frameSize is the most bytes of an answer that one frame carries.
-const frameSize = 16 << 10
+// maxFrameBytes is the most bytes of an answer that one frame carries.
+const maxFrameBytes = 16 << 10
 
 // sender sends one answer to one router, no further than the router's credit.
 type sender struct {
-	out    frames
-	answer *answer
-	offset int64 // of the next byte to send
-	window int64
+	out      frameWriter
+	response *responseBuffer
+	offset   int64 // of the next byte to send
+	window   int64
 
 	mu      sync.Mutex
 	upTo    int64
@@ -24,16 +24,16 @@
 	once    sync.Once
 }
 
-// frames is where a sender's frames go.
-type frames interface {
-	head(h *head) error
+// frameWriter is where a sender's frameWriter go.
+type frameWriter interface {
+	head(h *responseHead) error
 	data(offset int64, b []byte) error
 	end(length int64, f Finish) error
 }
 
-func newSender(out frames, ans *answer, a wire.Attach) *sender {
+func newSender(out frameWriter, resp *responseBuffer, a wire.Attach) *sender {
 	return &sender{
-		out: out, answer: ans,
+		out: out, response: resp,
 		offset:  a.Offset,
 		window:  int64(a.Window),
 		upTo:    a.Offset + int64(a.Window),
@@ -53,13 +53,13 @@
 	}
 	s.mu.Unlock()
 	if grown {
-		s.answer.wake()
+		s.response.wake()
 	}
 }
 
-// taken is the offset up to which the router has passed the answer on: it
+// deliveredUpTo is the offset up to which the router has passed the answer on: it
 // grants its window ahead of that.
-func (s *sender) taken() int64 {
+func (s *sender) deliveredUpTo() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.upTo - s.window
@@ -78,18 +78,18 @@
 // send sends until the answer is over, the stream is stopped or the connection
 // fails; the router resumes elsewhere after a failure. It reports whether the
 // whole answer went out.
-func (s *sender) send() (whole bool) {
-	headed := false
+func (s *sender) send() (delivered bool) {
+	headSent := false
 	for {
 		upTo, granted := s.credit()
-		v := s.answer.from(s.offset, min(upTo-s.offset, frameSize))
+		v := s.response.viewAt(s.offset, min(upTo-s.offset, maxFrameBytes))
 		if v.gone {
 			err := verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, "the answer is no longer held from offset %d", s.offset)
 			_ = s.out.end(v.length, Finish{Error: err})
 			return false
 		}
-		if v.head != nil && !headed {
-			headed = true
+		if v.head != nil && !headSent {
+			headSent = true
 			if s.out.head(v.head) != nil {
 				return false
 			}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -39,25 +39,25 @@
 
 // Sidecar serves routers.
 type Sidecar struct {
-	config  Config
-	loop    *loop.Loop[Event, Effect]
-	ctx     context.Context
-	exit    context.CancelFunc
-	tickets atomic.Uint64
-	out     atomic.Bool // no new work is taken; for Ready
-	follow  follow.Runner
-	timer   *time.Timer // posts Ticked; owned by the loop's goroutine
-	answers *answers
-	desk    *order.Handler // nil: the upstream takes no orders
-	spans   spans
-
-	peering sync.Mutex
-
-	mu      sync.Mutex
-	waiting map[Ticket]chan Effect
-	calls   map[token.Nonce]context.CancelFunc
-	conns   map[*wire.Conn]*routerConn
-	peers   uint64 // connections so far
+	config      Config
+	loop        *loop.Loop[Event, Effect]
+	ctx         context.Context
+	cancel      context.CancelFunc
+	tickets     atomic.Uint64
+	unavailable atomic.Bool // no new work is taken; for Ready
+	follower    follow.Runner
+	timer       *time.Timer // posts Ticked; owned by the loop's goroutine
+	responses   *responseStore
+	orders      *order.Handler // nil: the upstream takes no orders
+	spans       spans
+
+	peersMu sync.Mutex
+
+	mu        sync.Mutex
+	waiting   map[Ticket]chan Effect
+	calls     map[token.Nonce]context.CancelFunc
+	conns     map[*wire.Conn]*routerConn
+	connCount uint64 // connections so far
 }
 
 // routerConn is a connection of a router with the answers that it reads.
@@ -70,25 +70,25 @@
 // New returns a Sidecar that works until its Serve returns.
 func New(c Config) *Sidecar {
 	s := &Sidecar{
-		config:  c,
-		answers: newAnswers(c.Buffer),
-		spans:   spans{open: make(map[token.Nonce]telemetry.Span)},
-		waiting: make(map[Ticket]chan Effect),
-		calls:   make(map[token.Nonce]context.CancelFunc),
-		conns:   make(map[*wire.Conn]*routerConn),
+		config:    c,
+		responses: newResponseStore(c.Buffer),
+		spans:     spans{open: make(map[token.Nonce]telemetry.Span)},
+		waiting:   make(map[Ticket]chan Effect),
+		calls:     make(map[token.Nonce]context.CancelFunc),
+		conns:     make(map[*wire.Conn]*routerConn),
 	}
-	s.ctx, s.exit = context.WithCancel(context.Background())
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	state := NewState(c.Settings)
-	s.loop = loop.New(state, s.act, func() {
-		state.gauge()
-		usedBytes.Set(s.answers.used.Load())
-		s.rearm(state.Wake())
+	s.loop = loop.New(state, s.execute, func() {
+		state.updateGauges()
+		responseBytes.Set(s.responses.used.Load())
+		s.resetTimer(state.Wake())
 	})
 	s.timer = time.AfterFunc(0, s.tick) // the first probe is due at once
-	s.follow = follow.Runner{SendQuery: s.askConfig, Post: func(e config.Event) { s.loop.Post(Configured{Now: time.Now(), Event: e}) }}
-	s.desk = s.newDesk()
+	s.follower = follow.Runner{SendQuery: s.queryConfig, Post: func(e config.Event) { s.loop.Post(ConfigEvent{Now: time.Now(), Event: e}) }}
+	s.orders = s.newOrderHandler()
 	go s.loop.Run(s.ctx)
-	go s.follow.Run(s.ctx)
+	go s.follower.Run(s.ctx)
 	return s
 }
 
@@ -96,7 +96,7 @@
 	s.loop.Post(Ticked{Now: time.Now()})
 }
 
-func (s *Sidecar) rearm(at time.Time) {
+func (s *Sidecar) resetTimer(at time.Time) {
 	if !at.IsZero() {
 		s.timer.Reset(max(0, time.Until(at)))
 	}
@@ -105,8 +105,8 @@
 // Serve accepts routers on l. When ctx ends it takes no new work, lets what is
 // in flight finish, and returns.
 func (s *Sidecar) Serve(ctx context.Context, l net.Listener) error {
-	defer s.exit()
-	defer context.AfterFunc(ctx, func() { s.loop.Post(Stopping{Now: time.Now()}) })()
+	defer s.cancel()
+	defer context.AfterFunc(ctx, func() { s.loop.Post(StopRequested{Now: time.Now()}) })()
 	defer context.AfterFunc(s.ctx, func() { _ = l.Close() })()
 	for {
 		c, err := l.Accept()
@@ -120,26 +120,26 @@
 	}
 }
 
-// act carries out an effect, on the loop's goroutine.
-func (s *Sidecar) act(effect Effect) {
+// execute carries out an effect, on the loop's goroutine.
+func (s *Sidecar) execute(effect Effect) {
 	switch e := effect.(type) {
 	case Open:
 		admittedRequests.Inc()
-		s.answers.open(e.Nonce)
+		s.responses.open(e.Nonce)
 	case Start:
-		s.start(e)
+		s.startCall(e)
 	case Abort:
-		s.abort(e.Nonce)
-	case Unhold:
-		if a := s.answers.get(e.Nonce); a != nil {
-			a.unhold()
+		s.abortCall(e.Nonce)
+	case DiscardOverflow:
+		if a := s.responses.get(e.Nonce); a != nil {
+			a.discardOverflow()
 		}
 	case Finish:
 		countFinish(e)
 		s.spans.finish(e.Nonce, e.Error)
-		s.answers.finish(e)
+		s.responses.finish(e)
 	case Drop:
-		s.answers.drop(e.Nonce)
+		s.responses.drop(e.Nonce)
 	case Reply:
 		countReply(e)
 		s.deliver(e.Ticket, e)
@@ -147,24 +147,24 @@
 		s.deliver(e.Ticket, e)
 	case ReplyConfig:
 		s.deliver(e.Ticket, e)
-	case Follow:
-		s.follow.Do(s.ctx, e.Effect)
+	case ConfigEffect:
+		s.follower.Do(s.ctx, e.Effect)
 	case Probe:
 		go s.probe()
 	case Export:
 		go s.export(e.Sessions)
-	case Welcome:
-		go s.welcome(e)
-	case Announce:
-		go s.announce()
-	case Crashed:
+	case ExportTo:
+		go s.exportTo(e)
+	case AnnounceJoin:
+		go s.announceJoin()
+	case ReportCrash:
 		crashes.Inc()
 		slog.Error("the upstream has crashed", "vm", s.config.Settings.VM, "running", e.Running)
-	case Turned:
-		s.out.Store(e.Down || e.Leaving)
-		slog.Info("the upstream's service has changed", "vm", s.config.Settings.VM, "down", e.Down, "leaving", e.Leaving)
+	case ReportAvailability:
+		s.unavailable.Store(e.Down || e.Draining)
+		slog.Info("the upstream's service has changed", "vm", s.config.Settings.VM, "down", e.Down, "leaving", e.Draining)
 	case Exit:
-		s.exit()
+		s.cancel()
 	}
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -41,13 +41,13 @@
 }
 func (u *fakeUpstream) Import(context.Context, uint64, []byte) error { return nil }
 
-// pipes is a listener whose connections stay within the process.
-type pipes struct {
+// pipeListener is a listener whose connections stay within the process.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -56,14 +56,14 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.done)
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return nil }
+func (p *pipeListener) Addr() net.Addr { return nil }
 
-func (p *pipes) dial(context.Context) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
 	case p.conns <- far:
@@ -73,46 +73,46 @@
 	}
 }
 
-// bench is a sidecar with a router's connection to it.
-type bench struct {
-	t      *testing.T
-	up     *fakeUpstream
-	feed   *io.PipeWriter // of the upstream's answer
-	pipes  *pipes
-	peer   *wire.Peer
-	stop   context.CancelFunc
-	served chan error
-	ctx    context.Context // of the test
+// fixture is a sidecar with a router's connection to it.
+type fixture struct {
+	t          *testing.T
+	up         *fakeUpstream
+	bodyWriter *io.PipeWriter // of the upstream's answer
+	listener   *pipeListener
+	peer       *wire.Peer
+	stop       context.CancelFunc
+	served     chan error
+	ctx        context.Context // of the test
 }
 
-// tooLong bounds a test that waits for what does not come. The sidecar's own
+// testTimeout bounds a test that waits for what does not come. The sidecar's own
 // timers go on, so it would not show as a deadlock.
-const tooLong = time.Hour
+const testTimeout = time.Hour
 
-var errTooLong = errors.New("waited too long")
+var errTestTimeout = errors.New("waited too long")
 
-func newBench(t *testing.T, frozen bool) *bench {
-	b := &bench{t: t, up: &fakeUpstream{}, pipes: &pipes{conns: make(chan net.Conn), done: make(chan struct{})}, served: make(chan error, 1)}
+func newFixture(t *testing.T, frozen bool) *fixture {
+	f := &fixture{t: t, up: &fakeUpstream{}, listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}, served: make(chan error, 1)}
 	if !frozen {
-		b.up.body, b.feed = io.Pipe()
-		time.AfterFunc(tooLong, func() { _ = b.feed.CloseWithError(errTooLong) })
+		f.up.body, f.bodyWriter = io.Pipe()
+		time.AfterFunc(testTimeout, func() { _ = f.bodyWriter.CloseWithError(errTestTimeout) })
 	}
 	s := New(Config{
 		Settings: Settings{
 			VM: "vm", Incarnation: 1, Keys: 100, Admission: admission.Config{Slots: 4, MaxWaiting: 4, MaxBytes: 1 << 20},
-			DetachGrace: 10 * time.Second, KeepAnswer: 30 * time.Second, StopTimeout: tooLong,
+			DetachGrace: 10 * time.Second, KeepAnswer: 30 * time.Second, StopTimeout: testTimeout,
 		},
 		Buffer:   BufferLimits{PerResponse: 64 << 10, Total: 1 << 20},
-		Upstream: b.up,
+		Upstream: f.up,
 	})
 	var done context.CancelFunc
-	b.ctx, done = context.WithTimeoutCause(context.Background(), tooLong, errTooLong)
+	f.ctx, done = context.WithTimeoutCause(context.Background(), testTimeout, errTestTimeout)
 	t.Cleanup(done)
 	var ctx context.Context
-	ctx, b.stop = context.WithCancel(context.Background())
-	go func() { b.served <- s.Serve(ctx, b.pipes) }()
-	b.peer = wire.NewPeer(wire.PeerConfig{Dial: b.pipes.dial})
-	return b
+	ctx, f.stop = context.WithCancel(context.Background())
+	go func() { f.served <- s.Serve(ctx, f.listener) }()
+	f.peer = wire.NewPeer(wire.PeerConfig{Dial: f.listener.dial})
+	return f
 }
 
 func testSubmit(n byte, t wire.Treatment) wire.Submit {
@@ -120,13 +120,13 @@
 	return wire.Submit{Key: key, Org: "club", Treatment: t, Window: 16 << 10}
 }
 
-// next reads a stream up to n bytes or its end.
-func (b *bench) next(s *wire.Stream, n int) (got []byte, end *wire.End) {
-	b.t.Helper()
+// readStream reads a stream up to n bytes or its end.
+func (f *fixture) readStream(s *wire.Stream, n int) (got []byte, end *wire.End) {
+	f.t.Helper()
 	for len(got) < n {
-		p, err := s.Next(b.ctx)
+		p, err := s.Next(f.ctx)
 		if err != nil {
-			b.t.Fatalf("after %d bytes: %s", len(got), err)
+			f.t.Fatalf("after %d bytes: %s", len(got), err)
 		}
 		if p.End != nil {
 			return got, p.End
@@ -139,15 +139,15 @@
 // A login check goes to a service that has frozen: it accepts the call and says
 // nothing. The guest must hear at the deadline that it may have run, and the
 // call must not hold the service's slot any longer.
-func TestFrozenServiceHoldsNoCallPastItsDeadline(t *testing.T) {
+func TestCallToFrozenServiceEndsAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, true)
+		f := newFixture(t, true)
 		began := time.Now()
-		s, _, err := b.peer.Submit(b.ctx, testSubmit(1, wire.Treatment{Deadline: 3 * time.Second}))
+		s, _, err := f.peer.Submit(f.ctx, testSubmit(1, wire.Treatment{Deadline: 3 * time.Second}))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, end := b.next(s, 1)
+		_, end := f.readStream(s, 1)
 		if end == nil || end.Error == nil || end.Error.Verdict != verdict.MayHaveRun || end.Error.Reason != verdict.ReasonDeadline {
 			t.Errorf("end: %+v", end)
 		}
@@ -157,56 +157,56 @@
 		if end != nil && end.Control.Running != 0 {
 			t.Errorf("%d calls are still under way", end.Control.Running)
 		}
-		b.finish()
+		f.stopAndWait()
 	})
 }
 
 // A note waits behind four that are stuck, until it is too late to start it.
 // The router counts the same time and says may-have-run when it is over: the
 // sidecar's word, that it has not run, must be there before.
-func TestTooLateIsSaidBeforeTheRouterGivesUp(t *testing.T) {
+func TestExpiredRequestIsRejectedBeforeRouterTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, true)
+		f := newFixture(t, true)
 		for n := range byte(4) {
-			if _, _, err := b.peer.Submit(b.ctx, testSubmit(n, wire.Treatment{Deadline: 10 * time.Second})); err != nil {
+			if _, _, err := f.peer.Submit(f.ctx, testSubmit(n, wire.Treatment{Deadline: 10 * time.Second})); err != nil {
 				t.Fatal(err)
 			}
 		}
 		began := time.Now()
-		s, _, err := b.peer.Submit(b.ctx, testSubmit(9, wire.Treatment{FirstByte: 2 * time.Second}))
+		s, _, err := f.peer.Submit(f.ctx, testSubmit(9, wire.Treatment{FirstByte: 2 * time.Second}))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, end := b.next(s, 1)
+		_, end := f.readStream(s, 1)
 		if end == nil || end.Error == nil || end.Error.Verdict != verdict.NotRun || end.Error.RetryAfter <= 0 {
 			t.Errorf("end: %+v", end)
 		}
 		if took := time.Since(began); took >= 2*time.Second || took < 1900*time.Millisecond {
 			t.Errorf("after %s", took)
 		}
-		b.finish()
+		f.stopAndWait()
 	})
 }
 
-// finish stops the sidecar, which must end by itself.
-func (b *bench) finish() {
-	b.t.Helper()
-	b.stop()
-	if err := <-b.served; err != nil {
-		b.t.Errorf("serve: %s", err)
+// stopAndWait stops the sidecar, which must end by itself.
+func (f *fixture) stopAndWait() {
+	f.t.Helper()
+	f.stop()
+	if err := <-f.served; err != nil {
+		f.t.Errorf("serve: %s", err)
 	}
-	b.peer.Close()
+	f.peer.Close()
 }
 
 // A coach reads a breakdown when its router is killed, and resumes through
 // another router from where the first had got. The sidecar is told to stop in
 // the middle: it takes no new work, lets the coach read to the end, and goes.
-func TestPlannedStopCutsNoAnswer(t *testing.T) {
+func TestPlannedStopInterruptsNoResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, false)
-		ctx := b.ctx
+		f := newFixture(t, false)
+		ctx := f.ctx
 		sub := testSubmit(1, wire.Treatment{})
-		first, _, err := b.peer.Submit(ctx, sub)
+		first, _, err := f.peer.Submit(ctx, sub)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,17 +214,17 @@
 		written := make(chan struct{})
 		go func() {
 			defer close(written)
-			_, _ = b.feed.Write(whole[:10<<10])
+			_, _ = f.bodyWriter.Write(whole[:10<<10])
 			time.Sleep(5 * time.Second)
-			_, _ = b.feed.Write(whole[10<<10:])
-			_ = b.feed.Close()
+			_, _ = f.bodyWriter.Write(whole[10<<10:])
+			_ = f.bodyWriter.Close()
 		}()
-		head, _ := b.next(first, 10<<10)
-		b.peer.Close() // the router is killed
-		b.stop()
+		head, _ := f.readStream(first, 10<<10)
+		f.peer.Close() // the router is killed
+		f.stop()
 		time.Sleep(time.Second)
 
-		other := wire.NewPeer(wire.PeerConfig{Dial: b.pipes.dial})
+		other := wire.NewPeer(wire.PeerConfig{Dial: f.listener.dial})
 		_, _, err = other.Submit(ctx, testSubmit(2, wire.Treatment{}))
 		if e := verdict.From(err); e == nil || e.Verdict != verdict.NotRun || e.Reason != verdict.ReasonDraining {
 			t.Errorf("new work while stopping: %v", err)
@@ -234,15 +234,15 @@
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Second) // the coach is away for longer than the grace
-		rest, end := b.next(second, len(whole))
+		rest, end := f.readStream(second, len(whole))
 		if !bytes.Equal(append(head, rest...), whole) || end == nil || end.Error != nil {
 			t.Errorf("%d and %d bytes of %d, end %+v", len(head), len(rest), len(whole), end)
 		}
 		<-written
-		if err := <-b.served; err != nil {
+		if err := <-f.served; err != nil {
 			t.Errorf("serve: %s", err)
 		}
-		if n := b.up.calls.Load(); n != 1 {
+		if n := f.up.calls.Load(); n != 1 {
 			t.Errorf("%d calls of the upstream", n)
 		}
 		other.Close()
@@ -253,32 +253,32 @@
 // answer; the router resumes on another connection and the coach reads to the
 // end. The sidecar hears nothing of that on the first connection: a planned stop
 // must not wait for the reader that it still sees there.
-func TestPlannedStopDoesNotWaitForSilentReaders(t *testing.T) {
+func TestPlannedStopDoesNotWaitForUnreachableReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, false)
+		f := newFixture(t, false)
 		near, far := net.Pipe()
-		b.pipes.conns <- far
-		silent := make(chan struct{})
-		peer := wire.NewPeer(wire.PeerConfig{Dial: func(context.Context) (net.Conn, error) { return swallow(near, silent), nil }})
+		f.listener.conns <- far
+		blocked := make(chan struct{})
+		peer := wire.NewPeer(wire.PeerConfig{Dial: func(context.Context) (net.Conn, error) { return blackhole(near, blocked), nil }})
 		sub := testSubmit(1, wire.Treatment{})
-		s, _, err := peer.Submit(b.ctx, sub)
+		s, _, err := peer.Submit(f.ctx, sub)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = b.feed.Write([]byte("half"))
-		b.next(s, 4)
-		close(silent)
-		second, _, err := b.peer.Attach(b.ctx, wire.Attach{Key: sub.Key, Org: "club", Offset: 4, Window: 4 << 10})
+		_, _ = f.bodyWriter.Write([]byte("half"))
+		f.readStream(s, 4)
+		close(blocked)
+		second, _, err := f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "club", Offset: 4, Window: 4 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() { // more than the silent reader's window
-			_, _ = b.feed.Write(make([]byte, 20<<10))
-			_ = b.feed.Close()
+			_, _ = f.bodyWriter.Write(make([]byte, 20<<10))
+			_ = f.bodyWriter.Close()
 		}()
-		b.next(second, 21<<10)
+		f.readStream(second, 21<<10)
 		began := time.Now()
-		b.finish()
+		f.stopAndWait()
 		if waited := time.Since(began); waited > 2*time.Minute {
 			t.Errorf("waited for %s", waited)
 		}
@@ -286,8 +286,8 @@
 	})
 }
 
-// swallow passes bytes on until silent is closed.
-func swallow(far net.Conn, silent chan struct{}) net.Conn {
+// blackhole passes bytes on until silent is closed.
+func blackhole(far net.Conn, blocked chan struct{}) net.Conn {
 	near, end := net.Pipe()
 	pass := func(to, from net.Conn) {
 		buf := make([]byte, 4<<10)
@@ -297,7 +297,7 @@
 				return
 			}
 			select {
-			case <-silent:
+			case <-blocked:
 			default:
 				_, _ = to.Write(buf[:n])
 			}
@@ -311,38 +311,38 @@
 // A guest's phone drops off while an answer runs that is longer than the
 // buffer. A search, which may be repeated, is given up after the grace; a
 // payment is not: it goes on to its end and the guest can ask what became of it.
-func TestOnlyWhatMayBeRepeatedIsGivenUp(t *testing.T) {
+func TestOnlyIdempotentCallsAreAborted(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(t, false)
+			f := newFixture(t, false)
 			sub := testSubmit(1, wire.Treatment{Idempotent: idempotent})
-			s, _, err := b.peer.Submit(b.ctx, sub)
+			s, _, err := f.peer.Submit(f.ctx, sub)
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Close()
-			_, err = b.feed.Write(make([]byte, 200<<10))
-			_ = b.feed.Close()
+			_, err = f.bodyWriter.Write(make([]byte, 200<<10))
+			_ = f.bodyWriter.Close()
 			if gaveUp := err != nil; gaveUp != idempotent {
 				t.Errorf("idempotent %v: given up %v", idempotent, gaveUp)
 			}
 			time.Sleep(time.Second)
 			var status wire.Status
-			if err := b.peer.Call(b.ctx, wire.MethodStatus, wire.StatusRequest{Key: sub.Key, Org: "club"}, &status); err != nil {
+			if err := f.peer.Call(f.ctx, wire.MethodStatus, wire.StatusRequest{Key: sub.Key, Org: "club"}, &status); err != nil {
 				t.Fatal(err)
 			}
 			if status.State != wire.StateDone || status.Verdict != verdict.Ran {
 				t.Errorf("status: %+v", status)
 			}
-			_, _, err = b.peer.Attach(b.ctx, wire.Attach{Key: sub.Key, Org: "club", Window: 1})
+			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "club", Window: 1})
 			if e := verdict.From(err); !idempotent && (e == nil || e.Reason != verdict.ReasonAnswerGone) {
 				t.Errorf("the beginning of an answer that did not fit: %v", err)
 			}
-			_, _, err = b.peer.Attach(b.ctx, wire.Attach{Key: sub.Key, Org: "other", Window: 1})
+			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "other", Window: 1})
 			if e := verdict.From(err); e == nil || e.Reason != verdict.ReasonBadKey {
 				t.Errorf("another organisation: %v", err)
 			}
-			b.finish()
+			f.stopAndWait()
 		})
 	}
 }
--- a/internal/sidecar/span.go
+++ b/internal/sidecar/span.go
@@ -22,7 +22,7 @@
 	sub.Trace = string(span.Traceparent())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, busy := s.open[sub.Key.Nonce]; !busy {
+	if _, exists := s.open[sub.Key.Nonce]; !exists {
 		s.open[sub.Key.Nonce] = span
 	}
 	return span
@@ -38,7 +38,7 @@
 		delete(s.open, n)
 	}
 	s.mu.Unlock()
-	end(span, a.Error)
+	endSpan(span, a.Error)
 }
 
 // finish ends the span of a request that has ended.
@@ -48,11 +48,11 @@
 	delete(s.open, n)
 	s.mu.Unlock()
 	if known {
-		end(span, err)
+		endSpan(span, err)
 	}
 }
 
-func end(span telemetry.Span, err *verdict.Error) {
+func endSpan(span telemetry.Span, err *verdict.Error) {
 	if err != nil {
 		span.Fail(string(err.Reason))
 	}
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// samplesTold is how many loads of other upstreams a refusal or the end of
+	// maxSamples is how many loads of other upstreams a refusal or the end of
 	// an answer carries.
-	samplesTold = 5
-	// suspectsTold is how much of a reply may be word of suspects, in bytes.
-	suspectsTold = 256
+	maxSamples = 5
+	// maxSuspectBytes is how much of a reply may be word of suspects, in bytes.
+	maxSuspectBytes = 256
 )
 
 // Settings is what a sidecar's decisions depend on.
@@ -44,29 +44,29 @@
 
 // State is a sidecar's control state.
 type State struct {
-	settings Settings
-	self     load.VM
-	table    *idempotency.Table
-	queue    *admission.Queue
-	loads    *load.Table
-	book     *quarantine.Table
-	config   *config.Follower // a copy, for routers
-	requests map[token.Nonce]*request
-	arrived  uint64 // requests admitted so far
-	timers   timers
-	kept     []*request  // whose answers have ended, the first of them first
-	lane     []*request  // suspects that wait to run alone
-	lent     wire.Permit // the latest leave to run alone elsewhere
-	solo     *request    // the suspect that runs alone
-	soloNext time.Time   // when it is looked at next
-	broken   []*request  // calls that broke off, until it is known why
-	probe    probe
-	orders   drain.Orders
-	leave    leave
-	emptying emptying
-	recent   sessions
-	join     join
-	turned   Turned // as told last
+	settings           Settings
+	self               load.VM
+	table              *idempotency.Table
+	queue              *admission.Queue
+	loads              *load.Table
+	quarantine         *quarantine.Table
+	config             *config.Follower // a copy, for routers
+	requests           map[token.Nonce]*request
+	admittedCount      uint64 // requests admitted so far
+	timers             timers
+	retained           []*request  // whose answers have ended, the first of them first
+	lane               []*request  // suspects that wait to run alone
+	delegated          wire.Permit // the latest leave to run alone elsewhere
+	isolated           *request    // the suspect that runs alone
+	nextIsolationCheck time.Time   // when it is looked at next
+	interrupted        []*request  // calls that broke off, until it is known why
+	probe              probe
+	orders             drain.Orders
+	drain              drainState
+	orderDrain         orderDrain
+	recent             recentSessionSet
+	join               joinState
+	availability       ReportAvailability // as told last
 }
 
 // phase is how far a request has come.
@@ -75,46 +75,48 @@
 const (
 	queued phase = iota
 	running
-	broken // its call broke off, and it is not known yet whether the upstream crashed
+	interrupted // its call broke off, and it is not known yet whether the upstream crashed
 	ended
 )
 
 // request is a request whose answer is awaited or kept.
 type request struct {
-	submit    wire.Submit // without the call once it has started
-	seq       uint64      // of its arrival
-	phase     phase
-	alone     bool
-	cancelled bool      // by its caller
-	crashed   bool      // it is entered in the book for a crash that its call has not noticed yet
-	expires   time.Time // when it is too late to start; zero: never
-	deadline  time.Time // zero: none
-	started   time.Time
-	failure   *verdict.Error // of a broken call
-	readers   int
-	readSeq   uint64
-	delivered bool
-	unread    time.Time // since when nobody has read; zero: somebody does
-	unheld    bool
-	closed    time.Time // when the answer ended
-	keepUntil time.Time
+	submit        wire.Submit // without the call once it has started
+	seq           uint64      // of its arrival
+	phase         phase
+	isolated      bool
+	cancelled     bool      // by its caller
+	crashRecorded bool      // it is entered in the book for a crash that its call has not noticed yet
+	expires       time.Time // when it is too late to start; zero: never
+	deadline      time.Time // zero: none
+	started       time.Time
+	failure       *verdict.Error // of a broken call
+	readers       int
+	readSeq       uint64
+	delivered     bool
+	unreadSince   time.Time // since when nobody has read; zero: somebody does
+	discarding    bool
+	endedAt       time.Time // when the answer ended
+	keepUntil     time.Time
 }
 
-func (r *request) nonce() token.Nonce            { return r.submit.Key.Nonce }
-func (r *request) print() quarantine.Fingerprint { return quarantine.Fingerprint(r.submit.Fingerprint) }
+func (r *request) nonce() token.Nonce { return r.submit.Key.Nonce }
+func (r *request) fingerprint() quarantine.Fingerprint {
+	return quarantine.Fingerprint(r.submit.Fingerprint)
+}
 
 // NewState returns the State of a sidecar that has just started. It starts no
 // request before it has heard from its upstream.
 func NewState(c Settings) *State {
 	return &State{
-		settings: c,
-		self:     load.Hash(c.VM),
-		table:    idempotency.NewTable(c.Incarnation, c.Keys),
-		queue:    admission.NewQueue(c.Admission),
-		loads:    load.NewTable(),
-		book:     quarantine.New(c.VM, c.Incarnation),
-		config:   config.NewSidecarFollower(c.Incarnation),
-		requests: make(map[token.Nonce]*request),
+		settings:   c,
+		self:       load.Hash(c.VM),
+		table:      idempotency.NewTable(c.Incarnation, c.Keys),
+		queue:      admission.NewQueue(c.Admission),
+		loads:      load.NewTable(),
+		quarantine: quarantine.New(c.VM, c.Incarnation),
+		config:     config.NewSidecarFollower(c.Incarnation),
+		requests:   make(map[token.Nonce]*request),
 	}
 }
 
@@ -123,81 +125,81 @@
 func (s *State) Step(event Event) []Effect {
 	now := event.at()
 	effects := s.apply(event)
-	effects = append(effects, s.review(now)...)
+	effects = append(effects, s.runTimers(now)...)
 	effects = append(effects, s.schedule(now)...)
-	return append(effects, s.turn(now)...)
+	return append(effects, s.updateAvailability(now)...)
 }
 
-// turn notes a change of what operators see of the upstream.
-func (s *State) turn(now time.Time) []Effect {
-	is := Turned{Down: s.probe.down, Leaving: s.leaving(now)}
-	if is == s.turned {
+// updateAvailability notes a change of what operators see of the upstream.
+func (s *State) updateAvailability(now time.Time) []Effect {
+	current := ReportAvailability{Down: s.probe.down, Draining: s.draining(now)}
+	if current == s.availability {
 		return nil
 	}
-	s.turned = is
-	return []Effect{is}
+	s.availability = current
+	return []Effect{current}
 }
 
 func (s *State) apply(event Event) []Effect {
 	switch e := event.(type) {
 	case Submitted:
-		return s.submitted(e)
-	case Greeted:
+		return s.handleSubmit(e)
+	case HelloReceived:
 		return s.reply(e.Now, e.Ticket, wire.Admission{})
 	case Attached:
-		return s.attached(e)
+		return s.handleAttach(e)
 	case Cancelled:
-		return s.cancelled(e)
-	case StatusAsked:
-		return s.statusAsked(e)
-	case Readers:
-		return s.read(e)
-	case Headed:
+		return s.handleCancel(e)
+	case StatusRequested:
+		return s.handleStatus(e)
+	case ReadersChanged:
+		return s.handleReaders(e)
+	case FirstByteReceived:
 		s.queue.FirstByte(e.Now, e.Nonce)
-	case Ended:
-		return s.ended(e)
+	case CallEnded:
+		return s.handleCallEnd(e)
 	case Probed:
-		return s.probed(e)
-	case Noticed:
-		return s.noticed(e)
-	case Reported:
-		return s.reported(e)
-	case Exported:
-		s.leave.exported = true
-	case Welcomed:
-		return s.welcomed(e)
-	case Imported:
+		return s.handleProbe(e)
+	case NoticeReceived:
+		return s.handleNotice(e)
+	case ReportReceived:
+		return s.handleReport(e)
+	case ExportFinished:
+		s.drain.exported = true
+	case VMJoined:
+		return s.handleVMJoined(e)
+	case PrefixImported:
 		s.recent.touch(e.Session)
-	case Configured:
-		return s.configured(e)
-	case ConfigAsked:
-		return s.configAsked(e)
-	case Emptying:
-		s.emptying = emptying{on: true, ticket: e.Ticket}
-	case Refilled:
-		s.emptying = emptying{}
-	case Stopping:
-		s.stop(e.Now)
+	case ConfigEvent:
+		return s.handleConfig(e)
+	case ConfigRequested:
+		return s.handleConfigRequest(e)
+	case OrderDrainStarted:
+		s.orderDrain = orderDrain{on: true, ticket: e.Ticket}
+	case OrderDrainEnded:
+		s.orderDrain = orderDrain{}
+	case StopRequested:
+		s.beginStop(e.Now)
 	}
 	return nil
 }
 
-// hear takes in what came on the back of a message. Malformed parts are
+// mergeControl takes in what came on the back of a message. Malformed parts are
 // dropped: they are hints.
-func (s *State) hear(now time.Time, from config.Peer, c wire.Control) []Effect {
+func (s *State) mergeControl(now time.Time, from config.Peer, c wire.Control) []Effect {
 	_ = s.loads.Merge(now, c.Samples)
-	_ = s.book.Merge(now, c.Suspects)
-	mark := config.PiggybackedSummary(c.Config, c.ConfigDigest)
-	return s.configured(Configured{Now: now, Event: config.SummaryReceived{Now: now, Peer: from, Summary: mark}})
+	_ = s.quarantine.Merge(now, c.Suspects)
+	summary := config.PiggybackedSummary(c.Config, c.ConfigDigest)
+	return s.handleConfig(ConfigEvent{Now: now, Event: config.SummaryReceived{Now: now, Peer: from, Summary: summary}})
 }
 
-func (s *State) reported(e Reported) []Effect {
-	_ = s.book.Merge(e.Now, e.Report.Suspects)
-	if u := e.Report.UnusedPermit; u != nil && s.lent == *u {
+func (s *State) handleReport(e ReportReceived) []Effect {
+	_ = s.quarantine.Merge(e.Now, e.Report.Suspects)
+	if u := e.Report.UnusedPermit; u != nil && s.delegated == *u {
 		// No sidecar has started it. Without this word all copies would have to
 		// wait until the deadline of that one has passed.
-		s.book.Revoke(quarantine.Fingerprint(u.Fingerprint))
-		s.lent = wire.Permit{}
+		s.quarantine.Revoke(quarantine.Fingerprint(u.Fingerprint))
+		s.delegated = wire.Permit{}
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
@@ -207,11 +209,11 @@
 	return s.queue.Load() + len(s.lane)
 }
 
-// observe enters the sidecar's own load among those of the pool.
-func (s *State) observe(now time.Time) {
+// observeOwnLoad enters the sidecar's own load among those of the pool.
+func (s *State) observeOwnLoad(now time.Time) {
 	r := load.Report{Load: s.load(), Weight: s.settings.Weight}
 	switch {
-	case s.leaving(now):
+	case s.draining(now):
 		r.State = load.Draining
 	case s.probe.down:
 		r.State = load.Down
@@ -221,17 +223,17 @@
 
 // control is what goes out on the back of a message.
 func (s *State) control(now time.Time) wire.Control {
-	s.observe(now)
+	s.observeOwnLoad(now)
 	c := wire.Control{
 		Load:     s.load(),
 		Running:  s.queue.Running(),
-		Draining: s.leaving(now),
+		Draining: s.draining(now),
 		Down:     s.probe.down,
-		Samples:  s.loads.Pack(now, samplesTold, s.self),
-		Suspects: s.book.Gossip(now, suspectsTold),
+		Samples:  s.loads.Pack(now, maxSamples, s.self),
+		Suspects: s.quarantine.Gossip(now, maxSuspectBytes),
 	}
-	if mark := s.config.Set().Summary(); mark.Version > 0 {
-		c.Config, c.ConfigDigest = mark.Version, mark.Digest
+	if summary := s.config.Set().Summary(); summary.Version > 0 {
+		c.Config, c.ConfigDigest = summary.Version, summary.Digest
 	}
 	return c
 }
@@ -247,11 +249,11 @@
 
 // probe is what is known of the upstream's health.
 type probe struct {
-	asked    bool // a probe is under way
-	heard    bool // one has come back since the start
+	pending  bool // a probe is under way
+	known    bool // one has come back since the start
 	next     time.Time
 	down     bool
 	frozen   int // probes in a row that timed out
 	instance upstream.Instance
-	foreign  int // requests at the upstream from before this incarnation
+	external int // requests at the upstream from before this incarnation
 }
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -11,28 +11,28 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// site is a sidecar whose upstream has crashed under a request and is down.
-type site struct {
+// crashSite is a sidecar whose upstream has crashed under a request and is down.
+type crashSite struct {
 	*State
-	now  time.Time
-	sent byte
+	now    time.Time
+	copies byte
 }
 
-const crasher = 7 // fingerprint
+const crasherPrint = 7 // fingerprint
 
-func newSite() *site {
-	s := &site{State: NewState(Settings{VM: "a", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	s.book.RecordCrash(s.now, []quarantine.RunningRequest{{Fingerprint: crasher, Started: s.now}, {Fingerprint: 8, Started: s.now}})
+func newCrashSite() *crashSite {
+	s := &crashSite{State: NewState(Settings{VM: "a", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
+	s.quarantine.RecordCrash(s.now, []quarantine.RunningRequest{{Fingerprint: crasherPrint, Started: s.now}, {Fingerprint: 8, Started: s.now}})
 	s.Step(Probed{Now: s.now, Health: upstream.Health{State: upstream.Gone}})
 	return s
 }
 
-// send submits a copy of the request and returns its key and the reply.
-func (s *site) send() (token.Nonce, wire.Admission) {
-	s.sent++
-	key := wire.Key{VM: "a", Incarnation: 1, Nonce: token.Nonce{s.sent}, Expires: s.now.Add(time.Hour).Unix()}
-	next := wire.Key{VM: "b", Incarnation: 2, Nonce: token.Nonce{100 + s.sent}, Expires: key.Expires}
-	sub := wire.Submit{Key: key, Successor: &next, Org: "club", Fingerprint: crasher, Treatment: wire.Treatment{Deadline: time.Minute}}
+// submitCopy submits a copy of the request and returns its key and the reply.
+func (s *crashSite) submitCopy() (token.Nonce, wire.Admission) {
+	s.copies++
+	key := wire.Key{VM: "a", Incarnation: 1, Nonce: token.Nonce{s.copies}, Expires: s.now.Add(time.Hour).Unix()}
+	next := wire.Key{VM: "b", Incarnation: 2, Nonce: token.Nonce{100 + s.copies}, Expires: key.Expires}
+	sub := wire.Submit{Key: key, Successor: &next, Org: "club", Fingerprint: crasherPrint, Treatment: wire.Treatment{Deadline: time.Minute}}
 	for _, effect := range s.Step(Submitted{Now: s.now, Submit: sub}) {
 		if reply, ok := effect.(Reply); ok {
 			return key.Nonce, reply.Admission
@@ -45,22 +45,22 @@
 // elsewhere, but no sidecar on its way takes it. Its caller is told to come
 // back, and is told the same again and again for a minute, because the site
 // still keeps the place for the copy that will never run.
-func TestUnusedLeaveIsGivenBack(t *testing.T) {
-	s := newSite()
-	first, a := s.send()
+func TestUnusedGrantIsRevoked(t *testing.T) {
+	s := newCrashSite()
+	first, a := s.submitCopy()
 	if !a.HasPermit {
 		t.Fatalf("the first copy got no leave: %+v", a)
 	}
-	second, a := s.send()
+	second, a := s.submitCopy()
 	if a.HasPermit || a.Error.Reason != verdict.ReasonSuspect {
 		t.Fatalf("the second copy was not told to wait: %+v", a)
 	}
-	s.Step(Reported{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasher, Nonce: second}}})
-	if _, a := s.send(); a.HasPermit {
+	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: second}}})
+	if _, a := s.submitCopy(); a.HasPermit {
 		t.Fatal("a copy got leave while another has it")
 	}
-	s.Step(Reported{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasher, Nonce: first}}})
-	if _, a := s.send(); !a.HasPermit {
+	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: first}}})
+	if _, a := s.submitCopy(); !a.HasPermit {
 		t.Fatalf("no copy gets leave any more: %+v", a)
 	}
 }
@@ -68,11 +68,11 @@
 // The home of a chat is told to leave just when the chat has crashed another
 // engine. It refuses the resend because it leaves; the router offers it to an
 // upstream that has not heard of the crash, and that one is lost too.
-func TestLeavingHomeTellsOfSuspects(t *testing.T) {
-	home := &site{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	home.Step(Reported{Now: home.now, Report: wire.Report{Suspects: newSite().book.EvidenceFor(home.now, crasher)}})
-	home.Step(Noticed{Now: home.now, Notice: wire.Notice{Leaving: true, Version: 1}})
-	_, a := home.send()
+func TestDrainingHomeReportsSuspects(t *testing.T) {
+	home := &crashSite{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
+	home.Step(ReportReceived{Now: home.now, Report: wire.Report{Suspects: newCrashSite().quarantine.EvidenceFor(home.now, crasherPrint)}})
+	home.Step(NoticeReceived{Now: home.now, Notice: wire.Notice{Leaving: true, Version: 1}})
+	_, a := home.submitCopy()
 	if a.Error == nil || a.Error.Reason != verdict.ReasonSuspect || len(a.Control.Suspects) == 0 {
 		t.Fatalf("the router learns nothing of the crash: %+v", a)
 	}
--- a/internal/sidecar/timer.go
+++ b/internal/sidecar/timer.go
@@ -34,14 +34,14 @@
 	heap.Push(t, timer{at: at, nonce: n})
 }
 
-// spareTimers is how many timers may be stale before they are looked through.
-const spareTimers = 1024
+// maxStaleTimers is how many timers may be stale before they are looked through.
+const maxStaleTimers = 1024
 
-// sweep forgets the timers of requests that are no longer known, once they
+// sweepTimers forgets the timers of requests that are no longer known, once they
 // outweigh the others: an answer that is to be kept for hours and is dropped
 // to make room leaves its timer behind.
-func (s *State) sweep() {
-	if len(s.timers) <= 8*len(s.requests)+spareTimers {
+func (s *State) sweepTimers() {
+	if len(s.timers) <= 8*len(s.requests)+maxStaleTimers {
 		return
 	}
 	s.timers = slices.DeleteFunc(s.timers, func(t timer) bool {
@@ -50,8 +50,8 @@
 	heap.Init(&s.timers)
 }
 
-// due takes a timer that has come due.
-func (t *timers) due(now time.Time) (timer, bool) {
+// popDue takes a timer that has come popDue.
+func (t *timers) popDue(now time.Time) (timer, bool) {
 	if len(*t) == 0 || now.Before((*t)[0].at) {
 		return timer{}, false
 	}
@@ -66,34 +66,34 @@
 	return s.timers[0].at
 }
 
-// review looks at what has come due.
-func (s *State) review(now time.Time) []Effect {
+// runTimers looks at what has come due.
+func (s *State) runTimers(now time.Time) []Effect {
 	var effects []Effect
-	for t, ok := s.timers.due(now); ok; t, ok = s.timers.due(now) {
+	for t, ok := s.timers.popDue(now); ok; t, ok = s.timers.popDue(now) {
 		if r := s.requests[t.nonce]; r != nil {
-			effects = append(effects, s.reviewRequest(now, r)...)
+			effects = append(effects, s.handleTimer(now, r)...)
 		}
 	}
-	s.sweep()
-	effects = append(effects, s.reviewProbe(now)...)
-	effects = append(effects, s.reviewLeave(now)...)
-	return append(effects, s.reviewEmptying(now)...)
+	s.sweepTimers()
+	effects = append(effects, s.startDueProbe(now)...)
+	effects = append(effects, s.advanceDrain(now)...)
+	return append(effects, s.advanceOrderDrain(now)...)
 }
 
-func (s *State) reviewRequest(now time.Time, r *request) []Effect {
+func (s *State) handleTimer(now time.Time, r *request) []Effect {
 	switch {
 	case r.phase == ended:
-		return s.reviewEnded(now, r)
+		return s.dropExpired(now, r)
 	case r.phase == queued && !r.expires.IsZero() && !now.Before(r.expires):
-		return s.tooLate(now, r)
-	case !r.unread.IsZero() && now.Sub(r.unread) >= s.settings.DetachGrace:
-		return s.reviewUnread(now, r)
+		return s.withdrawExpired(now, r)
+	case !r.unreadSince.IsZero() && now.Sub(r.unreadSince) >= s.settings.DetachGrace:
+		return s.handleUnread(now, r)
 	}
 	return nil
 }
 
-// reviewEnded drops an answer that has been kept for its time.
-func (s *State) reviewEnded(now time.Time, r *request) []Effect {
+// dropExpired drops an answer that has been kept for its time.
+func (s *State) dropExpired(now time.Time, r *request) []Effect {
 	if now.Before(r.keepUntil) {
 		return nil
 	}
@@ -101,11 +101,11 @@
 		s.timers.add(now.Add(s.settings.DetachGrace), r.nonce())
 		return nil
 	}
-	return s.drop(r)
+	return s.dropRequest(r)
 }
 
-// drop forgets an answer that has ended.
-func (s *State) drop(r *request) []Effect {
+// dropRequest forgets an answer that has ended.
+func (s *State) dropRequest(r *request) []Effect {
 	if s.requests[r.nonce()] != r {
 		return nil
 	}
@@ -113,39 +113,39 @@
 	return []Effect{Drop{Nonce: r.nonce()}}
 }
 
-// trim bounds the answers that are kept by the size of the key table, whatever
+// trimRetained bounds the answers that are kept by the size of the key table, whatever
 // time their profiles ask for. Those that are read stay until they are not.
-func (s *State) trim() []Effect {
+func (s *State) trimRetained() []Effect {
 	var effects []Effect
-	for len(s.kept) > s.settings.Keys {
-		r := s.kept[0]
-		s.kept = s.kept[1:]
+	for len(s.retained) > s.settings.Keys {
+		r := s.retained[0]
+		s.retained = s.retained[1:]
 		if r.readers > 0 {
-			r.keepUntil = r.closed
+			r.keepUntil = r.endedAt
 			continue
 		}
-		effects = append(effects, s.drop(r)...)
+		effects = append(effects, s.dropRequest(r)...)
 	}
 	return effects
 }
 
-// reviewUnread ends a request that nobody has read for the grace. Its router
+// handleUnread ends a request that nobody has read for the grace. Its router
 // may have died and its caller may come back through another one, so it is
 // given time. What is not idempotent goes on to its end, for the upstream has
 // begun it and the caller will want to know what became of it.
-func (s *State) reviewUnread(now time.Time, r *request) []Effect {
+func (s *State) handleUnread(now time.Time, r *request) []Effect {
 	if r.phase == queued || r.submit.Treatment.Idempotent {
 		return s.abort(now, r)
 	}
-	if r.unheld {
+	if r.discarding {
 		return nil
 	}
-	r.unheld = true
-	return []Effect{Unhold{Nonce: r.nonce()}}
+	r.discarding = true
+	return []Effect{DiscardOverflow{Nonce: r.nonce()}}
 }
 
-// read takes a count of an answer's readers, unless a later one is known.
-func (s *State) read(e Readers) []Effect {
+// handleReaders takes a count of an answer's readers, unless a later one is known.
+func (s *State) handleReaders(e ReadersChanged) []Effect {
 	r := s.requests[e.Nonce]
 	if r == nil || e.Seq <= r.readSeq {
 		return nil
@@ -154,11 +154,11 @@
 	r.delivered = r.delivered || e.Delivered
 	switch {
 	case e.Count > 0:
-		r.unread = time.Time{}
+		r.unreadSince = time.Time{}
 	case r.phase == ended:
-		return s.reviewEnded(e.Now, r)
-	case r.unread.IsZero():
-		r.unread = e.Now
+		return s.dropExpired(e.Now, r)
+	case r.unreadSince.IsZero():
+		r.unreadSince = e.Now
 		s.timers.add(e.Now.Add(s.settings.DetachGrace), r.nonce())
 	}
 	return nil
