--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -10,10 +10,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// responseBuffer holds what an upstream has said to one request, for the routers that
-// read it: the one that asked, and any that resumes after it. It keeps as much
-// as its window allows; when that is full it forgets what all its readers have
-// had, or else makes the upstream wait.
+// responseBuffer buffers the response to one request for the routers that read it:
+// the one that submitted the request, and any that resumes later. It holds as much
+// as its window allows. When the window is full, it discards what all its readers
+// have received, or else blocks the upstream.
 type responseBuffer struct {
 	store *responseStore
 	nonce token.Nonce
@@ -21,14 +21,14 @@
 	mu        sync.Mutex
 	changed   chan struct{} // closed and replaced at each change
 	head      *responseHead
-	base      int64 // offset of the first byte that is kept
+	base      int64 // offset in the response of the first byte in body
 	body      []byte
 	end       *Finish
-	discards  bool // what does not fit is forgotten while nobody reads
+	discards  bool // overflow is discarded while there are no readers
 	readers   map[*sender]bool
-	readerSeq uint64        // counts the changes of readers
-	endedElem *list.Element // among the ended; guarded by the store
-	delivered bool          // some reader has had all of it
+	readerSeq uint64        // number of changes of readers
+	endedElem *list.Element // in store.ended; guarded by store.mu
+	delivered bool          // a reader has received the complete response
 }
 
 type responseHead struct {
@@ -36,7 +36,7 @@
 	header http.Header
 }
 
-// notify needs a.mu held.
+// notify wakes all waiters on changed. a.mu must be held.
 func (a *responseBuffer) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -49,7 +49,7 @@
 	a.notify()
 }
 
-// write adds b, waiting while there is no room for it.
+// write appends b, and blocks while the buffer is full.
 func (a *responseBuffer) write(ctx context.Context, b []byte) error {
 	for len(b) > 0 {
 		n, changed := a.tryWrite(b)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// tryWrite adds what there is room for.
+// tryWrite appends as much of b as fits and returns its length.
 func (a *responseBuffer) tryWrite(b []byte) (n int, changed <-chan struct{}) {
 	window := a.store.window()
 	a.mu.Lock()
@@ -83,9 +83,9 @@
 	return n, a.changed
 }
 
-// discardDelivered forgets at least missing bytes from the front, as far as all readers
-// have had them. It moves in large steps, since each copies the rest; the
-// former bytes may be in use by a sender and are not overwritten.
+// discardDelivered discards at least excess bytes from the front, as far as all
+// readers have received them. It discards large chunks, since each call copies the
+// rest. A sender may still use the old array, so it is not overwritten.
 func (a *responseBuffer) discardDelivered(excess int) {
 	delivered := len(a.body)
 	for r := range a.readers {
@@ -117,7 +117,7 @@
 	a.notify()
 }
 
-// free frees the bytes.
+// free releases the buffered bytes.
 func (a *responseBuffer) free() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,14 +127,14 @@
 	a.notify()
 }
 
-// wake tells the writer that a reader has had more.
+// wake notifies the writer that a reader has received more bytes.
 func (a *responseBuffer) wake() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.notify()
 }
 
-// hasReaders reports whether a router reads the answer.
+// hasReaders reports whether a router reads the response.
 func (a *responseBuffer) hasReaders() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,8 +147,8 @@
 	return a.base + int64(len(a.body))
 }
 
-// addReader adds a reader and returns the new count. It reports false when what the
-// reader asks for is no longer held.
+// addReader adds a reader and returns the new count. It returns false if the bytes
+// at offset are no longer buffered.
 func (a *responseBuffer) addReader(r *sender, offset int64) (ReadersChanged, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,7 +159,8 @@
 	return a.readersChanged(), true
 }
 
-// removeReader removes a reader, which has had the whole answer if whole.
+// removeReader removes a reader and returns the new count. delivered says whether
+// it has received the complete response.
 func (a *responseBuffer) removeReader(r *sender, delivered bool) ReadersChanged {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,17 +175,17 @@
 	return ReadersChanged{Nonce: a.nonce, Seq: a.readerSeq, Count: len(a.readers), Delivered: a.delivered}
 }
 
-// view is what a reader at some offset can see of an answer.
+// view is a snapshot of a response for a reader at some offset.
 type view struct {
 	head    *responseHead
 	bytes   []byte
 	length  int64
-	gone    bool // what was asked for is no longer held
+	gone    bool // the bytes at the offset are no longer buffered
 	end     *Finish
 	changed <-chan struct{}
 }
 
-// viewAt returns up to limit bytes viewAt offset on.
+// viewAt returns a view with up to limit bytes from offset on.
 func (a *responseBuffer) viewAt(offset int64, limit int64) view {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -198,24 +199,24 @@
 	return v
 }
 
-// responseStore holds the responseStore of a sidecar within a bound of memory.
+// responseStore holds the response buffers of a sidecar within a memory limit.
 type responseStore struct {
 	buffer BufferLimits
 	used   atomic.Int64
 
 	mu      sync.Mutex
 	byNonce map[token.Nonce]*responseBuffer
-	ended   list.List // of *answer, in the order of their end
+	ended   list.List // of *responseBuffer, in the order in which they ended
 }
 
-// BufferLimits bounds the answers that a sidecar holds.
+// BufferLimits limits the responses that a sidecar buffers.
 type BufferLimits struct {
-	PerResponse int // bytes of one answer
-	Total       int // bytes of all
+	PerResponse int // bytes of one response
+	Total       int // bytes of all responses
 }
 
-// minWindow is what each running answer may hold, however full the buffer is,
-// in bytes: with less it could not go on.
+// minWindow is the window of each running response when the buffer is full, in
+// bytes. With no window, a response could not continue.
 const minWindow = 64 << 10
 
 func newResponseStore(b BufferLimits) *responseStore {
@@ -259,9 +260,9 @@
 	}
 }
 
-// window is how much one running answer may hold now. While all together hold
-// too much, those that ended first make room; who asks for one of them hears
-// that the answer is gone.
+// window returns how many bytes one running response may buffer now. While the
+// total is over its limit, it evicts ended responses, oldest first. A router that
+// asks for an evicted response gets ReasonAnswerGone.
 func (s *responseStore) window() int {
 	for s.used.Load() > int64(s.buffer.Total) {
 		if !s.evict() {
@@ -271,8 +272,8 @@
 	return s.buffer.PerResponse
 }
 
-// evict drops the answer that ended first among those that nobody reads, or
-// reports false.
+// evict drops the response that ended first among those without readers. It
+// returns false if there is none.
 func (s *responseStore) evict() bool {
 	a := s.oldestUnread()
 	if a == nil {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -8,14 +8,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// ConfigEvent is an event of the copy of the configuration that the sidecar
-// keeps for routers that start while the store is down.
+// ConfigEvent is an event for the sidecar's copy of the configuration. Routers
+// that start while the store is down read this copy.
 type ConfigEvent struct {
 	Now   time.Time
 	Event config.Event
 }
 
-// ConfigRequested is a router that asks for what is new in the configuration.
+// ConfigRequested is posted when a router requests configuration changes.
 type ConfigRequested struct {
 	Now    time.Time
 	Ticket Ticket
@@ -26,12 +26,12 @@
 func (e ConfigEvent) at() time.Time     { return e.Now }
 func (e ConfigRequested) at() time.Time { return e.Now }
 
-// ConfigEffect is something to do for the copy of the configuration.
+// ConfigEffect executes an effect of the copy of the configuration.
 type ConfigEffect struct {
 	Effect config.Effect
 }
 
-// ReplyConfig answers a ConfigAsked.
+// ReplyConfig answers a ConfigRequested.
 type ReplyConfig struct {
 	Ticket Ticket
 	Delta  wire.ConfigDelta
@@ -45,8 +45,8 @@
 	return append(effects, ReplyConfig{Ticket: e.Ticket, Delta: s.config.Set().Answer(e.Query)})
 }
 
-// handleConfig steps the copy. Of what changes there, only the order to drain
-// this VM concerns the sidecar itself.
+// handleConfig applies an event to the copy of the configuration. The sidecar
+// itself acts only on orders to drain its VM or failure domain.
 func (s *State) handleConfig(e ConfigEvent) []Effect {
 	var effects []Effect
 	for _, effect := range s.config.Step(e.Event) {
@@ -60,8 +60,8 @@
 	return effects
 }
 
-// applyDrainOrders looks for orders to drain this VM or its failure domain, and for their
-// removal.
+// applyDrainOrders applies orders, and removals of orders, to drain this VM or
+// its failure domain.
 func (s *State) applyDrainOrders(objects []topo.Object) {
 	for _, o := range objects {
 		s.orders.Apply(o)
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -41,7 +41,7 @@
 	s.postPeers()
 }
 
-// isSending reports whether an answer is being sent over conn.
+// isSending reports whether a response is being sent over conn.
 func (s *Sidecar) isSending(conn *wire.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,9 +49,9 @@
 	return r != nil && len(r.senders) > 0
 }
 
-// isPermitted reports whether a peer of a role may make a call. A sidecar runs
-// beside an upstream, which runs what others have written: what gets hold of
-// one sidecar's certificate must not run work on all other upstreams.
+// isPermitted reports whether a peer with a role may call a method. A sidecar runs
+// beside an upstream, which executes code of others. An attacker that obtains a
+// sidecar's certificate there must not be able to run work on other upstreams.
 func isPermitted(r secure.Role, m wire.Method) bool {
 	switch r {
 	case secure.RoleSidecar:
@@ -59,12 +59,12 @@
 	case secure.RoleRouter:
 		return m != wire.MethodImport && m != wire.MethodJoined
 	default:
-		return true // without TLS nobody says who it is
+		return true // without TLS the role of the peer is unknown
 	}
 }
 
-// authorize returns an error for a call that the peer of a connection may not make.
-// The peer of one that has ended is not known any more, so it may make none.
+// authorize returns an error if the peer of a connection may not call a method. The
+// peer of a closed connection is unknown, so it may call none.
 func (s *Sidecar) authorize(c *wire.Conn, m wire.Method) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,8 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "unknown method %q", m)
 }
 
-// hello introduces the sidecar, with its load and whether it takes new work.
+// hello returns the identity of the sidecar, its load and whether it admits new
+// requests.
 func (s *Sidecar) hello(ctx context.Context) (any, error) {
 	a, err := s.admission(ctx, func(t Ticket) Event { return HelloReceived{Now: time.Now(), Ticket: t} })
 	if err != nil {
@@ -130,7 +131,7 @@
 	return wire.Hello{VM: c.VM, Incarnation: c.Incarnation, Control: a.Control}, nil
 }
 
-// withParams decodes the parameters of a call for f.
+// withParams decodes the parameters of a call and calls f with them.
 func withParams[P any](params wire.Params, f func(P) (any, error)) (any, error) {
 	var p P
 	if err := params.Decode(&p); err != nil {
@@ -185,7 +186,8 @@
 	return a, nil
 }
 
-// sendResponse starts sending an answer to a router, or says in adm that it is gone.
+// sendResponse starts sending a response to a router, or sets adm.Error if it is no
+// longer buffered.
 func (s *Sidecar) sendResponse(c *wire.Conn, p wire.Attach, adm *wire.Admission) {
 	n := p.Key.Nonce
 	resp := s.responses.get(n)
@@ -212,13 +214,14 @@
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, "the answer is no longer held")
 }
 
-// postReaders tells the reducer of a change of readers.
+// postReaders posts a change of readers to the reducer.
 func (s *Sidecar) postReaders(r ReadersChanged) {
 	r.Now = time.Now()
 	s.loop.Post(r)
 }
 
-// addSender lets credit reach a sender.
+// addSender registers a sender, so that it receives credit for its stream. If the
+// connection has ended, it stops the sender.
 func (s *Sidecar) addSender(c *wire.Conn, id wire.StreamID, out *sender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -39,7 +39,7 @@
 		"Bytes of the answers that are kept.")
 )
 
-// updateGauges shows the state to operators.
+// updateGauges sets the gauges from the state.
 func (s *State) updateGauges() {
 	loadGauge.Set(int64(s.load()))
 	runningGauge.Set(int64(s.queue.Running()))
--- a/internal/sidecar/event.go
+++ b/internal/sidecar/event.go
@@ -10,13 +10,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Event is something that has happened to a sidecar.
+// Event is an input of State.Step.
 type Event interface{ at() time.Time }
 
-// Ticket names a caller who waits for the reply to what it asked.
+// Ticket identifies a pending call that waits for its reply.
 type Ticket uint64
 
-// Submitted is a request that a router has sent.
+// Submitted is posted when a router submits a request.
 type Submitted struct {
 	Now    time.Time
 	Ticket Ticket
@@ -24,112 +24,113 @@
 	Submit wire.Submit
 }
 
-// HelloReceived is a router that has connected.
+// HelloReceived is posted when a peer greets the sidecar with MethodHello.
 type HelloReceived struct {
 	Now    time.Time
 	Ticket Ticket
 }
 
-// Attached is a router that asks for an answer.
+// Attached is posted when a router asks for the response of a submitted request.
 type Attached struct {
 	Now    time.Time
 	Ticket Ticket
 	Attach wire.Attach
 }
 
-// Cancelled is a router that asks to end a request.
+// Cancelled is posted when a router cancels a request.
 type Cancelled struct {
 	Now    time.Time
 	Ticket Ticket
 	Cancel wire.Cancel
 }
 
-// StatusRequested is a router that asks what became of a request.
+// StatusRequested is posted when a router asks for the status of a request.
 type StatusRequested struct {
 	Now    time.Time
 	Ticket Ticket
 	Status wire.StatusRequest
 }
 
-// ReadersChanged is how many routers read an answer. Seq orders the counts of one
-// answer, since they come from different goroutines.
+// ReadersChanged is the number of routers that read a response. Seq orders the
+// counts of one response, since they are posted by different goroutines.
 type ReadersChanged struct {
 	Now       time.Time
 	Nonce     token.Nonce
 	Seq       uint64
 	Count     int
-	Delivered bool // some router has been sent the whole answer
+	Delivered bool // a router has been sent the complete response
 }
 
-// FirstByteReceived is an answer that has begun.
+// FirstByteReceived is posted when the first byte of a response body arrives.
 type FirstByteReceived struct {
 	Now   time.Time
 	Nonce token.Nonce
 }
 
-// CallEnded is a call of the upstream that is over. A nil Err means that the
-// answer is whole.
+// CallEnded is posted when a call to the upstream has ended. A nil Err means
+// that the response is complete.
 type CallEnded struct {
 	Now   time.Time
 	Nonce token.Nonce
 	Err   *verdict.Error
 }
 
-// Probed is the result of a probe of the upstream.
+// Probed is the result of a health probe of the upstream.
 type Probed struct {
 	Now    time.Time
 	Health upstream.Health
 }
 
-// NoticeReceived is word that the VM is to leave or to stay.
+// NoticeReceived is a notice that the VM is to leave or to stay.
 type NoticeReceived struct {
 	Now    time.Time
 	Ticket Ticket
 	Notice wire.Notice
 }
 
-// ReportReceived is a router's report of suspects.
+// ReportReceived is a router's report on suspects or on an unused grant.
 type ReportReceived struct {
 	Now    time.Time
 	Ticket Ticket
 	Report wire.Report
 }
 
-// ExportFinished is the end of the export of cached prefixes before leaving.
+// ExportFinished is posted when the export of cached prefixes before leaving ends.
 type ExportFinished struct {
 	Now time.Time
 }
 
-// VMJoined is word that another upstream has joined the pool.
+// VMJoined is posted when another upstream announces that it has joined the pool.
 type VMJoined struct {
 	Now time.Time
 	VM  string
 }
 
-// PrefixImported is a cached prefix that another sidecar has handed over.
+// PrefixImported is posted when a cached prefix from another sidecar is imported.
 type PrefixImported struct {
 	Now     time.Time
 	Session uint64
 }
 
-// OrderDrainStarted is an order to take no new work until Refilled. The reply comes when
-// nothing runs.
+// OrderDrainStarted stops the admission of new requests until OrderDrainEnded,
+// for an order of the controller. The reply is sent when no request runs and the
+// export of cached prefixes has finished or timed out.
 type OrderDrainStarted struct {
 	Now    time.Time
 	Ticket Ticket
 }
 
-// OrderDrainEnded ends Emptying.
+// OrderDrainEnded resumes the admission of requests after OrderDrainStarted.
 type OrderDrainEnded struct {
 	Now time.Time
 }
 
-// StopRequested is the order to end the process once nothing is in flight.
+// StopRequested makes the process exit when no request is in flight.
 type StopRequested struct {
 	Now time.Time
 }
 
-// Ticked is the passing of time. It is due at State.Wake.
+// Ticked is posted when a timer is due, at the time that State.Wake returns.
 type Ticked struct {
 	Now time.Time
 }
@@ -153,52 +154,55 @@
 func (e StopRequested) at() time.Time     { return e.Now }
 func (e Ticked) at() time.Time            { return e.Now }
 
-// Effect is something that a sidecar is to do.
+// Effect is an action that State.Step returns for the Sidecar to execute.
 type Effect interface{ isEffect() }
 
-// Open makes room for the answer to a request that has been admitted.
+// Open creates the response buffer of an admitted request.
 type Open struct {
 	Nonce token.Nonce
 	Org   string
 }
 
-// Start makes the call of the upstream.
+// Start starts the call to the upstream.
 type Start struct {
 	Submit   wire.Submit
 	Deadline time.Time // zero: none
 }
 
-// Abort ends a call of the upstream; its Ended follows.
+// Abort aborts a call to the upstream; its CallEnded follows.
 type Abort struct {
 	Nonce token.Nonce
 }
 
-// DiscardOverflow lets a call go on whose answer nobody reads: what does not fit into
-// the buffer is dropped, instead of being held back.
+// DiscardOverflow lets a call continue while nobody reads its response: the
+// oldest bytes that do not fit into the buffer are discarded, instead of blocking
+// the upstream.
 type DiscardOverflow struct {
 	Nonce token.Nonce
 }
 
-// Finish ends an answer for those who read it. A nil Error means that it is whole.
+// Finish ends a response. A nil Error means that it is complete.
 type Finish struct {
 	Nonce   token.Nonce
 	Error   *verdict.Error
-	Moved   *wire.Key // with an Error: the request goes on under this key
+	Moved   *wire.Key // with an Error: the request continues under this key
 	Control wire.Control
 }
 
-// Drop forgets an answer.
+// Drop removes a retained response.
 type Drop struct {
 	Nonce token.Nonce
 }
 
-// Reply answers a Submitted, Greeted, Attached, Cancelled, Noticed or Reported.
+// Reply answers a Submitted, HelloReceived, Attached, Cancelled, NoticeReceived,
+// ReportReceived or OrderDrainStarted.
 type Reply struct {
 	Ticket    Ticket
 	Admission wire.Admission
 }
 
-// ReplyStatus answers a StatusAsked. Who carries it out adds the length.
+// ReplyStatus answers a StatusRequested. Sidecar.status fills in the length of
+// the response.
 type ReplyStatus struct {
 	Ticket Ticket
 	Nonce  token.Nonce
@@ -206,37 +210,39 @@
 	Error  *verdict.Error
 }
 
-// Probe asks how the upstream is; Probed follows.
+// Probe probes the health of the upstream; Probed follows.
 type Probe struct{}
 
-// Export hands the cached prefixes of sessions, the latest first, to the VMs
-// that serve them next; Exported follows.
+// Export transfers the cached prefixes of sessions, most recent first, to the VMs
+// that serve these sessions next; ExportFinished follows.
 type Export struct {
 	Sessions []uint64
 }
 
-// ExportTo hands the cached prefixes of those of sessions that rank first at a
-// VM that has joined to that VM.
+// ExportTo transfers cached prefixes to a VM that has joined: those of the given
+// sessions for which it ranks first.
 type ExportTo struct {
 	VM       string
 	Sessions []uint64
 }
 
-// AnnounceJoin tells the other upstreams of the pool that this one has joined.
+// AnnounceJoin announces to the other upstreams of the pool that this one has
+// joined.
 type AnnounceJoin struct{}
 
-// ReportCrash tells operators of a crash of the upstream.
+// ReportCrash reports a crash of the upstream in logs and metrics.
 type ReportCrash struct {
-	Running int // calls that were under way
+	Running int // calls in progress at the crash
 }
 
-// ReportAvailability tells operators that the upstream has begun or ceased to be served.
+// ReportAvailability logs a change in whether the upstream is down or draining
+// and updates readiness.
 type ReportAvailability struct {
 	Down     bool
 	Draining bool
 }
 
-// Exit ends the process.
+// Exit makes Serve return.
 type Exit struct{}
 
 func (Open) isEffect()               {}
--- a/internal/sidecar/export.go
+++ b/internal/sidecar/export.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// exportConcurrency is how many prefixes are on their way at a time.
+	// exportConcurrency is the number of concurrent transfers.
 	exportConcurrency = 4
-	// announceTimeout bounds the wait for the list of VMs to name a new VM, and
-	// its announcement to the others.
+	// announceTimeout limits the announcement of a new VM, including the wait until
+	// the list of VMs contains it.
 	announceTimeout = 2 * time.Minute
-	// listPollInterval is how often the list is read meanwhile.
+	// listPollInterval is the interval between reads of the list during that wait.
 	listPollInterval = 2 * time.Second
 )
 
-// export hands the cached prefixes of sessions to the upstreams that rank first
-// for them once this one has left. It is best effort and bounded in time: a
-// prefix that is not handed over is computed anew.
+// export transfers the cached prefixes of sessions to the upstreams that rank first
+// for them after this one has left. It is best effort and limited in time: a
+// prefix that is not transferred is recomputed.
 func (s *Sidecar) export(sessions []uint64) {
 	defer func() { s.loop.Post(ExportFinished{Now: time.Now()}) }()
 	if s.config.VMs == nil || len(sessions) == 0 {
@@ -41,9 +41,9 @@
 	s.exportSessions(ctx, sessions, pool.successorOf)
 }
 
-// exportTo hands the cached prefixes of those of sessions that rank first at a
-// VM that has joined to that VM. Whoever asks for it, they go to VMs that the
-// list of VMs names, by their rank.
+// exportTo transfers cached prefixes to a VM that has joined: those of the given
+// sessions for which it ranks first. The target must be in the list of VMs,
+// whichever peer announced it.
 func (s *Sidecar) exportTo(e ExportTo) {
 	if s.config.VMs == nil {
 		return
@@ -62,9 +62,9 @@
 }
 
 // announceJoin asks the other upstreams of the pool for the cached prefixes of the
-// sessions that rank first here now that this one has joined. Routers send
-// those here as soon as they see this VM in the list, and without their
-// prefixes each of them would be computed anew.
+// sessions for which this upstream ranks first now that it has joined. Routers
+// send these sessions here as soon as they see this VM in the list, and each
+// missing prefix has to be recomputed.
 func (s *Sidecar) announceJoin() {
 	if s.config.VMs == nil {
 		return
@@ -82,7 +82,8 @@
 	})
 }
 
-// waitUntilListed waits until the list of VMs names this one.
+// waitUntilListed waits until the list of VMs contains this VM. It returns false if
+// ctx ends first.
 func (s *Sidecar) waitUntilListed(ctx context.Context) (h successors, ok bool) {
 	for {
 		list, _, err := s.config.VMs.VMs(ctx, "")
@@ -99,7 +100,7 @@
 	}
 }
 
-// importPrefix gives the engine a prefix that another sidecar hands over.
+// importPrefix imports a cached prefix from another sidecar into the engine.
 func (s *Sidecar) importPrefix(ctx context.Context, p wire.Import) (any, error) {
 	if err := s.config.Upstream.Import(ctx, p.Session, p.Cached); err != nil {
 		return nil, err
@@ -109,8 +110,8 @@
 	return wire.Empty{}, nil
 }
 
-// exportSessions exports the prefixes of sessions and hands each to the VM that to names,
-// if it names one.
+// exportSessions transfers the cached prefix of each session to the VM that to
+// returns for it, if any.
 func (s *Sidecar) exportSessions(ctx context.Context, sessions []uint64, to func(uint64) (topo.VM, bool)) {
 	x := exporter{sidecar: s, peers: make(map[string]*wire.Peer)}
 	defer x.close()
@@ -121,7 +122,7 @@
 	})
 }
 
-// forEachConcurrently calls do for each of items, for up to n at a time.
+// forEachConcurrently calls do for each item, with up to n concurrent calls.
 func forEachConcurrently[T any](n int, items []T, do func(T)) {
 	work := make(chan T)
 	var workers sync.WaitGroup
@@ -139,7 +140,7 @@
 	workers.Wait()
 }
 
-// exporter is one export.
+// exporter holds the connections of one export.
 type exporter struct {
 	sidecar *Sidecar
 
@@ -147,6 +148,8 @@
 	peers map[string]*wire.Peer // by VM
 }
 
+// exportSession transfers the cached prefix of one session. A session without a
+// cached prefix is skipped.
 func (x *exporter) exportSession(ctx context.Context, session uint64, to topo.VM) {
 	cached, err := x.sidecar.config.Upstream.Export(ctx, session)
 	if err == upstream.ErrNotCached {
--- a/internal/sidecar/finish.go
+++ b/internal/sidecar/finish.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// probeIntervalDown is how often an upstream is probed that is down, or that still
-	// runs requests of a former sidecar.
+	// probeIntervalDown is the probe interval while the upstream is down, has not
+	// answered the last probe, or still runs requests of an earlier incarnation of
+	// the sidecar.
 	probeIntervalDown = 500 * time.Millisecond
-	// probeIntervalUp is how often any other upstream is probed.
+	// probeIntervalUp is the probe interval otherwise.
 	probeIntervalUp = 5 * time.Second
-	// frozenThreshold is how many probes in a row must time out until an upstream
-	// that still accepts connections counts as down. One alone may be a pause.
+	// frozenThreshold is the number of consecutive probes that must time out before
+	// an upstream that still accepts connections counts as down. A single timeout
+	// may be a short pause.
 	frozenThreshold = 2
 )
 
-// handleCallEnd closes a request whose call is over. When the call broke off it is
-// asked first whether the upstream has crashed, so that its caller, who may
-// send it again at once, is not answered before the suspicion is known.
+// handleCallEnd finishes a request whose call has ended. If the call broke off, a
+// probe first determines whether the upstream has crashed. The caller may resend
+// the request immediately, so it gets no response before the request is recorded
+// as a suspect.
 func (s *State) handleCallEnd(e CallEnded) []Effect {
 	r := s.requests[e.Nonce]
 	if r == nil || r.phase != running {
@@ -50,7 +53,7 @@
 	}
 }
 
-// finishFailed closes a request that may have run.
+// finishFailed finishes a request that failed and may have run.
 func (s *State) finishFailed(now time.Time, r *request, err *verdict.Error) []Effect {
 	if !r.crashRecorded {
 		s.quarantine.Revoke(r.fingerprint())
@@ -63,11 +66,12 @@
 	return s.finishRequest(now, r, f)
 }
 
+// keepUntil returns until when the response to r is retained.
 func (s *State) keepUntil(now time.Time, r *request) time.Time {
 	return now.Add(max(s.settings.KeepAnswer, r.submit.Treatment.KeepAnswer))
 }
 
-// finishRequest ends the answer to a request and keeps it for a while.
+// finishRequest ends the response to a request and retains it until keepUntil.
 func (s *State) finishRequest(now time.Time, r *request, f Finish) []Effect {
 	suspects := f.Control.Suspects
 	f.Control = s.control(now)
@@ -83,7 +87,7 @@
 	return append([]Effect{f}, s.trimRetained()...)
 }
 
-// startDueProbe starts a probe that is due.
+// startDueProbe starts a probe if one is due and none is in progress.
 func (s *State) startDueProbe(now time.Time) []Effect {
 	if s.probe.pending || now.Before(s.probe.next) {
 		return nil
@@ -92,7 +96,7 @@
 	return []Effect{Probe{}}
 }
 
-// handleProbe takes in how the upstream is.
+// handleProbe applies the result of a probe.
 func (s *State) handleProbe(e Probed) []Effect {
 	p, h := &s.probe, e.Health
 	restarted := p.known && h.Instance != "" && p.instance != "" && h.Instance != p.instance
@@ -117,10 +121,11 @@
 	return probeIntervalUp
 }
 
-// countExternal counts the requests that a former sidecar has left running at
-// the upstream. A restarted sidecar that forgot them would load its upstream
-// beyond the bound. Their number is what the upstream reported at first, and
-// only falls from there: later reports lag and hold requests of our own.
+// countExternal counts the requests that an earlier incarnation of the sidecar has
+// left running at the upstream. Without this, a restarted sidecar would load its
+// upstream beyond the bound. The count starts as the number that the first probe
+// returned and can only decrease: later probes lag behind and include requests of
+// this incarnation.
 func (s *State) countExternal(h upstream.Health, restarted bool) {
 	switch {
 	case restarted || h.State == upstream.Gone:
@@ -134,9 +139,9 @@
 	s.queue.SetExternal(s.probe.external)
 }
 
-// resolveInterrupted answers the calls that broke off, now that it is known whether
-// the upstream crashed. All that was running then is entered as suspect,
-// before anyone is answered.
+// resolveInterrupted finishes the calls that broke off, now that it is known
+// whether the upstream crashed. If it crashed, all requests that were running are
+// recorded as suspects before any response ends.
 func (s *State) resolveInterrupted(now time.Time, crashed bool) []Effect {
 	requests := s.interrupted
 	if len(requests) == 0 {
@@ -153,7 +158,8 @@
 	return effects
 }
 
-// recordCrash returns how many calls were under way.
+// recordCrash records all running and interrupted requests as suspects and returns
+// their number.
 func (s *State) recordCrash(now time.Time, requests []*request) int {
 	var entries []quarantine.RunningRequest
 	all := append(s.inPhase(running), requests...)
@@ -169,8 +175,8 @@
 	return len(all)
 }
 
-// updateDown notes whether the upstream answers. When it does not, what waits can
-// only lose time here.
+// updateDown updates whether the upstream is down. If it is, queued requests are
+// withdrawn, since waiting here would only delay them.
 func (s *State) updateDown(now time.Time, state upstream.State) []Effect {
 	if state == upstream.Frozen {
 		s.probe.frozen++
--- a/internal/sidecar/heirs.go
+++ b/internal/sidecar/heirs.go
@@ -8,11 +8,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// successors are the upstreams of a pool, to which one of them hands its prefixes.
+// successors ranks the upstreams of a pool to which one of them transfers its
+// cached prefixes.
 type successors struct {
 	vms  []topo.VM
 	pool *placement.Pool
-	self int // index of the one that hands over, or placement.None
+	self int // index of the VM that transfers its prefixes, or placement.None
 }
 
 func newSuccessors(list []topo.VM, self string) successors {
@@ -43,7 +44,7 @@
 	return h
 }
 
-// successorOf returns the upstream that serves a session once this one has left.
+// successorOf returns the upstream that serves a session after this one has left.
 func (h *successors) successorOf(session uint64) (topo.VM, bool) {
 	return h.vmAt(h.pool.Successor(session, h.self))
 }
@@ -53,7 +54,7 @@
 	return h.vmAt(h.pool.Home(session))
 }
 
-// others returns all but this one.
+// others returns all upstreams of the pool except this one.
 func (h *successors) others() []topo.VM {
 	return slices.DeleteFunc(slices.Clone(h.vms), func(vm topo.VM) bool { return vm.ID == h.vms[h.self].ID })
 }
--- a/internal/sidecar/join.go
+++ b/internal/sidecar/join.go
@@ -6,17 +6,17 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// handoverInterval is how long after a hand-over to a VM another one is not begun:
-// the sidecar that asks for it may be restarting all the time.
+// handoverInterval is the minimum time between two transfers of prefixes to the
+// same VM. It limits the work for a sidecar that restarts repeatedly.
 const handoverInterval = time.Minute
 
-// joinState is what is known of upstreams that have joined.
+// joinState records joins of this and other upstreams.
 type joinState struct {
-	announced bool                 // this one
-	handovers map[string]time.Time // others, within welcomeAgain
+	announced bool                 // this upstream has been announced
+	handovers map[string]time.Time // start of the latest transfer by VM, within handoverInterval
 }
 
-// announceOnce announces this upstream once it serves.
+// announceOnce announces this upstream when it is up for the first time.
 func (s *State) announceOnce(state upstream.State) []Effect {
 	if s.join.announced || state != upstream.Up {
 		return nil
@@ -25,7 +25,8 @@
 	return []Effect{AnnounceJoin{}}
 }
 
-// handleVMJoined begins a hand-over to another upstream that has joined.
+// handleVMJoined starts a transfer of cached prefixes to an upstream that has
+// joined.
 func (s *State) handleVMJoined(e VMJoined) []Effect {
 	j := &s.join
 	if j.handovers == nil {
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// listedTTL is how long word from the list of VMs holds. The list has no
-	// versions, so an old reading cannot be told from a new one; routers repeat
-	// the word while the list says so, and it lapses when they no longer do.
+	// listedTTL is how long a notice that stems from the list of VMs is valid. The
+	// list has no versions, so an old reading cannot be distinguished from a new
+	// one. Routers repeat the notice while the VM is listed as leaving, and it
+	// expires when they stop.
 	listedTTL = 2 * time.Minute
-	// exportTimeout bounds the export of cached prefixes.
+	// exportTimeout limits the duration of an export of cached prefixes.
 	exportTimeout = 20 * time.Second
-	// maxRecentSessions is how many sessions' prefixes are exported at most: twice
+	// maxRecentSessions limits the sessions whose prefixes are exported. It is twice
 	// an upstream's share of 6.3 million chats over 2,900 upstreams.
 	maxRecentSessions = 4096
 )
 
-// drainState is what is known of the upstream's leaving.
+// drainState is the state of draining the upstream.
 type drainState struct {
-	order       wire.Notice // the latest of those with a version
-	listedUntil time.Time   // until when word from the list holds
-	begun       bool        // new work is refused
+	order       wire.Notice // the latest notice with a version
+	listedUntil time.Time   // until when a notice from the list of VMs is valid
+	begun       bool        // advanceDrain has withdrawn the queued requests
 	exported    bool
-	exportBy    time.Time // until when the export is waited for
+	exportBy    time.Time // limit of the wait for the export
 	stopping    bool
 	stopBy      time.Time
 	exited      bool
 }
 
+// draining reports whether no new requests are admitted: because of a stop, an
+// order of the controller, or a notice that the VM leaves.
 func (s *State) draining(now time.Time) bool {
 	return s.drain.stopping || s.orderDrain.on || s.drain.order.Leaving || now.Before(s.drain.listedUntil)
 }
 
-// handleNotice takes a notice. Operators' orders have versions, by which an order
-// that was overtaken is told; whatever arrives last must not win.
+// handleNotice applies a notice. Operators' orders have versions, so an outdated
+// order that arrives late is ignored.
 func (s *State) handleNotice(e NoticeReceived) []Effect {
 	s.applyOrder(e.Notice)
 	if e.Notice.Version == 0 && e.Notice.Leaving {
@@ -65,8 +68,8 @@
 	s.timers.add(s.drain.stopBy, token.Nonce{})
 }
 
-// advanceDrain does what leaving asks for: it sends away what waits, exports
-// the cached prefixes, and ends the process once nothing is in flight.
+// advanceDrain carries out draining: it withdraws queued requests, exports the
+// cached prefixes, and, on a stop, exits when no request is in flight.
 func (s *State) advanceDrain(now time.Time) []Effect {
 	l := &s.drain
 	if !s.draining(now) {
@@ -88,8 +91,9 @@
 	return effects
 }
 
-// mayExit reports whether nothing would be cut: all answers have ended and
-// gone out, or nobody has come for them within the grace.
+// mayExit reports whether the process can exit without interrupting a response:
+// each response has ended and has been delivered, or no router has read it within
+// DetachGrace. It also reports true after stopBy.
 func (s *State) mayExit(now time.Time) bool {
 	if !now.Before(s.drain.stopBy) {
 		return true
@@ -106,10 +110,10 @@
 	return true
 }
 
-// recentSessionSet remembers the recentSessionSet served last.
+// recentSessionSet is the set of the most recently served sessions.
 type recentSessionSet struct {
 	seq     uint64
-	lastUse map[uint64]uint64 // when, by session
+	lastUse map[uint64]uint64 // sequence number of the last use, by session
 }
 
 func (s *recentSessionSet) touch(session uint64) {
@@ -132,7 +136,7 @@
 	}
 }
 
-// mostRecent returns the sessions, the mostRecent first.
+// mostRecent returns up to maxRecentSessions sessions, most recent first.
 func (s *recentSessionSet) mostRecent() []uint64 {
 	all := s.byRecency()
 	return all[:min(len(all), maxRecentSessions)]
--- a/internal/sidecar/order.go
+++ b/internal/sidecar/order.go
@@ -9,15 +9,16 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// orderDrain is an order at hand that needs the upstream to itself. Until it is
-// over the sidecar does as when its VM leaves, but goes on afterwards.
+// orderDrain is the state of draining the upstream for an order of the controller.
+// Until the order has finished, the sidecar drains as when its VM leaves; then it
+// admits requests again.
 type orderDrain struct {
 	on     bool
-	ticket Ticket // of who waits until nothing runs; zero: nobody
+	ticket Ticket // of the call that waits until no request runs; zero: none
 }
 
-// advanceOrderDrain replies once nothing is in flight at the upstream and its
-// cached prefixes have been handed on.
+// advanceOrderDrain replies when no request runs at the upstream and the export of
+// cached prefixes has finished or timed out.
 func (s *State) advanceOrderDrain(now time.Time) []Effect {
 	t := s.orderDrain.ticket
 	exported := s.drain.exported || !now.Before(s.drain.exportBy)
@@ -28,7 +29,8 @@
 	return s.reply(now, t, wire.Admission{})
 }
 
-// newOrderHandler returns what takes the controller's orders.
+// newOrderHandler returns the handler of the controller's orders, or nil if the
+// upstream does not support orders.
 func (s *Sidecar) newOrderHandler() *order.Handler {
 	if s.config.Orders == nil {
 		return nil
@@ -43,7 +45,8 @@
 	return s.orders.Handle(ctx, o)
 }
 
-// drainForOrder takes the upstream out of service and waits until nothing runs.
+// drainForOrder takes the upstream out of service and waits until no request runs.
+// resume puts it back into service.
 func (s *Sidecar) drainForOrder(ctx context.Context) (resume func(), err error) {
 	resume = func() { s.loop.Post(OrderDrainEnded{Now: time.Now()}) }
 	_, err = s.admission(ctx, func(t Ticket) Event { return OrderDrainStarted{Now: time.Now(), Ticket: t} })
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -11,15 +11,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// postPeers tells the copy of the configuration whom it can ask. One at a
-// time does, or an older list could be posted after a newer one.
+// postPeers posts the peers from which the copy of the configuration can be
+// updated. peersMu prevents an older list from being posted after a newer one.
 func (s *Sidecar) postPeers() {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
 	s.mu.Lock()
 	var names []config.Peer
 	for _, r := range s.conns {
-		if r.role != secure.RoleSidecar { // which has no configuration to give
+		if r.role != secure.RoleSidecar { // sidecars are not asked for configuration
 			names = append(names, r.peer)
 		}
 	}
@@ -29,7 +29,8 @@
 	s.loop.Post(ConfigEvent{Now: now, Event: config.PeersChanged{Now: now, Peers: names}})
 }
 
-// peerOf is the name of a router's connection for the copy of the configuration.
+// peerOf returns the name by which the copy of the configuration identifies a
+// connection, or "" if it has ended.
 func (s *Sidecar) peerOf(c *wire.Conn) config.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// queryConfig asks a router for what is new in the configuration.
+// queryConfig requests configuration changes from a router.
 func (s *Sidecar) queryConfig(ctx context.Context, to config.Peer, q config.Query) (config.Delta, error) {
 	c := s.connOf(to)
 	if c == nil {
@@ -61,7 +62,7 @@
 	return delta, err
 }
 
-// configSince tells a router what is new in the configuration.
+// configSince returns configuration changes to a router.
 func (s *Sidecar) configSince(ctx context.Context, c *wire.Conn, q wire.ConfigSince) (any, error) {
 	from := s.peerOf(c)
 	e, err := s.ask(ctx, func(t Ticket) Event {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -11,10 +11,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// readBufferSize is how much of an answer is read from the upstream at a time, in bytes.
+// readBufferSize is the size of the buffer for reads from the upstream, in bytes.
 const readBufferSize = 8 << 10
 
-// startCall runs a call on a goroutine of its own.
+// startCall runs a call to the upstream in its own goroutine.
 func (s *Sidecar) startCall(e Start) {
 	n := e.Submit.Key.Nonce
 	ctx, cancel := withDeadline(s.ctx, e.Deadline)
@@ -35,7 +35,7 @@
 	return context.WithDeadline(ctx, at)
 }
 
-// releaseCall frees what belongs to a call that is over.
+// releaseCall releases the context of a call that has ended.
 func (s *Sidecar) releaseCall(n token.Nonce) {
 	s.mu.Lock()
 	cancel := s.calls[n]
@@ -53,7 +53,7 @@
 	}
 }
 
-// call makes the call of the upstream and collects the answer.
+// call calls the upstream and copies the response to out.
 func (s *Sidecar) call(ctx context.Context, e Start, out *responseBuffer) error {
 	span := telemetry.Start(telemetry.HopUpstream, telemetry.Traceparent(e.Submit.Trace))
 	defer span.End()
--- a/internal/sidecar/schedule.go
+++ b/internal/sidecar/schedule.go
@@ -9,11 +9,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// isolationCheckInterval is how often a suspect that runs alone is looked at.
+// isolationCheckInterval is how often a suspect that runs alone is checked.
 const isolationCheckInterval = time.Second
 
-// schedule starts what may start. While a suspect runs alone, and while it is
-// not known whether the upstream has crashed, nothing does.
+// schedule starts the requests that may start. None may start before the first
+// probe has returned, while a suspect runs alone, or while it is not known
+// whether the upstream has crashed.
 func (s *State) schedule(now time.Time) []Effect {
 	if !s.probe.known || len(s.interrupted) > 0 || s.isolatedBlocks(now) {
 		return nil
@@ -31,7 +32,8 @@
 	}
 }
 
-// isolatedBlocks reports whether a suspect runs alone that has not proved harmless.
+// isolatedBlocks reports whether a suspect runs alone and has not yet been
+// cleared.
 func (s *State) isolatedBlocks(now time.Time) bool {
 	if s.isolated == nil {
 		return false
@@ -47,7 +49,8 @@
 	return true
 }
 
-// scheduleIsolated starts the likeliest culprit in the lane once nothing runs.
+// scheduleIsolated starts the most likely cause of a crash in the isolation lane
+// when no other request runs.
 func (s *State) scheduleIsolated(now time.Time) []Effect {
 	if s.queue.Running() > 0 {
 		return nil
@@ -72,7 +75,8 @@
 	s.lane = slices.DeleteFunc(s.lane, func(x *request) bool { return x == r })
 }
 
-// startRequest hands the call to the upstream and lets go of it here.
+// startRequest returns the effect that starts the call, and releases the body and
+// header of the request.
 func (s *State) startRequest(now time.Time, r *request) Effect {
 	r.phase, r.started = running, now
 	effect := Start{Submit: r.submit, Deadline: r.deadline}
@@ -81,14 +85,14 @@
 	return effect
 }
 
-// withdrawExpired answers a request that has missed its deadline while it waited.
+// withdrawExpired withdraws a request that can no longer start in time.
 func (s *State) withdrawExpired(now time.Time, r *request) []Effect {
 	err := verdict.New(verdict.NotRun, verdict.ReasonDeadline, "its turn did not come within its deadline")
 	return s.withdraw(now, r, err.WithRetryAfter(s.queue.Backoff()))
 }
 
-// withdraw ends a request that has not run and now will not, and sends those
-// who read it along the chain, if there is one and its caller still wants it.
+// withdraw ends a request that has not run and will not run here. Its readers are
+// redirected to its successor, if it has one and was not cancelled.
 func (s *State) withdraw(now time.Time, r *request, err *verdict.Error) []Effect {
 	s.queue.Remove(r.nonce())
 	if r.isolated {
@@ -104,7 +108,7 @@
 	return s.finishRequest(now, r, f)
 }
 
-// withdrawQueued withdraws all that waits, so that it can run elsewhere.
+// withdrawQueued withdraws all queued requests, so that they can run at other VMs.
 func (s *State) withdrawQueued(now time.Time, reason verdict.Reason, detail string) []Effect {
 	var effects []Effect
 	for _, r := range s.inPhase(queued) {
@@ -113,7 +117,7 @@
 	return effects
 }
 
-// inPhase returns the requests in a phase, in the order of their arrival.
+// inPhase returns the requests in a phase, in order of admission.
 func (s *State) inPhase(p phase) []*request {
 	var out []*request
 	for _, r := range s.requests {
--- a/internal/sidecar/sender.go
+++ b/internal/sidecar/sender.go
@@ -7,10 +7,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// maxFrameBytes is the most bytes of an answer that one frame carries.
+// maxFrameBytes limits the bytes of a response in one frame.
 const maxFrameBytes = 16 << 10
 
-// sender sends one answer to one router, no further than the router's credit.
+// sender sends one response to one router, within the router's credit.
 type sender struct {
 	out      frameWriter
 	response *responseBuffer
@@ -18,13 +18,13 @@
 	window   int64
 
 	mu      sync.Mutex
-	upTo    int64
+	upTo    int64         // offset up to which the router has granted credit
 	changed chan struct{} // closed and replaced when upTo grows
 	stopped chan struct{}
 	once    sync.Once
 }
 
-// frameWriter is where a sender's frameWriter go.
+// frameWriter writes the frames of one stream.
 type frameWriter interface {
 	head(h *responseHead) error
 	data(offset int64, b []byte) error
@@ -42,7 +42,7 @@
 	}
 }
 
-// grant takes credit from the router.
+// grant records credit from the router.
 func (s *sender) grant(upTo int64) {
 	s.mu.Lock()
 	grown := upTo > s.upTo
@@ -57,8 +57,8 @@
 	}
 }
 
-// deliveredUpTo is the offset up to which the router has passed the answer on: it
-// grants its window ahead of that.
+// deliveredUpTo returns the offset up to which the router has passed the response
+// on. The router grants credit up to one window beyond it.
 func (s *sender) deliveredUpTo() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,9 +75,9 @@
 	return s.upTo, s.changed
 }
 
-// send sends until the answer is over, the stream is stopped or the connection
-// fails; the router resumes elsewhere after a failure. It reports whether the
-// whole answer went out.
+// send sends the response until it ends, the stream is stopped or the connection
+// fails. After a failure the router resumes on another connection. It reports
+// whether the complete response was sent.
 func (s *sender) send() (delivered bool) {
 	headSent := false
 	for {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -21,34 +21,35 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Config is what a sidecar is told at its start.
+// Config configures a Sidecar.
 type Config struct {
 	Settings Settings
 	Buffer   BufferLimits
 	Upstream upstream.Upstream
-	// Orders is the upstream as it takes orders; nil: it takes none.
+	// Orders executes the controller's orders on the upstream; nil if the
+	// upstream does not support orders.
 	Orders order.Upstream
-	// Token reads the controller's fencing token from the store; nil: there is
-	// no store, and no order is taken.
+	// Token reads the controller's fencing token from the store. Without a store
+	// it is nil, and no order is accepted.
 	Token func(ctx context.Context) (wire.FencingToken, error)
-	// VMs and Dial serve the handing over of cached prefixes when upstreams
-	// leave and join. Without VMs nothing is handed over.
+	// VMs and Dial are used to transfer cached prefixes when upstreams leave or
+	// join. If VMs is nil, no prefixes are transferred.
 	VMs  topo.VMList
 	Dial func(ctx context.Context, vm topo.VM) (net.Conn, error)
 }
 
-// Sidecar serves routers.
+// Sidecar serves the requests of routers and forwards them to its upstream.
 type Sidecar struct {
 	config      Config
 	loop        *loop.Loop[Event, Effect]
 	ctx         context.Context
 	cancel      context.CancelFunc
 	tickets     atomic.Uint64
-	unavailable atomic.Bool // no new work is taken; for Ready
+	unavailable atomic.Bool // the upstream is down or draining; read by Ready
 	follower    follow.Runner
 	timer       *time.Timer // posts Ticked; owned by the loop's goroutine
 	responses   *responseStore
-	orders      *order.Handler // nil: the upstream takes no orders
+	orders      *order.Handler // nil if the upstream does not support orders
 	spans       spans
 
 	peersMu sync.Mutex
@@ -57,17 +58,17 @@
 	waiting   map[Ticket]chan Effect
 	calls     map[token.Nonce]context.CancelFunc
 	conns     map[*wire.Conn]*routerConn
-	connCount uint64 // connections so far
+	connCount uint64 // connections accepted so far
 }
 
-// routerConn is a connection of a router with the answers that it reads.
+// routerConn is a connection from a router and the responses being sent on it.
 type routerConn struct {
 	peer    config.Peer
 	role    secure.Role // empty without TLS
 	senders map[wire.StreamID]*sender
 }
 
-// New returns a Sidecar that works until its Serve returns.
+// New starts a Sidecar. It runs until Serve returns.
 func New(c Config) *Sidecar {
 	s := &Sidecar{
 		config:    c,
@@ -84,7 +85,7 @@
 		responseBytes.Set(s.responses.used.Load())
 		s.resetTimer(state.Wake())
 	})
-	s.timer = time.AfterFunc(0, s.tick) // the first probe is due at once
+	s.timer = time.AfterFunc(0, s.tick) // probe the upstream immediately
 	s.follower = follow.Runner{SendQuery: s.queryConfig, Post: func(e config.Event) { s.loop.Post(ConfigEvent{Now: time.Now(), Event: e}) }}
 	s.orders = s.newOrderHandler()
 	go s.loop.Run(s.ctx)
@@ -102,8 +103,8 @@
 	}
 }
 
-// Serve accepts routers on l. When ctx ends it takes no new work, lets what is
-// in flight finish, and returns.
+// Serve accepts connections from routers on l. When ctx ends, it admits no new
+// requests, waits for those in flight, and returns.
 func (s *Sidecar) Serve(ctx context.Context, l net.Listener) error {
 	defer s.cancel()
 	defer context.AfterFunc(ctx, func() { s.loop.Post(StopRequested{Now: time.Now()}) })()
@@ -120,7 +121,7 @@
 	}
 }
 
-// execute carries out an effect, on the loop's goroutine.
+// execute carries out an effect. It runs on the loop's goroutine.
 func (s *Sidecar) execute(effect Effect) {
 	switch e := effect.(type) {
 	case Open:
@@ -159,10 +160,10 @@
 		go s.announceJoin()
 	case ReportCrash:
 		crashes.Inc()
-		slog.Error("the upstream has crashed", "vm", s.config.Settings.VM, "running", e.Running)
+		slog.Error("upstream crashed", "vm", s.config.Settings.VM, "running", e.Running)
 	case ReportAvailability:
 		s.unavailable.Store(e.Down || e.Draining)
-		slog.Info("the upstream's service has changed", "vm", s.config.Settings.VM, "down", e.Down, "leaving", e.Draining)
+		slog.Info("upstream availability changed", "vm", s.config.Settings.VM, "down", e.Down, "leaving", e.Draining)
 	case Exit:
 		s.cancel()
 	}
@@ -173,7 +174,7 @@
 	s.loop.Post(Probed{Now: time.Now(), Health: h})
 }
 
-// ask posts the event that f makes of a ticket and waits for the reply.
+// ask posts the event that f returns for a new ticket and waits for its reply.
 func (s *Sidecar) ask(ctx context.Context, f func(Ticket) Event) (Effect, error) {
 	t := Ticket(s.tickets.Add(1))
 	reply := make(chan Effect, 1)
@@ -193,7 +194,7 @@
 	}
 }
 
-// admission is ask for the events that a Reply answers.
+// admission is like ask, for events that are answered by a Reply.
 func (s *Sidecar) admission(ctx context.Context, f func(Ticket) Event) (wire.Admission, error) {
 	e, err := s.ask(ctx, f)
 	if err != nil {
--- a/internal/sidecar/span.go
+++ b/internal/sidecar/span.go
@@ -9,14 +9,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// spans holds the spans of requests that have not ended.
+// spans holds the open trace spans of requests that have not ended.
 type spans struct {
 	mu   sync.Mutex
 	open map[token.Nonce]telemetry.Span
 }
 
-// begin starts the span of a submission. While an earlier one of the same key
-// is open, this one ends with the reply.
+// begin starts the span of a submission. If a span for the same key is open, the new
+// one is not stored and ends with the reply.
 func (s *spans) begin(sub *wire.Submit) telemetry.Span {
 	span := telemetry.Start(telemetry.HopSidecar, telemetry.Traceparent(sub.Trace))
 	sub.Trace = string(span.Traceparent())
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -1,6 +1,7 @@
-// Package sidecar is the one small process beside an upstream. It is the only
-// way into its upstream and the point at which everything about it is decided
-// in order: which requests run, how many at a time, and that each runs once.
+// Package sidecar implements the process that runs beside each upstream. All
+// requests to the upstream pass through it. It decides in one sequence of events
+// which requests run and how many at a time, and ensures that each runs at most
+// once.
 package sidecar
 
 import (
@@ -19,30 +20,33 @@
 )
 
 const (
-	// maxSamples is how many loads of other upstreams a refusal or the end of
-	// an answer carries.
+	// maxSamples is the number of other upstreams' loads that a rejection or the
+	// end of a response carries.
 	maxSamples = 5
-	// maxSuspectBytes is how much of a reply may be word of suspects, in bytes.
+	// maxSuspectBytes limits the evidence on suspects in one reply, in bytes.
 	maxSuspectBytes = 256
 )
 
-// Settings is what a sidecar's decisions depend on.
+// Settings holds the parameters of a sidecar's decisions.
 type Settings struct {
 	VM            string
 	FailureDomain string
 	Incarnation   uint64
-	Weight        int // relative capacity of the upstream; below one counts as one
-	Keys          int // entries of the key table
+	Weight        int // relative capacity of the upstream; values below one count as one
+	Keys          int // maximum entries of the key table
 	Admission     admission.Config
-	// DetachGrace is how long a request goes on that nobody reads.
+	// DetachGrace is how long a request continues while no router reads its
+	// response.
 	DetachGrace time.Duration
-	// KeepAnswer is how long each answer is kept at least.
+	// KeepAnswer is how long each ended response is retained at least, unless it
+	// has to be dropped to make room for others.
 	KeepAnswer time.Duration
-	// StopTimeout bounds the wait for requests in flight when the process ends.
+	// StopTimeout limits the wait for requests in flight when the process stops.
 	StopTimeout time.Duration
 }
 
-// State is a sidecar's control state.
+// State is the control state of a sidecar. Its Step is a pure reducer: it does
+// no I/O and reads no clock.
 type State struct {
 	settings           Settings
 	self               load.VM
@@ -50,53 +54,53 @@
 	queue              *admission.Queue
 	loads              *load.Table
 	quarantine         *quarantine.Table
-	config             *config.Follower // a copy, for routers
+	config             *config.Follower // copy of the configuration, served to routers
 	requests           map[token.Nonce]*request
-	admittedCount      uint64 // requests admitted so far
+	admittedCount      uint64 // total requests admitted
 	timers             timers
-	retained           []*request  // whose answers have ended, the first of them first
-	lane               []*request  // suspects that wait to run alone
-	delegated          wire.Permit // the latest leave to run alone elsewhere
-	isolated           *request    // the suspect that runs alone
-	nextIsolationCheck time.Time   // when it is looked at next
-	interrupted        []*request  // calls that broke off, until it is known why
+	retained           []*request  // ended requests whose responses are retained, oldest first
+	lane               []*request  // isolation lane: suspects that wait to run alone
+	delegated          wire.Permit // the latest grant to run alone at another VM
+	isolated           *request    // the suspect that is running alone
+	nextIsolationCheck time.Time   // when isolated is checked next
+	interrupted        []*request  // calls that broke off; the cause is not yet known
 	probe              probe
 	orders             drain.Orders
 	drain              drainState
 	orderDrain         orderDrain
 	recent             recentSessionSet
 	join               joinState
-	availability       ReportAvailability // as told last
+	availability       ReportAvailability // as last reported
 }
 
-// phase is how far a request has come.
+// phase is the stage of a request.
 type phase uint8
 
 const (
 	queued phase = iota
 	running
-	interrupted // its call broke off, and it is not known yet whether the upstream crashed
+	interrupted // the call broke off; whether the upstream crashed is not yet known
 	ended
 )
 
-// request is a request whose answer is awaited or kept.
+// request is an admitted request whose response is pending or retained.
 type request struct {
-	submit        wire.Submit // without the call once it has started
-	seq           uint64      // of its arrival
+	submit        wire.Submit // Call has no body and header after the start
+	seq           uint64      // order of admission
 	phase         phase
-	isolated      bool
-	cancelled     bool      // by its caller
-	crashRecorded bool      // it is entered in the book for a crash that its call has not noticed yet
-	expires       time.Time // when it is too late to start; zero: never
+	isolated      bool      // it must run alone
+	cancelled     bool      // by the caller
+	crashRecorded bool      // its crash is recorded, though its call may not have ended yet
+	expires       time.Time // latest time to start; zero: none
 	deadline      time.Time // zero: none
 	started       time.Time
-	failure       *verdict.Error // of a broken call
+	failure       *verdict.Error // of an interrupted call
 	readers       int
 	readSeq       uint64
 	delivered     bool
-	unreadSince   time.Time // since when nobody has read; zero: somebody does
-	discarding    bool
-	endedAt       time.Time // when the answer ended
+	unreadSince   time.Time // start of the time without readers; zero: it has readers
+	discarding    bool      // DiscardOverflow has been emitted
+	endedAt       time.Time // when the response ended
 	keepUntil     time.Time
 }
 
@@ -105,8 +109,8 @@
 	return quarantine.Fingerprint(r.submit.Fingerprint)
 }
 
-// NewState returns the State of a sidecar that has just started. It starts no
-// request before it has heard from its upstream.
+// NewState returns the State of a newly started sidecar. It starts no request
+// before the first probe of the upstream has returned.
 func NewState(c Settings) *State {
 	return &State{
 		settings:   c,
@@ -120,8 +124,9 @@
 	}
 }
 
-// Step applies an event: what the event itself asks for, then what has come
-// due, then what may start.
+// Step applies an event and returns the resulting effects: those of the event
+// itself, then those of timers that are due, then starts of requests, then a
+// change of availability.
 func (s *State) Step(event Event) []Effect {
 	now := event.at()
 	effects := s.apply(event)
@@ -130,7 +135,7 @@
 	return append(effects, s.updateAvailability(now)...)
 }
 
-// updateAvailability notes a change of what operators see of the upstream.
+// updateAvailability reports a change in whether the upstream is down or draining.
 func (s *State) updateAvailability(now time.Time) []Effect {
 	current := ReportAvailability{Down: s.probe.down, Draining: s.draining(now)}
 	if current == s.availability {
@@ -184,8 +189,8 @@
 	return nil
 }
 
-// mergeControl takes in what came on the back of a message. Malformed parts are
-// dropped: they are hints.
+// mergeControl merges the control data that is piggybacked on a message.
+// Malformed parts are ignored because they are only hints.
 func (s *State) mergeControl(now time.Time, from config.Peer, c wire.Control) []Effect {
 	_ = s.loads.Merge(now, c.Samples)
 	_ = s.quarantine.Merge(now, c.Suspects)
@@ -196,20 +201,20 @@
 func (s *State) handleReport(e ReportReceived) []Effect {
 	_ = s.quarantine.Merge(e.Now, e.Report.Suspects)
 	if u := e.Report.UnusedPermit; u != nil && s.delegated == *u {
-		// No sidecar has started it. Without this word all copies would have to
-		// wait until the deadline of that one has passed.
+		// No sidecar has started the delegated copy. Without this report, all
+		// other copies would have to wait until its deadline has passed.
 		s.quarantine.Revoke(quarantine.Fingerprint(u.Fingerprint))
 		s.delegated = wire.Permit{}
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
 
-// load is the number of requests that have been admitted and have not ended.
+// load returns the number of requests that have been admitted and have not ended.
 func (s *State) load() int {
 	return s.queue.Load() + len(s.lane)
 }
 
-// observeOwnLoad enters the sidecar's own load among those of the pool.
+// observeOwnLoad records the sidecar's own load in the pool's load table.
 func (s *State) observeOwnLoad(now time.Time) {
 	r := load.Report{Load: s.load(), Weight: s.settings.Weight}
 	switch {
@@ -221,7 +226,7 @@
 	s.loads.Observe(now, s.self, r)
 }
 
-// control is what goes out on the back of a message.
+// control returns the control data to piggyback on a message.
 func (s *State) control(now time.Time) wire.Control {
 	s.observeOwnLoad(now)
 	c := wire.Control{
@@ -238,6 +243,8 @@
 	return c
 }
 
+// reply returns a Reply with the current control data. If a has evidence on
+// suspects, it is kept.
 func (s *State) reply(now time.Time, t Ticket, a wire.Admission) []Effect {
 	suspects := a.Control.Suspects
 	a.Control = s.control(now)
@@ -247,13 +254,13 @@
 	return []Effect{Reply{Ticket: t, Admission: a}}
 }
 
-// probe is what is known of the upstream's health.
+// probe is the health of the upstream as last probed.
 type probe struct {
-	pending  bool // a probe is under way
-	known    bool // one has come back since the start
+	pending  bool // a probe is in progress
+	known    bool // a probe has returned since the start
 	next     time.Time
 	down     bool
-	frozen   int // probes in a row that timed out
+	frozen   int // consecutive probes that timed out
 	instance upstream.Instance
-	external int // requests at the upstream from before this incarnation
+	external int // requests at the upstream that an earlier incarnation of the sidecar started
 }
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxIsolationLane is how many suspects may wait to run alone.
+	// maxIsolationLane limits the suspects that wait to run alone.
 	maxIsolationLane = 8
-	// deliveryMargin is how long an answer takes to reach the router at most.
+	// deliveryMargin is the time allowed for a rejection to reach the router.
 	deliveryMargin = 50 * time.Millisecond
 )
 
-// rejection is why a request is not admitted.
+// rejection is the reason why a request is not admitted.
 type rejection struct {
 	err      *verdict.Error
-	leave    bool            // it may run alone at its successor's VM
-	suspects json.RawMessage // for the router, so that it knows where else to ask
+	leave    bool            // the request may run alone at its successor's VM
+	suspects json.RawMessage // evidence for the router, from which it learns which VM to ask
 }
 
 func reject(r verdict.Reason, format string, args ...any) *rejection {
@@ -39,7 +39,8 @@
 	return append(s.mergeControl(e.Now, e.Peer, e.Submit.Control), s.admit(e)...)
 }
 
-// admit decides on an attempt: what is known of its key goes first.
+// admit decides on an attempt. If its key is known, the attempt gets the stored
+// outcome.
 func (s *State) admit(e Submitted) []Effect {
 	a := idempotency.Attempt{
 		Key:         e.Submit.Key,
@@ -63,10 +64,10 @@
 	return []Effect{Open{Nonce: e.Submit.Key.Nonce, Org: e.Submit.Org}, s.admittedReply(e.Now, e.Ticket)}
 }
 
-// admittedReply is the reply to a request that has been admittedReply. It tells the load
-// that the request found: requests come more often to where many are already,
-// and with each of them counted in its own report the pool's mean would come out
-// too high. Samples of others come with the end of the answer.
+// admittedReply returns the reply to an admitted request. It reports the load
+// without this request: busy upstreams receive more requests, so if each request
+// were counted in its own report, the estimated mean of the pool would be too
+// high. Load samples of other upstreams are sent with the end of the response.
 func (s *State) admittedReply(now time.Time, t Ticket) Effect {
 	c := s.control(now)
 	c.Load--
@@ -74,7 +75,7 @@
 	return Reply{Ticket: t, Admission: wire.Admission{Control: c}}
 }
 
-// admissionOf turns what the table knows of a key into a reply.
+// admissionOf converts a result of the key table into a reply.
 func admissionOf(f idempotency.Result) wire.Admission {
 	switch f.Outcome {
 	case idempotency.Live, idempotency.Done:
@@ -86,11 +87,11 @@
 	}
 }
 
-// tryAdmit admits a request to the queue, or to the lane of those that run
-// alone, or says why not.
+// tryAdmit adds a request to the queue, or decides that it is to run in the
+// isolation lane, or returns the reason for its rejection.
 func (s *State) tryAdmit(now time.Time, sub *wire.Submit) (isolated bool, rejected *rejection) {
-	// The quarantine first: whoever refuses a suspect for another reason sends it
-	// on to a sidecar that may not have heard of it.
+	// The quarantine is applied first: a suspect that is rejected for another
+	// reason goes on to a sidecar that may have no evidence against it.
 	isolated, rejected = s.applyQuarantine(now, sub)
 	if rejected != nil {
 		return false, rejected
@@ -115,8 +116,9 @@
 	return true, nil
 }
 
-// applyQuarantine applies the quarantine. A suspect whose upstream is down may run alone
-// elsewhere, at one place at a time.
+// applyQuarantine returns whether a request must run alone, or a rejection. If the
+// upstream that a suspect crashed is down, the suspect may run alone at another
+// VM, one such VM at a time.
 func (s *State) applyQuarantine(now time.Time, sub *wire.Submit) (isolated bool, rejected *rejection) {
 	if sub.Fingerprint == 0 {
 		return false, nil
@@ -143,6 +145,7 @@
 	}
 }
 
+// grantExpiry returns when the grant of a suspect to run alone expires.
 func (s *State) grantExpiry(now time.Time, sub *wire.Submit) time.Time {
 	if d := sub.Treatment.Deadline; d > 0 {
 		return now.Add(d)
@@ -150,15 +153,16 @@
 	return now.Add(quarantine.SuspectTTL)
 }
 
-// loadBound is the load that the upstream may have, by the loads of its pool.
+// loadBound returns the maximum load of the upstream, from the mean load of its
+// pool.
 func (s *State) loadBound(now time.Time, multiple float64) int {
 	s.observeOwnLoad(now)
 	mean, known := s.loads.Mean(now)
 	return load.Bound(mean, known, multiple, s.settings.Weight)
 }
 
-// admissionRequest is a request as admission sees it. The bound leaves out the lane,
-// which admission does not count.
+// admissionRequest converts a submission for the admission queue. The queue does
+// not count the isolation lane, so the lane is subtracted from the bound.
 func (s *State) admissionRequest(now time.Time, sub *wire.Submit, bound int) admission.Request {
 	t := &sub.Treatment
 	return admission.Request{
@@ -176,10 +180,10 @@
 	}
 }
 
-// mayDelegate reports whether a suspect goes on to its successor's VM to run alone
-// there: because the upstream is down or leaves, to one VM at a time. The site
-// of the crash keeps other copies waiting meanwhile; where it was sent from
-// there, it is only passed on.
+// mayDelegate reports whether a suspect may run alone at its successor's VM because
+// the upstream here is down or draining. The sidecar whose upstream crashed
+// delegates to one VM at a time and keeps other copies waiting meanwhile. A
+// sidecar that received the suspect with such a grant only passes it on.
 func (s *State) mayDelegate(now time.Time, sub *wire.Submit) bool {
 	if sub.Successor == nil || !s.probe.down && !s.draining(now) {
 		return false
@@ -195,7 +199,8 @@
 	return true
 }
 
-// deadlineAfter is the time d from now; zero d is no deadline.
+// deadlineAfter returns the time d after now, or the zero time, which is no
+// deadline, if d is not positive.
 func deadlineAfter(now time.Time, d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
@@ -203,15 +208,16 @@
 	return now.Add(d)
 }
 
-// startTimeout is by when a request must start that has d left. The router counts the
-// same time from a moment before, and when it is over can only say that the
-// request may have run; the word that it has not must reach it first.
+// startTimeout returns how long a request with the timeout d may wait for its
+// start. The router started the same timeout earlier, and when it expires can
+// only answer that the request may have run. The reply that it has not run must
+// arrive before.
 func startTimeout(d time.Duration) time.Duration {
 	return d - min(deliveryMargin, d/10)
 }
 
-// addRequest begins the books on an admitted request. Until a router reads its
-// answer it counts as unread, since the one that sent it may be gone.
+// addRequest adds an admitted request. It counts as unread until a router reads
+// its response, since the router that sent it may have failed.
 func (s *State) addRequest(now time.Time, sub wire.Submit, isolated bool) {
 	adm := s.admissionRequest(now, &sub, 0)
 	s.admittedCount++
@@ -238,8 +244,8 @@
 	return s.reply(e.Now, e.Ticket, admissionOf(f))
 }
 
-// handleCancel ends a request for good. A key that has not been seen is refused,
-// because the request itself may still be on its way.
+// handleCancel cancels a request. An unknown key is recorded as rejected, because
+// the request itself may still arrive.
 func (s *State) handleCancel(e Cancelled) []Effect {
 	a := idempotency.Attempt{Key: e.Cancel.Key, Org: e.Cancel.Org}
 	f := s.table.Lookup(e.Now, a)
@@ -256,7 +262,7 @@
 	return append(effects, s.reply(e.Now, e.Ticket, adm)...)
 }
 
-// abort ends a request that waits, or has the call of one that runs cut off.
+// abort withdraws a queued request, or aborts the call of a running one.
 func (s *State) abort(now time.Time, r *request) []Effect {
 	if r.phase == queued {
 		err := verdict.New(verdict.NotRun, verdict.ReasonCancelled, "cancelled before it ran")
--- a/internal/sidecar/timer.go
+++ b/internal/sidecar/timer.go
@@ -8,15 +8,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// timer is a time at which a request, or with a zero nonce the sidecar as a
-// whole, is to be looked at. Timers are not taken back: what is looked at too
-// early or in vain is left as it is.
+// timer is a time at which a request, or the whole sidecar if the nonce is zero,
+// is checked. Timers are never cancelled: a check that comes early or is obsolete
+// has no effect.
 type timer struct {
 	at    time.Time
 	nonce token.Nonce
 }
 
-// timers is a heap, the earliest on top.
+// timers is a min-heap by time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
@@ -34,12 +34,12 @@
 	heap.Push(t, timer{at: at, nonce: n})
 }
 
-// maxStaleTimers is how many timers may be stale before they are looked through.
+// maxStaleTimers is the number of stale timers that sweepTimers always tolerates.
 const maxStaleTimers = 1024
 
-// sweepTimers forgets the timers of requests that are no longer known, once they
-// outweigh the others: an answer that is to be kept for hours and is dropped
-// to make room leaves its timer behind.
+// sweepTimers removes the timers of requests that no longer exist, once there are
+// many more timers than requests. A response that is to be retained for hours and
+// is dropped to make room leaves its timer behind.
 func (s *State) sweepTimers() {
 	if len(s.timers) <= 8*len(s.requests)+maxStaleTimers {
 		return
@@ -50,7 +50,7 @@
 	heap.Init(&s.timers)
 }
 
-// popDue takes a timer that has come popDue.
+// popDue removes and returns a timer that is due.
 func (t *timers) popDue(now time.Time) (timer, bool) {
 	if len(*t) == 0 || now.Before((*t)[0].at) {
 		return timer{}, false
@@ -58,7 +58,7 @@
 	return heap.Pop(t).(timer), true
 }
 
-// Wake is when Ticked is due; zero: never.
+// Wake returns when the next Ticked is due, or the zero time for never.
 func (s *State) Wake() time.Time {
 	if len(s.timers) == 0 {
 		return time.Time{}
@@ -66,7 +66,7 @@
 	return s.timers[0].at
 }
 
-// runTimers looks at what has come due.
+// runTimers handles the timers that are due and advances probes and drains.
 func (s *State) runTimers(now time.Time) []Effect {
 	var effects []Effect
 	for t, ok := s.timers.popDue(now); ok; t, ok = s.timers.popDue(now) {
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// dropExpired drops an answer that has been kept for its time.
+// dropExpired drops a response whose retention time has passed and that has no
+// readers.
 func (s *State) dropExpired(now time.Time, r *request) []Effect {
 	if now.Before(r.keepUntil) {
 		return nil
@@ -104,7 +105,7 @@
 	return s.dropRequest(r)
 }
 
-// dropRequest forgets an answer that has ended.
+// dropRequest removes a request that has ended and its response.
 func (s *State) dropRequest(r *request) []Effect {
 	if s.requests[r.nonce()] != r {
 		return nil
@@ -113,8 +114,9 @@
 	return []Effect{Drop{Nonce: r.nonce()}}
 }
 
-// trimRetained bounds the answers that are kept by the size of the key table, whatever
-// time their profiles ask for. Those that are read stay until they are not.
+// trimRetained limits the number of retained responses to the size of the key
+// table, whatever retention time their profiles set. A response with readers
+// stays until it has none.
 func (s *State) trimRetained() []Effect {
 	var effects []Effect
 	for len(s.retained) > s.settings.Keys {
@@ -129,10 +131,11 @@
 	return effects
 }
 
-// handleUnread ends a request that nobody has read for the grace. Its router
-// may have died and its caller may come back through another one, so it is
-// given time. What is not idempotent goes on to its end, for the upstream has
-// begun it and the caller will want to know what became of it.
+// handleUnread handles a request that had no readers for DetachGrace. The grace
+// allows the caller to return through another router if its router failed. A
+// request that is queued or idempotent is then aborted. A running request that is
+// not idempotent runs to its end, because the upstream has started it and the
+// caller may ask for its outcome.
 func (s *State) handleUnread(now time.Time, r *request) []Effect {
 	if r.phase == queued || r.submit.Treatment.Idempotent {
 		return s.abort(now, r)
@@ -144,7 +147,7 @@
 	return []Effect{DiscardOverflow{Nonce: r.nonce()}}
 }
 
-// handleReaders takes a count of an answer's readers, unless a later one is known.
+// handleReaders applies a reader count, unless a later one has been applied.
 func (s *State) handleReaders(e ReadersChanged) []Effect {
 	r := s.requests[e.Nonce]
 	if r == nil || e.Seq <= r.readSeq {
