--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -21,7 +21,7 @@
 // may be lost; then the router sends it again some time.
 func (f *fleet) send(t *rapid.T, c *requestCopy) {
 	n := f.vm(c.key.VM)
-	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), HasPermit: c.leave}
+	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
 	sub.Treatment = wire.Treatment{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -177,12 +177,12 @@
 
 // view is a snapshot of a response for a reader at some offset.
 type view struct {
-	head    *responseHead
-	bytes   []byte
-	length  int64
-	gone    bool // the bytes at the offset are no longer buffered
-	end     *Finish
-	changed <-chan struct{}
+	head      *responseHead
+	bytes     []byte
+	length    int64
+	discarded bool // the bytes at the offset are no longer buffered
+	end       *Finish
+	changed   <-chan struct{}
 }
 
 // viewAt returns a view with up to limit bytes from offset on.
@@ -192,7 +192,7 @@
 	v := view{head: a.head, length: a.base + int64(len(a.body)), end: a.end, changed: a.changed}
 	switch {
 	case offset < a.base:
-		v.gone = true
+		v.discarded = true
 	case offset < v.length && limit > 0:
 		v.bytes = a.body[offset-a.base : min(v.length, offset+limit)-a.base]
 	}
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -85,7 +85,7 @@
 		if store.ended.Len() > 0 || store.used.Load() != 0 {
 			t.Fatalf("%d dropped answers are listed, %d bytes counted", store.ended.Len(), store.used.Load())
 		}
-		if v := pinned.viewAt(0, 1); !v.gone {
+		if v := pinned.viewAt(0, 1); !v.discarded {
 			t.Fatal("a dropped answer is not said to be gone")
 		}
 	})
@@ -95,7 +95,7 @@
 func (r *reader) read(t *rapid.T, a *responseBuffer, whole []byte) {
 	upTo, _ := r.s.credit()
 	v := a.viewAt(r.offset, min(upTo-r.offset, maxFrameBytes))
-	if v.gone {
+	if v.discarded {
 		t.Fatalf("gone at %d for a reader that is there; kept from %d", r.offset, a.base)
 	}
 	if !bytes.Equal(v.bytes, whole[r.offset:r.offset+int64(len(v.bytes))]) {
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -57,13 +57,13 @@
 
 // requestCopy is one router's copy of a request, on its way along the chain of keys.
 type requestCopy struct {
-	req      int
-	key      wire.Key
-	hops     int
-	leave    bool
-	admitted bool
-	finished bool
-	verdict  verdict.Verdict
+	req         int
+	key         wire.Key
+	hops        int
+	mayRunAlone bool
+	admitted    bool
+	finished    bool
+	verdict     verdict.Verdict
 }
 
 // fleet is three upstreams and any number of routers that disagree on where a
@@ -274,7 +274,7 @@
 	case err == nil:
 		c.finished, c.verdict = true, verdict.Ran
 	case moved != nil:
-		c.key, c.leave = *moved, leave
+		c.key, c.mayRunAlone = *moved, leave
 		c.hops++
 		return
 	default:
--- a/internal/sidecar/sender.go
+++ b/internal/sidecar/sender.go
@@ -83,7 +83,7 @@
 	for {
 		upTo, granted := s.credit()
 		v := s.response.viewAt(s.offset, min(upTo-s.offset, maxFrameBytes))
-		if v.gone {
+		if v.discarded {
 			err := verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, "the answer is no longer held from offset %d", s.offset)
 			_ = s.out.end(v.length, Finish{Error: err})
 			return false
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -81,7 +81,7 @@
 	listener   *pipeListener
 	peer       *wire.Peer
 	stop       context.CancelFunc
-	served     chan error
+	serveErr   chan error
 	ctx        context.Context // of the test
 }
 
@@ -92,7 +92,7 @@
 var errTestTimeout = errors.New("waited too long")
 
 func newFixture(t *testing.T, frozen bool) *fixture {
-	f := &fixture{t: t, up: &fakeUpstream{}, listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}, served: make(chan error, 1)}
+	f := &fixture{t: t, up: &fakeUpstream{}, listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}, serveErr: make(chan error, 1)}
 	if !frozen {
 		f.up.body, f.bodyWriter = io.Pipe()
 		time.AfterFunc(testTimeout, func() { _ = f.bodyWriter.CloseWithError(errTestTimeout) })
@@ -110,7 +110,7 @@
 	t.Cleanup(done)
 	var ctx context.Context
 	ctx, f.stop = context.WithCancel(context.Background())
-	go func() { f.served <- s.Serve(ctx, f.listener) }()
+	go func() { f.serveErr <- s.Serve(ctx, f.listener) }()
 	f.peer = wire.NewPeer(wire.PeerConfig{Dial: f.listener.dial})
 	return f
 }
@@ -192,7 +192,7 @@
 func (f *fixture) stopAndWait() {
 	f.t.Helper()
 	f.stop()
-	if err := <-f.served; err != nil {
+	if err := <-f.serveErr; err != nil {
 		f.t.Errorf("serve: %s", err)
 	}
 	f.peer.Close()
@@ -239,7 +239,7 @@
 			t.Errorf("%d and %d bytes of %d, end %+v", len(head), len(rest), len(whole), end)
 		}
 		<-written
-		if err := <-f.served; err != nil {
+		if err := <-f.serveErr; err != nil {
 			t.Errorf("serve: %s", err)
 		}
 		if n := f.up.calls.Load(); n != 1 {
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		anyVM := func() *testVM { return rapid.SampledFrom(f.vms).Draw(t, "node") }
-		requests := 0
+		requestCount := 0
 		route := func(t *rapid.T) {
 			for _, c := range f.copies {
 				if !c.finished && !c.admitted && rapid.IntRange(0, 2).Draw(t, "wait") > 0 {
@@ -29,14 +29,14 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"new requests": func(t *rapid.T) {
 				for range rapid.IntRange(1, 3).Draw(t, "count") {
-					requests++
-					f.firstKey[requests] = f.newKey(anyVM(), requests)
-					f.copies = append(f.copies, &requestCopy{req: requests, key: f.firstKey[requests], hops: 1})
+					requestCount++
+					f.firstKey[requestCount] = f.newKey(anyVM(), requestCount)
+					f.copies = append(f.copies, &requestCopy{req: requestCount, key: f.firstKey[requestCount], hops: 1})
 				}
 			},
 			"resend": func(t *rapid.T) {
-				if requests > 0 {
-					req := rapid.IntRange(1, requests).Draw(t, "request")
+				if requestCount > 0 {
+					req := rapid.IntRange(1, requestCount).Draw(t, "request")
 					f.copies = append(f.copies, &requestCopy{req: req, key: f.firstKey[req], hops: 1})
 				}
 			},
@@ -58,8 +58,8 @@
 				}
 			},
 			"cancel": func(t *rapid.T) {
-				if requests > 0 {
-					f.cancel(t, rapid.IntRange(1, requests).Draw(t, "request"))
+				if requestCount > 0 {
+					f.cancel(t, rapid.IntRange(1, requestCount).Draw(t, "request"))
 				}
 			},
 			"end":   func(t *rapid.T) { f.endCall(t, anyVM()) },
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -21,9 +21,9 @@
 
 // rejection is the reason why a request is not admitted.
 type rejection struct {
-	err      *verdict.Error
-	leave    bool            // the request may run alone at its successor's VM
-	suspects json.RawMessage // evidence for the router, from which it learns which VM to ask
+	err         *verdict.Error
+	mayRunAlone bool            // the request may run alone at its successor's VM
+	suspects    json.RawMessage // evidence for the router, from which it learns which VM to ask
 }
 
 func reject(r verdict.Reason, format string, args ...any) *rejection {
@@ -55,7 +55,7 @@
 	isolated, rejected := s.tryAdmit(e.Now, &e.Submit)
 	if rejected != nil {
 		s.table.Reject(a, rejected.err.Reason)
-		adm := wire.Admission{Error: rejected.err, Moved: a.Successor, HasPermit: rejected.leave}
+		adm := wire.Admission{Error: rejected.err, Moved: a.Successor, HasPermit: rejected.mayRunAlone}
 		adm.Control.Suspects = rejected.suspects
 		return s.reply(e.Now, e.Ticket, adm)
 	}
@@ -136,7 +136,7 @@
 	case quarantine.RunAlone:
 		if s.mayDelegate(now, sub) {
 			rejected := reject(verdict.ReasonMoved, "the request may run alone at %s", sub.Successor.VM)
-			rejected.leave = true
+			rejected.mayRunAlone = true
 			return false, rejected
 		}
 		return true, nil
