--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -17,8 +17,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// send submits a copy where its key says. Its reply, or the message itself,
-// may be lost; then the router sends it again some time.
+// send submits a copy to the VM of its key. The message or its reply may be lost; a
+// later route action then sends it again.
 func (f *fleet) send(t *rapid.T, c *requestCopy) {
 	n := f.vm(c.key.VM)
 	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
@@ -42,8 +42,8 @@
 	}
 }
 
-// submit delivers a submission, with what some router knows on its back, and
-// checks the bound if it is admitted.
+// submit delivers a submission with the control data of a random router. If it is
+// admitted, submit checks the load bound.
 func (f *fleet) submit(t *rapid.T, n *testVM, sub wire.Submit) *wire.Admission {
 	f.tickets++
 	r := &f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if a.Error == nil && !a.Joined && before+1 > bound {
-		t.Fatalf("%s admits at load %d with a bound of %d", n.id, before, bound)
+		t.Fatalf("%s admitted at load %d with a bound of %d", n.id, before, bound)
 	}
 	r.loads.Observe(f.now, load.Hash(n.id), load.Report{Load: a.Control.Load})
 	r.suspects = a.Control.Suspects
@@ -76,7 +76,8 @@
 	f.updateReaders(t, n, c.key.Nonce)
 }
 
-// updateReaders tells a sidecar how many copies read an answer.
+// updateReaders posts how many copies read a response, and sometimes an outdated
+// count.
 func (f *fleet) updateReaders(t *rapid.T, n *testVM, nonce token.Nonce) {
 	f.tickets++
 	f.step(t, n, ReadersChanged{Now: f.now, Nonce: nonce, Seq: uint64(f.tickets), Count: f.readerCount(nonce)})
@@ -85,7 +86,7 @@
 	}
 }
 
-// cancel has a caller cancel a request, under the key that it holds.
+// cancel cancels a request under the key that its caller holds.
 func (f *fleet) cancel(t *rapid.T, req int) {
 	key := f.firstKey[req]
 	f.cancelled[req] = true
@@ -93,11 +94,11 @@
 	isQueued := r != nil && r.phase == queued
 	a := f.step(t, f.vm(key.VM), Cancelled{Now: f.now, Cancel: wire.Cancel{Key: key, Org: "club"}})
 	if a != nil && a.Error == nil && (!a.Joined || isQueued) {
-		f.verdicts[req] = append(f.verdicts[req], verdict.NotRun) // it never came, or waited
+		f.verdicts[req] = append(f.verdicts[req], verdict.NotRun) // it never arrived, or was queued
 	}
 }
 
-// endCall ends a call at the upstream in one of the ways in which calls end.
+// endCall ends a random call at the upstream with a random outcome.
 func (f *fleet) endCall(t *rapid.T, n *testVM) {
 	c, nonce, ok := f.anyCall(t, n)
 	if !ok {
@@ -111,7 +112,7 @@
 		err = verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "")
 	case outcome == 0:
 		err = verdict.New(verdict.Ran, verdict.ReasonUpstreamFailed, "")
-	case outcome == 1: // it could not connect: nothing ran
+	case outcome == 1: // the connection failed: nothing ran
 		f.runs[c.req]--
 		err = verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "")
 	}
@@ -127,7 +128,7 @@
 	return n.calls[nonce], nonce, true
 }
 
-// nonces returns the keys of the calls under way, in order.
+// nonces returns the sorted nonces of the calls in progress.
 func (n *testVM) nonces() []token.Nonce {
 	return slices.SortedFunc(maps.Keys(n.calls), func(x, y token.Nonce) int { return bytes.Compare(x[:], y[:]) })
 }
@@ -159,7 +160,7 @@
 	}
 	f.step(t, n, Probed{Now: f.now, Health: h})
 	if n.up && !n.exited && n.state.probe.external != n.external {
-		t.Fatalf("%s counts %d calls of former sidecars, there are %d", n.id, n.state.probe.external, n.external)
+		t.Fatalf("%s counts %d calls of earlier sidecars, want %d", n.id, n.state.probe.external, n.external)
 	}
 }
 
@@ -174,7 +175,7 @@
 		n.version, n.leaving = v, leaving
 	}
 	if n.state.draining(f.now) != (n.leaving || n.stopping || f.now.Before(n.listedUntil)) {
-		t.Fatalf("%s: leaving after notices up to %d: %v", n.id, n.version, !n.leaving)
+		t.Fatalf("%s: draining after notices up to version %d: %v", n.id, n.version, !n.leaving)
 	}
 }
 
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -10,17 +10,17 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// reader is a router that reads an answer, and checks each byte.
+// reader is a router that reads a response and checks each byte.
 type reader struct {
 	s      *sender
 	offset int64 // of the next byte
 }
 
-// A coach's breakdown is longer than what the sidecar keeps of an answer.
-// Routers read it at different speeds, die, and come back at the offset to
-// which the coach has it. Whoever reads gets every byte in its place or is told
-// that it is gone; the sidecar stays within its memory; and nothing is gone
-// that a reader still has to come for.
+// A response is longer than its buffer. Routers read it at different speeds, fail,
+// and resume at the offset up to which the caller has received it. Each reader
+// must get every byte at its offset, or the error that the bytes are no longer
+// buffered; the buffers must stay within the memory limit; and no bytes may be
+// discarded that a current reader has not received.
 func TestReadersGetEveryByteOrAnError(t *testing.T) {
 	whole := make([]byte, 1<<20)
 	for i := range whole {
@@ -29,7 +29,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		window := rapid.IntRange(8, 256).Draw(t, "window") << 10
 		store := newResponseStore(BufferLimits{PerResponse: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
-		for n := range byte(3) { // finished answers fill the buffer
+		for n := range byte(3) { // ended responses fill the buffer
 			store.open(token.Nonce{n})
 			store.get(token.Nonce{n}).tryWrite(whole[:window])
 			store.finish(Finish{Nonce: token.Nonce{n}})
@@ -46,7 +46,7 @@
 				n, _ := a.tryWrite(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
 				written += n
 				if have, most := store.used.Load(), int64(store.buffer.Total+min(window, minWindow)+window); have > most {
-					t.Fatalf("%d bytes held, at most %d", have, most)
+					t.Fatalf("%d bytes buffered, want at most %d", have, most)
 				}
 			},
 			"join": func(t *rapid.T) {
@@ -55,7 +55,7 @@
 				if _, ok := a.addReader(r.s, r.offset); ok {
 					readers = append(readers, r)
 				} else if r.offset >= a.base {
-					t.Fatalf("refused at %d, kept from %d", r.offset, a.base)
+					t.Fatalf("rejected at offset %d, buffered from %d", r.offset, a.base)
 				}
 			},
 			"read": func(t *rapid.T) {
@@ -72,10 +72,10 @@
 			},
 			"": func(t *rapid.T) {
 				if pinned.base > 0 {
-					t.Fatal("forgot an answer that is being read")
+					t.Fatal("discarded a response that is being read")
 				}
 				if len(readers) == 0 && written < min(window, minWindow) && a.base > 0 {
-					t.Fatalf("forgot %d bytes with room for all", a.base)
+					t.Fatalf("discarded %d bytes though all fit", a.base)
 				}
 			},
 		})
@@ -83,20 +83,20 @@
 			store.drop(token.Nonce{n})
 		}
 		if store.ended.Len() > 0 || store.used.Load() != 0 {
-			t.Fatalf("%d dropped answers are listed, %d bytes counted", store.ended.Len(), store.used.Load())
+			t.Fatalf("%d dropped responses are listed, %d bytes counted", store.ended.Len(), store.used.Load())
 		}
 		if v := pinned.viewAt(0, 1); !v.discarded {
-			t.Fatal("a dropped answer is not said to be gone")
+			t.Fatal("a dropped response is not reported as discarded")
 		}
 	})
 }
 
-// read takes what is there, passes it on and grants as much again.
+// read reads the available bytes, checks them, and grants credit for as many.
 func (r *reader) read(t *rapid.T, a *responseBuffer, whole []byte) {
 	upTo, _ := r.s.credit()
 	v := a.viewAt(r.offset, min(upTo-r.offset, maxFrameBytes))
 	if v.discarded {
-		t.Fatalf("gone at %d for a reader that is there; kept from %d", r.offset, a.base)
+		t.Fatalf("discarded at %d before a reader received it; buffered from %d", r.offset, a.base)
 	}
 	if !bytes.Equal(v.bytes, whole[r.offset:r.offset+int64(len(v.bytes))]) {
 		t.Fatalf("wrong bytes at %d", r.offset)
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// heapGrowth returns the bytes in use after f, over those before.
+// heapGrowth returns how many bytes of heap the result of f occupies.
 func heapGrowth(f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -51,7 +51,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkMemory measures what one more of each costs, in bytes.
+// BenchmarkMemory measures the memory per waiting request, ended request and open
+// response, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	cases := map[string]func(n int) any{
 		"waiting":  waitingRequests,
@@ -91,7 +92,7 @@
 	return s
 }
 
-// openResponses holds n answers of 1 KB that are read.
+// openResponses returns a store with n responses of 1 KB, each with a reader.
 func openResponses(n int) any {
 	store := newResponseStore(BufferLimits{PerResponse: 1 << 20, Total: 1 << 30})
 	for i := range n {
@@ -105,7 +106,7 @@
 }
 
 // BenchmarkStep measures the events of one request from its submission to the
-// drop of its answer, with live others under way.
+// delivery of its response, while others are in progress.
 func BenchmarkStep(b *testing.B) {
 	for _, live := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("live=%d", live), func(b *testing.B) {
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -39,12 +39,12 @@
 	incarnation uint64
 	up          bool
 	instance    int
-	calls       map[token.Nonce]*call // at the upstream, of this incarnation
-	external    int                   // at the upstream, of former ones
+	calls       map[token.Nonce]*call // at the upstream, of this incarnation of the sidecar
+	external    int                   // calls at the upstream, of earlier incarnations
 	probing     bool
 	leaving     bool
 	version     topo.Version
-	listedUntil time.Time // until when the list of VMs counts
+	listedUntil time.Time // until when a notice from the list of VMs is valid
 	stopping    bool
 	exited      bool
 }
@@ -66,16 +66,16 @@
 	verdict     verdict.Verdict
 }
 
-// fleet is three upstreams and any number of routers that disagree on where a
-// request should go.
+// fleet simulates three upstreams with their sidecars, and routers that disagree
+// on where a request should run.
 type fleet struct {
 	now       time.Time
 	vms       []*testVM
 	copies    []*requestCopy
 	runs      map[int]int // by request
 	verdicts  map[int][]verdict.Verdict
-	firstKey  map[int]wire.Key // under which the caller sends each request
-	cancelled map[int]bool     // cancelled by its caller
+	firstKey  map[int]wire.Key // key under which the caller sends each request
+	cancelled map[int]bool     // requests cancelled by their caller
 	requestOf map[token.Nonce]int
 	delayed   []delayedSubmit
 	keyCount  uint64
@@ -83,13 +83,13 @@
 	tickets   Ticket
 }
 
-// routerView is what a router has heard from the sidecars that it has asked.
+// routerView is what a router has received from sidecars in replies.
 type routerView struct {
 	loads    *load.Table
 	suspects json.RawMessage
 }
 
-// delayedSubmit is a copy of a message that something in between has kept.
+// delayedSubmit is a copy of a message that the network delivers late.
 type delayedSubmit struct {
 	to  string
 	sub wire.Submit
@@ -149,7 +149,7 @@
 	panic(id)
 }
 
-// newKey draws a key under which a request may run.
+// newKey returns a new key under which a request may run.
 func (f *fleet) newKey(n *testVM, req int) wire.Key {
 	f.keyCount++
 	var nonce token.Nonce
@@ -158,8 +158,8 @@
 	return wire.Key{VM: n.id, Incarnation: n.incarnation, Nonce: nonce, Expires: f.now.Unix() + 60}
 }
 
-// step feeds a sidecar and carries out what it asks for. It returns the reply
-// to the event, if there was one.
+// step applies an event to a sidecar and simulates its effects. It returns the
+// reply to the event, if there is one.
 func (f *fleet) step(t *rapid.T, n *testVM, e Event) *wire.Admission {
 	if n.exited {
 		return nil
@@ -181,7 +181,7 @@
 			n.probing = true
 		case Exit:
 			if len(n.calls) > 0 {
-				t.Fatalf("%s exits with %d calls under way", n.id, len(n.calls))
+				t.Fatalf("%s exits with %d calls in progress", n.id, len(n.calls))
 			}
 			n.exited = true
 		}
@@ -196,7 +196,7 @@
 
 func (f *fleet) onStart(t *rapid.T, n *testVM, e Start) {
 	if n.state.draining(f.now) || n.state.probe.down {
-		t.Fatalf("%s starts a request though it leaves or is down", n.id)
+		t.Fatalf("%s starts a request though it is draining or down", n.id)
 	}
 	req := f.requestOf[e.Submit.Key.Nonce]
 	n.calls[e.Submit.Key.Nonce] = &call{req: req, received: n.up}
@@ -204,35 +204,35 @@
 		f.runs[req]++
 	}
 	if len(n.calls)+n.external > testSlots {
-		t.Fatalf("%s runs %d of its own and %d others", n.id, len(n.calls), n.external)
+		t.Fatalf("%s runs %d calls of its own and %d of earlier sidecars", n.id, len(n.calls), n.external)
 	}
 	if solo := n.state.isolated; solo != nil && len(n.calls) > 1 {
 		t.Fatalf("%s runs %d requests beside a suspect", n.id, len(n.calls))
 	}
 }
 
-// onAbort checks that nothing is cut that may not be repeated, unless its
-// caller asked for it.
+// onAbort checks that only idempotent requests, or those that their caller has
+// cancelled, are aborted.
 func (f *fleet) onAbort(t *rapid.T, n *testVM, e Abort) {
 	c := n.calls[e.Nonce]
 	if c == nil {
 		return
 	}
 	if !idempotent(c.req) && !f.cancelled[c.req] {
-		t.Fatalf("request %d is not idempotent and is cut", c.req)
+		t.Fatalf("request %d is not idempotent and is aborted", c.req)
 	}
 	f.checkUnread(t, e.Nonce)
 	c.aborted = true
 }
 
-// checkUnread checks that nobody reads the answer to a request that is cut.
+// checkUnread checks that no copy reads the response to an aborted request.
 func (f *fleet) checkUnread(t *rapid.T, nonce token.Nonce) {
 	if req := f.requestOf[nonce]; f.readerCount(nonce) > 0 && !f.cancelled[req] {
-		t.Fatalf("request %d is cut while it is read", req)
+		t.Fatalf("request %d is aborted while it has readers", req)
 	}
 }
 
-// readerCount counts the copies that read an answer.
+// readerCount returns the number of copies that read a response.
 func (f *fleet) readerCount(nonce token.Nonce) int {
 	count := 0
 	for _, c := range f.copies {
@@ -245,15 +245,15 @@
 
 func idempotent(req int) bool { return req%2 == 0 }
 
-// fingerprintOf is the fingerprint of a request: some are alike, as when callers send
-// a request again under another key.
+// fingerprintOf returns the fingerprint of a request. Some requests share one, as
+// when callers resend a request under another key.
 func fingerprintOf(req int) uint64 { return uint64(req%6) + 1 }
 
-// onFinish tells the copies that read the answer.
+// onFinish passes the end of a response to the copies that read it.
 func (f *fleet) onFinish(t *rapid.T, n *testVM, e Finish) {
 	r := n.state.requests[e.Nonce]
 	if e.Error != nil && e.Error.Verdict == verdict.NotRun && e.Moved == nil && r.submit.Successor != nil && !r.cancelled {
-		t.Fatalf("%s: a request that has not run is not sent on: %v", n.id, e.Error)
+		t.Fatalf("%s: a request that has not run is not redirected to its successor: %v", n.id, e.Error)
 	}
 	if e.Error != nil && e.Error.Reason == verdict.ReasonCancelled {
 		f.checkUnread(t, e.Nonce)
@@ -268,7 +268,8 @@
 	delete(n.calls, e.Nonce)
 }
 
-// onRejected follows the chain, or ends the copy with what its caller is told.
+// onRejected redirects a copy to its next key, or ends it with the verdict that its
+// caller gets.
 func (f *fleet) onRejected(t *rapid.T, c *requestCopy, err *verdict.Error, moved *wire.Key, leave bool) {
 	switch {
 	case err == nil:
@@ -283,12 +284,12 @@
 	f.verdicts[c.req] = append(f.verdicts[c.req], c.verdict)
 }
 
-// checkInvariants looks at what must hold after each event.
+// checkInvariants checks the invariants that must hold after each event.
 func (f *fleet) checkInvariants(t *rapid.T, n *testVM) {
 	for req, verdicts := range f.verdicts {
 		for _, v := range verdicts {
 			if v == verdict.NotRun && f.runs[req] > 0 {
-				t.Fatalf("request %d: a caller was told not-run, and it ran", req)
+				t.Fatalf("request %d: a caller got the verdict not-run, but it ran", req)
 			}
 		}
 	}
@@ -306,16 +307,16 @@
 			waiting++
 		}
 		if r.phase == queued && !r.expires.IsZero() && !f.now.Before(r.expires) {
-			t.Fatalf("%s holds a request past its deadline", n.id)
+			t.Fatalf("%s keeps a request queued past its deadline", n.id)
 		}
 	}
 	if retained > testKeys {
-		t.Fatalf("%s keeps %d answers that nobody reads", n.id, retained)
+		t.Fatalf("%s retains %d responses without readers", n.id, retained)
 	}
 	if timers := len(n.state.timers); timers > 8*len(n.state.requests)+maxStaleTimers {
 		t.Fatalf("%s has %d timers for %d requests", n.id, timers, len(n.state.requests))
 	}
 	if have := n.state.load() - n.state.queue.Running(); have != waiting {
-		t.Fatalf("%s: %d wait, and %d are counted", n.id, waiting, have)
+		t.Fatalf("%s: %d requests are queued, %d are counted", n.id, waiting, have)
 	}
 }
--- a/internal/sidecar/join_test.go
+++ b/internal/sidecar/join_test.go
@@ -58,7 +58,7 @@
 	return slices.Sorted(slices.Values(u.imported))
 }
 
-// kvPool is a pool of sidecars, listed as they start.
+// kvPool is a pool of sidecars. Each is added to the list of VMs when it starts.
 type kvPool struct {
 	mu    sync.Mutex
 	list  []topo.VM
@@ -86,7 +86,8 @@
 	return p.pipes[id]
 }
 
-// start runs a sidecar until stop, and gives it time to meet the others.
+// start runs a sidecar until stop. It returns after a minute, when the sidecar has
+// announced itself to the others.
 func (p *kvPool) start(id string) (u *kvUpstream, stop func()) {
 	u = &kvUpstream{cached: make(map[uint64]bool)}
 	listener := p.add(id)
@@ -105,10 +106,9 @@
 	return u, func() { cancel(); <-served }
 }
 
-// Chats have their prefixes cached at one engine when a second one joins, and
-// routers send those to it that rank it first. Were they not handed over, each
-// would be computed anew. When the new engine leaves before they have returned,
-// they are to come back with it.
+// When a second engine joins, routers send it the sessions for which it ranks
+// first, so their cached prefixes must be transferred to it; otherwise each is
+// recomputed. When the second engine leaves, the prefixes must be transferred back.
 func TestPrefixesAreExportedWhenUpstreamsJoinAndLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &kvPool{pipes: make(map[string]*pipeListener)}
@@ -133,11 +133,11 @@
 			}
 		}
 		if got := second.importedSessions(); len(expected) == 0 || !slices.Equal(got, expected) {
-			t.Errorf("handed over at the join: %v, want %v", got, expected)
+			t.Errorf("imported at the join: %v, want %v", got, expected)
 		}
 		stopSecond()
 		if got := first.importedSessions(); !slices.Equal(got, expected) {
-			t.Errorf("handed back at the leave: %v, want %v", got, expected)
+			t.Errorf("imported at the leave: %v, want %v", got, expected)
 		}
 		stopFirst()
 	})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -41,7 +41,7 @@
 }
 func (u *fakeUpstream) Import(context.Context, uint64, []byte) error { return nil }
 
-// pipeListener is a listener whose connections stay within the process.
+// pipeListener is a listener of in-process connections.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -69,15 +69,15 @@
 	case p.conns <- far:
 		return near, nil
 	case <-p.done:
-		return nil, errors.New("the sidecar has gone")
+		return nil, errors.New("the sidecar has stopped listening")
 	}
 }
 
-// fixture is a sidecar with a router's connection to it.
+// fixture is a running sidecar with a connection from a router.
 type fixture struct {
 	t          *testing.T
 	up         *fakeUpstream
-	bodyWriter *io.PipeWriter // of the upstream's answer
+	bodyWriter *io.PipeWriter // writes the upstream's response
 	listener   *pipeListener
 	peer       *wire.Peer
 	stop       context.CancelFunc
@@ -85,11 +85,11 @@
 	ctx        context.Context // of the test
 }
 
-// testTimeout bounds a test that waits for what does not come. The sidecar's own
-// timers go on, so it would not show as a deadlock.
+// testTimeout fails a test that waits forever. The sidecar's timers keep running, so
+// synctest would not report a deadlock.
 const testTimeout = time.Hour
 
-var errTestTimeout = errors.New("waited too long")
+var errTestTimeout = errors.New("test timed out")
 
 func newFixture(t *testing.T, frozen bool) *fixture {
 	f := &fixture{t: t, up: &fakeUpstream{}, listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}, serveErr: make(chan error, 1)}
@@ -120,7 +120,7 @@
 	return wire.Submit{Key: key, Org: "club", Treatment: t, Window: 16 << 10}
 }
 
-// readStream reads a stream up to n bytes or its end.
+// readStream reads a stream until it has n bytes or the stream ends.
 func (f *fixture) readStream(s *wire.Stream, n int) (got []byte, end *wire.End) {
 	f.t.Helper()
 	for len(got) < n {
@@ -136,9 +136,8 @@
 	return got, nil
 }
 
-// A login check goes to a service that has frozen: it accepts the call and says
-// nothing. The guest must hear at the deadline that it may have run, and the
-// call must not hold the service's slot any longer.
+// A frozen service accepts a call and never responds. At the deadline, the caller
+// must get the verdict may-have-run, and the call must release its slot.
 func TestCallToFrozenServiceEndsAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, true)
@@ -152,18 +151,18 @@
 			t.Errorf("end: %+v", end)
 		}
 		if took := time.Since(began); took != 3*time.Second {
-			t.Errorf("held for %s", took)
+			t.Errorf("ended after %s", took)
 		}
 		if end != nil && end.Control.Running != 0 {
-			t.Errorf("%d calls are still under way", end.Control.Running)
+			t.Errorf("%d calls are still in progress", end.Control.Running)
 		}
 		f.stopAndWait()
 	})
 }
 
-// A note waits behind four that are stuck, until it is too late to start it.
-// The router counts the same time and says may-have-run when it is over: the
-// sidecar's word, that it has not run, must be there before.
+// A request waits behind four stuck requests until it can no longer start in time.
+// The router runs the same timeout and answers may-have-run when it expires, so the
+// sidecar's not-run reply must arrive before.
 func TestExpiredRequestIsRejectedBeforeRouterTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, true)
@@ -188,7 +187,7 @@
 	})
 }
 
-// stopAndWait stops the sidecar, which must end by itself.
+// stopAndWait stops the sidecar and waits until Serve has returned.
 func (f *fixture) stopAndWait() {
 	f.t.Helper()
 	f.stop()
@@ -198,9 +197,9 @@
 	f.peer.Close()
 }
 
-// A coach reads a breakdown when its router is killed, and resumes through
-// another router from where the first had got. The sidecar is told to stop in
-// the middle: it takes no new work, lets the coach read to the end, and goes.
+// A router is killed in the middle of a response and the caller resumes through
+// another router. A stop that is requested meanwhile must reject new requests, but
+// let the second router read to the end before the sidecar exits.
 func TestPlannedStopInterruptsNoResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, false)
@@ -233,7 +232,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(30 * time.Second) // the coach is away for longer than the grace
+		time.Sleep(30 * time.Second) // the caller does not read for longer than DetachGrace
 		rest, end := f.readStream(second, len(whole))
 		if !bytes.Equal(append(head, rest...), whole) || end == nil || end.Error != nil {
 			t.Errorf("%d and %d bytes of %d, end %+v", len(head), len(rest), len(whole), end)
@@ -243,16 +242,16 @@
 			t.Errorf("serve: %s", err)
 		}
 		if n := f.up.calls.Load(); n != 1 {
-			t.Errorf("%d calls of the upstream", n)
+			t.Errorf("%d calls to the upstream", n)
 		}
 		other.Close()
 	})
 }
 
-// The network swallows all between a router and a sidecar in the middle of an
-// answer; the router resumes on another connection and the coach reads to the
-// end. The sidecar hears nothing of that on the first connection: a planned stop
-// must not wait for the reader that it still sees there.
+// The network drops all packets between a router and a sidecar in the middle of a
+// response, and the router resumes on another connection. The sidecar is not
+// notified on the first connection. A planned stop must not wait for the reader
+// that is still registered there.
 func TestPlannedStopDoesNotWaitForUnreachableReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, false)
@@ -272,7 +271,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { // more than the silent reader's window
+		go func() { // more than the unreachable reader's window
 			_, _ = f.bodyWriter.Write(make([]byte, 20<<10))
 			_ = f.bodyWriter.Close()
 		}()
@@ -280,13 +279,14 @@
 		began := time.Now()
 		f.stopAndWait()
 		if waited := time.Since(began); waited > 2*time.Minute {
-			t.Errorf("waited for %s", waited)
+			t.Errorf("stop took %s", waited)
 		}
 		peer.Close()
 	})
 }
 
-// blackhole passes bytes on until silent is closed.
+// blackhole forwards bytes in both directions until blocked is closed, and then drops
+// them.
 func blackhole(far net.Conn, blocked chan struct{}) net.Conn {
 	near, end := net.Pipe()
 	pass := func(to, from net.Conn) {
@@ -308,9 +308,9 @@
 	return near
 }
 
-// A guest's phone drops off while an answer runs that is longer than the
-// buffer. A search, which may be repeated, is given up after the grace; a
-// payment is not: it goes on to its end and the guest can ask what became of it.
+// A caller disconnects during a response that is longer than the buffer. An
+// idempotent call must be aborted after DetachGrace. A call that is not idempotent
+// must run to its end, and the caller can query its status.
 func TestOnlyIdempotentCallsAreAborted(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -324,7 +324,7 @@
 			_, err = f.bodyWriter.Write(make([]byte, 200<<10))
 			_ = f.bodyWriter.Close()
 			if gaveUp := err != nil; gaveUp != idempotent {
-				t.Errorf("idempotent %v: given up %v", idempotent, gaveUp)
+				t.Errorf("idempotent %v: aborted %v", idempotent, gaveUp)
 			}
 			time.Sleep(time.Second)
 			var status wire.Status
@@ -336,11 +336,11 @@
 			}
 			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "club", Window: 1})
 			if e := verdict.From(err); !idempotent && (e == nil || e.Reason != verdict.ReasonAnswerGone) {
-				t.Errorf("the beginning of an answer that did not fit: %v", err)
+				t.Errorf("attach to the discarded start of a response: %v", err)
 			}
 			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "other", Window: 1})
 			if e := verdict.From(err); e == nil || e.Reason != verdict.ReasonBadKey {
-				t.Errorf("another organisation: %v", err)
+				t.Errorf("attach by another organisation: %v", err)
 			}
 			f.stopAndWait()
 		})
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -10,10 +10,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// Guests book rooms while sidecars restart, upstreams crash and come back,
-// drain orders overtake each other, and messages are lost, repeated and late.
-// Each booking is made at most once, none after its guest was told not-run, no
-// upstream is given more than its bound, and none is cut when its VM leaves.
+// Requests are sent while sidecars restart, upstreams crash and recover, drain
+// orders arrive out of order, and messages are lost, repeated and delayed. Each
+// request must run at most once, and never if its caller got the verdict not-run.
+// No upstream may exceed its load bound, and no call may be interrupted when its VM
+// leaves.
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
@@ -102,8 +103,8 @@
 	})
 }
 
-// Clip tags come by the thousand under a profile that keeps answers overnight.
-// What the sidecar holds of them must not grow until the morning.
+// Thousands of requests have a profile that retains responses for twelve hours. The
+// memory for requests, keys and timers must stay bounded.
 func TestRetainedResponsesAreBounded(t *testing.T) {
 	const keys, requests = 100, 5000
 	s := benchState(1, keys)
@@ -122,7 +123,8 @@
 	}
 }
 
-// finishAll lets everything come to its end: nobody may be left without an answer.
+// finishAll recovers all upstreams and runs until all calls have ended. Each copy
+// must have ended with a verdict, and each stopping sidecar must have exited.
 func (f *fleet) finishAll(t *rapid.T) {
 	for _, n := range f.vms {
 		if !n.up {
@@ -152,19 +154,19 @@
 			if a := f.submit(t, n, sub); a != nil {
 				f.onReply(t, c, a)
 			} else {
-				c.finished, c.verdict = true, verdict.MayHaveRun // its sidecar has exited
+				c.finished, c.verdict = true, verdict.MayHaveRun // the sidecar has exited
 			}
 		}
 		f.advance(t, time.Second)
 	}
 	for i, c := range f.copies {
 		if !c.finished {
-			t.Fatalf("copy %d of request %d has no answer: %+v", i, c.req, c)
+			t.Fatalf("copy %d of request %d has no verdict: %+v", i, c.req, c)
 		}
 	}
 	for _, n := range f.vms {
 		if n.stopping && !n.exited {
-			t.Fatalf("%s does not exit", n.id)
+			t.Fatalf("%s has not exited", n.id)
 		}
 	}
 }
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -11,7 +11,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// crashSite is a sidecar whose upstream has crashed under a request and is down.
+// crashSite is a sidecar whose upstream crashed while it ran crasherPrint, and is
+// down.
 type crashSite struct {
 	*State
 	now    time.Time
@@ -27,7 +28,7 @@
 	return s
 }
 
-// submitCopy submits a copy of the request and returns its key and the reply.
+// submitCopy submits a copy of the request and returns its nonce and the reply.
 func (s *crashSite) submitCopy() (token.Nonce, wire.Admission) {
 	s.copies++
 	key := wire.Key{VM: "a", Incarnation: 1, Nonce: token.Nonce{s.copies}, Expires: s.now.Add(time.Hour).Unix()}
@@ -41,39 +42,39 @@
 	return key.Nonce, wire.Admission{}
 }
 
-// An engine crashes; a chat that ran on it comes again and is sent to run alone
-// elsewhere, but no sidecar on its way takes it. Its caller is told to come
-// back, and is told the same again and again for a minute, because the site
-// still keeps the place for the copy that will never run.
+// A suspect gets a grant to run alone at another VM, but no sidecar there admits it.
+// Unless the unused grant is revoked, its sidecar makes all other copies wait for a
+// minute, the deadline of the copy that never runs.
 func TestUnusedGrantIsRevoked(t *testing.T) {
 	s := newCrashSite()
 	first, a := s.submitCopy()
 	if !a.HasPermit {
-		t.Fatalf("the first copy got no leave: %+v", a)
+		t.Fatalf("the first copy got no grant: %+v", a)
 	}
 	second, a := s.submitCopy()
 	if a.HasPermit || a.Error.Reason != verdict.ReasonSuspect {
-		t.Fatalf("the second copy was not told to wait: %+v", a)
+		t.Fatalf("the second copy did not have to wait: %+v", a)
 	}
 	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: second}}})
 	if _, a := s.submitCopy(); a.HasPermit {
-		t.Fatal("a copy got leave while another has it")
+		t.Fatal("a copy got a grant while another copy has it")
 	}
 	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: first}}})
 	if _, a := s.submitCopy(); !a.HasPermit {
-		t.Fatalf("no copy gets leave any more: %+v", a)
+		t.Fatalf("no copy gets a grant any more: %+v", a)
 	}
 }
 
-// The home of a chat is told to leave just when the chat has crashed another
-// engine. It refuses the resend because it leaves; the router offers it to an
-// upstream that has not heard of the crash, and that one is lost too.
+// The home upstream of a session receives evidence that a request crashed another
+// engine, and is then drained. If it rejected the resent request only because it is
+// draining, the router would offer the request to an upstream without evidence, and
+// that one would crash too.
 func TestDrainingHomeReportsSuspects(t *testing.T) {
 	home := &crashSite{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
 	home.Step(ReportReceived{Now: home.now, Report: wire.Report{Suspects: newCrashSite().quarantine.EvidenceFor(home.now, crasherPrint)}})
 	home.Step(NoticeReceived{Now: home.now, Notice: wire.Notice{Leaving: true, Version: 1}})
 	_, a := home.submitCopy()
 	if a.Error == nil || a.Error.Reason != verdict.ReasonSuspect || len(a.Control.Suspects) == 0 {
-		t.Fatalf("the router learns nothing of the crash: %+v", a)
+		t.Fatalf("the reply has no evidence of the crash: %+v", a)
 	}
 }
