--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -37,22 +37,22 @@
 }
 
 // notify wakes all waiters on changed. a.mu must be held.
-func (a *responseBuffer) notify() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+func (rb *responseBuffer) notify() {
+	close(rb.changed)
+	rb.changed = make(chan struct{})
 }
 
-func (a *responseBuffer) setHead(status int, header http.Header) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.head = &responseHead{status: status, header: header}
-	a.notify()
+func (rb *responseBuffer) setHead(status int, header http.Header) {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	rb.head = &responseHead{status: status, header: header}
+	rb.notify()
 }
 
 // write appends b, and blocks while the buffer is full.
-func (a *responseBuffer) write(ctx context.Context, b []byte) error {
+func (rb *responseBuffer) write(ctx context.Context, b []byte) error {
 	for len(b) > 0 {
-		n, changed := a.tryWrite(b)
+		n, changed := rb.tryWrite(b)
 		b = b[n:]
 		if n > 0 {
 			continue
@@ -67,112 +67,112 @@
 }
 
 // tryWrite appends as much of b as fits and returns its length.
-func (a *responseBuffer) tryWrite(b []byte) (n int, changed <-chan struct{}) {
-	window := a.store.window()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if excess := len(a.body) + len(b) - window; excess > 0 {
-		a.discardDelivered(excess)
+func (rb *responseBuffer) tryWrite(b []byte) (n int, changed <-chan struct{}) {
+	window := rb.store.window()
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	if excess := len(rb.body) + len(b) - window; excess > 0 {
+		rb.discardDelivered(excess)
 	}
-	n = min(len(b), max(0, window-len(a.body)))
+	n = min(len(b), max(0, window-len(rb.body)))
 	if n > 0 {
-		a.body = append(a.body, b[:n]...)
-		a.store.used.Add(int64(n))
-		a.notify()
+		rb.body = append(rb.body, b[:n]...)
+		rb.store.used.Add(int64(n))
+		rb.notify()
 	}
-	return n, a.changed
+	return n, rb.changed
 }
 
 // discardDelivered discards at least excess bytes from the front, as far as all
 // readers have received them. It discards large chunks, since each call copies the
 // rest. A sender may still use the old array, so it is not overwritten.
-func (a *responseBuffer) discardDelivered(excess int) {
-	delivered := len(a.body)
-	for r := range a.readers {
-		delivered = min(delivered, int(r.deliveredUpTo()-a.base))
+func (rb *responseBuffer) discardDelivered(excess int) {
+	delivered := len(rb.body)
+	for r := range rb.readers {
+		delivered = min(delivered, int(r.deliveredUpTo()-rb.base))
 	}
-	if len(a.readers) == 0 && !a.discards {
+	if len(rb.readers) == 0 && !rb.discards {
 		delivered = 0
 	}
-	n := min(delivered, max(excess, len(a.body)/4))
+	n := min(delivered, max(excess, len(rb.body)/4))
 	if n <= 0 {
 		return
 	}
-	a.body = append(make([]byte, 0, cap(a.body)), a.body[n:]...)
-	a.base += int64(n)
-	a.store.used.Add(int64(-n))
+	rb.body = append(make([]byte, 0, cap(rb.body)), rb.body[n:]...)
+	rb.base += int64(n)
+	rb.store.used.Add(int64(-n))
 }
 
-func (a *responseBuffer) discardOverflow() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.discards = true
-	a.notify()
+func (rb *responseBuffer) discardOverflow() {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	rb.discards = true
+	rb.notify()
 }
 
-func (a *responseBuffer) finish(f Finish) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.end = &f
-	a.notify()
+func (rb *responseBuffer) finish(f Finish) {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	rb.end = &f
+	rb.notify()
 }
 
 // free releases the buffered bytes.
-func (a *responseBuffer) free() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.store.used.Add(int64(-len(a.body)))
-	a.base += int64(len(a.body))
-	a.body = nil
-	a.notify()
+func (rb *responseBuffer) free() {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	rb.store.used.Add(int64(-len(rb.body)))
+	rb.base += int64(len(rb.body))
+	rb.body = nil
+	rb.notify()
 }
 
 // wake notifies the writer that a reader has received more bytes.
-func (a *responseBuffer) wake() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.notify()
+func (rb *responseBuffer) wake() {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	rb.notify()
 }
 
 // hasReaders reports whether a router reads the response.
-func (a *responseBuffer) hasReaders() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.readers) > 0
+func (rb *responseBuffer) hasReaders() bool {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	return len(rb.readers) > 0
 }
 
-func (a *responseBuffer) length() int64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.base + int64(len(a.body))
+func (rb *responseBuffer) length() int64 {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	return rb.base + int64(len(rb.body))
 }
 
 // addReader adds a reader and returns the new count. It returns false if the bytes
 // at offset are no longer buffered.
-func (a *responseBuffer) addReader(r *sender, offset int64) (ReadersChanged, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if offset < a.base {
+func (rb *responseBuffer) addReader(r *sender, offset int64) (ReadersChanged, bool) {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	if offset < rb.base {
 		return ReadersChanged{}, false
 	}
-	a.readers[r] = true
-	return a.readersChanged(), true
+	rb.readers[r] = true
+	return rb.readersChanged(), true
 }
 
 // removeReader removes a reader and returns the new count. delivered says whether
 // it has received the complete response.
-func (a *responseBuffer) removeReader(r *sender, delivered bool) ReadersChanged {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.readers, r)
-	a.delivered = a.delivered || delivered
-	a.notify()
-	return a.readersChanged()
+func (rb *responseBuffer) removeReader(r *sender, delivered bool) ReadersChanged {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	delete(rb.readers, r)
+	rb.delivered = rb.delivered || delivered
+	rb.notify()
+	return rb.readersChanged()
 }
 
-func (a *responseBuffer) readersChanged() ReadersChanged {
-	a.readerSeq++
-	return ReadersChanged{Nonce: a.nonce, Seq: a.readerSeq, Count: len(a.readers), Delivered: a.delivered}
+func (rb *responseBuffer) readersChanged() ReadersChanged {
+	rb.readerSeq++
+	return ReadersChanged{Nonce: rb.nonce, Seq: rb.readerSeq, Count: len(rb.readers), Delivered: rb.delivered}
 }
 
 // view is a snapshot of a response for a reader at some offset.
@@ -186,15 +186,15 @@
 }
 
 // viewAt returns a view with up to limit bytes from offset on.
-func (a *responseBuffer) viewAt(offset int64, limit int64) view {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	v := view{head: a.head, length: a.base + int64(len(a.body)), end: a.end, changed: a.changed}
+func (rb *responseBuffer) viewAt(offset int64, limit int64) view {
+	rb.mu.Lock()
+	defer rb.mu.Unlock()
+	v := view{head: rb.head, length: rb.base + int64(len(rb.body)), end: rb.end, changed: rb.changed}
 	switch {
-	case offset < a.base:
+	case offset < rb.base:
 		v.discarded = true
 	case offset < v.length && limit > 0:
-		v.bytes = a.body[offset-a.base : min(v.length, offset+limit)-a.base]
+		v.bytes = rb.body[offset-rb.base : min(v.length, offset+limit)-rb.base]
 	}
 	return v
 }
@@ -237,26 +237,26 @@
 
 func (s *responseStore) finish(f Finish) {
 	s.mu.Lock()
-	a := s.byNonce[f.Nonce]
-	if a != nil {
-		a.endedElem = s.ended.PushBack(a)
+	rb := s.byNonce[f.Nonce]
+	if rb != nil {
+		rb.endedElem = s.ended.PushBack(rb)
 	}
 	s.mu.Unlock()
-	if a != nil {
-		a.finish(f)
+	if rb != nil {
+		rb.finish(f)
 	}
 }
 
 func (s *responseStore) drop(n token.Nonce) {
 	s.mu.Lock()
-	a := s.byNonce[n]
+	rb := s.byNonce[n]
 	delete(s.byNonce, n)
-	if a != nil && a.endedElem != nil {
-		s.ended.Remove(a.endedElem)
+	if rb != nil && rb.endedElem != nil {
+		s.ended.Remove(rb.endedElem)
 	}
 	s.mu.Unlock()
-	if a != nil {
-		a.free()
+	if rb != nil {
+		rb.free()
 	}
 }
 
@@ -275,12 +275,12 @@
 // evict drops the response that ended first among those without readers. It
 // returns false if there is none.
 func (s *responseStore) evict() bool {
-	a := s.oldestUnread()
-	if a == nil {
+	rb := s.oldestUnread()
+	if rb == nil {
 		return false
 	}
 	droppedResponses.Inc()
-	s.drop(a.nonce)
+	s.drop(rb.nonce)
 	return true
 }
 
@@ -288,8 +288,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.ended.Front(); e != nil; e = e.Next() {
-		if a := e.Value.(*responseBuffer); !a.hasReaders() {
-			return a
+		if rb := e.Value.(*responseBuffer); !rb.hasReaders() {
+			return rb
 		}
 	}
 	return nil
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -38,12 +38,12 @@
 		pinned.addReader(newSender(nil, pinned, wire.Attach{Window: 1}), 0)
 		live := token.Nonce{9}
 		store.open(live)
-		a := store.get(live)
+		rb := store.get(live)
 		written := 0
 		var readers []*reader
 		t.Repeat(map[string]func(*rapid.T){
 			"write": func(t *rapid.T) {
-				n, _ := a.tryWrite(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
+				n, _ := rb.tryWrite(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
 				written += n
 				if have, most := store.used.Load(), int64(store.buffer.Total+min(window, minWindow)+window); have > most {
 					t.Fatalf("%d bytes buffered, want at most %d", have, most)
@@ -51,22 +51,22 @@
 			},
 			"join": func(t *rapid.T) {
 				r := &reader{offset: rapid.Int64Range(0, int64(written)).Draw(t, "offset")}
-				r.s = newSender(nil, a, wire.Attach{Offset: r.offset, Window: 16 << 10})
-				if _, ok := a.addReader(r.s, r.offset); ok {
+				r.s = newSender(nil, rb, wire.Attach{Offset: r.offset, Window: 16 << 10})
+				if _, ok := rb.addReader(r.s, r.offset); ok {
 					readers = append(readers, r)
-				} else if r.offset >= a.base {
-					t.Fatalf("rejected at offset %d, buffered from %d", r.offset, a.base)
+				} else if r.offset >= rb.base {
+					t.Fatalf("rejected at offset %d, buffered from %d", r.offset, rb.base)
 				}
 			},
 			"read": func(t *rapid.T) {
 				if len(readers) > 0 {
-					rapid.SampledFrom(readers).Draw(t, "reader").read(t, a, whole)
+					rapid.SampledFrom(readers).Draw(t, "reader").read(t, rb, whole)
 				}
 			},
 			"part": func(t *rapid.T) {
 				if len(readers) > 0 {
 					i := rapid.IntRange(0, len(readers)-1).Draw(t, "reader")
-					a.removeReader(readers[i].s, false)
+					rb.removeReader(readers[i].s, false)
 					readers = append(readers[:i], readers[i+1:]...)
 				}
 			},
@@ -74,8 +74,8 @@
 				if pinned.base > 0 {
 					t.Fatal("discarded a response that is being read")
 				}
-				if len(readers) == 0 && written < min(window, minWindow) && a.base > 0 {
-					t.Fatalf("discarded %d bytes though all fit", a.base)
+				if len(readers) == 0 && written < min(window, minWindow) && rb.base > 0 {
+					t.Fatalf("discarded %d bytes though all fit", rb.base)
 				}
 			},
 		})
@@ -92,11 +92,11 @@
 }
 
 // read reads the available bytes, checks them, and grants credit for as many.
-func (r *reader) read(t *rapid.T, a *responseBuffer, whole []byte) {
+func (r *reader) read(t *rapid.T, rb *responseBuffer, whole []byte) {
 	upTo, _ := r.s.credit()
-	v := a.viewAt(r.offset, min(upTo-r.offset, maxFrameBytes))
+	v := rb.viewAt(r.offset, min(upTo-r.offset, maxFrameBytes))
 	if v.discarded {
-		t.Fatalf("discarded at %d before a reader received it; buffered from %d", r.offset, a.base)
+		t.Fatalf("discarded at %d before a reader received it; buffered from %d", r.offset, rb.base)
 	}
 	if !bytes.Equal(v.bytes, whole[r.offset:r.offset+int64(len(v.bytes))]) {
 		t.Fatalf("wrong bytes at %d", r.offset)
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -17,7 +17,7 @@
 	conn := wire.NewConn(s.ctx, c, s)
 	s.connCount++
 	id, _ := secure.PeerOf(c)
-	s.conns[conn] = &routerConn{
+	s.conns[conn] = &peerConn{
 		peer:    config.Peer(strconv.FormatUint(s.connCount, 10)),
 		role:    id.Role,
 		senders: make(map[wire.StreamID]*sender),
@@ -249,8 +249,8 @@
 	if reply.Error != nil {
 		return nil, reply.Error
 	}
-	if a := s.responses.get(reply.Nonce); a != nil {
-		reply.Status.Length = a.length()
+	if rb := s.responses.get(reply.Nonce); rb != nil {
+		reply.Status.Length = rb.length()
 	}
 	return reply.Status, nil
 }
--- a/internal/sidecar/export.go
+++ b/internal/sidecar/export.go
@@ -84,18 +84,18 @@
 
 // waitUntilListed waits until the list of VMs contains this VM. It returns false if
 // ctx ends first.
-func (s *Sidecar) waitUntilListed(ctx context.Context) (h successors, ok bool) {
+func (s *Sidecar) waitUntilListed(ctx context.Context) (pool successors, ok bool) {
 	for {
 		list, _, err := s.config.VMs.VMs(ctx, "")
 		if err == nil {
-			if h = newSuccessors(list.Entries, s.config.Settings.VM); h.self != placement.None {
-				return h, true
+			if pool = newSuccessors(list.Entries, s.config.Settings.VM); pool.self != placement.None {
+				return pool, true
 			}
 		}
 		select {
 		case <-time.After(listPollInterval):
 		case <-ctx.Done():
-			return h, false
+			return pool, false
 		}
 	}
 }
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -206,7 +206,7 @@
 	if len(n.calls)+n.external > testSlots {
 		t.Fatalf("%s runs %d calls of its own and %d of earlier sidecars", n.id, len(n.calls), n.external)
 	}
-	if solo := n.state.isolated; solo != nil && len(n.calls) > 1 {
+	if isolated := n.state.isolated; isolated != nil && len(n.calls) > 1 {
 		t.Fatalf("%s runs %d requests beside a suspect", n.id, len(n.calls))
 	}
 }
@@ -270,12 +270,12 @@
 
 // onRejected redirects a copy to its next key, or ends it with the verdict that its
 // caller gets.
-func (f *fleet) onRejected(t *rapid.T, c *requestCopy, err *verdict.Error, moved *wire.Key, leave bool) {
+func (f *fleet) onRejected(t *rapid.T, c *requestCopy, err *verdict.Error, moved *wire.Key, mayRunAlone bool) {
 	switch {
 	case err == nil:
 		c.finished, c.verdict = true, verdict.Ran
 	case moved != nil:
-		c.key, c.mayRunAlone = *moved, leave
+		c.key, c.mayRunAlone = *moved, mayRunAlone
 		c.hops++
 		return
 	default:
@@ -298,13 +298,13 @@
 			t.Fatalf("request %d ran %d times", req, runs)
 		}
 	}
-	waiting, retained := 0, 0
+	queuedCount, retained := 0, 0
 	for _, r := range n.state.requests {
 		if r.phase == ended && r.readers == 0 {
 			retained++
 		}
 		if r.phase == queued {
-			waiting++
+			queuedCount++
 		}
 		if r.phase == queued && !r.expires.IsZero() && !f.now.Before(r.expires) {
 			t.Fatalf("%s keeps a request queued past its deadline", n.id)
@@ -316,7 +316,7 @@
 	if timers := len(n.state.timers); timers > 8*len(n.state.requests)+maxStaleTimers {
 		t.Fatalf("%s has %d timers for %d requests", n.id, timers, len(n.state.requests))
 	}
-	if have := n.state.load() - n.state.queue.Running(); have != waiting {
-		t.Fatalf("%s: %d requests are queued, %d are counted", n.id, waiting, have)
+	if have := n.state.load() - n.state.queue.Running(); have != queuedCount {
+		t.Fatalf("%s: %d requests are queued, %d are counted", n.id, queuedCount, have)
 	}
 }
--- a/internal/sidecar/heirs.go
+++ b/internal/sidecar/heirs.go
@@ -17,7 +17,7 @@
 }
 
 func newSuccessors(list []topo.VM, self string) successors {
-	h := successors{self: placement.None}
+	s := successors{self: placement.None}
 	var own topo.VM
 	for _, vm := range list {
 		if vm.ID == self {
@@ -30,7 +30,7 @@
 			continue
 		}
 		if vm.ID == self {
-			h.self = len(members)
+			s.self = len(members)
 		}
 		members = append(members, placement.Member{
 			VM:     load.Hash(vm.ID),
@@ -38,30 +38,30 @@
 			Weight: vm.Weight,
 			Domain: vm.FailureDomain,
 		})
-		h.vms = append(h.vms, vm)
+		s.vms = append(s.vms, vm)
 	}
-	h.pool = placement.NewPool(members, placement.Locality{Domain: own.FailureDomain})
-	return h
+	s.pool = placement.NewPool(members, placement.Locality{Domain: own.FailureDomain})
+	return s
 }
 
 // successorOf returns the upstream that serves a session after this one has left.
-func (h *successors) successorOf(session uint64) (topo.VM, bool) {
-	return h.vmAt(h.pool.Successor(session, h.self))
+func (s *successors) successorOf(session uint64) (topo.VM, bool) {
+	return s.vmAt(s.pool.Successor(session, s.self))
 }
 
 // home returns the upstream that ranks first for a session.
-func (h *successors) home(session uint64) (topo.VM, bool) {
-	return h.vmAt(h.pool.Home(session))
+func (s *successors) home(session uint64) (topo.VM, bool) {
+	return s.vmAt(s.pool.Home(session))
 }
 
 // others returns all upstreams of the pool except this one.
-func (h *successors) others() []topo.VM {
-	return slices.DeleteFunc(slices.Clone(h.vms), func(vm topo.VM) bool { return vm.ID == h.vms[h.self].ID })
+func (s *successors) others() []topo.VM {
+	return slices.DeleteFunc(slices.Clone(s.vms), func(vm topo.VM) bool { return vm.ID == s.vms[s.self].ID })
 }
 
-func (h *successors) vmAt(i int) (topo.VM, bool) {
+func (s *successors) vmAt(i int) (topo.VM, bool) {
 	if i == placement.None {
 		return topo.VM{}, false
 	}
-	return h.vms[i], true
+	return s.vms[i], true
 }
--- a/internal/sidecar/join_test.go
+++ b/internal/sidecar/join_test.go
@@ -100,10 +100,10 @@
 		Upstream: u, VMs: p, Dial: p.dial,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- s.Serve(ctx, listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.Serve(ctx, listener) }()
 	time.Sleep(time.Minute)
-	return u, func() { cancel(); <-served }
+	return u, func() { cancel(); <-serveErr }
 }
 
 // When a second engine joins, routers send it the sessions for which it ranks
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -71,21 +71,21 @@
 // advanceDrain carries out draining: it withdraws queued requests, exports the
 // cached prefixes, and, on a stop, exits when no request is in flight.
 func (s *State) advanceDrain(now time.Time) []Effect {
-	l := &s.drain
+	d := &s.drain
 	if !s.draining(now) {
-		l.begun = false
+		d.begun = false
 		return nil
 	}
 	var effects []Effect
-	if !l.begun {
-		l.begun, l.exported = true, false
-		l.exportBy = now.Add(exportTimeout)
-		s.timers.add(l.exportBy, token.Nonce{})
+	if !d.begun {
+		d.begun, d.exported = true, false
+		d.exportBy = now.Add(exportTimeout)
+		s.timers.add(d.exportBy, token.Nonce{})
 		effects = append(s.withdrawQueued(now, verdict.ReasonDraining, "the upstream is leaving"),
 			Export{Sessions: s.recent.mostRecent()})
 	}
-	if l.stopping && !l.exited && s.mayExit(now) {
-		l.exited = true
+	if d.stopping && !d.exited && s.mayExit(now) {
+		d.exited = true
 		effects = append(effects, Exit{})
 	}
 	return effects
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -57,12 +57,12 @@
 	mu        sync.Mutex
 	waiting   map[Ticket]chan Effect
 	calls     map[token.Nonce]context.CancelFunc
-	conns     map[*wire.Conn]*routerConn
+	conns     map[*wire.Conn]*peerConn
 	connCount uint64 // connections accepted so far
 }
 
-// routerConn is a connection from a router and the responses being sent on it.
-type routerConn struct {
+// peerConn is a connection from a router and the responses being sent on it.
+type peerConn struct {
 	peer    config.Peer
 	role    secure.Role // empty without TLS
 	senders map[wire.StreamID]*sender
@@ -76,7 +76,7 @@
 		spans:     spans{open: make(map[token.Nonce]telemetry.Span)},
 		waiting:   make(map[Ticket]chan Effect),
 		calls:     make(map[token.Nonce]context.CancelFunc),
-		conns:     make(map[*wire.Conn]*routerConn),
+		conns:     make(map[*wire.Conn]*peerConn),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	state := NewState(c.Settings)
@@ -132,8 +132,8 @@
 	case Abort:
 		s.abortCall(e.Nonce)
 	case DiscardOverflow:
-		if a := s.responses.get(e.Nonce); a != nil {
-			a.discardOverflow()
+		if rb := s.responses.get(e.Nonce); rb != nil {
+			rb.discardOverflow()
 		}
 	case Finish:
 		countFinish(e)
