--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// waitingRequests holds n requests that wait, with their bodies.
+// waitingRequests returns a State with n requests, all but one of them queued with
+// their bodies.
 func waitingRequests(n int) any {
 	s := benchState(1, 1<<20)
 	for i := range n {
@@ -81,7 +82,8 @@
 	return s
 }
 
-// finishedRequests holds n that have ended, with their entries among the keys.
+// finishedRequests returns a State with n ended requests and their entries in the
+// key table.
 func finishedRequests(n int) any {
 	s := benchState(1, 1<<20)
 	for i := range n {
--- a/internal/sidecar/event.go
+++ b/internal/sidecar/event.go
@@ -174,9 +174,8 @@
 	Nonce token.Nonce
 }
 
-// DiscardOverflow lets a call continue while nobody reads its response: the
-// oldest bytes that do not fit into the buffer are discarded, instead of blocking
-// the upstream.
+// DiscardOverflow lets a call continue while nobody reads its response: when the
+// buffer is full, the oldest bytes are discarded, instead of blocking the upstream.
 type DiscardOverflow struct {
 	Nonce token.Nonce
 }
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -55,7 +55,8 @@
 	aborted  bool
 }
 
-// requestCopy is one router's copy of a request, on its way along the chain of keys.
+// requestCopy is one router's copy of a request, which follows the chain of
+// successor keys.
 type requestCopy struct {
 	req         int
 	key         wire.Key
@@ -115,8 +116,8 @@
 	return f
 }
 
-// startSidecar starts a sidecar beside an upstream that may still run calls of the
-// former one.
+// startSidecar starts a new incarnation of a sidecar. The upstream may still run
+// calls of the previous one.
 func (f *fleet) startSidecar(n *testVM) {
 	n.incarnation += 1000
 	for _, c := range n.calls {
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -33,7 +33,7 @@
 	exportBy    time.Time // limit of the wait for the export
 	stopping    bool
 	stopBy      time.Time
-	exited      bool
+	exited      bool // Exit has been emitted
 }
 
 // draining reports whether no new requests are admitted: because of a stop, an
@@ -91,9 +91,10 @@
 	return effects
 }
 
-// mayExit reports whether the process can exit without interrupting a response:
-// each response has ended and has been delivered, or no router has read it within
-// DetachGrace. It also reports true after stopBy.
+// mayExit reports whether the process can exit without interrupting a response: the
+// export of prefixes is over, and each response has ended, has no reader, and was
+// delivered or has not been claimed within DetachGrace. After stopBy it always
+// reports true.
 func (s *State) mayExit(now time.Time) bool {
 	if !now.Before(s.drain.stopBy) {
 		return true
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -52,7 +52,7 @@
 	orders      *order.Handler // nil if the upstream does not support orders
 	spans       spans
 
-	peersMu sync.Mutex
+	peersMu sync.Mutex // serializes postPeers
 
 	mu        sync.Mutex
 	waiting   map[Ticket]chan Effect
@@ -61,7 +61,8 @@
 	connCount uint64 // connections accepted so far
 }
 
-// peerConn is a connection from a router and the responses being sent on it.
+// peerConn is a connection from a router or another peer, and the responses being
+// sent on it.
 type peerConn struct {
 	peer    config.Peer
 	role    secure.Role // empty without TLS
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -123,8 +123,9 @@
 	}
 }
 
-// finishAll recovers all upstreams and runs until all calls have ended. Each copy
-// must have ended with a verdict, and each stopping sidecar must have exited.
+// finishAll recovers all upstreams, lets all calls end and routes all copies for
+// 200 seconds. Then each copy must have a verdict, and each stopping sidecar must
+// have exited.
 func (f *fleet) finishAll(t *rapid.T) {
 	for _, n := range f.vms {
 		if !n.up {
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -262,7 +262,7 @@
 	return append(effects, s.reply(e.Now, e.Ticket, adm)...)
 }
 
-// abort withdraws a queued request, or aborts the call of a running one.
+// abort withdraws a queued request, or aborts the call of one that has started.
 func (s *State) abort(now time.Time, r *request) []Effect {
 	if r.phase == queued {
 		err := verdict.New(verdict.NotRun, verdict.ReasonCancelled, "cancelled before it ran")
