--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -21,7 +21,7 @@
 // later route action then sends it again.
 func (f *fleet) send(t *rapid.T, c *requestCopy) {
 	n := f.vm(c.key.VM)
-	sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
+	sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
 	sub.Treatment = wire.Treatment{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
@@ -31,7 +31,7 @@
 		next := f.newKey(rapid.SampledFrom(f.vms).Draw(t, "successor"), c.req)
 		sub.Successor = &next
 	}
-	if rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
+	if rapid.IntRange(0, 3).Draw(t, "delayed") == 0 {
 		f.delayed = append(f.delayed, delayedSubmit{to: n.id, sub: sub})
 	}
 	if rapid.IntRange(0, 5).Draw(t, "lost") == 0 {
@@ -92,7 +92,7 @@
 	f.cancelled[req] = true
 	r := f.vm(key.VM).state.requests[key.Nonce]
 	isQueued := r != nil && r.phase == queued
-	a := f.step(t, f.vm(key.VM), Cancelled{Now: f.now, Cancel: wire.Cancel{Key: key, Org: "club"}})
+	a := f.step(t, f.vm(key.VM), Cancelled{Now: f.now, Cancel: wire.Cancel{Key: key, Org: "org"}})
 	if a != nil && a.Error == nil && (!a.Joined || isQueued) {
 		f.verdicts[req] = append(f.verdicts[req], verdict.NotRun) // it never arrived, or was queued
 	}
@@ -105,7 +105,7 @@
 		return
 	}
 	var err *verdict.Error
-	switch outcome := rapid.IntRange(0, 3).Draw(t, "fate"); {
+	switch outcome := rapid.IntRange(0, 3).Draw(t, "outcome"); {
 	case !c.received:
 		err = verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "")
 	case c.aborted:
--- a/internal/sidecar/join_test.go
+++ b/internal/sidecar/join_test.go
@@ -117,7 +117,7 @@
 		const sessions = 40
 		for n := range byte(sessions) {
 			key := wire.Key{VM: "vm-0", Incarnation: 1, Nonce: token.Nonce{n}, Expires: time.Now().Add(time.Hour).Unix()}
-			if _, _, err := peer.Submit(t.Context(), wire.Submit{Key: key, Org: "club", Session: uint64(n) + 1, Window: 1 << 10}); err != nil {
+			if _, _, err := peer.Submit(t.Context(), wire.Submit{Key: key, Org: "org", Session: uint64(n) + 1, Window: 1 << 10}); err != nil {
 				t.Fatal(err)
 			}
 			synctest.Wait()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -117,7 +117,7 @@
 
 func testSubmit(n byte, t wire.Treatment) wire.Submit {
 	key := wire.Key{VM: "vm", Incarnation: 1, Nonce: token.Nonce{n}, Expires: time.Now().Add(time.Hour).Unix()}
-	return wire.Submit{Key: key, Org: "club", Treatment: t, Window: 16 << 10}
+	return wire.Submit{Key: key, Org: "org", Treatment: t, Window: 16 << 10}
 }
 
 // readStream reads a stream until it has n bytes or the stream ends.
@@ -228,7 +228,7 @@
 		if e := verdict.From(err); e == nil || e.Verdict != verdict.NotRun || e.Reason != verdict.ReasonDraining {
 			t.Errorf("new work while stopping: %v", err)
 		}
-		second, _, err := other.Attach(ctx, wire.Attach{Key: sub.Key, Org: "club", Offset: int64(len(head)), Window: 4 << 10})
+		second, _, err := other.Attach(ctx, wire.Attach{Key: sub.Key, Org: "org", Offset: int64(len(head)), Window: 4 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -267,7 +267,7 @@
 		_, _ = f.bodyWriter.Write([]byte("half"))
 		f.readStream(s, 4)
 		close(blocked)
-		second, _, err := f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "club", Offset: 4, Window: 4 << 10})
+		second, _, err := f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "org", Offset: 4, Window: 4 << 10})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -328,13 +328,13 @@
 			}
 			time.Sleep(time.Second)
 			var status wire.Status
-			if err := f.peer.Call(f.ctx, wire.MethodStatus, wire.StatusRequest{Key: sub.Key, Org: "club"}, &status); err != nil {
+			if err := f.peer.Call(f.ctx, wire.MethodStatus, wire.StatusRequest{Key: sub.Key, Org: "org"}, &status); err != nil {
 				t.Fatal(err)
 			}
 			if status.State != wire.StateDone || status.Verdict != verdict.Ran {
 				t.Errorf("status: %+v", status)
 			}
-			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "club", Window: 1})
+			_, _, err = f.peer.Attach(f.ctx, wire.Attach{Key: sub.Key, Org: "org", Window: 1})
 			if e := verdict.From(err); !idempotent && (e == nil || e.Reason != verdict.ReasonAnswerGone) {
 				t.Errorf("attach to the discarded start of a response: %v", err)
 			}
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -18,7 +18,7 @@
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
-		anyVM := func() *testVM { return rapid.SampledFrom(f.vms).Draw(t, "node") }
+		anyVM := func() *testVM { return rapid.SampledFrom(f.vms).Draw(t, "vm") }
 		requestCount := 0
 		route := func(t *rapid.T) {
 			for _, c := range f.copies {
@@ -151,7 +151,7 @@
 				continue
 			}
 			n := f.vm(c.key.VM)
-			sub := wire.Submit{Key: c.key, Org: "club", Fingerprint: fingerprintOf(c.req), Treatment: wire.Treatment{FirstByte: time.Second}}
+			sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), Treatment: wire.Treatment{FirstByte: time.Second}}
 			if a := f.submit(t, n, sub); a != nil {
 				f.onReply(t, c, a)
 			} else {
