--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -23,13 +23,13 @@
 // both sides together: processor time and the bytes of the handshake.
 func BenchmarkHandshake(b *testing.B) {
 	ca := newCA(b)
-	side, _ := newMutual(b, ca, sidecar)
-	addr := serve(b, side)
+	server, _ := newTestMutualTLS(b, ca, sidecar)
+	addr := serve(b, server)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	must(b, plain, err)
 	defer plain.Close()
 	go echo(plain)
-	r, _ := newMutual(b, ca, router)
+	r, _ := newTestMutualTLS(b, ca, router)
 	run := func(name string, dial func() error) {
 		b.Run(name, func(b *testing.B) {
 			bytes, cpu := telemetry.ControlBytes.Value(telemetry.ControlHandshake), cpuTime(b)
@@ -43,14 +43,14 @@
 			b.ReportMetric(float64(telemetry.ControlBytes.Value(telemetry.ControlHandshake)-bytes)/2/n, "handshake-B/op")
 		})
 	}
-	run("none", func() error { return knock(net.Dial("tcp", plain.Addr().String())) })
+	run("none", func() error { return roundTripAndClose(net.Dial("tcp", plain.Addr().String())) })
 	run("resumed", func() error {
-		_, err := talk(r, addr)
+		_, err := dialAndEcho(r, addr)
 		return err
 	})
 	run("full", func() error {
 		r.material.Load().sessions = tls.NewLRUClientSessionCache(1)
-		_, err := talk(r, addr)
+		_, err := dialAndEcho(r, addr)
 		return err
 	})
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-func knock(c net.Conn, err error) error {
+func roundTripAndClose(c net.Conn, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -18,8 +18,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// maxFile is the largest file that is read, in bytes.
-const maxFile = 1 << 20
+// maxFileSize is the largest file that is read, in bytes.
+const maxFileSize = 1 << 20
 
 var (
 	reloads = telemetry.NewCounter("secure_reloads_total",
@@ -31,12 +31,12 @@
 // FileWatcher follows a set of files that belong together, such as a certificate and
 // its key.
 type FileWatcher struct {
-	paths    []string
-	take     func(contents [][]byte) error
-	after    func()      // runs after each look; may be nil
-	current  fingerprint // in use
-	pending  fingerprint // seen once
-	rejected fingerprint // seen, and found broken
+	paths     []string
+	load      func(contents [][]byte) error
+	afterPoll func()      // runs after each look; may be nil
+	current   fingerprint // in use
+	pending   fingerprint // seen once
+	rejected  fingerprint // seen, and found broken
 }
 
 // fingerprint identifies the contents of a set of files.
@@ -44,13 +44,13 @@
 
 // WatchFiles reads the files and hands their contents to take, now and on each
 // change. It fails when the first contents can't be used.
-func WatchFiles(paths []string, take func(contents [][]byte) error) (*FileWatcher, error) {
-	f := &FileWatcher{paths: paths, take: take}
+func WatchFiles(paths []string, load func(contents [][]byte) error) (*FileWatcher, error) {
+	f := &FileWatcher{paths: paths, load: load}
 	contents, err := f.read()
 	if err != nil {
 		return nil, err
 	}
-	if err := take(contents); err != nil {
+	if err := load(contents); err != nil {
 		return nil, err
 	}
 	f.current = fingerprintOf(contents, nil)
@@ -58,15 +58,15 @@
 }
 
 // Run looks for changes until ctx ends.
-func (f *FileWatcher) Run(ctx context.Context, every time.Duration) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+func (f *FileWatcher) Run(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			f.poll()
-			if f.after != nil {
-				f.after()
+			if f.afterPoll != nil {
+				f.afterPoll()
 			}
 		case <-ctx.Done():
 			return
@@ -84,13 +84,13 @@
 func (f *FileWatcher) poll() {
 	contents, err := f.read()
 	seen := fingerprintOf(contents, err)
-	settled := seen == f.pending
+	stable := seen == f.pending
 	f.pending = seen
-	if !settled || seen == f.current || seen == f.rejected {
+	if !stable || seen == f.current || seen == f.rejected {
 		return
 	}
 	if err == nil {
-		err = f.take(contents)
+		err = f.load(contents)
 	}
 	if err != nil {
 		f.rejected = seen
@@ -121,12 +121,12 @@
 		return nil, errors.WithStack(err)
 	}
 	defer file.Close()
-	b, err := io.ReadAll(io.LimitReader(file, maxFile+1))
+	b, err := io.ReadAll(io.LimitReader(file, maxFileSize+1))
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if len(b) > maxFile {
-		return nil, errors.Errorf("%s is over %d bytes", path, maxFile)
+	if len(b) > maxFileSize {
+		return nil, errors.Errorf("%s is over %d bytes", path, maxFileSize)
 	}
 	return b, nil
 }
--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -23,14 +23,14 @@
 	VM   string // id of the VM in the platform's list
 }
 
-// scheme is that of SPIFFE ids, the usual form of workload identities.
-const scheme = "spiffe"
+// spiffeScheme is that of SPIFFE ids, the usual form of workload identities.
+const spiffeScheme = "spiffe"
 
 // URI returns the identity as a SPIFFE id of a trust domain, such as
 // spiffe://fleet.example/sidecar/vm-7. It is the one URI in the subject
 // alternative names of the holder's certificate.
-func (i Identity) URI(domain string) *url.URL {
-	return &url.URL{Scheme: scheme, Host: domain, Path: "/" + string(i.Role) + "/" + i.VM}
+func (i Identity) URI(trustDomain string) *url.URL {
+	return &url.URL{Scheme: spiffeScheme, Host: trustDomain, Path: "/" + string(i.Role) + "/" + i.VM}
 }
 
 // ErrIdentity is a certificate that does not say who its holder is, or says
@@ -38,15 +38,15 @@
 var ErrIdentity = errors.New("secure: not whom the certificate must name")
 
 // identityOf reads the identity in a certificate.
-func identityOf(cert *x509.Certificate, domain string) (Identity, error) {
+func identityOf(cert *x509.Certificate, trustDomain string) (Identity, error) {
 	if len(cert.URIs) != 1 {
 		return Identity{}, errors.Wrapf(ErrIdentity, "%d URIs, want one", len(cert.URIs))
 	}
 	u := cert.URIs[0]
 	role, vm, ok := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
 	id := Identity{Role: Role(role), VM: vm}
-	if !ok || vm == "" || u.String() != id.URI(domain).String() {
-		return Identity{}, errors.Wrapf(ErrIdentity, "%s is no %s://%s/<role>/<vm>", u.Redacted(), scheme, domain)
+	if !ok || vm == "" || u.String() != id.URI(trustDomain).String() {
+		return Identity{}, errors.Wrapf(ErrIdentity, "%s is no %s://%s/<role>/<vm>", u.Redacted(), spiffeScheme, trustDomain)
 	}
 	return id, nil
 }
--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -26,13 +26,13 @@
 	sessions tls.ClientSessionCache // of the sidecars that this process dials
 
 	mu       sync.Mutex
-	verified map[fingerprint]verified
+	verified map[fingerprint]verifiedChain
 }
 
-// verified is a chain of certificates that has been verified.
-type verified struct {
-	peer  Identity
-	until time.Time // the first of its certificates ends
+// verifiedChain is a chain of certificates that has been verifiedChain.
+type verifiedChain struct {
+	peer     Identity
+	notAfter time.Time // the first of its certificates ends
 }
 
 func parseMaterial(contents [][]byte) (*material, error) {
@@ -47,8 +47,8 @@
 	return &material{
 		cert:     cert,
 		roots:    roots,
-		sessions: tls.NewLRUClientSessionCache(sessionsKept),
-		verified: make(map[fingerprint]verified),
+		sessions: tls.NewLRUClientSessionCache(maxSessions),
+		verified: make(map[fingerprint]verifiedChain),
 	}, nil
 }
 
@@ -79,16 +79,16 @@
 // verify checks that a chain of certificates, the peer's own first, was signed
 // for a use by an authority, and returns whom it names. Whoever can prove to
 // hold the key comes back with the same chain, so a chain is looked at once.
-func (m *material) verify(chain []*x509.Certificate, domain string, use x509.ExtKeyUsage) (Identity, error) {
+func (m *material) verify(chain []*x509.Certificate, trustDomain string, usage x509.ExtKeyUsage) (Identity, error) {
 	now := time.Now()
-	key := fingerprintOfChain(chain, use)
+	key := fingerprintOfChain(chain, usage)
 	m.mu.Lock()
-	known, ok := m.verified[key]
+	cached, ok := m.verified[key]
 	m.mu.Unlock()
-	if ok && now.Before(known.until) {
-		return known.peer, nil
+	if ok && now.Before(cached.notAfter) {
+		return cached.peer, nil
 	}
-	fresh, err := verifyChain(chain, m.roots, domain, use, now)
+	verified, err := verifyChain(chain, m.roots, trustDomain, usage, now)
 	if err != nil {
 		return Identity{}, err
 	}
@@ -97,17 +97,17 @@
 	if len(m.verified) >= maxVerified {
 		clear(m.verified)
 	}
-	m.verified[key] = fresh
-	return fresh.peer, nil
+	m.verified[key] = verified
+	return verified.peer, nil
 }
 
 // ownIdentity returns whom the own certificate names to peers.
-func (m *material) ownIdentity(domain string) (Identity, error) {
+func (m *material) ownIdentity(trustDomain string) (Identity, error) {
 	chain, err := parseChain(m.cert)
 	if err != nil {
 		return Identity{}, err
 	}
-	v, err := verifyChain(chain, m.roots, domain, x509.ExtKeyUsageAny, time.Now())
+	v, err := verifyChain(chain, m.roots, trustDomain, x509.ExtKeyUsageAny, time.Now())
 	return v.peer, err
 }
 
@@ -123,31 +123,31 @@
 	return chain, nil
 }
 
-func verifyChain(chain []*x509.Certificate, roots *x509.CertPool, domain string, use x509.ExtKeyUsage, now time.Time) (verified, error) {
-	between := x509.NewCertPool()
+func verifyChain(chain []*x509.Certificate, roots *x509.CertPool, trustDomain string, usage x509.ExtKeyUsage, now time.Time) (verifiedChain, error) {
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	opts := x509.VerifyOptions{Roots: roots, Intermediates: between, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{use}}
-	found, err := chain[0].Verify(opts)
+	opts := x509.VerifyOptions{Roots: roots, Intermediates: intermediates, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage}}
+	chains, err := chain[0].Verify(opts)
 	if err != nil {
-		return verified{}, errors.WithStack(err)
+		return verifiedChain{}, errors.WithStack(err)
 	}
-	until := chain[0].NotAfter
-	for _, c := range found[0] {
-		if c.NotAfter.Before(until) {
-			until = c.NotAfter
+	notAfter := chain[0].NotAfter
+	for _, c := range chains[0] {
+		if c.NotAfter.Before(notAfter) {
+			notAfter = c.NotAfter
 		}
 	}
-	peer, err := identityOf(chain[0], domain)
-	return verified{peer: peer, until: until}, err
+	peer, err := identityOf(chain[0], trustDomain)
+	return verifiedChain{peer: peer, notAfter: notAfter}, err
 }
 
-func fingerprintOfChain(chain []*x509.Certificate, use x509.ExtKeyUsage) fingerprint {
+func fingerprintOfChain(chain []*x509.Certificate, usage x509.ExtKeyUsage) fingerprint {
 	h := sha256.New()
 	for _, c := range chain {
 		h.Write(c.Raw)
 	}
-	h.Write([]byte{byte(use)})
+	h.Write([]byte{byte(usage)})
 	return fingerprint(h.Sum(nil))
 }
--- a/internal/secure/mutual.go
+++ b/internal/secure/mutual.go
@@ -25,13 +25,13 @@
 // the present files, resumed sessions included: a session outlives the
 // certificate with which it began.
 type MutualTLS struct {
-	self     Identity
-	domain   string
-	files    *FileWatcher
-	material atomic.Pointer[material]
-	tickets  *ticketStore // of the routers that dial this process
+	self        Identity
+	trustDomain string
+	watcher     *FileWatcher
+	material    atomic.Pointer[material]
+	tickets     *ticketStore // of the routers that dial this process
 
-	refusalLogged atomic.Int64 // when a line was written last, in Unix nanoseconds
+	lastRefusalLog atomic.Int64 // when a line was written last, in Unix nanoseconds
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{} // open
@@ -42,85 +42,85 @@
 // thousands of sidecars count those bytes. Towards callers it stays.
 var fleetCurves = []tls.CurveID{tls.X25519}
 
-// sessionsKept bounds the sessions that are kept for resumption: one for each
+// maxSessions bounds the sessions that are kept for resumption: one for each
 // peer at the target's size, on either side.
-const sessionsKept = 4096
+const maxSessions = 4096
 
 // NewMutualTLS reads the files. The own certificate must name self.
-func NewMutualTLS(self Identity, domain string, p Paths) (*MutualTLS, error) {
+func NewMutualTLS(self Identity, trustDomain string, p Paths) (*MutualTLS, error) {
 	m := &MutualTLS{
-		self:   self,
-		domain: domain,
-		conns:  make(map[*Conn]struct{}),
+		self:        self,
+		trustDomain: trustDomain,
+		conns:       make(map[*Conn]struct{}),
 	}
-	m.tickets = newTicketStore(sessionsKept, m.material.Load)
+	m.tickets = newTicketStore(maxSessions, m.material.Load)
 	var err error
-	m.files, err = WatchFiles([]string{p.Cert, p.Key, p.CA}, m.take)
+	m.watcher, err = WatchFiles([]string{p.Cert, p.Key, p.CA}, m.load)
 	return m, errors.Wrap(err, "secure: certificates of the fleet")
 }
 
 // Watcher returns the files to follow.
 func (m *MutualTLS) Watcher() *FileWatcher {
-	return m.files
+	return m.watcher
 }
 
-func (m *MutualTLS) take(contents [][]byte) error {
-	fresh, err := parseMaterial(contents)
+func (m *MutualTLS) load(contents [][]byte) error {
+	loaded, err := parseMaterial(contents)
 	if err != nil {
 		return err
 	}
 	// An own certificate that peers will refuse is a mistake to notice here,
 	// where the former one can stay in use.
-	own, err := fresh.ownIdentity(m.domain)
+	own, err := loaded.ownIdentity(m.trustDomain)
 	if err != nil {
 		return err
 	}
 	if own != m.self {
 		return errors.Wrapf(ErrIdentity, "%s of VM %q, want %s of VM %q", own.Role, own.VM, m.self.Role, m.self.VM)
 	}
-	m.material.Store(fresh)
-	certificateExpiry.Set(fresh.cert.Leaf.NotAfter.Unix())
-	m.endDistrusted()
+	m.material.Store(loaded)
+	certificateExpiry.Set(loaded.cert.Leaf.NotAfter.Unix())
+	m.closeDistrusted()
 	return nil
 }
 
-func (m *MutualTLS) remember(c *Conn) {
+func (m *MutualTLS) addConn(c *Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns[c] = struct{}{}
 }
 
-func (m *MutualTLS) forget(c *Conn) {
+func (m *MutualTLS) removeConn(c *Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
 }
 
-// endDistrusted ends connections whose peer's certificate the present files
+// closeDistrusted ends connections whose peer's certificate the present files
 // refuse. A connection lasts as long as there is traffic on it, so a peer with
 // a leaked certificate would otherwise keep what it has. A peer that has a new
 // certificate connects again and resumes its streams.
-func (m *MutualTLS) endDistrusted() {
+func (m *MutualTLS) closeDistrusted() {
 	m.mu.Lock()
-	var ended []*Conn
+	var refused []*Conn
 	for c := range m.conns {
-		if _, err := m.peer(c.ConnectionState(), c.use); err != nil {
-			ended = append(ended, c)
+		if _, err := m.verifyPeer(c.ConnectionState(), c.usage); err != nil {
+			refused = append(refused, c)
 		}
 	}
 	m.mu.Unlock()
-	for _, c := range ended {
-		distrusted.Inc()
+	for _, c := range refused {
+		distrustedConns.Inc()
 		_ = c.Close()
 	}
 }
 
-// peer checks the certificates of the other side of a connection.
-func (m *MutualTLS) peer(cs tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
+// verifyPeer checks the certificates of the other side of a connection.
+func (m *MutualTLS) verifyPeer(cs tls.ConnectionState, usage x509.ExtKeyUsage) (Identity, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, errors.Wrap(ErrIdentity, "no certificate")
 	}
-	return m.material.Load().verify(cs.PeerCertificates, m.domain, use)
+	return m.material.Load().verify(cs.PeerCertificates, m.trustDomain, usage)
 }
 
 // ServerConfig returns the configuration by which a sidecar serves routers and
@@ -132,7 +132,7 @@
 		ClientAuth:       tls.RequireAnyClientCert, // and VerifyConnection judges it
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.material.Load().cert, nil },
 		VerifyConnection: func(cs tls.ConnectionState) error {
-			id, err := m.peer(cs, x509.ExtKeyUsageClientAuth)
+			id, err := m.verifyPeer(cs, x509.ExtKeyUsageClientAuth)
 			if err == nil && id.Role != RoleRouter && id.Role != RoleSidecar {
 				err = errors.Wrapf(ErrIdentity, "role %q", id.Role)
 			}
@@ -156,7 +156,7 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &mat.cert, nil },
 		ClientSessionCache:   mat.sessions,
 		VerifyConnection: func(cs tls.ConnectionState) error {
-			id, err := m.peer(cs, x509.ExtKeyUsageServerAuth)
+			id, err := m.verifyPeer(cs, x509.ExtKeyUsageServerAuth)
 			if err == nil && id != want {
 				err = errors.Wrapf(ErrIdentity, "%s of VM %q, want %s of VM %q", id.Role, id.VM, want.Role, want.VM)
 			}
--- a/internal/secure/public.go
+++ b/internal/secure/public.go
@@ -9,24 +9,24 @@
 
 // CallerTLS is TLS towards callers, who bring API keys instead of certificates.
 type CallerTLS struct {
-	files *FileWatcher
-	cert  atomic.Pointer[tls.Certificate]
+	watcher *FileWatcher
+	cert    atomic.Pointer[tls.Certificate]
 }
 
 // NewCallerTLS reads the files of a certificate and its key.
 func NewCallerTLS(cert, key string) (*CallerTLS, error) {
 	s := &CallerTLS{}
 	var err error
-	s.files, err = WatchFiles([]string{cert, key}, s.take)
+	s.watcher, err = WatchFiles([]string{cert, key}, s.load)
 	return s, errors.Wrap(err, "secure: certificate for callers")
 }
 
 // Watcher returns the files to follow.
 func (s *CallerTLS) Watcher() *FileWatcher {
-	return s.files
+	return s.watcher
 }
 
-func (s *CallerTLS) take(contents [][]byte) error {
+func (s *CallerTLS) load(contents [][]byte) error {
 	cert, err := tls.X509KeyPair(contents[0], contents[1])
 	if err == nil {
 		s.cert.Store(&cert)
@@ -45,24 +45,24 @@
 
 // PlatformTLS is TLS towards the platform.
 type PlatformTLS struct {
-	files  *FileWatcher
-	config atomic.Pointer[tls.Config]
+	watcher *FileWatcher
+	config  atomic.Pointer[tls.Config]
 }
 
 // NewPlatformTLS reads the authorities that sign the platform's certificate.
 func NewPlatformTLS(ca string) (*PlatformTLS, error) {
 	c := &PlatformTLS{}
 	var err error
-	c.files, err = WatchFiles([]string{ca}, c.take)
+	c.watcher, err = WatchFiles([]string{ca}, c.load)
 	return c, errors.Wrap(err, "secure: authorities of the platform")
 }
 
 // Watcher returns the files to follow.
 func (c *PlatformTLS) Watcher() *FileWatcher {
-	return c.files
+	return c.watcher
 }
 
-func (c *PlatformTLS) take(contents [][]byte) error {
+func (c *PlatformTLS) load(contents [][]byte) error {
 	roots, err := parseCAs(contents[0])
 	if err != nil {
 		return err
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -48,7 +48,7 @@
 	return must(t, ca, err)
 }
 
-func write(t testing.TB, path string, b []byte) {
+func writeFile(t testing.TB, path string, b []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
@@ -65,21 +65,21 @@
 	return cert, key
 }
 
-// place writes the files of one process.
-func place(t testing.TB, ca *securetest.CA, uri *url.URL, roots []byte) Paths {
+// writeCertFiles writes the files of one process.
+func writeCertFiles(t testing.TB, ca *securetest.CA, uri *url.URL, roots []byte) Paths {
 	t.Helper()
 	dir := t.TempDir()
 	p := Paths{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
 	cert, key := issue(t, ca, uri)
-	write(t, p.Cert, cert)
-	write(t, p.Key, key)
-	write(t, p.CA, roots)
+	writeFile(t, p.Cert, cert)
+	writeFile(t, p.Key, key)
+	writeFile(t, p.CA, roots)
 	return p
 }
 
-func newMutual(t testing.TB, ca *securetest.CA, id Identity) (*MutualTLS, Paths) {
+func newTestMutualTLS(t testing.TB, ca *securetest.CA, id Identity) (*MutualTLS, Paths) {
 	t.Helper()
-	p := place(t, ca, id.URI(domain), ca.PEM)
+	p := writeCertFiles(t, ca, id.URI(domain), ca.PEM)
 	m, err := NewMutualTLS(id, domain, p)
 	return must(t, m, err), p
 }
@@ -105,8 +105,8 @@
 	return raw.Addr().String()
 }
 
-// talk makes a connection and a round trip over it.
-func talk(m *MutualTLS, addr string) (*Conn, error) {
+// dialAndEcho makes a connection and a round trip over it.
+func dialAndEcho(m *MutualTLS, addr string) (*Conn, error) {
 	c, err := m.Dial(context.Background(), sidecar.VM, addr)
 	if err != nil {
 		return nil, err
@@ -126,50 +126,50 @@
 // A router's VM vanishes without a word while a connection to a sidecar is idle.
 // Package wire has the kernel probe idle connections, for which it must find the
 // TCP connection below; else the sidecar keeps each such connection for good.
-func TestTCPConnectionCanBeReached(t *testing.T) {
-	side, _ := newMutual(t, newCA(t), sidecar)
-	c, err := talk(side, serve(t, side))
-	below, ok := must(t, c, err).NetConn().(interface{ NetConn() net.Conn })
+func TestTCPConnectionIsAccessible(t *testing.T) {
+	server, _ := newTestMutualTLS(t, newCA(t), sidecar)
+	c, err := dialAndEcho(server, serve(t, server))
+	counting, ok := must(t, c, err).NetConn().(interface{ NetConn() net.Conn })
 	if !ok {
 		t.Fatal("the connection below is hidden")
 	}
-	if _, ok := below.NetConn().(*net.TCPConn); !ok {
-		t.Errorf("%T is no TCP connection", below.NetConn())
+	if _, ok := counting.NetConn().(*net.TCPConn); !ok {
+		t.Errorf("%T is no TCP connection", counting.NetConn())
 	}
 }
 
 // A process of another role, another fleet or another VM, or one whose
 // certificate names nobody, gets hold of a sidecar's address: it must not get
 // work run, and a router must not hand a guest's chat to it in turn.
-func TestOnlyTheRightPeersTalk(t *testing.T) {
+func TestOnlyTrustedPeersConnect(t *testing.T) {
 	ours, other := newCA(t), newCA(t)
-	side, _ := newMutual(t, ours, sidecar)
-	addr := serve(t, side)
-	good, _ := newMutual(t, ours, router)
-	if c, err := talk(good, addr); err != nil || c.Peer != sidecar {
+	server, _ := newTestMutualTLS(t, ours, sidecar)
+	addr := serve(t, server)
+	client, _ := newTestMutualTLS(t, ours, router)
+	if c, err := dialAndEcho(client, addr); err != nil || c.Peer != sidecar {
 		t.Fatalf("a router was refused: %v", err)
 	}
-	// The check of the own files would stop these at their start; here they lie.
-	lie := func(m *MutualTLS) *MutualTLS { m.domain = domain; return m }
-	foreign := must2(t, NewMutualTLS, router, "elsewhere.test", place(t, ours, router.URI("elsewhere.test"), ours.PEM))
+	// The check of the own files would stop these at their start; here they overrideDomain.
+	overrideDomain := func(m *MutualTLS) *MutualTLS { m.trustDomain = domain; return m }
+	foreign := mustMutualTLS(t, NewMutualTLS, router, "elsewhere.test", writeCertFiles(t, ours, router.URI("elsewhere.test"), ours.PEM))
 	console := Identity{Role: "console", VM: "x"}
 	for name, m := range map[string]*MutualTLS{
-		"another authority":    must2(t, NewMutualTLS, router, domain, place(t, other, router.URI(domain), append(other.PEM, ours.PEM...))),
-		"another trust domain": lie(foreign),
-		"another role":         must2(t, NewMutualTLS, console, domain, place(t, ours, console.URI(domain), ours.PEM)),
+		"another authority":    mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, other, router.URI(domain), append(other.PEM, ours.PEM...))),
+		"another trust domain": overrideDomain(foreign),
+		"another role":         mustMutualTLS(t, NewMutualTLS, console, domain, writeCertFiles(t, ours, console.URI(domain), ours.PEM)),
 	} {
 		before := refusedPeers.Value()
-		if _, err := talk(m, addr); err == nil {
+		if _, err := dialAndEcho(m, addr); err == nil {
 			t.Errorf("%s was let in", name)
 		}
 		// The sidecar counts after it has told the peer.
 		gomega.NewWithT(t).Eventually(refusedPeers.Value, countedWithin).Should(gomega.BeNumerically(">", before), name)
 	}
-	impostor, _ := newMutual(t, ours, Identity{Role: RoleSidecar, VM: "vm-8"})
-	if _, err := talk(good, serve(t, impostor)); !errors.Is(err, ErrIdentity) {
+	impostor, _ := newTestMutualTLS(t, ours, Identity{Role: RoleSidecar, VM: "vm-8"})
+	if _, err := dialAndEcho(client, serve(t, impostor)); !errors.Is(err, ErrIdentity) {
 		t.Errorf("another VM in the place of the sidecar: %v", err)
 	}
-	if _, err := NewMutualTLS(router, domain, place(t, ours, sidecar.URI(domain), ours.PEM)); !errors.Is(err, ErrIdentity) {
+	if _, err := NewMutualTLS(router, domain, writeCertFiles(t, ours, sidecar.URI(domain), ours.PEM)); !errors.Is(err, ErrIdentity) {
 		t.Errorf("a router started with the files of a sidecar: %v", err)
 	}
 	for _, bad := range []string{"spiffe://fleet.test/router/", "spiffe://fleet.test/router", "https://fleet.test/router/entry-1", "spiffe://fleet.test/router/entry-1?x"} {
@@ -181,7 +181,7 @@
 	}
 }
 
-func must2(t *testing.T, f func(Identity, string, Paths) (*MutualTLS, error), id Identity, domain string, p Paths) *MutualTLS {
+func mustMutualTLS(t *testing.T, f func(Identity, string, Paths) (*MutualTLS, error), id Identity, domain string, p Paths) *MutualTLS {
 	t.Helper()
 	m, err := f(id, domain, p)
 	return must(t, m, err)
@@ -191,29 +191,29 @@
 // A router with a certificate of that authority has a connection open, and
 // comes back with a session from before: resumption skips the certificates, so
 // it would stay in for as long as it likes.
-func TestLeakedAuthorityIsShutOut(t *testing.T) {
+func TestRemovedAuthorityIsDistrusted(t *testing.T) {
 	former, next := newCA(t), newCA(t)
-	side := must2(t, NewMutualTLS, sidecar, domain, place(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
-	addr := serve(t, side)
-	r := must2(t, NewMutualTLS, router, domain, place(t, former, router.URI(domain), append(former.PEM, next.PEM...)))
+	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, writeCertFiles(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
+	addr := serve(t, server)
+	r := mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, former, router.URI(domain), append(former.PEM, next.PEM...)))
 	for i := range 2 {
-		if c, err := talk(r, addr); err != nil || c.ConnectionState().DidResume != (i == 1) {
+		if c, err := dialAndEcho(r, addr); err != nil || c.ConnectionState().DidResume != (i == 1) {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	open, err := r.Dial(context.Background(), sidecar.VM, addr)
-	if err != nil || roundTrip(open) != nil {
+	openConn, err := r.Dial(context.Background(), sidecar.VM, addr)
+	if err != nil || roundTrip(openConn) != nil {
 		t.Fatal(err)
 	}
-	must(t, open, err)
-	write(t, side.files.paths[2], next.PEM)
-	side.files.poll()
-	side.files.poll()
-	_ = open.SetReadDeadline(time.Now().Add(countedWithin))
-	if _, err := open.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	must(t, openConn, err)
+	writeFile(t, server.watcher.paths[2], next.PEM)
+	server.watcher.poll()
+	server.watcher.poll()
+	_ = openConn.SetReadDeadline(time.Now().Add(countedWithin))
+	if _, err := openConn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a connection from before is still open: %v", err)
 	}
-	if _, err := talk(r, addr); err == nil {
+	if _, err := dialAndEcho(r, addr); err == nil {
 		t.Error("a session of the former authority was resumed")
 	}
 }
@@ -222,13 +222,13 @@
 // certificate, then its key, then the bundle, which it writes in two parts. In
 // no state between may a router be shut out, and a state that stays broken
 // must show in a counter while the former files serve on.
-func TestRotationShutsNoOneOut(t *testing.T) {
+func TestRotationRefusesNoValidPeer(t *testing.T) {
 	former, next := newCA(t), newCA(t)
 	bundle := append(append([]byte{}, former.PEM...), next.PEM...)
-	p := place(t, former, sidecar.URI(domain), bundle)
-	side := must2(t, NewMutualTLS, sidecar, domain, p)
-	addr := serve(t, side)
-	r := must2(t, NewMutualTLS, router, domain, place(t, next, router.URI(domain), bundle))
+	p := writeCertFiles(t, former, sidecar.URI(domain), bundle)
+	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, p)
+	addr := serve(t, server)
+	r := mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, next, router.URI(domain), bundle))
 	cert, key := issue(t, next, sidecar.URI(domain))
 	renewed := append(bundle, '\n')
 	steps := []struct {
@@ -246,10 +246,10 @@
 	}
 	for i, step := range steps {
 		before := reloadFailures.Value()
-		write(t, step.path, step.content)
+		writeFile(t, step.path, step.content)
 		for range step.polls {
-			side.files.poll()
-			if _, err := talk(r, addr); err != nil {
+			server.watcher.poll()
+			if _, err := dialAndEcho(r, addr); err != nil {
 				t.Fatalf("step %d shut a router out: %v", i, err)
 			}
 		}
@@ -257,10 +257,10 @@
 			t.Errorf("step %d was counted as %d failures, want %d", i, got, step.fails)
 		}
 	}
-	if side.files.current != fingerprintOf([][]byte{cert, key, renewed}, nil) {
+	if server.watcher.current != fingerprintOf([][]byte{cert, key, renewed}, nil) {
 		t.Error("the new files are not in use")
 	}
-	write(t, p.CA, nil)
+	writeFile(t, p.CA, nil)
 	if _, err := NewMutualTLS(sidecar, domain, p); err == nil {
 		t.Error("an empty bundle was taken at the start")
 	}
@@ -273,39 +273,39 @@
 	path := filepath.Join(t.TempDir(), "secrets")
 	one, two := "1:"+strings.Repeat("11", 32)+"\n", "2:"+strings.Repeat("22", 32)+"\n"
 	now := time.Unix(1e9, 0)
-	look := func(s *Secrets) { s.files.poll(); s.files.poll(); s.promote() }
-	write(t, path, []byte(one))
+	reload := func(s *Secrets) { s.watcher.poll(); s.watcher.poll(); s.promote() }
+	writeFile(t, path, []byte(one))
 	start := func() *Secrets {
 		s, err := newSecrets(path, func() time.Time { return now })
 		return must(t, s, err)
 	}
 	early, late := start(), start()
-	passes := func(step string, from, to *Secrets) {
+	checkAccepted := func(step string, from, to *Secrets) {
 		t.Helper()
 		if _, err := to.Keyring.Open(from.Keyring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err != nil {
 			t.Errorf("%s: %v", step, err)
 		}
 	}
-	write(t, path, []byte(two+one))
-	look(early)
-	passes("one has looked", early, late)
-	passes("one has looked", late, early)
-	look(late)
-	now = now.Add(signAfter)
-	look(early)
-	passes("one signs with the new secret", early, late)
-	passes("one signs with the new secret", late, early)
-	look(late)
-	write(t, path, []byte(two))
-	look(early)
-	passes("one has dropped the former secret", early, late)
-	passes("one has dropped the former secret", late, early)
-	look(late)
+	writeFile(t, path, []byte(two+one))
+	reload(early)
+	checkAccepted("one has looked", early, late)
+	checkAccepted("one has looked", late, early)
+	reload(late)
+	now = now.Add(signDelay)
+	reload(early)
+	checkAccepted("one signs with the new secret", early, late)
+	checkAccepted("one signs with the new secret", late, early)
+	reload(late)
+	writeFile(t, path, []byte(two))
+	reload(early)
+	checkAccepted("one has dropped the former secret", early, late)
+	checkAccepted("one has dropped the former secret", late, early)
+	reload(late)
 	if _, err := late.Keyring.Open(mustSeal(t, one), token.PurposeKey); err == nil {
 		t.Error("a secret that was taken out still opens tokens")
 	}
-	write(t, path, []byte("3:"+strings.Repeat("33", 32)+"\n"))
-	look(early)
+	writeFile(t, path, []byte("3:"+strings.Repeat("33", 32)+"\n"))
+	reload(early)
 	if _, err := late.Keyring.Open(early.Keyring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err == nil {
 		t.Error("a signer that was taken out, perhaps because it leaked, still signs")
 	}
--- a/internal/secure/securetest/securetest.go
+++ b/internal/secure/securetest/securetest.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// life is how long the certificates last from now.
-const life = time.Hour
+// validity is how long the certificates last from now.
+const validity = time.Hour
 
 // CA is a certificate authority.
 type CA struct {
@@ -59,32 +59,32 @@
 	} else {
 		template.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)}
 	}
-	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	leafKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	der, err := sign(template, ca.cert, own, ca.key)
+	der, err := sign(template, ca.cert, leafKey, ca.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	keyDER, err := x509.MarshalPKCS8PrivateKey(own)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(leafKey)
 	if err != nil {
 		return nil, nil, err
 	}
 	return encode("CERTIFICATE", der), encode("PRIVATE KEY", keyDER), nil
 }
 
-func sign(template, parent *x509.Certificate, own, signer *ecdsa.PrivateKey) ([]byte, error) {
+func sign(template, parent *x509.Certificate, subjectKey, signerKey *ecdsa.PrivateKey) ([]byte, error) {
 	serial, err := rand.Int(rand.Reader, big.NewInt(1<<62))
 	if err != nil {
 		return nil, err
 	}
 	template.SerialNumber = serial
 	template.NotBefore = time.Now().Add(-time.Minute)
-	template.NotAfter = time.Now().Add(life)
-	return x509.CreateCertificate(rand.Reader, template, parent, &own.PublicKey, signer)
+	template.NotAfter = time.Now().Add(validity)
+	return x509.CreateCertificate(rand.Reader, template, parent, &subjectKey.PublicKey, signerKey)
 }
 
-func encode(kind string, der []byte) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func encode(blockType string, der []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
--- a/internal/secure/ticket.go
+++ b/internal/secure/ticket.go
@@ -19,21 +19,21 @@
 // The sessions are lost with the process, and of no use once the files have
 // changed; the next connection then begins with a full handshake.
 type ticketStore struct {
-	present  func() *material
-	mu       sync.Mutex
-	limit    int
-	byTicket map[[ticketSize]byte]*list.Element
-	order    *list.List // of *storedSession, the oldest first
+	currentMaterial func() *material
+	mu              sync.Mutex
+	limit           int
+	byTicket        map[[ticketSize]byte]*list.Element
+	order           *list.List // of *storedSession, the oldest first
 }
 
 type storedSession struct {
-	ticket [ticketSize]byte
-	under  *material
-	state  *tls.SessionState
+	ticket   [ticketSize]byte
+	material *material
+	state    *tls.SessionState
 }
 
-func newTicketStore(limit int, present func() *material) *ticketStore {
-	return &ticketStore{present: present, limit: limit, byTicket: make(map[[ticketSize]byte]*list.Element), order: list.New()}
+func newTicketStore(limit int, currentMaterial func() *material) *ticketStore {
+	return &ticketStore{currentMaterial: currentMaterial, limit: limit, byTicket: make(map[[ticketSize]byte]*list.Element), order: list.New()}
 }
 
 func (s *ticketStore) install(c *tls.Config) {
@@ -42,15 +42,15 @@
 }
 
 func (s *ticketStore) wrap(_ tls.ConnectionState, state *tls.SessionState) ([]byte, error) {
-	e := &storedSession{under: s.present(), state: state}
-	rand.Read(e.ticket[:]) // never fails, as crypto/rand documents
+	stored := &storedSession{material: s.currentMaterial(), state: state}
+	rand.Read(stored.ticket[:]) // never fails, as crypto/rand documents
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.byTicket[e.ticket] = s.order.PushBack(e)
+	s.byTicket[stored.ticket] = s.order.PushBack(stored)
 	if s.order.Len() > s.limit {
 		s.remove(s.order.Front())
 	}
-	return e.ticket[:], nil
+	return stored.ticket[:], nil
 }
 
 // unwrap hands out a session once. A client that resumes gets a new ticket, so
@@ -61,20 +61,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := s.byTicket[[ticketSize]byte(identity)]
-	if at == nil {
+	elem := s.byTicket[[ticketSize]byte(identity)]
+	if elem == nil {
 		return nil, nil
 	}
-	s.remove(at)
-	stored := at.Value.(*storedSession)
-	if stored.under != s.present() {
+	s.remove(elem)
+	stored := elem.Value.(*storedSession)
+	if stored.material != s.currentMaterial() {
 		return nil, nil
 	}
 	return stored.state, nil
 }
 
 // remove needs s.mu held.
-func (s *ticketStore) remove(at *list.Element) {
-	s.order.Remove(at)
-	delete(s.byTicket, at.Value.(*storedSession).ticket)
+func (s *ticketStore) remove(elem *list.Element) {
+	s.order.Remove(elem)
+	delete(s.byTicket, elem.Value.(*storedSession).ticket)
 }
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -22,11 +22,11 @@
 	// handshakeTimeout bounds a handshake. A peer that connects and then says
 	// nothing would otherwise hold a place for ever.
 	handshakeTimeout = 3 * time.Second
-	// maxHandshakes bounds the handshakes that a listener works on at a time,
+	// maxConcurrentHandshakes bounds the handshakes that a listener works on at a time,
 	// so that a flood of connections waits in the kernel, not in memory.
-	maxHandshakes = 256
-	// refusalLogEvery is the least time between two lines about refused peers.
-	refusalLogEvery = time.Minute
+	maxConcurrentHandshakes = 256
+	// refusalLogInterval is the least time between two lines about refused peers.
+	refusalLogInterval = time.Minute
 )
 
 // handshakeKind tells how much work a handshake was.
@@ -42,7 +42,7 @@
 		"TLS handshakes between routers and sidecars, on either side.")
 	refusedPeers = telemetry.NewCounter("secure_refused_peers_total",
 		"TLS handshakes between routers and sidecars in which a certificate was missing or refused.", telemetry.Alert)
-	distrusted = telemetry.NewCounter("secure_distrusted_connections_total",
+	distrustedConns = telemetry.NewCounter("secure_distrusted_connections_total",
 		"Connections between routers and sidecars ended because the present files no longer trust the peer's certificate.")
 	brokenHandshakes = telemetry.NewCounter("secure_broken_handshakes_total",
 		"TLS handshakes between routers and sidecars that broke off or took too long.")
@@ -74,13 +74,13 @@
 type Conn struct {
 	*tls.Conn
 	Peer   Identity
-	use    x509.ExtKeyUsage // that the peer's certificate must allow
+	usage  x509.ExtKeyUsage // that the peer's certificate must allow
 	mutual *MutualTLS
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
-	c.mutual.forget(c)
+	c.mutual.removeConn(c)
 	return c.Conn.Close()
 }
 
@@ -100,26 +100,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return m.shake(ctx, raw, x509.ExtKeyUsageServerAuth, func(c net.Conn) *tls.Conn { return tls.Client(c, m.ClientConfig(vm)) })
+	return m.handshake(ctx, raw, x509.ExtKeyUsageServerAuth, func(c net.Conn) *tls.Conn { return tls.Client(c, m.ClientConfig(vm)) })
 }
 
-// shake runs a handshake over raw, with a peer whose certificate must allow
+// handshake runs a handshake over raw, with a peer whose certificate must allow
 // use, and closes raw when it fails.
-func (m *MutualTLS) shake(ctx context.Context, raw net.Conn, use x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
+func (m *MutualTLS) handshake(ctx context.Context, raw net.Conn, usage x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	judged := m.material.Load()
+	initial := m.material.Load()
 	counted := &countingConn{Conn: raw}
 	conn := wrap(counted)
 	err := conn.HandshakeContext(ctx)
 	var peer Identity
 	if err == nil {
-		peer, err = identityOf(conn.ConnectionState().PeerCertificates[0], m.domain)
+		peer, err = identityOf(conn.ConnectionState().PeerCertificates[0], m.trustDomain)
 	}
-	telemetry.ControlBytes.Add(telemetry.ControlHandshake, counted.n.Load())
+	telemetry.ControlBytes.Add(telemetry.ControlHandshake, counted.byteCount.Load())
 	if err != nil {
 		_ = raw.Close()
-		m.countFailure(raw.RemoteAddr(), err)
+		m.recordFailure(raw.RemoteAddr(), err)
 		return nil, err
 	}
 	kind := handshakeFull
@@ -127,39 +127,39 @@
 		kind = handshakeResumed
 	}
 	handshakes.Inc(kind)
-	c := &Conn{Conn: conn, Peer: peer, use: use, mutual: m}
-	m.remember(c)
+	c := &Conn{Conn: conn, Peer: peer, usage: usage, mutual: m}
+	m.addConn(c)
 	// Files that changed during the handshake have judged only the connections
 	// that were there.
-	if m.material.Load() != judged {
-		m.endDistrusted()
+	if m.material.Load() != initial {
+		m.closeDistrusted()
 	}
 	return c, nil
 }
 
-// countFailure tells a peer that is not trusted, or does not trust us, from a
+// recordFailure tells a peer that is not trusted, or does not trust us, from a
 // connection that broke.
-func (m *MutualTLS) countFailure(from net.Addr, err error) {
-	if isBroken(err) {
+func (m *MutualTLS) recordFailure(from net.Addr, err error) {
+	if isConnectionFailure(err) {
 		brokenHandshakes.Inc()
 		return
 	}
 	refusedPeers.Inc()
 	now := time.Now().UnixNano()
-	last := m.refusalLogged.Load()
-	if now-last > int64(refusalLogEvery) && m.refusalLogged.CompareAndSwap(last, now) {
+	last := m.lastRefusalLog.Load()
+	if now-last > int64(refusalLogInterval) && m.lastRefusalLog.CompareAndSwap(last, now) {
 		slog.Warn("peer refused; more within a minute are only counted", "peer", from.String(), "error", err)
 	}
 }
 
-// remoteAlert is the Op of the error that crypto/tls returns for an alert that
+// remoteAlertOp is the Op of the error that crypto/tls returns for an alert that
 // the other side has sent.
-const remoteAlert = "remote error"
+const remoteAlertOp = "remote error"
 
-func isBroken(err error) bool {
+func isConnectionFailure(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) {
-		return op.Op != remoteAlert
+		return op.Op != remoteAlertOp
 	}
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
@@ -169,7 +169,7 @@
 // runs on afterwards, unread.
 type countingConn struct {
 	net.Conn
-	n atomic.Int64
+	byteCount atomic.Int64
 }
 
 // NetConn returns the connection within, as that of tls.Conn does.
@@ -179,13 +179,13 @@
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.n.Add(int64(n))
+	c.byteCount.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.n.Add(int64(n))
+	c.byteCount.Add(int64(n))
 	return n, err
 }
 
@@ -195,9 +195,9 @@
 	out := &listener{
 		Listener: l,
 		mutual:   m,
-		ready:    make(chan net.Conn),
+		accepted: make(chan net.Conn),
 		closed:   make(chan struct{}),
-		places:   make(chan struct{}, maxHandshakes),
+		slots:    make(chan struct{}, maxConcurrentHandshakes),
 	}
 	go out.run()
 	return out
@@ -205,12 +205,12 @@
 
 type listener struct {
 	net.Listener
-	mutual *MutualTLS
-	ready  chan net.Conn
-	places chan struct{}
-	once   sync.Once
-	closed chan struct{}
-	err    error // why accepting has ended; set before closed is
+	mutual   *MutualTLS
+	accepted chan net.Conn
+	slots    chan struct{}
+	once     sync.Once
+	closed   chan struct{}
+	err      error // why accepting has ended; set before closed is
 }
 
 func (l *listener) run() {
@@ -218,11 +218,11 @@
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
-			l.end(err)
+			l.stop(err)
 			return
 		}
 		select {
-		case l.places <- struct{}{}:
+		case l.slots <- struct{}{}:
 		case <-l.closed:
 			_ = raw.Close()
 			return
@@ -232,19 +232,19 @@
 }
 
 func (l *listener) serve(raw net.Conn, config *tls.Config) {
-	conn, err := l.mutual.shake(context.Background(), raw, x509.ExtKeyUsageClientAuth, func(c net.Conn) *tls.Conn { return tls.Server(c, config) })
-	<-l.places
+	conn, err := l.mutual.handshake(context.Background(), raw, x509.ExtKeyUsageClientAuth, func(c net.Conn) *tls.Conn { return tls.Server(c, config) })
+	<-l.slots
 	if err != nil {
 		return
 	}
 	select {
-	case l.ready <- conn:
+	case l.accepted <- conn:
 	case <-l.closed:
 		_ = conn.Close()
 	}
 }
 
-func (l *listener) end(err error) {
+func (l *listener) stop(err error) {
 	l.once.Do(func() {
 		l.err = err
 		close(l.closed)
@@ -254,7 +254,7 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ready:
+	case c := <-l.accepted:
 		return c, nil
 	case <-l.closed:
 		return nil, l.err
@@ -263,6 +263,6 @@
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
-	l.end(net.ErrClosed)
+	l.stop(net.ErrClosed)
 	return l.Listener.Close()
 }
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -15,25 +15,25 @@
 	nonce  token.Nonce
 	window int64
 
-	mu      sync.Mutex
-	wake    chan struct{} // holds one token when there is something new
-	opened  bool          // the Head has come
-	skip    bool          // the reader has the Head from an earlier Stream
-	head    *Head         // not yet taken
-	buf     []byte        // not yet taken
-	next    int64         // offset of the next byte to arrive
-	taken   int64         // offset of the next byte to be read
-	credit  int64         // offset up to which the sidecar may send
-	end     *End
-	err     *verdict.Error
-	granted bool // a credit is being sent
-}
-
-func newStream(l *link, id StreamID, o opening) *Stream {
+	mu            sync.Mutex
+	wake          chan struct{} // holds one token when there is something new
+	headReceived  bool          // the Head has come
+	skipHead      bool          // the reader has the Head from an earlier Stream
+	head          *Head         // not yet taken
+	buf           []byte        // not yet taken
+	nextOffset    int64         // offset of the next byte to arrive
+	readOffset    int64         // offset of the next byte to be read
+	creditLimit   int64         // offset up to which the sidecar may send
+	end           *End
+	err           *verdict.Error
+	creditPending bool // a credit is being sent
+}
+
+func newStream(l *link, id StreamID, o streamOptions) *Stream {
 	return &Stream{
 		link: l, id: id, nonce: o.nonce, window: int64(o.window),
-		wake: make(chan struct{}, 1), skip: o.headSeen,
-		next: o.offset, taken: o.offset, credit: o.offset + int64(o.window),
+		wake: make(chan struct{}, 1), skipHead: o.headSeen,
+		nextOffset: o.offset, readOffset: o.offset, creditLimit: o.offset + int64(o.window),
 	}
 }
 
@@ -49,7 +49,7 @@
 // Offset; the answer can be attached to again from there.
 func (s *Stream) Next(ctx context.Context) (Piece, error) {
 	for {
-		piece, ok, err := s.take()
+		piece, ok, err := s.takePiece()
 		if err != nil {
 			return Piece{}, err
 		}
@@ -64,9 +64,9 @@
 	}
 }
 
-// take returns what has arrived already. It grants new credit once half of the
+// takePiece returns what has arrived already. It grants new credit once half of the
 // window has been read.
-func (s *Stream) take() (Piece, bool, error) {
+func (s *Stream) takePiece() (Piece, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -77,8 +77,8 @@
 	case len(s.buf) > 0:
 		b := s.buf
 		s.buf = nil
-		s.taken += int64(len(b))
-		s.grant()
+		s.readOffset += int64(len(b))
+		s.grantCredit()
 		return Piece{Bytes: b}, true, nil
 	case s.end != nil:
 		return Piece{End: s.end}, true, nil
@@ -88,21 +88,21 @@
 	return Piece{}, false, nil
 }
 
-// grant sends new credit, away from the reader since a write can block. It
+// grantCredit sends new credit, away from the reader since a write can block. It
 // needs s.mu held.
-func (s *Stream) grant() {
-	if s.granted || s.end != nil || s.err != nil || s.taken+s.window-s.credit < s.window/2 {
+func (s *Stream) grantCredit() {
+	if s.creditPending || s.end != nil || s.err != nil || s.readOffset+s.window-s.creditLimit < s.window/2 {
 		return
 	}
-	s.granted = true
+	s.creditPending = true
 	go s.sendCredit()
 }
 
 func (s *Stream) sendCredit() {
 	s.mu.Lock()
-	s.granted = false
-	s.credit = s.taken + s.window
-	upTo := s.credit
+	s.creditPending = false
+	s.creditLimit = s.readOffset + s.window
+	upTo := s.creditLimit
 	s.mu.Unlock()
 	_ = s.link.conn.Send(Credit{Stream: s.id, UpTo: upTo})
 }
@@ -111,17 +111,17 @@
 func (s *Stream) Offset() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken
+	return s.readOffset
 }
 
 // Close ends the stream on this side. The request goes on at the sidecar.
 func (s *Stream) Close() {
-	s.link.forget(s)
+	s.link.remove(s)
 	s.mu.Lock()
-	whole := s.end != nil
+	complete := s.end != nil
 	s.mu.Unlock()
 	s.fail(verdict.New(verdict.MayHaveRun, verdict.ReasonCancelled, "the reader has gone"))
-	if !whole {
+	if !complete {
 		s.link.detach(s.id)
 	}
 }
@@ -133,9 +133,9 @@
 	}
 }
 
-// admit reports whether a frame is for this stream. A frame that names another
+// accepts reports whether a frame is for this stream. A frame that names another
 // request is crossed: it must not reach this reader in any way.
-func (s *Stream) admit(nonce token.Nonce) bool {
+func (s *Stream) accepts(nonce token.Nonce) bool {
 	if nonce == s.nonce {
 		return s.end == nil && s.err == nil
 	}
@@ -148,11 +148,11 @@
 func (s *Stream) onHead(h Head) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.admit(h.Nonce) || s.opened {
+	if !s.accepts(h.Nonce) || s.headReceived {
 		return
 	}
-	s.opened = true
-	if !s.skip {
+	s.headReceived = true
+	if !s.skipHead {
 		s.head = &h
 	}
 	s.signal()
@@ -165,26 +165,26 @@
 func (s *Stream) onData(d Data) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.admit(d.Nonce) {
+	if !s.accepts(d.Nonce) {
 		return
 	}
-	seen := s.next - d.Offset
+	received := s.nextOffset - d.Offset
 	switch {
-	case !s.opened:
+	case !s.headReceived:
 		s.breakOff("bytes ahead of the head")
-	case seen < 0:
+	case received < 0:
 		s.breakOff("a gap")
-	case seen >= int64(len(d.Bytes)):
-	case d.Offset+int64(len(d.Bytes)) > s.credit:
+	case received >= int64(len(d.Bytes)):
+	case d.Offset+int64(len(d.Bytes)) > s.creditLimit:
 		s.breakOff("bytes beyond the credit")
 	default:
-		s.push(d.Bytes[seen:])
+		s.push(d.Bytes[received:])
 	}
 }
 
 // push needs s.mu held.
 func (s *Stream) push(b []byte) {
-	s.next += int64(len(b))
+	s.nextOffset += int64(len(b))
 	if len(s.buf) == 0 {
 		s.buf = b
 	} else {
@@ -196,27 +196,27 @@
 // onEnd ends the stream, unless something is missing before the end.
 func (s *Stream) onEnd(e End) {
 	s.mu.Lock()
-	ok := s.admit(e.Nonce)
+	accepted := s.accepts(e.Nonce)
 	switch {
-	case !ok:
-	case e.Length != s.next:
+	case !accepted:
+	case e.Length != s.nextOffset:
 		s.breakOff("an end with bytes missing")
-	case !s.opened && e.Error == nil:
+	case !s.headReceived && e.Error == nil:
 		s.breakOff("an end without a head")
 	default:
 		s.end = &e
 		s.signal()
 	}
 	s.mu.Unlock()
-	if ok {
-		s.link.forget(s)
+	if accepted {
+		s.link.remove(s)
 	}
 }
 
 // breakOff needs s.mu held.
-func (s *Stream) breakOff(why string) {
+func (s *Stream) breakOff(reason string) {
 	brokenStreams.Inc()
-	s.err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s at offset %d", why, s.next)
+	s.err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s at offset %d", reason, s.nextOffset)
 	s.signal()
 }
 
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// counter counts frames and admits what is submitted.
-type counter struct {
-	left int
-	done chan struct{}
+// countingHandler counts frames and admits what is submitted.
+type countingHandler struct {
+	remaining int
+	done      chan struct{}
 }
 
-func (c *counter) HandleCall(_ context.Context, _ *Conn, _ Method, p Params) (any, error) {
+func (c *countingHandler) HandleCall(_ context.Context, _ *Conn, _ Method, p Params) (any, error) {
 	var s Submit
 	return Admission{}, p.Decode(&s)
 }
 
-func (c *counter) HandleFrame(*Conn, Frame) {
-	if c.left--; c.left == 0 {
+func (c *countingHandler) HandleFrame(*Conn, Frame) {
+	if c.remaining--; c.remaining == 0 {
 		close(c.done)
 	}
 }
@@ -51,7 +51,7 @@
 
 // BenchmarkData sends the event of a token, from writer to handler.
 func BenchmarkData(b *testing.B) {
-	h := &counter{left: b.N, done: make(chan struct{})}
+	h := &countingHandler{remaining: b.N, done: make(chan struct{})}
 	c := loopback(b, h)
 	for i := range b.N {
 		if err := c.Send(Data{Stream: 1, Offset: int64(i), Bytes: make([]byte, 220)}); err != nil {
@@ -65,7 +65,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 16 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := loopback(b, &counter{})
+			c := loopback(b, &countingHandler{})
 			s := Submit{
 				Org: "club", Treatment: Treatment{Profile: "chat", Deadline: time.Minute, Priority: 3},
 				Call: Call{Method: "POST", Path: "/v1/chat/completions", Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, size)},
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -40,16 +40,16 @@
 
 // Conn is one connection between a router and a sidecar.
 type Conn struct {
-	rpc     *jsonrpc2.Conn
-	link    *transport
-	handler Handler
-	ctx     context.Context // ends with the connection
-	replies sync.Mutex      // keeps link.method right for a reply
-	ponging sync.Mutex      // held while a pong is written
-	pulse   pulse
-
-	mu      sync.Mutex
-	submits map[StreamID]chan admitted // that wait for their reply
+	rpc       *jsonrpc2.Conn
+	transport *transport
+	handler   Handler
+	ctx       context.Context // ends with the connection
+	replyMu   sync.Mutex      // keeps link.method right for a reply
+	pongMu    sync.Mutex      // held while a pong is written
+	liveness  liveness
+
+	mu             sync.Mutex
+	pendingSubmits map[StreamID]chan submitReply // that wait for their reply
 }
 
 // NewConn runs the protocol over c until Close, until ctx ends or until c fails.
@@ -60,11 +60,11 @@
 // newConn calls onClose once the connection has ended.
 func newConn(ctx context.Context, c net.Conn, h Handler, onClose func(*Conn)) *Conn {
 	setKeepAlive(c)
-	conn := &Conn{link: newTransport(c, writeTimeout), handler: h, submits: make(map[StreamID]chan admitted)}
-	conn.link.onFrame = conn.handleFrame
+	conn := &Conn{transport: newTransport(c, writeTimeout), handler: h, pendingSubmits: make(map[StreamID]chan submitReply)}
+	conn.transport.onFrame = conn.handleFrame
 	ctx, cancel := context.WithCancel(ctx)
 	conn.ctx = ctx
-	conn.link.onClose = func() {
+	conn.transport.onClose = func() {
 		openConnections.Add(-1)
 		cancel()
 		if onClose != nil {
@@ -72,22 +72,22 @@
 		}
 	}
 	openConnections.Add(1)
-	conn.rpc = jsonrpc2.NewConn(ctx, conn.link, conn,
-		jsonrpc2.OnSend(conn.onSend), jsonrpc2.OnRecv(conn.onReceive), jsonrpc2.SetLogger(quiet{}))
+	conn.rpc = jsonrpc2.NewConn(ctx, conn.transport, conn,
+		jsonrpc2.OnSend(conn.onSend), jsonrpc2.OnRecv(conn.onReceive), jsonrpc2.SetLogger(discardLogger{}))
 	return conn
 }
 
 func setKeepAlive(c net.Conn) {
-	if tcp, ok := innermost(c).(*net.TCPConn); ok {
+	if tcp, ok := unwrapConn(c).(*net.TCPConn); ok {
 		_ = tcp.SetKeepAliveConfig(keepAlive) // without it the connection still works
 	}
 }
 
-// quiet drops what jsonrpc2 would log at the end of a connection: the counters
+// discardLogger drops what jsonrpc2 would log at the end of a connection: the counters
 // tell of it.
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Handle implements jsonrpc2.Handler.
 func (c *Conn) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
@@ -119,9 +119,9 @@
 }
 
 func (c *Conn) reply(rpc *jsonrpc2.Conn, m Method, r *jsonrpc2.Response) error {
-	c.replies.Lock()
-	defer c.replies.Unlock()
-	c.link.replying = m
+	c.replyMu.Lock()
+	defer c.replyMu.Unlock()
+	c.transport.replyMethod = m
 	return rpc.SendResponse(context.Background(), r)
 }
 
@@ -129,16 +129,16 @@
 // under the same lock.
 func (c *Conn) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	if req != nil {
-		c.link.method = Method(req.Method)
+		c.transport.nextMethod = Method(req.Method)
 		return
 	}
-	c.link.method = c.link.replying
+	c.transport.nextMethod = c.transport.replyMethod
 }
 
 // onReceive counts what was read last.
 func (c *Conn) onReceive(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	if req != nil {
-		count(Method(req.Method), c.link.size)
+		countFrame(Method(req.Method), c.transport.lastSize)
 	}
 }
 
@@ -146,26 +146,26 @@
 	switch f := f.(type) {
 	case Submit:
 		go c.serveSubmit(f)
-	case admitted:
-		c.deliver(f)
+	case submitReply:
+		c.deliverReply(f)
 	case ping:
-		c.pong()
+		c.sendPong()
 	case pong:
-		c.ponged()
+		c.onPong()
 	default:
 		c.handler.HandleFrame(c, f)
 	}
 }
 
-// pong answers a ping, away from the reading goroutine since a write can
+// sendPong answers a ping, away from the reading goroutine since a write can
 // block. While one is under way, more pings need no more answers.
-func (c *Conn) pong() {
-	if !c.ponging.TryLock() {
+func (c *Conn) sendPong() {
+	if !c.pongMu.TryLock() {
 		return
 	}
 	go func() {
-		defer c.ponging.Unlock()
-		_ = c.link.writeFrame(pong{})
+		defer c.pongMu.Unlock()
+		_ = c.transport.writeFrame(pong{})
 	}()
 }
 
@@ -174,16 +174,16 @@
 // not come, because ctx or the connection ended, is MayHaveRun.
 func (c *Conn) Call(ctx context.Context, m Method, params, result any) error {
 	if ctx.Err() != nil {
-		return notSent(ctx.Err())
+		return notSentError(ctx.Err())
 	}
-	waiter, err := c.rpc.DispatchCall(ctx, string(m), params)
+	call, err := c.rpc.DispatchCall(ctx, string(m), params)
 	if err != nil {
-		return notSent(err)
+		return notSentError(err)
 	}
-	return decodeError(waiter.Wait(ctx, result))
+	return decodeError(call.Wait(ctx, result))
 }
 
-func notSent(err error) error {
+func notSentError(err error) error {
 	if errors.Is(err, ErrTooLarge) {
 		return verdict.New(verdict.NotRun, verdict.ReasonTooLarge, "the request is too large to be sent")
 	}
@@ -193,44 +193,44 @@
 // submit sends a Submit and waits for its reply. Errors are those of Call.
 func (c *Conn) submit(ctx context.Context, s Submit) (Admission, error) {
 	if ctx.Err() != nil {
-		return Admission{}, notSent(ctx.Err())
+		return Admission{}, notSentError(ctx.Err())
 	}
 	countControl(s.Control)
-	reply := make(chan admitted, 1)
-	c.await(s.Stream, reply)
-	defer c.await(s.Stream, nil)
-	if err := c.link.writeFrame(s); err != nil {
-		return Admission{}, notSent(err)
+	reply := make(chan submitReply, 1)
+	c.setWaiter(s.Stream, reply)
+	defer c.setWaiter(s.Stream, nil)
+	if err := c.transport.writeFrame(s); err != nil {
+		return Admission{}, notSentError(err)
 	}
 	select {
-	case a := <-reply:
-		if a.Error != nil {
-			return Admission{}, a.Error
+	case r := <-reply:
+		if r.Error != nil {
+			return Admission{}, r.Error
 		}
-		return a.Admission, nil
+		return r.Admission, nil
 	case <-ctx.Done():
 		return Admission{}, verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s", ctx.Err())
 	case <-c.ctx.Done():
-		return Admission{}, errLost()
+		return Admission{}, errConnectionLost()
 	}
 }
 
-// await sets, or with nil takes away, who waits for the reply to a Submit.
-func (c *Conn) await(id StreamID, reply chan admitted) {
+// setWaiter sets, or with nil takes away, who waits for the reply to a Submit.
+func (c *Conn) setWaiter(id StreamID, reply chan submitReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply == nil {
-		delete(c.submits, id)
+		delete(c.pendingSubmits, id)
 		return
 	}
-	c.submits[id] = reply
+	c.pendingSubmits[id] = reply
 }
 
-// deliver hands a reply to who waits for it, once.
-func (c *Conn) deliver(a admitted) {
+// deliverReply hands a reply to who waits for it, once.
+func (c *Conn) deliverReply(a submitReply) {
 	c.mu.Lock()
-	reply := c.submits[a.Stream]
-	delete(c.submits, a.Stream)
+	reply := c.pendingSubmits[a.Stream]
+	delete(c.pendingSubmits, a.Stream)
 	c.mu.Unlock()
 	if reply != nil {
 		reply <- a // it has room for the one
@@ -240,12 +240,12 @@
 func (c *Conn) serveSubmit(s Submit) {
 	countControl(s.Control)
 	result, err := c.handler.HandleCall(c.ctx, c, MethodSubmit, Params{submit: &s})
-	reply := admitted{Stream: s.Stream, Error: verdict.From(err)}
-	if adm, ok := result.(Admission); ok {
-		countControl(adm.Control)
-		reply.Admission = adm
+	reply := submitReply{Stream: s.Stream, Error: verdict.From(err)}
+	if admission, ok := result.(Admission); ok {
+		countControl(admission.Control)
+		reply.Admission = admission
 	}
-	_ = c.link.writeFrame(reply)
+	_ = c.transport.writeFrame(reply)
 }
 
 // Send sends a frame. After an error other than ErrTooLarge the connection has
@@ -254,7 +254,7 @@
 	if end, ok := f.(End); ok {
 		countControl(end.Control)
 	}
-	return c.link.writeFrame(f)
+	return c.transport.writeFrame(f)
 }
 
 // Close ends the connection.
@@ -278,7 +278,7 @@
 
 // lastRead is the time at which the peer was heard last.
 func (c *Conn) lastRead() time.Time {
-	return time.Unix(0, c.link.lastRead.Load())
+	return time.Unix(0, c.transport.lastRead.Load())
 }
 
 // Params is the content of a call.
@@ -294,10 +294,10 @@
 		*s = *p.submit
 		return nil
 	}
-	return unreadable(json.Unmarshal(p.json, v))
+	return asBadRequest(json.Unmarshal(p.json, v))
 }
 
-func unreadable(err error) error {
+func asBadRequest(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -35,19 +35,19 @@
 
 // controlKinds are the frames that are neither a request nor an answer.
 var controlKinds = map[Method]telemetry.ControlKind{
-	MethodHello:        telemetry.ControlHello,
-	MethodStatus:       telemetry.ControlStatus,
-	MethodNotice:       telemetry.ControlNotice,
-	MethodReport:       telemetry.ControlReport,
-	MethodOrder:        telemetry.ControlOrder,
-	MethodConfigSince:  telemetry.ControlConfig,
-	labels[kindCredit]: telemetry.ControlCredit,
-	labels[kindDetach]: telemetry.ControlCredit,
-	labels[kindPing]:   telemetry.ControlHeartbeat,
-	labels[kindPong]:   telemetry.ControlHeartbeat,
+	MethodHello:             telemetry.ControlHello,
+	MethodStatus:            telemetry.ControlStatus,
+	MethodNotice:            telemetry.ControlNotice,
+	MethodReport:            telemetry.ControlReport,
+	MethodOrder:             telemetry.ControlOrder,
+	MethodConfigSince:       telemetry.ControlConfig,
+	frameLabels[kindCredit]: telemetry.ControlCredit,
+	frameLabels[kindDetach]: telemetry.ControlCredit,
+	frameLabels[kindPing]:   telemetry.ControlHeartbeat,
+	frameLabels[kindPong]:   telemetry.ControlHeartbeat,
 }
 
-func count(m Method, n int) {
+func countFrame(m Method, n int) {
 	frameBytes.Add(m, int64(n))
 	if kind, ok := controlKinds[m]; ok {
 		telemetry.ControlBytes.Add(kind, int64(n))
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -9,14 +9,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// kind tells what a frame holds.
-type kind byte
+// frameKind tells what a frame holds.
+type frameKind byte
 
 // Kinds of frame. All but kindRPC hold CBOR.
 const (
-	kindRPC kind = iota + 1 // a JSON-RPC call or reply
+	kindRPC frameKind = iota + 1 // a JSON-RPC call or reply
 	kindSubmit
-	kindAdmitted
+	kindSubmitReply
 	kindHead
 	kindData
 	kindEnd
@@ -37,37 +37,37 @@
 	// MaxData is the largest piece of an answer.
 	MaxData = 64 << 10
 
-	maxHead    = 1 << 20
-	maxEnd     = 64 << 10
-	maxSmall   = 64
-	maxUnknown = 64 << 10
-	maxExtra   = 64 // what CBOR adds to a run of bytes
+	maxHead      = 1 << 20
+	maxEnd       = 64 << 10
+	maxSmall     = 64
+	maxUnknown   = 64 << 10
+	cborOverhead = 64 // what CBOR adds to a run of bytes
 )
 
-var maxSize = [kindCount]int{
-	kindRPC:      MaxMessage,
-	kindSubmit:   MaxBody + maxHead,
-	kindAdmitted: maxEnd,
-	kindHead:     maxHead,
-	kindData:     MaxData + maxExtra,
-	kindEnd:      maxEnd,
-	kindCredit:   maxSmall,
-	kindDetach:   maxSmall,
-	kindPing:     maxSmall,
-	kindPong:     maxSmall,
+var maxContentSize = [kindCount]int{
+	kindRPC:         MaxMessage,
+	kindSubmit:      MaxBody + maxHead,
+	kindSubmitReply: maxEnd,
+	kindHead:        maxHead,
+	kindData:        MaxData + cborOverhead,
+	kindEnd:         maxEnd,
+	kindCredit:      maxSmall,
+	kindDetach:      maxSmall,
+	kindPing:        maxSmall,
+	kindPong:        maxSmall,
 }
 
-// labels names the kinds that are no calls, for the counters.
-var labels = [kindCount]Method{
-	kindSubmit:   MethodSubmit,
-	kindAdmitted: "admitted",
-	kindHead:     "head",
-	kindData:     "data",
-	kindEnd:      "end",
-	kindCredit:   "credit",
-	kindDetach:   "detach",
-	kindPing:     "ping",
-	kindPong:     "pong",
+// frameLabels names the kinds that are no calls, for the counters.
+var frameLabels = [kindCount]Method{
+	kindSubmit:      MethodSubmit,
+	kindSubmitReply: "admitted",
+	kindHead:        "head",
+	kindData:        "data",
+	kindEnd:         "end",
+	kindCredit:      "credit",
+	kindDetach:      "detach",
+	kindPing:        "ping",
+	kindPong:        "pong",
 }
 
 // StreamID numbers the readings of answers on one connection. Each Submit and
@@ -80,7 +80,7 @@
 // encodes a message several times over, which was a quarter of what a request
 // cost a router.
 type Frame interface {
-	kind() kind
+	kind() frameKind
 }
 
 // Head is the start of an answer.
@@ -120,8 +120,8 @@
 	Stream StreamID `cbor:"1,keyasint"`
 }
 
-// admitted is the reply to the Submit of a stream.
-type admitted struct {
+// submitReply is the reply to the Submit of a stream.
+type submitReply struct {
 	Stream    StreamID       `cbor:"1,keyasint"`
 	Admission Admission      `cbor:"2,keyasint"`
 	Error     *verdict.Error `cbor:"3,keyasint,omitempty"` // instead of an Admission
@@ -130,19 +130,19 @@
 type ping struct{}
 type pong struct{}
 
-func (Head) kind() kind     { return kindHead }
-func (Data) kind() kind     { return kindData }
-func (End) kind() kind      { return kindEnd }
-func (Credit) kind() kind   { return kindCredit }
-func (Detach) kind() kind   { return kindDetach }
-func (Submit) kind() kind   { return kindSubmit }
-func (admitted) kind() kind { return kindAdmitted }
-func (ping) kind() kind     { return kindPing }
-func (pong) kind() kind     { return kindPong }
+func (Head) kind() frameKind        { return kindHead }
+func (Data) kind() frameKind        { return kindData }
+func (End) kind() frameKind         { return kindEnd }
+func (Credit) kind() frameKind      { return kindCredit }
+func (Detach) kind() frameKind      { return kindDetach }
+func (Submit) kind() frameKind      { return kindSubmit }
+func (submitReply) kind() frameKind { return kindSubmitReply }
+func (ping) kind() frameKind        { return kindPing }
+func (pong) kind() frameKind        { return kindPong }
 
 // decodeFrame decodes the content of a frame. It returns nil for a kind that
 // it does not know: a newer peer may send more than we understand.
-func decodeFrame(k kind, content []byte) (Frame, error) {
+func decodeFrame(k frameKind, content []byte) (Frame, error) {
 	switch k {
 	case kindHead:
 		return decodeAs[Head](content)
@@ -156,8 +156,8 @@
 		return decodeAs[Detach](content)
 	case kindSubmit:
 		return decodeAs[Submit](content)
-	case kindAdmitted:
-		return decodeAs[admitted](content)
+	case kindSubmitReply:
+		return decodeAs[submitReply](content)
 	case kindPing:
 		return ping{}, nil
 	case kindPong:
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -14,30 +14,30 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// memory is a connection that holds what there is to read and keeps what is written.
-type memory struct {
+// memoryConn is a connection that holds what there is to read and keeps what is written.
+type memoryConn struct {
 	net.Conn
 	in  bytes.Reader
 	out bytes.Buffer
 }
 
-func (m *memory) Read(b []byte) (int, error)       { return m.in.Read(b) }
-func (m *memory) Write(b []byte) (int, error)      { return m.out.Write(b) }
-func (m *memory) SetWriteDeadline(time.Time) error { return nil }
-func (m *memory) Close() error                     { return nil }
+func (m *memoryConn) Read(b []byte) (int, error)       { return m.in.Read(b) }
+func (m *memoryConn) Write(b []byte) (int, error)      { return m.out.Write(b) }
+func (m *memoryConn) SetWriteDeadline(time.Time) error { return nil }
+func (m *memoryConn) Close() error                     { return nil }
 
 var sampleFrames = []Frame{
 	Head{Stream: 1, Status: 200, Header: http.Header{"A": {"b"}}},
 	Data{Stream: 1, Offset: 7, Bytes: []byte("x")},
 	End{Stream: 1, Length: 8, Error: verdict.New(verdict.Ran, verdict.ReasonCancelled, "d")},
 	Credit{Stream: 1, UpTo: 9}, Detach{Stream: 1},
-	Submit{Stream: 1, Session: 2, Treatment: Treatment{Deadline: 3}, Call: Call{Body: []byte("y")}, Control: Control{Suspects: json.RawMessage("{}")}}, admitted{Stream: 1, Admission: Admission{Joined: true}}, ping{}, pong{},
+	Submit{Stream: 1, Session: 2, Treatment: Treatment{Deadline: 3}, Call: Call{Body: []byte("y")}, Control: Control{Suspects: json.RawMessage("{}")}}, submitReply{Stream: 1, Admission: Admission{Joined: true}}, ping{}, pong{},
 }
 
 // FuzzFrames reads a connection that may hold anything: it must end in an
 // error, or in a frame that reads the same when written and read again.
 func FuzzFrames(f *testing.F) {
-	all := &memory{}
+	all := &memoryConn{}
 	w := newTransport(all, time.Second)
 	for _, frame := range sampleFrames {
 		_ = w.writeFrame(frame)
@@ -48,7 +48,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add([]byte{0, 0, 0, 3, 99, 0, 0, 0, 1, 1, 2, 3})
 	f.Fuzz(func(t *testing.T, content []byte) {
-		m := &memory{}
+		m := &memoryConn{}
 		m.in.Reset(content)
 		r := newTransport(m, time.Second)
 		r.onFrame = func(got Frame) {
@@ -86,8 +86,8 @@
 	}
 	f.Add(uint8(1), []byte(`{"key":{"nonce":"00"},"offset":-1}`))
 	f.Fuzz(func(t *testing.T, which uint8, content []byte) {
-		kind := reflect.TypeOf(types[int(which)%len(types)])
-		v := reflect.New(kind)
+		messageType := reflect.TypeOf(types[int(which)%len(types)])
+		v := reflect.New(messageType)
 		if (Params{json: content}).Decode(v.Interface()) != nil {
 			return
 		}
@@ -95,7 +95,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again := reflect.New(kind)
+		again := reflect.New(messageType)
 		_ = json.Unmarshal(first, again.Interface())
 		if second, _ := json.Marshal(again.Interface()); !bytes.Equal(first, second) {
 			t.Errorf("%s became %s", first, second)
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -16,22 +16,22 @@
 	conn  *Conn
 	hello Hello
 
-	mu      sync.Mutex
-	ended   bool
-	streams map[StreamID]*Stream
-	newest  StreamID
-	calls   int // under way
-	used    time.Time
-	timer   *time.Timer // set while the connection lives
+	mu           sync.Mutex
+	ended        bool
+	streams      map[StreamID]*Stream
+	lastStreamID StreamID
+	activeCalls  int // under way
+	lastUsed     time.Time
+	timer        *time.Timer // set while the connection lives
 }
 
 func newLink(p *Peer, c net.Conn) *link {
 	l := &link{peer: p, streams: make(map[StreamID]*Stream)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conn = newConn(context.Background(), c, l, func(*Conn) { l.end() })
-	l.used = time.Now()
-	l.timer = time.AfterFunc(p.config.Timing.IdleTimeout, l.check)
+	l.conn = newConn(context.Background(), c, l, func(*Conn) { l.onClose() })
+	l.lastUsed = time.Now()
+	l.timer = time.AfterFunc(p.config.Timing.IdleTimeout, l.onTimer)
 	return l
 }
 
@@ -50,12 +50,12 @@
 		return false
 	}
 	t := l.peer.config.Timing
-	if l.calls == 0 && len(l.streams) == 0 {
-		l.conn.begin(t, now)
-		l.timer.Reset(t.tick())
+	if l.activeCalls == 0 && len(l.streams) == 0 {
+		l.conn.startMonitoring(t, now)
+		l.timer.Reset(t.checkInterval())
 	}
-	l.calls++
-	l.used = now
+	l.activeCalls++
+	l.lastUsed = now
 	return true
 }
 
@@ -63,24 +63,24 @@
 func (l *link) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls--
-	l.used = time.Now()
+	l.activeCalls--
+	l.lastUsed = time.Now()
 }
 
 func (l *link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calls == 0 && len(l.streams) == 0 && now.Sub(l.used) >= l.peer.config.Timing.IdleTimeout
+	return l.activeCalls == 0 && len(l.streams) == 0 && now.Sub(l.lastUsed) >= l.peer.config.Timing.IdleTimeout
 }
 
 // open adds a stream. It needs a call acquired.
-func (l *link) open(o opening) *Stream {
+func (l *link) open(o streamOptions) *Stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.newest++
-	s := newStream(l, l.newest, o)
+	l.lastStreamID++
+	s := newStream(l, l.lastStreamID, o)
 	if l.ended {
-		s.fail(errLost())
+		s.fail(errConnectionLost())
 		return s
 	}
 	l.streams[s.id] = s
@@ -88,20 +88,20 @@
 	return s
 }
 
-// forget removes a stream.
-func (l *link) forget(s *Stream) {
+// remove removes a stream.
+func (l *link) remove(s *Stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.streams[s.id] == s {
 		delete(l.streams, s.id)
 		openStreams.Add(-1)
-		l.used = time.Now()
+		l.lastUsed = time.Now()
 	}
 }
 
-// check runs on the link's timer: often while something is awaited, else when
+// onTimer runs on the link's timer: often while something is awaited, else when
 // the connection may have been idle for long enough.
-func (l *link) check() {
+func (l *link) onTimer() {
 	now := time.Now()
 	t := l.peer.config.Timing
 	l.mu.Lock()
@@ -109,36 +109,36 @@
 		l.mu.Unlock()
 		return
 	}
-	if l.calls == 0 && len(l.streams) == 0 {
-		l.timer.Reset(max(t.tick(), t.IdleTimeout-now.Sub(l.used)))
+	if l.activeCalls == 0 && len(l.streams) == 0 {
+		l.timer.Reset(max(t.checkInterval(), t.IdleTimeout-now.Sub(l.lastUsed)))
 		l.mu.Unlock()
-		l.peer.retire(l)
+		l.peer.closeIfIdle(l)
 		return
 	}
-	calls := l.calls > 0
-	l.timer.Reset(t.tick())
+	replyDue := l.activeCalls > 0
+	l.timer.Reset(t.checkInterval())
 	l.mu.Unlock()
-	if l.conn.beat(t, now, calls) {
+	if l.conn.checkPeer(t, now, replyDue) {
 		_ = l.conn.Close()
 	}
 }
 
-func errLost() *verdict.Error {
+func errConnectionLost() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "connection lost")
 }
 
-// end breaks what is still awaited when the connection has ended.
-func (l *link) end() {
+// onClose breaks what is still awaited when the connection has ended.
+func (l *link) onClose() {
 	l.mu.Lock()
 	l.ended = true
 	l.timer.Stop()
 	streams := l.streams
 	l.streams = nil
 	l.mu.Unlock()
-	l.peer.lost(l)
+	l.peer.dropLink(l)
 	openStreams.Add(-int64(len(streams)))
 	for _, s := range streams {
-		s.fail(errLost())
+		s.fail(errConnectionLost())
 	}
 }
 
@@ -154,25 +154,25 @@
 func (l *link) HandleFrame(_ *Conn, f Frame) {
 	switch f := f.(type) {
 	case Head:
-		if s := l.find(f.Stream); s != nil {
+		if s := l.findStream(f.Stream); s != nil {
 			s.onHead(f)
 		}
 	case Data:
-		if s := l.find(f.Stream); s != nil {
+		if s := l.findStream(f.Stream); s != nil {
 			s.onData(f)
 		}
 	case End:
 		countControl(f.Control)
-		if s := l.find(f.Stream); s != nil {
+		if s := l.findStream(f.Stream); s != nil {
 			s.onEnd(f)
 		}
 	}
 }
 
-// find returns the stream that a frame belongs to. A frame for a stream that
+// findStream returns the stream that a frame belongs to. A frame for a stream that
 // nobody reads is late: the sidecar is told again to send no more of it, for
 // it may have started to send after it was told first.
-func (l *link) find(id StreamID) *Stream {
+func (l *link) findStream(id StreamID) *Stream {
 	l.mu.Lock()
 	s := l.streams[id]
 	l.mu.Unlock()
--- a/internal/wire/middle_test.go
+++ b/internal/wire/middle_test.go
@@ -23,35 +23,35 @@
 type fault string
 
 const (
-	drop    fault = "drop"
-	repeat  fault = "repeat"
-	swap    fault = "swap"    // with the next one
-	cut     fault = "cut"     // end the connection within the frame
-	silence fault = "silence" // deliver nothing from here on, in this direction
+	drop   fault = "drop"
+	repeat fault = "repeat"
+	swap   fault = "swap"    // with the next one
+	cut    fault = "cut"     // end the connection within the frame
+	stall  fault = "silence" // deliver nothing from here on, in this direction
 )
 
 // faults maps numbers of frames of one direction to what happens to them.
 type faults map[int]fault
 
-// middle stands between a router and a sidecar, one for each connection.
-type middle struct {
+// middlebox stands between a router and a sidecar, one for each connection.
+type middlebox struct {
 	up, down faults // up: from the router to the sidecar
 }
 
 // join connects a router's end to a sidecar's end through m.
-func (m middle) join(router, sidecar net.Conn) {
-	go relay(router, sidecar, m.up)
-	go relay(sidecar, router, m.down)
+func (m middlebox) join(router, sidecar net.Conn) {
+	go forwardFrames(router, sidecar, m.up)
+	go forwardFrames(sidecar, router, m.down)
 }
 
-// relay passes on frames with their faults. It always reads, so that no writer
+// forwardFrames passes on frames with their faults. It always reads, so that no writer
 // ever waits for it.
-func relay(from, to net.Conn, f faults) {
+func forwardFrames(from, to net.Conn, f faults) {
 	defer from.Close()
 	defer to.Close()
 	in := bufio.NewReader(from)
-	var held []byte
-	silent := false
+	var delayed []byte
+	stalled := false
 	for i := 0; ; i++ {
 		frame, err := rawFrame(in)
 		if err != nil {
@@ -63,18 +63,18 @@
 		case repeat:
 			frame = append(frame, frame...)
 		case swap:
-			held = append(held, frame...)
+			delayed = append(delayed, frame...)
 			continue
 		case cut:
 			frame = frame[:len(frame)/2]
-		case silence:
-			silent = true
+		case stall:
+			stalled = true
 		}
-		if silent {
+		if stalled {
 			continue
 		}
-		frame = append(frame, held...)
-		held = nil
+		frame = append(frame, delayed...)
+		delayed = nil
 		if _, err := to.Write(frame); err != nil || f[i] == cut {
 			return
 		}
@@ -114,22 +114,22 @@
 
 // fakeSidecar runs scripts, each key once, and sends the answers.
 type fakeSidecar struct {
-	mu      sync.Mutex
-	scripts map[token.Nonce]script
-	answers map[token.Nonce][]byte // whole
-	ready   map[token.Nonce]int    // bytes produced so far
-	runs    map[token.Nonce]int
-	credits map[*Conn]map[StreamID]chan int64
-	mute    atomic.Bool // reply to no submit
+	mu        sync.Mutex
+	scripts   map[token.Nonce]script
+	responses map[token.Nonce][]byte // whole
+	available map[token.Nonce]int    // bytes produced so far
+	runs      map[token.Nonce]int
+	credits   map[*Conn]map[StreamID]chan int64
+	noReply   atomic.Bool // reply to no submit
 }
 
 func newFakeSidecar() *fakeSidecar {
 	return &fakeSidecar{
-		scripts: make(map[token.Nonce]script),
-		answers: make(map[token.Nonce][]byte),
-		ready:   make(map[token.Nonce]int),
-		runs:    make(map[token.Nonce]int),
-		credits: make(map[*Conn]map[StreamID]chan int64),
+		scripts:   make(map[token.Nonce]script),
+		responses: make(map[token.Nonce][]byte),
+		available: make(map[token.Nonce]int),
+		runs:      make(map[token.Nonce]int),
+		credits:   make(map[*Conn]map[StreamID]chan int64),
 	}
 }
 
@@ -142,7 +142,7 @@
 		}
 		f.run(s)
 		f.send(c, Attach{Key: s.Key, Stream: s.Stream, Window: s.Window})
-		if f.mute.Load() {
+		if f.noReply.Load() {
 			<-ctx.Done()
 		}
 		return Admission{}, nil
@@ -161,26 +161,26 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := s.Key.Nonce
-	if f.answers[id] != nil {
+	if f.responses[id] != nil {
 		return
 	}
 	f.runs[id]++
 	chunks := f.scripts[id]
-	f.answers[id] = chunks.bytes(s.Call.Body)
+	f.responses[id] = chunks.bytes(s.Call.Body)
 	go func() {
 		for _, c := range chunks {
 			time.Sleep(c.pause)
 			f.mu.Lock()
-			f.ready[id] += c.size
+			f.available[id] += c.size
 			f.mu.Unlock()
 		}
 	}()
 }
 
-func (f *fakeSidecar) produced(id token.Nonce) (ready int, whole []byte) {
+func (f *fakeSidecar) progress(id token.Nonce) (ready int, response []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready[id], f.answers[id]
+	return f.available[id], f.responses[id]
 }
 
 // send sends an answer from an offset on, looking for more every few
@@ -197,13 +197,13 @@
 		id, offset, upTo := a.Key.Nonce, a.Offset, a.Offset+int64(a.Window)
 		err := c.Send(Head{Stream: a.Stream, Nonce: id, Status: 200})
 		for err == nil {
-			ready, whole := f.produced(id)
+			ready, response := f.progress(id)
 			if end := min(int64(ready), upTo, offset+1000); end > offset {
-				err = c.Send(Data{Stream: a.Stream, Nonce: id, Offset: offset, Bytes: whole[offset:end]})
+				err = c.Send(Data{Stream: a.Stream, Nonce: id, Offset: offset, Bytes: response[offset:end]})
 				offset = end
 				continue
 			}
-			if offset == int64(len(whole)) {
+			if offset == int64(len(response)) {
 				_ = c.Send(End{Stream: a.Stream, Nonce: id, Length: offset})
 				return
 			}
@@ -236,22 +236,22 @@
 	}
 }
 
-// network connects a Peer to a fake sidecar. The first connections go through
+// testNetwork connects a Peer to a fake sidecar. The first connections go through
 // the given middles, all later ones through one without faults.
-type network struct {
-	sidecar *fakeSidecar
-	mu      sync.Mutex
-	middles []middle
-	dials   int
+type testNetwork struct {
+	sidecar     *fakeSidecar
+	mu          sync.Mutex
+	middleboxes []middlebox
+	dials       int
 }
 
-func (n *network) dial(context.Context) (net.Conn, error) {
+func (n *testNetwork) dial(context.Context) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dials++
-	var m middle
-	if len(n.middles) > 0 {
-		m, n.middles = n.middles[0], n.middles[1:]
+	var m middlebox
+	if len(n.middleboxes) > 0 {
+		m, n.middleboxes = n.middleboxes[0], n.middleboxes[1:]
 	}
 	router, near := net.Pipe()
 	sidecar, far := net.Pipe()
@@ -260,22 +260,22 @@
 	return router, nil
 }
 
-// reading is one caller's reading of one answer, across connections.
-type reading struct {
-	peer   *Peer
-	key    Key
-	body   []byte
-	window int
-	pause  time.Duration // the caller takes between pieces
-	leaves []int64       // offsets at which it lets go and attaches again
+// responseReader is one caller's responseReader of one answer, across connections.
+type responseReader struct {
+	peer     *Peer
+	key      Key
+	body     []byte
+	window   int
+	pause    time.Duration // the caller takes between pieces
+	detachAt []int64       // offsets at which it lets go and attaches again
 
-	sent  bool // admitted once
-	heads int
-	got   []byte
+	admitted bool // admitted once
+	heads    int
+	got      []byte
 }
 
 // read reads to the end, attaching again whenever the stream breaks.
-func (r *reading) read(ctx context.Context) error {
+func (r *responseReader) read(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s, err := r.open(ctx)
 		if err != nil {
@@ -285,19 +285,19 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		whole := r.follow(ctx, s)
+		complete := r.readStream(ctx, s)
 		s.Close()
-		if whole {
+		if complete {
 			return nil
 		}
 	}
 	return ctx.Err()
 }
 
-func (r *reading) open(ctx context.Context) (*Stream, error) {
-	if !r.sent {
+func (r *responseReader) open(ctx context.Context) (*Stream, error) {
+	if !r.admitted {
 		s, _, err := r.peer.Submit(ctx, Submit{Key: r.key, Window: r.window, Call: Call{Body: r.body}})
-		r.sent = err == nil
+		r.admitted = err == nil
 		return s, err
 	}
 	a := Attach{Key: r.key, Offset: int64(len(r.got)), Window: r.window, HeadSeen: r.heads > 0}
@@ -305,9 +305,9 @@
 	return s, err
 }
 
-// follow reads until the end of the answer, or until the stream breaks or the
+// readStream reads until the end of the answer, or until the stream breaks or the
 // caller lets go of it.
-func (r *reading) follow(ctx context.Context, s *Stream) bool {
+func (r *responseReader) readStream(ctx context.Context, s *Stream) bool {
 	for {
 		p, err := s.Next(ctx)
 		switch {
@@ -320,8 +320,8 @@
 		}
 		r.got = append(r.got, p.Bytes...)
 		time.Sleep(r.pause)
-		if len(r.leaves) > 0 && int64(len(r.got)) >= r.leaves[0] {
-			r.leaves = r.leaves[1:]
+		if len(r.detachAt) > 0 && int64(len(r.got)) >= r.detachAt[0] {
+			r.detachAt = r.detachAt[1:]
 			return false
 		}
 	}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -30,15 +30,15 @@
 	ctx    context.Context // ends with Close
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	link    *link
-	dialing *dialing
-	failed  *verdict.Error // of the last dial; nil: it went well
-	tried   time.Time      // when the last dial ended
+	mu            sync.Mutex
+	link          *link
+	dialing       *pendingDial
+	lastDialError *verdict.Error // of the last dial; nil: it went well
+	lastDialEnd   time.Time      // when the last dial ended
 }
 
-// dialing is the opening of a connection, which all wait for who need it.
-type dialing struct {
+// pendingDial is the opening of a connection, which all wait for who need it.
+type pendingDial struct {
 	done chan struct{}
 	err  *verdict.Error // set before done is closed
 }
@@ -67,7 +67,7 @@
 // refusal is an error together with the Admission that explains it. An error
 // that is NotRun with ReasonNoUpstream says that the request was not sent.
 func (p *Peer) Submit(ctx context.Context, s Submit) (*Stream, Admission, error) {
-	o := opening{nonce: s.Key.Nonce, window: s.Window}
+	o := streamOptions{nonce: s.Key.Nonce, window: s.Window}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (Admission, error) {
 		s.Stream = id
 		return c.submit(ctx, s)
@@ -76,7 +76,7 @@
 
 // Attach asks for the answer to a request from an offset on.
 func (p *Peer) Attach(ctx context.Context, a Attach) (*Stream, Admission, error) {
-	o := opening{nonce: a.Key.Nonce, offset: a.Offset, window: a.Window, headSeen: a.HeadSeen}
+	o := streamOptions{nonce: a.Key.Nonce, offset: a.Offset, window: a.Window, headSeen: a.HeadSeen}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (adm Admission, err error) {
 		a.Stream = id
 		err = c.Call(ctx, MethodAttach, a, &adm)
@@ -84,8 +84,8 @@
 	})
 }
 
-// opening is what a Stream begins with.
-type opening struct {
+// streamOptions is what a Stream begins with.
+type streamOptions struct {
 	nonce    token.Nonce
 	offset   int64
 	window   int
@@ -93,7 +93,7 @@
 }
 
 // open opens a stream by a call, which it hands the stream's id.
-func (p *Peer) open(ctx context.Context, o opening, call func(*Conn, StreamID) (Admission, error)) (*Stream, Admission, error) {
+func (p *Peer) open(ctx context.Context, o streamOptions, call func(*Conn, StreamID) (Admission, error)) (*Stream, Admission, error) {
 	l, err := p.acquire(ctx)
 	if err != nil {
 		return nil, Admission{}, err
@@ -108,7 +108,7 @@
 	}
 	countControl(adm.Control)
 	if adm.Error != nil {
-		l.forget(s)
+		l.remove(s)
 		return nil, adm, adm.Error
 	}
 	return s, adm, nil
@@ -148,14 +148,14 @@
 // request is better off at another upstream than waiting for a dead one.
 func (p *Peer) acquire(ctx context.Context) (*link, error) {
 	for {
-		l, d, err := p.current(time.Now())
+		l, d, err := p.currentLink(time.Now())
 		if l != nil || err != nil {
 			return l, err
 		}
 		select {
 		case <-d.done:
 		case <-ctx.Done():
-			return nil, unreachable(ctx.Err())
+			return nil, unreachableError(ctx.Err())
 		}
 		if d.err != nil {
 			return nil, d.err
@@ -163,53 +163,53 @@
 	}
 }
 
-// current returns the connection or else its opening, or the failure of the
+// currentLink returns the connection or else its opening, or the failure of the
 // last try.
-func (p *Peer) current(now time.Time) (*link, *dialing, error) {
+func (p *Peer) currentLink(now time.Time) (*link, *pendingDial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != nil && p.link.acquire(now) {
 		return p.link, nil, nil
 	}
 	p.link = nil
-	since := now.Sub(p.tried)
+	sinceDial := now.Sub(p.lastDialEnd)
 	t := p.config.Timing
-	if p.dialing == nil && (p.failed == nil || since >= t.RedialInterval) {
-		p.dialing = &dialing{done: make(chan struct{})}
+	if p.dialing == nil && (p.lastDialError == nil || sinceDial >= t.RedialInterval) {
+		p.dialing = &pendingDial{done: make(chan struct{})}
 		go p.connect(p.dialing)
 	}
-	if p.failed != nil && since < t.FailFastFor {
-		return nil, nil, p.failed
+	if p.lastDialError != nil && sinceDial < t.FailFastFor {
+		return nil, nil, p.lastDialError
 	}
 	return nil, p.dialing, nil
 }
 
-func unreachable(err error) *verdict.Error {
+func unreachableError(err error) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "connect: %s", err)
 }
 
 // connect runs without p.mu held, so that it holds up nobody but those who
 // wait for it.
-func (p *Peer) connect(d *dialing) {
+func (p *Peer) connect(d *pendingDial) {
 	dials.Inc()
-	l, err := p.greet()
+	l, err := p.openLink()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil && !l.alive() {
-		err = errLost()
+		err = errConnectionLost()
 	}
 	if err != nil {
 		dialFailures.Inc()
-		d.err = unreachable(err)
+		d.err = unreachableError(err)
 	} else {
 		p.link = l
 	}
-	p.failed, p.tried, p.dialing = d.err, time.Now(), nil
+	p.lastDialError, p.lastDialEnd, p.dialing = d.err, time.Now(), nil
 	close(d.done)
 }
 
-// greet opens a connection and hears the sidecar's introduction.
-func (p *Peer) greet() (*link, error) {
+// openLink opens a connection and hears the sidecar's introduction.
+func (p *Peer) openLink() (*link, error) {
 	if err := p.ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -227,8 +227,8 @@
 	return l, nil
 }
 
-// lost takes l out of use.
-func (p *Peer) lost(l *link) {
+// dropLink takes l out of use.
+func (p *Peer) dropLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link == l {
@@ -236,10 +236,10 @@
 	}
 }
 
-// retire closes l if nothing is awaited on it. It takes l out of use first,
+// closeIfIdle closes l if nothing is awaited on it. It takes l out of use first,
 // under the lock that acquire holds, so that no request is sent on a
 // connection that is about to be closed.
-func (p *Peer) retire(l *link) {
+func (p *Peer) closeIfIdle(l *link) {
 	p.mu.Lock()
 	idle := l.idle(time.Now())
 	if idle && p.link == l {
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -18,8 +18,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// steady is an answer of n bytes a tenth of a second.
-func steady(tenths, n int) script {
+// steadyScript is an answer of n bytes a tenth of a second.
+func steadyScript(tenths, n int) script {
 	var s script
 	for range tenths {
 		s = append(s, chunk{size: n, pause: 100 * time.Millisecond})
@@ -27,16 +27,16 @@
 	return s
 }
 
-// shut closes p and lets what it has started come to its end.
-func shut(p *Peer) {
+// closePeer closes p and lets what it has started come to its end.
+func closePeer(p *Peer) {
 	p.Close()
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// reads starts a reading of a script under a fresh key.
-func (n *network) reads(p *Peer, id byte, s script) *reading {
-	r := &reading{peer: p, key: Key{Nonce: token.Nonce{id}}, body: []byte{id}, window: 16 << 10}
+// newReader starts a reading of a script under a fresh key.
+func (n *testNetwork) newReader(p *Peer, id byte, s script) *responseReader {
+	r := &responseReader{peer: p, key: Key{Nonce: token.Nonce{id}}, body: []byte{id}, window: 16 << 10}
 	n.sidecar.mu.Lock()
 	defer n.sidecar.mu.Unlock()
 	n.sidecar.scripts[r.key.Nonce] = s
@@ -47,17 +47,17 @@
 // good. Its reader, or the next caller, must not wait longer than some seconds:
 // what is due does not come although nothing fails. In the upward case frames
 // of the first answer keep coming, so only the reply that is due shows it.
-func TestSilentConnectionIsFoundWithinSeconds(t *testing.T) {
-	cases := map[string]middle{
-		"upward":   {up: faults{3: silence}},
-		"downward": {down: faults{15: silence}},
-		"both":     {up: faults{3: silence}, down: faults{15: silence}},
+func TestStalledConnectionIsDetectedWithinSeconds(t *testing.T) {
+	cases := map[string]middlebox{
+		"upward":   {up: faults{3: stall}},
+		"downward": {down: faults{15: stall}},
+		"both":     {up: faults{3: stall}, down: faults{15: stall}},
 	}
-	for name, m := range cases {
+	for name, box := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			n := &network{sidecar: newFakeSidecar(), middles: []middle{m}}
+			n := &testNetwork{sidecar: newFakeSidecar(), middleboxes: []middlebox{box}}
 			p := NewPeer(PeerConfig{Dial: n.dial})
-			first, second := n.reads(p, 1, steady(100, 10)), n.reads(p, 2, steady(1, 10))
+			first, second := n.newReader(p, 1, steadyScript(100, 10)), n.newReader(p, 2, steadyScript(1, 10))
 			began := time.Now()
 			var wg sync.WaitGroup
 			wg.Go(func() { _ = first.read(t.Context()) })
@@ -70,7 +70,7 @@
 			if waited := time.Since(began) - 10*time.Second; waited > 4*time.Second {
 				t.Errorf("%s: the first caller waited for %s", name, waited)
 			}
-			shut(p)
+			closePeer(p)
 		})
 	}
 }
@@ -80,7 +80,7 @@
 // silence is found.
 func TestStaleConnectionIsProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &network{sidecar: newFakeSidecar(), middles: []middle{{up: faults{1: silence}}}}
+		n := &testNetwork{sidecar: newFakeSidecar(), middleboxes: []middlebox{{up: faults{1: stall}}}}
 		timing := DefaultTiming()
 		timing.IdleTimeout = time.Hour
 		p := NewPeer(PeerConfig{Dial: n.dial, Timing: timing})
@@ -89,21 +89,21 @@
 		}
 		time.Sleep(time.Minute)
 		began := time.Now()
-		_ = n.reads(p, 1, steady(1, 10)).read(t.Context())
+		_ = n.newReader(p, 1, steadyScript(1, 10)).read(t.Context())
 		if waited := time.Since(began); waited > 2*time.Second {
 			t.Errorf("waited for %s", waited)
 		}
-		shut(p)
+		closePeer(p)
 	})
 }
 
 // One caller stops reading a long answer. Another, whose answer comes over the
 // same connection, must not notice.
-func TestSlowReaderHoldsNobody(t *testing.T) {
+func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &network{sidecar: newFakeSidecar()}
+		n := &testNetwork{sidecar: newFakeSidecar()}
 		p := NewPeer(PeerConfig{Dial: n.dial})
-		slow, fast := n.reads(p, 1, steady(1, 1<<20)), n.reads(p, 2, steady(1, 1<<20))
+		slow, fast := n.newReader(p, 1, steadyScript(1, 1<<20)), n.newReader(p, 2, steadyScript(1, 1<<20))
 		s, err := slow.open(t.Context())
 		if err != nil {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 			t.Errorf("%d bytes held for a window of %d", len(s.buf), slow.window)
 		}
 		s.mu.Unlock()
-		shut(p)
+		closePeer(p)
 	})
 }
 
@@ -126,7 +126,7 @@
 // because it was sent on a connection that was being closed.
 func TestIdleCloseLosesNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &network{sidecar: newFakeSidecar()}
+		n := &testNetwork{sidecar: newFakeSidecar()}
 		p := NewPeer(PeerConfig{Dial: n.dial})
 		for range 300 {
 			if err := p.Call(t.Context(), MethodStatus, Empty{}, nil); err != nil {
@@ -137,16 +137,16 @@
 		if n.dials < 2 {
 			t.Error("the connection was never closed as idle")
 		}
-		shut(p)
+		closePeer(p)
 	})
 }
 
 // A sidecar's VM swallows what is sent to it. The first caller finds out; those
 // who come after it are not to wait as well, and the way is found open again
 // once it is.
-func TestUnreachableSidecarHoldsOneCaller(t *testing.T) {
+func TestUnreachableSidecarDelaysOnlyOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &network{sidecar: newFakeSidecar(), middles: []middle{{up: faults{0: silence}}, {up: faults{0: silence}}}}
+		n := &testNetwork{sidecar: newFakeSidecar(), middleboxes: []middlebox{{up: faults{0: stall}}, {up: faults{0: stall}}}}
 		p := NewPeer(PeerConfig{Dial: n.dial})
 		began := time.Now()
 		for i := range 10 {
@@ -166,30 +166,30 @@
 		if _, err := p.Connect(t.Context()); err != nil {
 			t.Errorf("still %v", err)
 		}
-		shut(p)
+		closePeer(p)
 	})
 }
 
 // A router stops while a caller waits for a reply that never comes, another
 // reads a stream and a third waits for a connection to another sidecar. All
 // must return, and nothing may be left running.
-func TestCloseEndsAllThatWait(t *testing.T) {
+func TestCloseUnblocksAllWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		open := openConnections.Value()
-		n := &network{sidecar: newFakeSidecar()}
+		openBefore := openConnections.Value()
+		n := &testNetwork{sidecar: newFakeSidecar()}
 		p := NewPeer(PeerConfig{Dial: n.dial})
-		hung := NewPeer(PeerConfig{Dial: func(ctx context.Context) (net.Conn, error) {
+		hanging := NewPeer(PeerConfig{Dial: func(ctx context.Context) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}})
-		s, err := n.reads(p, 1, steady(1000, 1)).open(t.Context())
+		s, err := n.newReader(p, 1, steadyScript(1000, 1)).open(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.sidecar.mute.Store(true)
+		n.sidecar.noReply.Store(true)
 		var wg sync.WaitGroup
-		wg.Go(func() { _, _ = n.reads(p, 2, nil).open(t.Context()) })
-		wg.Go(func() { _, _ = hung.Connect(t.Context()) })
+		wg.Go(func() { _, _ = n.newReader(p, 2, nil).open(t.Context()) })
+		wg.Go(func() { _, _ = hanging.Connect(t.Context()) })
 		wg.Go(func() {
 			for err == nil {
 				_, err = s.Next(t.Context())
@@ -197,14 +197,14 @@
 		})
 		time.Sleep(5 * time.Second)
 		p.Close()
-		hung.Close()
+		hanging.Close()
 		wg.Wait()
 		if _, err := p.Connect(t.Context()); verdict.From(err).Verdict != verdict.NotRun {
 			t.Errorf("after Close: %v", err)
 		}
 		time.Sleep(time.Hour) // the fake's script
 		synctest.Wait()
-		if left := openConnections.Value() - open; left != 0 {
+		if left := openConnections.Value() - openBefore; left != 0 {
 			t.Errorf("%d connections count as open", left)
 		}
 	})
@@ -239,8 +239,8 @@
 		t.Fatal(err)
 	}
 	// With no name to check a handshake fails at once, and the connection closes under the test.
-	open := &tls.Config{InsecureSkipVerify: true}
-	c := NewConn(context.Background(), tls.Client(tls.Client(raw, open), open), newFakeSidecar())
+	config := &tls.Config{InsecureSkipVerify: true}
+	c := NewConn(context.Background(), tls.Client(tls.Client(raw, config), config), newFakeSidecar())
 	defer c.Close()
 	sys, err := raw.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -260,33 +260,33 @@
 // The process is stopped for a minute and goes on. That nothing was read in
 // the meantime says nothing about the sidecars: no connection may be given up
 // for it before the sidecar has been asked anew.
-func TestOwnPauseIsNoSilence(t *testing.T) {
+func TestOwnPauseDoesNotMarkPeerLost(t *testing.T) {
 	timing := DefaultTiming()
 	start := time.Unix(1000, 0)
-	p := pulse{checked: start, settled: start}
-	p.ask(start, timing.PongTimeout)
+	p := liveness{lastCheck: start, lastPong: start}
+	p.recordPing(start, timing.PongTimeout)
 	after := start.Add(time.Minute)
-	if got := p.check(timing, after, start, true); got != carePing {
+	if got := p.check(timing, after, start, true); got != actionPing {
 		t.Fatalf("after a pause: %d", got)
 	}
-	p.ask(after, timing.PongTimeout)
-	for now := after; now.Before(after.Add(timing.PongTimeout)); now = now.Add(timing.tick()) {
-		if got := p.check(timing, now, start, true); got != careNone {
+	p.recordPing(after, timing.PongTimeout)
+	for now := after; now.Before(after.Add(timing.PongTimeout)); now = now.Add(timing.checkInterval()) {
+		if got := p.check(timing, now, start, true); got != actionNone {
 			t.Fatalf("%s later: %d", now.Sub(after), got)
 		}
 	}
-	if got := p.check(timing, after.Add(timing.PongTimeout), start, true); got != careLost {
+	if got := p.check(timing, after.Add(timing.PongTimeout), start, true); got != actionClose {
 		t.Fatalf("in the end: %d", got)
 	}
 }
 
-// rogue sends the frames that it is given, whatever they are.
-type rogue struct {
+// rogueSidecar sends the frames that it is given, whatever they are.
+type rogueSidecar struct {
 	frames   []Frame
 	detached atomic.Uint32 // stream, the latest
 }
 
-func (r *rogue) HandleCall(_ context.Context, c *Conn, m Method, _ Params) (any, error) {
+func (r *rogueSidecar) HandleCall(_ context.Context, c *Conn, m Method, _ Params) (any, error) {
 	if m == MethodSubmit {
 		go func() {
 			for _, f := range r.frames {
@@ -298,13 +298,13 @@
 	return Admission{}, nil
 }
 
-func (r *rogue) HandleFrame(_ *Conn, f Frame) {
+func (r *rogueSidecar) HandleFrame(_ *Conn, f Frame) {
 	if d, ok := f.(Detach); ok {
 		r.detached.Store(uint32(d.Stream))
 	}
 }
 
-func (r *rogue) dial(context.Context) (net.Conn, error) {
+func (r *rogueSidecar) dial(context.Context) (net.Conn, error) {
 	near, far := net.Pipe()
 	NewConn(context.Background(), far, r)
 	return near, nil
@@ -313,24 +313,24 @@
 // A router lets go of an answer before its sidecar has begun to send it, and
 // the word of it gets there too early to find anything to stop. The sidecar
 // must be told again once it sends, or it keeps a sender for nobody.
-func TestLateFramesStopTheirSender(t *testing.T) {
+func TestLateFramesAreAnsweredWithDetach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rogue{frames: []Frame{Head{Stream: 77, Status: 200}}}
+		r := &rogueSidecar{frames: []Frame{Head{Stream: 77, Status: 200}}}
 		p := NewPeer(PeerConfig{Dial: r.dial})
 		_, _, _ = p.Submit(t.Context(), Submit{})
 		time.Sleep(time.Second)
 		if r.detached.Load() != 77 {
 			t.Error("the sidecar was not told")
 		}
-		shut(p)
+		closePeer(p)
 	})
 }
 
 // A sidecar sends more than it was given credit for to a caller that does not
 // read. The router's memory must not grow with it.
-func TestSenderCannotOverfillItsReader(t *testing.T) {
+func TestStreamBuffersNoMoreThanItsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rogue{frames: []Frame{Head{Stream: 1, Status: 200}, Data{Stream: 1, Bytes: make([]byte, 9)}}}
+		r := &rogueSidecar{frames: []Frame{Head{Stream: 1, Status: 200}, Data{Stream: 1, Bytes: make([]byte, 9)}}}
 		p := NewPeer(PeerConfig{Dial: r.dial})
 		s, _, err := p.Submit(t.Context(), Submit{Window: 8})
 		if err != nil {
@@ -340,22 +340,22 @@
 		if piece, err := s.Next(t.Context()); err == nil {
 			t.Errorf("took %d bytes", len(piece.Bytes))
 		}
-		shut(p)
+		closePeer(p)
 	})
 }
 
 // A sidecar has a fault and sends frames of other requests, twice, in a wrong
 // order or not at all. The caller gets the beginning of its own answer and then
 // either all of it or the news that the stream is broken.
-func TestStreamTakesOnlyWhatFits(t *testing.T) {
+func TestStreamDeliversOnlyConsistentFrames(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mine, other := token.Nonce{1}, token.Nonce{2}
-		answer := []byte("0123456789")[:rapid.SampledFrom([]int{0, 10}).Draw(rt, "length")]
+		response := []byte("0123456789")[:rapid.SampledFrom([]int{0, 10}).Draw(rt, "length")]
 		frame := rapid.Custom(func(t *rapid.T) Frame {
 			nonce := rapid.SampledFrom([]token.Nonce{mine, mine, mine, other}).Draw(t, "nonce")
-			from := rapid.OneOf(rapid.Just(0), rapid.IntRange(0, len(answer))).Draw(t, "from")
-			to := rapid.IntRange(from, len(answer)).Draw(t, "to")
-			content := bytes.Clone(answer[from:to])
+			from := rapid.OneOf(rapid.Just(0), rapid.IntRange(0, len(response))).Draw(t, "from")
+			to := rapid.IntRange(from, len(response)).Draw(t, "to")
+			content := bytes.Clone(response[from:to])
 			if nonce == other {
 				content = bytes.Repeat([]byte("x"), len(content))
 			}
@@ -363,17 +363,17 @@
 				Head{Stream: 1, Nonce: nonce, Status: 200},
 				Data{Stream: 1, Nonce: nonce, Offset: int64(from), Bytes: content},
 				Data{Stream: 1, Nonce: nonce, Offset: int64(from), Bytes: content},
-				End{Stream: 1, Nonce: nonce, Length: int64(len(answer))},
+				End{Stream: 1, Nonce: nonce, Length: int64(len(response))},
 			}).Draw(t, "frame")
 		})
 		frames := rapid.SliceOfN(frame, 1, 12).Draw(rt, "frames")
 		if rapid.Bool().Draw(rt, "begins well") {
 			frames = append([]Frame{Head{Stream: 1, Nonce: mine, Status: 200}}, frames...)
 		}
-		r := &reading{key: Key{Nonce: mine}, window: 100}
-		var whole bool
+		r := &responseReader{key: Key{Nonce: mine}, window: 100}
+		var complete bool
 		synctest.Test(t, func(t *testing.T) {
-			p := NewPeer(PeerConfig{Dial: (&rogue{frames: frames}).dial})
+			p := NewPeer(PeerConfig{Dial: (&rogueSidecar{frames: frames}).dial})
 			r.peer = p
 			s, err := r.open(t.Context())
 			if err != nil {
@@ -381,11 +381,11 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			whole = r.follow(ctx, s)
-			shut(p)
+			complete = r.readStream(ctx, s)
+			closePeer(p)
 		})
-		if !bytes.HasPrefix(answer, r.got) || r.heads > 1 || r.heads < 1 && (whole || len(r.got) > 0) || whole && len(r.got) < len(answer) {
-			rt.Errorf("got %q, %d heads, whole %t", r.got, r.heads, whole)
+		if !bytes.HasPrefix(response, r.got) || r.heads > 1 || r.heads < 1 && (complete || len(r.got) > 0) || complete && len(r.got) < len(response) {
+			rt.Errorf("got %q, %d heads, whole %t", r.got, r.heads, complete)
 		}
 	})
 }
--- a/internal/wire/pulse.go
+++ b/internal/wire/pulse.go
@@ -58,122 +58,122 @@
 	return Timing{PingAfter: 30 * time.Second, PongTimeout: 15 * time.Second}
 }
 
-func (t Timing) tick() time.Duration {
+func (t Timing) checkInterval() time.Duration {
 	return t.PingAfter / 2
 }
 
-// care is what a connection needs.
-type care uint8
+// livenessAction is what a connection needs.
+type livenessAction uint8
 
 const (
-	careNone care = iota
-	carePing
-	careLost
+	actionNone livenessAction = iota
+	actionPing
+	actionClose
 )
 
-// pulse decides when a connection is asked for a sign of life and when it
+// liveness decides when a connection is asked for a sign of life and when it
 // counts as lost.
-type pulse struct {
-	mu      sync.Mutex    // held by those of a Conn
-	asked   time.Time     // when the ping without an answer was sent; zero: none
-	patient time.Duration // how long its answer is waited for
-	settled time.Time     // when the last answer came
-	checked time.Time
+type liveness struct {
+	mu          sync.Mutex    // held by those of a Conn
+	pingSent    time.Time     // when the ping without an answer was sent; zero: none
+	pongTimeout time.Duration // how long its answer is waited for
+	lastPong    time.Time     // when the last answer came
+	lastCheck   time.Time
 }
 
-// ask notes a ping.
-func (p *pulse) ask(now time.Time, patient time.Duration) {
-	p.asked, p.patient = now, patient
+// recordPing notes a ping.
+func (p *liveness) recordPing(now time.Time, timeout time.Duration) {
+	p.pingSent, p.pongTimeout = now, timeout
 }
 
-// answered notes a pong.
-func (p *pulse) answered(now time.Time) {
-	p.asked = time.Time{}
-	p.settled = now
+// recordPong notes a pong.
+func (p *liveness) recordPong(now time.Time) {
+	p.pingSent = time.Time{}
+	p.lastPong = now
 }
 
 // check decides what a connection needs on which an answer is awaited. heard
 // is when anything came in last. calls says that a reply is due as well: then
 // frames that keep coming prove only one direction, so the sidecar is asked
 // nevertheless.
-func (p *pulse) check(t Timing, now, heard time.Time, calls bool) care {
-	late := now.Sub(p.checked) > t.tick()+t.PingAfter
-	p.checked = now
-	if late {
+func (p *liveness) check(t Timing, now, lastRead time.Time, replyDue bool) livenessAction {
+	wasPaused := now.Sub(p.lastCheck) > t.checkInterval()+t.PingAfter
+	p.lastCheck = now
+	if wasPaused {
 		// This process was paused. What the sidecar said meanwhile has not been
 		// read yet, so its silence so far proves nothing.
-		p.asked = time.Time{}
-		return carePing
+		p.pingSent = time.Time{}
+		return actionPing
 	}
-	if !p.asked.IsZero() {
-		if now.Sub(p.asked) >= p.patient {
-			return careLost
+	if !p.pingSent.IsZero() {
+		if now.Sub(p.pingSent) >= p.pongTimeout {
+			return actionClose
 		}
-		return careNone
+		return actionNone
 	}
-	if now.Sub(heard) >= t.PingAfter || (calls && now.Sub(p.settled) >= t.PingAfter) {
-		return carePing
+	if now.Sub(lastRead) >= t.PingAfter || (replyDue && now.Sub(p.lastPong) >= t.PingAfter) {
+		return actionPing
 	}
-	return careNone
+	return actionNone
 }
 
-// begin starts to watch the peer, from which something is awaited from now on.
+// startMonitoring starts to watch the peer, from which something is awaited from now on.
 // A connection that has not been used for long is probed at once.
-func (c *Conn) begin(t Timing, now time.Time) {
-	c.pulse.mu.Lock()
-	defer c.pulse.mu.Unlock()
-	c.pulse.asked, c.pulse.settled, c.pulse.checked = time.Time{}, now, now
+func (c *Conn) startMonitoring(t Timing, now time.Time) {
+	c.liveness.mu.Lock()
+	defer c.liveness.mu.Unlock()
+	c.liveness.pingSent, c.liveness.lastPong, c.liveness.lastCheck = time.Time{}, now, now
 	if t.StaleAfter > 0 && now.Sub(c.lastRead()) >= t.StaleAfter {
-		c.ping(now, t.StalePongTimeout)
+		c.sendPing(now, t.StalePongTimeout)
 	}
 }
 
-// beat looks at the peer and reports whether it counts as lost.
-func (c *Conn) beat(t Timing, now time.Time, calls bool) (lost bool) {
-	c.pulse.mu.Lock()
-	defer c.pulse.mu.Unlock()
-	switch c.pulse.check(t, now, c.lastRead(), calls) {
-	case carePing:
-		c.ping(now, t.PongTimeout)
-	case careLost:
+// checkPeer looks at the peer and reports whether it counts as lost.
+func (c *Conn) checkPeer(t Timing, now time.Time, replyDue bool) (lost bool) {
+	c.liveness.mu.Lock()
+	defer c.liveness.mu.Unlock()
+	switch c.liveness.check(t, now, c.lastRead(), replyDue) {
+	case actionPing:
+		c.sendPing(now, t.PongTimeout)
+	case actionClose:
 		silentConnections.Inc()
 		return true
 	}
 	return false
 }
 
-// ping needs c.pulse.mu held. The write can block, so it has its own goroutine.
-func (c *Conn) ping(now time.Time, patient time.Duration) {
-	c.pulse.ask(now, patient)
+// sendPing needs c.pulse.mu held. The write can block, so it has its own goroutine.
+func (c *Conn) sendPing(now time.Time, timeout time.Duration) {
+	c.liveness.recordPing(now, timeout)
 	go func() { _ = c.Send(ping{}) }()
 }
 
-func (c *Conn) ponged() {
-	c.pulse.mu.Lock()
-	defer c.pulse.mu.Unlock()
-	c.pulse.answered(time.Now())
+func (c *Conn) onPong() {
+	c.liveness.mu.Lock()
+	defer c.liveness.mu.Unlock()
+	c.liveness.recordPong(time.Now())
 }
 
 // MonitorPeer ends the connection when its peer falls silent while awaited says that
 // something is expected of it.
-func (c *Conn) MonitorPeer(t Timing, awaited func() bool) {
-	active := false
+func (c *Conn) MonitorPeer(t Timing, isAwaiting func() bool) {
+	monitoring := false
 	var timer *time.Timer
 	ready := make(chan struct{})
-	timer = time.AfterFunc(t.tick(), func() {
+	timer = time.AfterFunc(t.checkInterval(), func() {
 		<-ready
-		was, now := active, time.Now()
-		active = awaited()
+		wasMonitoring, now := monitoring, time.Now()
+		monitoring = isAwaiting()
 		switch {
 		case c.ended():
 			return
-		case active && !was:
-			c.begin(t, now)
-		case active && c.beat(t, now, false):
+		case monitoring && !wasMonitoring:
+			c.startMonitoring(t, now)
+		case monitoring && c.checkPeer(t, now, false):
 			_ = c.Close()
 			return
 		}
-		timer.Reset(t.tick())
+		timer.Reset(t.checkInterval())
 	})
 	close(ready)
 }
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -15,7 +15,7 @@
 )
 
 func drawFaults(t *rapid.T, label string) faults {
-	kinds := rapid.SampledFrom([]fault{drop, repeat, swap, cut, silence})
+	kinds := rapid.SampledFrom([]fault{drop, repeat, swap, cut, stall})
 	return rapid.MapOfN(rapid.IntRange(0, 40), kinds, 0, 5).Draw(t, label)
 }
 
@@ -28,14 +28,14 @@
 	}), 1, 8).Draw(t, "script")
 }
 
-func drawReading(t *rapid.T, p *Peer, i int) *reading {
-	return &reading{
-		peer:   p,
-		key:    Key{Nonce: token.Nonce{byte(i)}},
-		body:   bytes.Repeat([]byte{byte(40 * i)}, rapid.IntRange(1, 2000).Draw(t, "body")),
-		window: rapid.SampledFrom([]int{64, 1000, 16 << 10}).Draw(t, "window"),
-		pause:  time.Duration(rapid.SampledFrom([]int{0, 0, 5, 500}).Draw(t, "reader's pause")) * time.Millisecond,
-		leaves: rapid.SliceOfN(rapid.Int64Range(0, 3000), 0, 3).Draw(t, "leaves"),
+func drawReader(t *rapid.T, p *Peer, i int) *responseReader {
+	return &responseReader{
+		peer:     p,
+		key:      Key{Nonce: token.Nonce{byte(i)}},
+		body:     bytes.Repeat([]byte{byte(40 * i)}, rapid.IntRange(1, 2000).Draw(t, "body")),
+		window:   rapid.SampledFrom([]int{64, 1000, 16 << 10}).Draw(t, "window"),
+		pause:    time.Duration(rapid.SampledFrom([]int{0, 0, 5, 500}).Draw(t, "reader's pause")) * time.Millisecond,
+		detachAt: rapid.SliceOfN(rapid.Int64Range(0, 3000), 0, 3).Draw(t, "leaves"),
 	}
 }
 
@@ -43,33 +43,33 @@
 // between router and sidecar drops, repeats, swaps and cuts frames or goes
 // silent in one direction. Callers also let go and come back in the middle.
 // Each must end with its own whole answer, its head once, from one run.
-func TestEachReaderGetsItsWholeAnswerOnce(t *testing.T) {
+func TestEachReaderReceivesItsWholeResponseOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		n := &network{sidecar: newFakeSidecar()}
+		n := &testNetwork{sidecar: newFakeSidecar()}
 		for range rapid.IntRange(0, 4).Draw(rt, "faulty connections") {
-			n.middles = append(n.middles, middle{up: drawFaults(rt, "up"), down: drawFaults(rt, "down")})
+			n.middleboxes = append(n.middleboxes, middlebox{up: drawFaults(rt, "up"), down: drawFaults(rt, "down")})
 		}
-		var readings []*reading
+		var readers []*responseReader
 		for i := range rapid.IntRange(1, 3).Draw(rt, "readers") {
-			readings = append(readings, drawReading(rt, nil, i+1))
-			n.sidecar.scripts[readings[i].key.Nonce] = drawScript(rt)
+			readers = append(readers, drawReader(rt, nil, i+1))
+			n.sidecar.scripts[readers[i].key.Nonce] = drawScript(rt)
 		}
 		var failures []error
-		synctest.Test(t, func(*testing.T) { failures = n.serve(readings) })
+		synctest.Test(t, func(*testing.T) { failures = n.runReaders(readers) })
 		for _, err := range failures {
 			rt.Error(err)
 		}
 	})
 }
 
-// serve carries out the readings and returns what went wrong.
-func (n *network) serve(readings []*reading) []error {
+// runReaders carries out the readings and returns what went wrong.
+func (n *testNetwork) runReaders(readers []*responseReader) []error {
 	p := NewPeer(PeerConfig{Dial: n.dial})
 	defer synctest.Wait() // nothing may be left running
 	defer p.Close()
-	errs := make([]error, len(readings))
+	errs := make([]error, len(readers))
 	var wg sync.WaitGroup
-	for i, r := range readings {
+	for i, r := range readers {
 		r.peer = p
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Minute)
@@ -79,7 +79,7 @@
 	}
 	wg.Wait()
 	var failures []error
-	for i, r := range readings {
+	for i, r := range readers {
 		id := r.key.Nonce
 		want := n.sidecar.scripts[id].bytes(r.body)
 		if errs[i] != nil || !bytes.Equal(r.got, want) || r.heads != 1 || n.sidecar.runs[id] != 1 {
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -22,15 +22,15 @@
 
 	readBufferSize = 4 << 10
 
-	// readStep is how much of a frame is made room for at a time. A length that
+	// readChunk is how much of a frame is made room for at a time. A length that
 	// is a lie costs no more memory than the bytes that really come.
-	readStep = 64 << 10
+	readChunk = 64 << 10
 
-	// writeStep is how much is written under one deadline, in bytes.
-	writeStep = 256 << 10
+	// writeChunk is how much is written under one deadline, in bytes.
+	writeChunk = 256 << 10
 
-	// keptBuffer is the largest buffer that is kept for the next frame.
-	keptBuffer = 64 << 10
+	// maxPooledBuffer is the largest buffer that is kept for the next frame.
+	maxPooledBuffer = 64 << 10
 )
 
 // Errors that end a connection.
@@ -57,9 +57,9 @@
 	writeTimeout time.Duration
 	received     uint32       // frames
 	lastRead     atomic.Int64 // Unix nanoseconds
-	size         int          // bytes of the frame that was read last
-	method       Method       // of the call or reply that is written next
-	replying     Method       // of the call that is replied to
+	lastSize     int          // bytes of the frame that was read last
+	nextMethod   Method       // of the call or reply that is written next
+	replyMethod  Method       // of the call that is replied to
 
 	mu   sync.Mutex // held while a frame is written
 	sent uint32     // frames
@@ -86,9 +86,9 @@
 // write sends one frame. After an error other than ErrTooLarge the peer has
 // not got the frame, or only a part that it can't use, and the connection is
 // of no further use.
-func (t *transport) write(k kind, encode func(*bytes.Buffer) error) error {
+func (t *transport) write(k frameKind, encode func(*bytes.Buffer) error) error {
 	b := buffers.Get().(*bytes.Buffer)
-	defer release(b)
+	defer releaseBuffer(b)
 	b.Reset()
 	b.Write(make([]byte, headerSize))
 	if err := encode(b); err != nil {
@@ -96,7 +96,7 @@
 	}
 	frame := b.Bytes()
 	content := len(frame) - headerSize
-	if content > maxSize[k] {
+	if content > maxContentSize[k] {
 		return ErrTooLarge
 	}
 	binary.BigEndian.PutUint32(frame, uint32(content))
@@ -109,20 +109,20 @@
 		_ = closeNow(t.conn)
 		return err
 	}
-	count(t.label(k), len(frame))
+	countFrame(t.label(k), len(frame))
 	return nil
 }
 
 // label names a frame that is written, for the counters.
-func (t *transport) label(k kind) Method {
+func (t *transport) label(k frameKind) Method {
 	if k == kindRPC {
-		return t.method
+		return t.nextMethod
 	}
-	return labels[k]
+	return frameLabels[k]
 }
 
-func release(b *bytes.Buffer) {
-	if b.Cap() <= keptBuffer {
+func releaseBuffer(b *bytes.Buffer) {
+	if b.Cap() <= maxPooledBuffer {
 		buffers.Put(b)
 	}
 }
@@ -134,7 +134,7 @@
 		if err := t.conn.SetWriteDeadline(time.Now().Add(t.writeTimeout)); err != nil {
 			return errors.WithStack(err)
 		}
-		n, err := t.conn.Write(b[:min(len(b), writeStep)])
+		n, err := t.conn.Write(b[:min(len(b), writeChunk)])
 		if err != nil {
 			return errors.WithStack(err)
 		}
@@ -146,33 +146,33 @@
 // ReadObject implements jsonrpc2.ObjectStream.
 func (t *transport) ReadObject(v any) error {
 	for {
-		k, content, err := t.next()
+		k, content, err := t.nextFrame()
 		if err != nil {
 			return err
 		}
 		if k == kindRPC {
-			return malformed(json.Unmarshal(content, v))
+			return countProtocolError(json.Unmarshal(content, v))
 		}
 		f, err := decodeFrame(k, content)
 		if err != nil {
-			return malformed(err)
+			return countProtocolError(err)
 		}
 		if f != nil {
-			count(labels[k], t.size)
+			countFrame(frameLabels[k], t.lastSize)
 			t.onFrame(f)
 		}
 	}
 }
 
-func malformed(err error) error {
+func countProtocolError(err error) error {
 	if err != nil {
 		protocolErrors.Inc()
 	}
 	return errors.WithStack(err)
 }
 
-// next returns the next frame that was not there before.
-func (t *transport) next() (kind, []byte, error) {
+// nextFrame returns the nextFrame frame that was not there before.
+func (t *transport) nextFrame() (frameKind, []byte, error) {
 	for {
 		h, content, err := readFrame(t.in)
 		if err != nil {
@@ -186,7 +186,7 @@
 			return 0, nil, ErrGap
 		default:
 			t.received++
-			t.size = headerSize + len(content)
+			t.lastSize = headerSize + len(content)
 			t.lastRead.Store(time.Now().UnixNano())
 			return h.kind, content, nil
 		}
@@ -205,11 +205,11 @@
 // closeNow closes c without the farewell of TLS, which would wait for a peer
 // that does not read. An End tells a whole answer from one that was cut.
 func closeNow(c net.Conn) error {
-	return innermost(c).Close()
+	return unwrapConn(c).Close()
 }
 
-// innermost returns the connection inside those that wrap it, such as TLS.
-func innermost(c net.Conn) net.Conn {
+// unwrapConn returns the connection inside those that wrap it, such as TLS.
+func unwrapConn(c net.Conn) net.Conn {
 	for {
 		wrapped, ok := c.(interface{ NetConn() net.Conn })
 		if !ok {
@@ -221,7 +221,7 @@
 
 type header struct {
 	length int
-	kind   kind
+	kind   frameKind
 	number uint32
 }
 
@@ -233,43 +233,43 @@
 	}
 	h := header{
 		length: int(binary.BigEndian.Uint32(b[:])),
-		kind:   kind(b[4]),
+		kind:   frameKind(b[4]),
 		number: binary.BigEndian.Uint32(b[5:]),
 	}
-	if h.length > limit(h.kind) {
-		return header{}, nil, malformed(ErrTooLarge)
+	if h.length > contentLimit(h.kind) {
+		return header{}, nil, countProtocolError(ErrTooLarge)
 	}
 	content, err := readContent(r, h.length)
 	return h, content, err
 }
 
-// limit returns the largest content of a kind, which may be one that only a
+// contentLimit returns the largest content of a kind, which may be one that only a
 // newer peer knows.
-func limit(k kind) int {
-	if k >= kindCount || maxSize[k] == 0 {
+func contentLimit(k frameKind) int {
+	if k >= kindCount || maxContentSize[k] == 0 {
 		return maxUnknown
 	}
-	return maxSize[k]
+	return maxContentSize[k]
 }
 
-func readContent(r io.Reader, n int) ([]byte, error) {
-	content := make([]byte, min(n, readStep))
-	for have := 0; ; {
-		if _, err := io.ReadFull(r, content[have:]); err != nil {
-			return nil, noEOF(err)
+func readContent(r io.Reader, length int) ([]byte, error) {
+	content := make([]byte, min(length, readChunk))
+	for received := 0; ; {
+		if _, err := io.ReadFull(r, content[received:]); err != nil {
+			return nil, unexpectedEOF(err)
 		}
-		have = len(content)
-		if have == n {
+		received = len(content)
+		if received == length {
 			return content, nil
 		}
-		grown := make([]byte, min(n, 2*have))
-		copy(grown, content)
-		content = grown
+		larger := make([]byte, min(length, 2*received))
+		copy(larger, content)
+		content = larger
 	}
 }
 
-// noEOF turns an end of the stream within a frame into the error that it is.
-func noEOF(err error) error {
+// unexpectedEOF turns an end of the stream within a frame into the error that it is.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
