--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// cpuTime returns the processor time of this process in nanoseconds.
+// cpuTime returns the CPU time used by this process in nanoseconds.
 func cpuTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -19,8 +19,8 @@
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// BenchmarkHandshake measures what a connection of a router to a sidecar costs
-// both sides together: processor time and the bytes of the handshake.
+// BenchmarkHandshake measures the cost of a connection from a router to a sidecar:
+// CPU time of both sides together, and the bytes of the handshake.
 func BenchmarkHandshake(b *testing.B) {
 	ca := newCA(b)
 	server, _ := newTestMutualTLS(b, ca, sidecar)
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -1,7 +1,7 @@
-// Package secure holds what processes trust each other by: mutual TLS between
-// routers and sidecars, TLS towards callers and the platform, and the secrets
-// that sign tokens. All of it comes from files that are read again when they
-// change, so that a rotation needs no restart.
+// Package secure provides mutual TLS between routers and sidecars, TLS for callers
+// and for the platform, and the secrets that sign tokens. Certificates, keys and
+// secrets come from files that are reloaded when they change, so that a rotation
+// needs no restart.
 package secure
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// maxFileSize is the largest file that is read, in bytes.
+// maxFileSize is the size limit of a file, in bytes.
 const maxFileSize = 1 << 20
 
 var (
@@ -28,22 +28,22 @@
 		"Changed files of certificates, keys or secrets that were broken; the former ones stay in use.", telemetry.Alert)
 )
 
-// FileWatcher follows a set of files that belong together, such as a certificate and
-// its key.
+// FileWatcher reloads a set of files that belong together, such as a certificate and
+// its key, when they change.
 type FileWatcher struct {
 	paths     []string
 	load      func(contents [][]byte) error
-	afterPoll func()      // runs after each look; may be nil
-	current   fingerprint // in use
-	pending   fingerprint // seen once
-	rejected  fingerprint // seen, and found broken
+	afterPoll func()      // runs after each poll; may be nil
+	current   fingerprint // of the contents in use
+	pending   fingerprint // of the contents seen at the last poll
+	rejected  fingerprint // of the last contents that failed to load
 }
 
 // fingerprint identifies the contents of a set of files.
 type fingerprint [sha256.Size]byte
 
-// WatchFiles reads the files and hands their contents to take, now and on each
-// change. It fails when the first contents can't be used.
+// WatchFiles reads the files and passes their contents to load, now and on each
+// change. It returns an error if the initial contents can't be read or loaded.
 func WatchFiles(paths []string, load func(contents [][]byte) error) (*FileWatcher, error) {
 	f := &FileWatcher{paths: paths, load: load}
 	contents, err := f.read()
@@ -57,7 +57,7 @@
 	return f, nil
 }
 
-// Run looks for changes until ctx ends.
+// Run polls for changes at an interval until ctx ends.
 func (f *FileWatcher) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -74,13 +74,13 @@
 	}
 }
 
-// poll takes changed contents into use once it has seen the same ones twice.
+// poll loads changed contents once two polls in a row have read the same.
 //
-// A file that is being written, or a certificate that has arrived before its
-// key, may read as something whole but wrong: a bundle cut between two
-// certificates parses, and would shut out half of the fleet. Such a state does
-// not last from one look to the next; where it does, it is checked as any
-// other, and while the check fails the former contents stay in use.
+// A file that is being written, or a certificate that arrives before its key, may
+// parse although it is incomplete: a bundle that is cut between two certificates
+// parses, and would lock out half of the fleet. Such a state normally does not last
+// from one poll to the next. If it does, it is validated like any other, and the
+// previous contents stay in use while validation fails.
 func (f *FileWatcher) poll() {
 	contents, err := f.read()
 	seen := fingerprintOf(contents, err)
@@ -95,12 +95,12 @@
 	if err != nil {
 		f.rejected = seen
 		reloadFailures.Inc()
-		slog.Error("changed files are broken, the former ones stay in use", "files", f.paths, "error", err)
+		slog.Error("changed files are invalid, the previous contents stay in use", "files", f.paths, "error", err)
 		return
 	}
 	f.current, f.rejected = seen, fingerprint{}
 	reloads.Inc()
-	slog.Info("changed files taken into use", "files", f.paths)
+	slog.Info("changed files loaded", "files", f.paths)
 }
 
 func (f *FileWatcher) read() ([][]byte, error) {
@@ -126,7 +126,7 @@
 		return nil, errors.WithStack(err)
 	}
 	if len(b) > maxFileSize {
-		return nil, errors.Errorf("%s is over %d bytes", path, maxFileSize)
+		return nil, errors.Errorf("%s is larger than %d bytes", path, maxFileSize)
 	}
 	return b, nil
 }
--- a/internal/secure/identity.go
+++ b/internal/secure/identity.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Role is what a certificate says its holder is.
+// Role is the role of a process, as named in its certificate.
 type Role string
 
 // Roles of processes.
@@ -17,27 +17,27 @@
 	RoleSidecar Role = "sidecar"
 )
 
-// Identity is whom a certificate of the fleet names.
+// Identity is the identity of a process, as named in a certificate of the fleet.
 type Identity struct {
 	Role Role
-	VM   string // id of the VM in the platform's list
+	VM   string // id of the VM in the platform's list of VMs
 }
 
-// spiffeScheme is that of SPIFFE ids, the usual form of workload identities.
+// spiffeScheme is the URI scheme of SPIFFE ids, the common form of workload identities.
 const spiffeScheme = "spiffe"
 
 // URI returns the identity as a SPIFFE id of a trust domain, such as
-// spiffe://fleet.example/sidecar/vm-7. It is the one URI in the subject
-// alternative names of the holder's certificate.
+// spiffe://fleet.example/sidecar/vm-7. It must be the only URI in the subject
+// alternative names of the process's certificate.
 func (i Identity) URI(trustDomain string) *url.URL {
 	return &url.URL{Scheme: spiffeScheme, Host: trustDomain, Path: "/" + string(i.Role) + "/" + i.VM}
 }
 
-// ErrIdentity is a certificate that does not say who its holder is, or says
-// that it is someone else.
+// ErrIdentity means that a certificate names no valid identity, or another one than
+// expected.
 var ErrIdentity = errors.New("secure: not whom the certificate must name")
 
-// identityOf reads the identity in a certificate.
+// identityOf returns the identity that a certificate names. Its errors are ErrIdentity.
 func identityOf(cert *x509.Certificate, trustDomain string) (Identity, error) {
 	if len(cert.URIs) != 1 {
 		return Identity{}, errors.Wrapf(ErrIdentity, "%d URIs, want one", len(cert.URIs))
--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -12,27 +12,27 @@
 	"github.com/pkg/errors"
 )
 
-// maxVerified bounds the certificates that are known to verify: twice the peers
-// at the target's size.
+// maxVerified limits the cache of verified certificate chains: twice the number of
+// peers at the target fleet size.
 const maxVerified = 8192
 
-// material is what one state of the files holds, with what has been learnt
-// under it. All of that ends with it: a session that began under other
-// authorities, or with a certificate that has been replaced since, is of no use
-// under the present ones, and resuming it would only be refused.
+// material holds the contents of one version of the files, with the sessions and
+// verified chains that depend on it. They are discarded with it: a session that was
+// started under other authorities, or with a certificate that has been replaced, is
+// useless afterwards, since its resumption would be refused.
 type material struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
-	sessions tls.ClientSessionCache // of the sidecars that this process dials
+	sessions tls.ClientSessionCache // with the sidecars that this process dials
 
 	mu       sync.Mutex
 	verified map[fingerprint]verifiedChain
 }
 
-// verifiedChain is a chain of certificates that has been verifiedChain.
+// verifiedChain is the result of verifying a certificate chain.
 type verifiedChain struct {
 	peer     Identity
-	notAfter time.Time // the first of its certificates ends
+	notAfter time.Time // earliest expiry of its certificates
 }
 
 func parseMaterial(contents [][]byte) (*material, error) {
@@ -52,8 +52,8 @@
 	}, nil
 }
 
-// parseCAs reads a bundle. Unlike x509.CertPool it refuses what it can't read,
-// so that a bundle that is cut short is not taken for a smaller one.
+// parseCAs parses a PEM bundle of authorities. Unlike x509.CertPool it rejects what
+// it can't parse, so that a truncated bundle is not accepted as a smaller one.
 func parseCAs(b []byte) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
 	n := 0
@@ -65,20 +65,21 @@
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, errors.Wrap(err, "authority")
+			return nil, errors.Wrap(err, "parse authority")
 		}
 		pool.AddCert(cert)
 		n++
 	}
 	if n == 0 || len(bytes.TrimSpace(b)) > 0 {
-		return nil, errors.Errorf("want only PEM certificates of authorities, have %d and then %d other bytes", n, len(b))
+		return nil, errors.Errorf("bundle must consist of PEM certificates, got %d and then %d other bytes", n, len(b))
 	}
 	return pool, nil
 }
 
-// verify checks that a chain of certificates, the peer's own first, was signed
-// for a use by an authority, and returns whom it names. Whoever can prove to
-// hold the key comes back with the same chain, so a chain is looked at once.
+// verify checks that a certificate chain, leaf first, was signed by an authority for
+// a usage, and returns the identity that it names. Results are cached until a
+// certificate expires: a peer sends the same chain each time, and TLS proves that it
+// holds the key.
 func (m *material) verify(chain []*x509.Certificate, trustDomain string, usage x509.ExtKeyUsage) (Identity, error) {
 	now := time.Now()
 	key := fingerprintOfChain(chain, usage)
@@ -101,7 +102,7 @@
 	return verified.peer, nil
 }
 
-// ownIdentity returns whom the own certificate names to peers.
+// ownIdentity returns the identity that peers read from this process's certificate.
 func (m *material) ownIdentity(trustDomain string) (Identity, error) {
 	chain, err := parseChain(m.cert)
 	if err != nil {
--- a/internal/secure/mutual.go
+++ b/internal/secure/mutual.go
@@ -14,39 +14,40 @@
 var certificateExpiry = telemetry.NewGauge("secure_certificate_expiry_seconds",
 	"When this process's own certificate ends, in seconds since 1970; zero without TLS in the fleet.")
 
-// Paths are the files of one certificate and of the authorities that it and
-// its peers are checked against, all PEM.
+// Paths holds the paths of a certificate, its key and the authorities that it and
+// its peers are verified against, all PEM files.
 type Paths struct {
 	Cert, Key, CA string
 }
 
-// MutualTLS is TLS in which both sides show certificates of the fleet. Whom a
-// certificate names and who signed it is checked on each connection against
-// the present files, resumed sessions included: a session outlives the
-// certificate with which it began.
+// MutualTLS is a Transport over TLS in which both sides present certificates of the
+// fleet. The identity and the signature of the peer's certificate are verified
+// against the current files on each connection, including resumed sessions, since a
+// session can outlive the certificate with which it was started.
 type MutualTLS struct {
 	self        Identity
 	trustDomain string
 	watcher     *FileWatcher
 	material    atomic.Pointer[material]
-	tickets     *ticketStore // of the routers that dial this process
+	tickets     *ticketStore // sessions of the peers that dial this process
 
-	lastRefusalLog atomic.Int64 // when a line was written last, in Unix nanoseconds
+	lastRefusalLog atomic.Int64 // Unix nanoseconds
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{} // open
 }
 
-// fleetCurves leaves out the hybrid key exchange that the library prefers: it
-// makes a handshake of 650 bytes one of 2,970, and routers that come and go at
-// thousands of sidecars count those bytes. Towards callers it stays.
+// fleetCurves excludes the hybrid key exchange that crypto/tls prefers: it grows a
+// handshake from 650 to 2,970 bytes, which counts for routers that reconnect to
+// thousands of sidecars. It stays enabled for callers.
 var fleetCurves = []tls.CurveID{tls.X25519}
 
-// maxSessions bounds the sessions that are kept for resumption: one for each
-// peer at the target's size, on either side.
+// maxSessions limits the sessions that either side keeps for resumption: one per
+// peer at the target fleet size.
 const maxSessions = 4096
 
-// NewMutualTLS reads the files. The own certificate must name self.
+// NewMutualTLS loads the files. It returns an error if they are invalid or if the
+// certificate does not name self.
 func NewMutualTLS(self Identity, trustDomain string, p Paths) (*MutualTLS, error) {
 	m := &MutualTLS{
 		self:        self,
@@ -59,7 +60,7 @@
 	return m, errors.Wrap(err, "secure: certificates of the fleet")
 }
 
-// Watcher returns the files to follow.
+// Watcher returns the watcher that reloads the files while its Run is active.
 func (m *MutualTLS) Watcher() *FileWatcher {
 	return m.watcher
 }
@@ -69,8 +70,8 @@
 	if err != nil {
 		return err
 	}
-	// An own certificate that peers will refuse is a mistake to notice here,
-	// where the former one can stay in use.
+	// A certificate of its own that peers would refuse must be rejected here,
+	// where the previous one can stay in use.
 	own, err := loaded.ownIdentity(m.trustDomain)
 	if err != nil {
 		return err
@@ -96,10 +97,10 @@
 	delete(m.conns, c)
 }
 
-// closeDistrusted ends connections whose peer's certificate the present files
-// refuse. A connection lasts as long as there is traffic on it, so a peer with
-// a leaked certificate would otherwise keep what it has. A peer that has a new
-// certificate connects again and resumes its streams.
+// closeDistrusted closes connections whose peer's certificate is no longer trusted
+// under the current files. A connection lasts as long as there is traffic on it, so
+// a peer with a leaked certificate would otherwise keep its connections. A peer with
+// a new certificate connects again and resumes its streams.
 func (m *MutualTLS) closeDistrusted() {
 	m.mu.Lock()
 	var refused []*Conn
@@ -115,7 +116,7 @@
 	}
 }
 
-// verifyPeer checks the certificates of the other side of a connection.
+// verifyPeer verifies the peer's certificates of a connection and returns its identity.
 func (m *MutualTLS) verifyPeer(cs tls.ConnectionState, usage x509.ExtKeyUsage) (Identity, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, errors.Wrap(ErrIdentity, "no certificate")
@@ -123,13 +124,13 @@
 	return m.material.Load().verify(cs.PeerCertificates, m.trustDomain, usage)
 }
 
-// ServerConfig returns the configuration by which a sidecar serves routers and
+// ServerConfig returns the TLS configuration with which a sidecar serves routers and
 // other sidecars.
 func (m *MutualTLS) ServerConfig() *tls.Config {
 	c := &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		CurvePreferences: fleetCurves,
-		ClientAuth:       tls.RequireAnyClientCert, // and VerifyConnection judges it
+		ClientAuth:       tls.RequireAnyClientCert, // verified by VerifyConnection
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.material.Load().cert, nil },
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			id, err := m.verifyPeer(cs, x509.ExtKeyUsageClientAuth)
@@ -143,15 +144,15 @@
 	return c
 }
 
-// ClientConfig returns the configuration by which a process dials the sidecar of a VM.
+// ClientConfig returns the TLS configuration for dialing the sidecar of a VM.
 func (m *MutualTLS) ClientConfig(vm string) *tls.Config {
 	want := Identity{Role: RoleSidecar, VM: vm}
 	mat := m.material.Load()
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		CurvePreferences: fleetCurves,
-		// Sidecars have ids instead of host names. VerifyConnection checks the
-		// chain and the id, and unlike the usual check also on resumption.
+		// Sidecars have SPIFFE ids instead of host names. VerifyConnection verifies the
+		// chain and the id and, unlike the default verification, also on resumption.
 		InsecureSkipVerify:   true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &mat.cert, nil },
 		ClientSessionCache:   mat.sessions,
--- a/internal/secure/public.go
+++ b/internal/secure/public.go
@@ -7,13 +7,14 @@
 	"github.com/pkg/errors"
 )
 
-// CallerTLS is TLS towards callers, who bring API keys instead of certificates.
+// CallerTLS provides TLS for callers, who authenticate with API keys instead of
+// certificates.
 type CallerTLS struct {
 	watcher *FileWatcher
 	cert    atomic.Pointer[tls.Certificate]
 }
 
-// NewCallerTLS reads the files of a certificate and its key.
+// NewCallerTLS loads a certificate and its key from files.
 func NewCallerTLS(cert, key string) (*CallerTLS, error) {
 	s := &CallerTLS{}
 	var err error
@@ -21,7 +22,7 @@
 	return s, errors.Wrap(err, "secure: certificate for callers")
 }
 
-// Watcher returns the files to follow.
+// Watcher returns the watcher that reloads the files while its Run is active.
 func (s *CallerTLS) Watcher() *FileWatcher {
 	return s.watcher
 }
@@ -34,7 +35,7 @@
 	return errors.WithStack(err)
 }
 
-// Config returns the configuration for an HTTP server.
+// Config returns the TLS configuration for an HTTP server.
 func (s *CallerTLS) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -43,13 +44,13 @@
 	}
 }
 
-// PlatformTLS is TLS towards the platform.
+// PlatformTLS provides TLS for connections to the platform.
 type PlatformTLS struct {
 	watcher *FileWatcher
 	config  atomic.Pointer[tls.Config]
 }
 
-// NewPlatformTLS reads the authorities that sign the platform's certificate.
+// NewPlatformTLS loads the authorities that sign the platform's certificate from a file.
 func NewPlatformTLS(ca string) (*PlatformTLS, error) {
 	c := &PlatformTLS{}
 	var err error
@@ -57,7 +58,7 @@
 	return c, errors.Wrap(err, "secure: authorities of the platform")
 }
 
-// Watcher returns the files to follow.
+// Watcher returns the watcher that reloads the files while its Run is active.
 func (c *PlatformTLS) Watcher() *FileWatcher {
 	return c.watcher
 }
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// Config returns the configuration for connections opened from now on.
+// Config returns the current TLS configuration, for new connections.
 func (c *PlatformTLS) Config() *tls.Config {
 	return c.config.Load()
 }
--- a/internal/secure/secrets.go
+++ b/internal/secure/secrets.go
@@ -9,24 +9,23 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// signDelay is how long a secret that has just arrived is only accepted before
-// this process signs with it. Processes read their files at moments of their
-// own; were the first to sign at once, the others would refuse its tokens as
-// forged until they had looked.
+// signDelay is how long a new secret is only accepted before this process signs with
+// it. Processes reload their files at different times; if the first one signed at
+// once, the others would reject its tokens as forged until they had reloaded.
 const signDelay = time.Minute
 
-// Secrets are the token secrets of a file, whose first line signs.
+// Secrets holds the token secrets of a file. The secret in its first line signs.
 type Secrets struct {
 	Keyring *token.Keyring
 	watcher *FileWatcher
 	now     func() time.Time
 
-	inUse    []token.Secret // as given to Ring
+	inUse    []token.Secret // as passed to Keyring
 	desired  []token.Secret // in the order of the file
-	switchAt time.Time      // when wanted replaces inUse
+	switchAt time.Time      // when desired replaces inUse; zero: no replacement is pending
 }
 
-// NewSecrets reads the file.
+// NewSecrets loads the secrets from a file.
 func NewSecrets(path string) (*Secrets, error) {
 	return newSecrets(path, time.Now)
 }
@@ -42,7 +41,7 @@
 	return s, nil
 }
 
-// Watcher returns the files to follow.
+// Watcher returns the watcher that reloads the file while its Run is active.
 func (s *Secrets) Watcher() *FileWatcher {
 	return s.watcher
 }
@@ -66,9 +65,9 @@
 	return s.Keyring.Set(s.inUse...)
 }
 
-// retainedSigner returns the index of the secret that signs until now, when the
-// one that is to sign has only just arrived; else -1. A signer that has been
-// taken out is not kept: it may have leaked.
+// retainedSigner returns the index of the current signer if the secret that is to
+// sign next is new, so that the current one keeps signing for signDelay; otherwise
+// -1. A signer that was removed from the file is not retained: it may have leaked.
 func (s *Secrets) retainedSigner(secrets []token.Secret) int {
 	known := slices.ContainsFunc(s.inUse, secrets[0].Equal)
 	if known {
@@ -77,12 +76,13 @@
 	return slices.IndexFunc(secrets, s.inUse[0].Equal)
 }
 
-// promote begins to sign with a secret whose time has come. It runs at each look.
+// promote starts to sign with the new secret once switchAt is reached. It runs after
+// each poll.
 func (s *Secrets) promote() {
 	if s.switchAt.IsZero() || s.now().Before(s.switchAt) {
 		return
 	}
 	s.switchAt = time.Time{}
 	s.inUse = s.desired
-	_ = s.Keyring.Set(s.desired...) // checked when they were read
+	_ = s.Keyring.Set(s.desired...) // the secrets were validated when they were loaded
 }
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -22,7 +22,7 @@
 
 const (
 	domain = "fleet.test"
-	// countedWithin is how long a test waits for a count that must come.
+	// countedWithin is how long a test waits for an event that must occur.
 	countedWithin = 20 * time.Second
 )
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// issue returns a certificate and its key.
+// issue returns a certificate for uri and its key.
 func issue(t testing.TB, ca *securetest.CA, uri *url.URL) (cert, key []byte) {
 	t.Helper()
 	cert, key, err := ca.Issue(uri)
@@ -65,7 +65,7 @@
 	return cert, key
 }
 
-// writeCertFiles writes the files of one process.
+// writeCertFiles writes the certificate, key and authorities of one process.
 func writeCertFiles(t testing.TB, ca *securetest.CA, uri *url.URL, roots []byte) Paths {
 	t.Helper()
 	dir := t.TempDir()
@@ -84,7 +84,7 @@
 	return must(t, m, err), p
 }
 
-// serve echoes to each authenticated peer and returns the address.
+// serve starts a server that echoes to each authenticated peer and returns its address.
 func serve(t testing.TB, m *MutualTLS) string {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,7 @@
 	return raw.Addr().String()
 }
 
-// dialAndEcho makes a connection and a round trip over it.
+// dialAndEcho connects to a server and makes a round trip.
 func dialAndEcho(m *MutualTLS, addr string) (*Conn, error) {
 	c, err := m.Dial(context.Background(), sidecar.VM, addr)
 	if err != nil {
@@ -123,24 +123,25 @@
 	return err
 }
 
-// A router's VM vanishes without a word while a connection to a sidecar is idle.
-// Package wire has the kernel probe idle connections, for which it must find the
-// TCP connection below; else the sidecar keeps each such connection for good.
+// A router's VM disappears without closing an idle connection to a sidecar. Package
+// wire makes the kernel probe idle connections, for which it needs the TCP
+// connection under the wrappers; otherwise the sidecar keeps such connections for
+// ever.
 func TestTCPConnectionIsAccessible(t *testing.T) {
 	server, _ := newTestMutualTLS(t, newCA(t), sidecar)
 	c, err := dialAndEcho(server, serve(t, server))
 	counting, ok := must(t, c, err).NetConn().(interface{ NetConn() net.Conn })
 	if !ok {
-		t.Fatal("the connection below is hidden")
+		t.Fatal("the wrapped connection is not accessible")
 	}
 	if _, ok := counting.NetConn().(*net.TCPConn); !ok {
-		t.Errorf("%T is no TCP connection", counting.NetConn())
+		t.Errorf("%T is not a TCP connection", counting.NetConn())
 	}
 }
 
-// A process of another role, another fleet or another VM, or one whose
-// certificate names nobody, gets hold of a sidecar's address: it must not get
-// work run, and a router must not hand a guest's chat to it in turn.
+// A process of another role, another fleet or another VM, or one whose certificate
+// names no identity, learns a sidecar's address. The sidecar must not run its
+// requests, and a router must not send it a user's chat.
 func TestOnlyTrustedPeersConnect(t *testing.T) {
 	ours, other := newCA(t), newCA(t)
 	server, _ := newTestMutualTLS(t, ours, sidecar)
@@ -149,7 +150,8 @@
 	if c, err := dialAndEcho(client, addr); err != nil || c.Peer != sidecar {
 		t.Fatalf("a router was refused: %v", err)
 	}
-	// The check of the own files would stop these at their start; here they overrideDomain.
+	// NewMutualTLS rejects a certificate of another trust domain than its own, so the
+	// domain is overridden afterwards.
 	overrideDomain := func(m *MutualTLS) *MutualTLS { m.trustDomain = domain; return m }
 	foreign := mustMutualTLS(t, NewMutualTLS, router, "elsewhere.test", writeCertFiles(t, ours, router.URI("elsewhere.test"), ours.PEM))
 	console := Identity{Role: "console", VM: "x"}
@@ -160,23 +162,23 @@
 	} {
 		before := refusedPeers.Value()
 		if _, err := dialAndEcho(m, addr); err == nil {
-			t.Errorf("%s was let in", name)
+			t.Errorf("%s was accepted", name)
 		}
-		// The sidecar counts after it has told the peer.
+		// The sidecar counts the refusal after it has sent the alert.
 		gomega.NewWithT(t).Eventually(refusedPeers.Value, countedWithin).Should(gomega.BeNumerically(">", before), name)
 	}
 	impostor, _ := newTestMutualTLS(t, ours, Identity{Role: RoleSidecar, VM: "vm-8"})
 	if _, err := dialAndEcho(client, serve(t, impostor)); !errors.Is(err, ErrIdentity) {
-		t.Errorf("another VM in the place of the sidecar: %v", err)
+		t.Errorf("sidecar of another VM accepted: %v", err)
 	}
 	if _, err := NewMutualTLS(router, domain, writeCertFiles(t, ours, sidecar.URI(domain), ours.PEM)); !errors.Is(err, ErrIdentity) {
-		t.Errorf("a router started with the files of a sidecar: %v", err)
+		t.Errorf("router started with the files of a sidecar: %v", err)
 	}
 	for _, bad := range []string{"spiffe://fleet.test/router/", "spiffe://fleet.test/router", "https://fleet.test/router/entry-1", "spiffe://fleet.test/router/entry-1?x"} {
 		u, err := url.Parse(bad)
 		cert := &x509.Certificate{URIs: []*url.URL{must(t, u, err)}}
 		if id, err := identityOf(cert, domain); err == nil {
-			t.Errorf("%s was taken for %+v", bad, id)
+			t.Errorf("%s was accepted as %+v", bad, id)
 		}
 	}
 }
@@ -187,10 +189,10 @@
 	return must(t, m, err)
 }
 
-// Operators take an authority out of the bundle because its key has leaked.
-// A router with a certificate of that authority has a connection open, and
-// comes back with a session from before: resumption skips the certificates, so
-// it would stay in for as long as it likes.
+// Operators remove an authority from the bundle because its key has leaked. A peer
+// with a certificate of that authority has an open connection and a session ticket.
+// Resumption sends no certificates, so without a check it would keep its access
+// indefinitely.
 func TestRemovedAuthorityIsDistrusted(t *testing.T) {
 	former, next := newCA(t), newCA(t)
 	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, writeCertFiles(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
@@ -211,17 +213,17 @@
 	server.watcher.poll()
 	_ = openConn.SetReadDeadline(time.Now().Add(countedWithin))
 	if _, err := openConn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a connection from before is still open: %v", err)
+		t.Errorf("a connection opened before the removal is still open: %v", err)
 	}
 	if _, err := dialAndEcho(r, addr); err == nil {
-		t.Error("a session of the former authority was resumed")
+		t.Error("a session of the removed authority was resumed")
 	}
 }
 
-// At night a deploy tool renews the files while routers connect: first the
-// certificate, then its key, then the bundle, which it writes in two parts. In
-// no state between may a router be shut out, and a state that stays broken
-// must show in a counter while the former files serve on.
+// A deployment tool replaces the files in several steps while routers connect: the
+// bundle in parts, then the certificate, then its key. No intermediate state may
+// lock out a router, and one that stays invalid must be counted while the previous
+// files stay in use.
 func TestRotationRefusesNoValidPeer(t *testing.T) {
 	former, next := newCA(t), newCA(t)
 	bundle := append(append([]byte{}, former.PEM...), next.PEM...)
@@ -237,10 +239,10 @@
 		polls   int
 		fails   int64
 	}{
-		{p.CA, bundle[:len(former.PEM)], 1, 0}, // cut between two authorities: whole, but wrong
-		{p.CA, bundle[:len(bundle)-30], 3, 1},  // cut within one, and left so
+		{p.CA, bundle[:len(former.PEM)], 1, 0}, // cut between two authorities: parses, but is incomplete
+		{p.CA, bundle[:len(bundle)-30], 3, 1},  // cut within one, and left that way
 		{p.CA, renewed, 2, 0},
-		{p.Cert, cert, 3, 1}, // without its key, and left so
+		{p.Cert, cert, 3, 1}, // without its key, and left that way
 		{p.Key, key[:40], 1, 0},
 		{p.Key, key, 2, 0},
 	}
@@ -250,11 +252,11 @@
 		for range step.polls {
 			server.watcher.poll()
 			if _, err := dialAndEcho(r, addr); err != nil {
-				t.Fatalf("step %d shut a router out: %v", i, err)
+				t.Fatalf("step %d locked out a router: %v", i, err)
 			}
 		}
 		if got := reloadFailures.Value() - before; got != step.fails {
-			t.Errorf("step %d was counted as %d failures, want %d", i, got, step.fails)
+			t.Errorf("step %d counted %d reload failures, want %d", i, got, step.fails)
 		}
 	}
 	if server.watcher.current != fingerprintOf([][]byte{cert, key, renewed}, nil) {
@@ -262,13 +264,14 @@
 	}
 	writeFile(t, p.CA, nil)
 	if _, err := NewMutualTLS(sidecar, domain, p); err == nil {
-		t.Error("an empty bundle was taken at the start")
+		t.Error("an empty bundle was accepted at the start")
 	}
 }
 
-// Routers read a rotated file up to some seconds apart. A guest gets a ticket
-// from the first and returns through one that has not looked yet, which would
-// call the ticket forged: the chat loses its cached prefix, a retry its key.
+// Routers reload a rotated file up to some seconds apart. A caller gets a ticket from
+// one router and returns through another that has not reloaded yet, which would
+// reject the ticket as forged: the chat would lose its cached prefix and a retry its
+// key.
 func TestNewSecretSignsOnlyOnceAllAcceptIt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secrets")
 	one, two := "1:"+strings.Repeat("11", 32)+"\n", "2:"+strings.Repeat("22", 32)+"\n"
@@ -288,26 +291,26 @@
 	}
 	writeFile(t, path, []byte(two+one))
 	reload(early)
-	checkAccepted("one has looked", early, late)
-	checkAccepted("one has looked", late, early)
+	checkAccepted("one router has reloaded", early, late)
+	checkAccepted("one router has reloaded", late, early)
 	reload(late)
 	now = now.Add(signDelay)
 	reload(early)
-	checkAccepted("one signs with the new secret", early, late)
-	checkAccepted("one signs with the new secret", late, early)
+	checkAccepted("one router signs with the new secret", early, late)
+	checkAccepted("one router signs with the new secret", late, early)
 	reload(late)
 	writeFile(t, path, []byte(two))
 	reload(early)
-	checkAccepted("one has dropped the former secret", early, late)
-	checkAccepted("one has dropped the former secret", late, early)
+	checkAccepted("one router has dropped the previous secret", early, late)
+	checkAccepted("one router has dropped the previous secret", late, early)
 	reload(late)
 	if _, err := late.Keyring.Open(mustSeal(t, one), token.PurposeKey); err == nil {
-		t.Error("a secret that was taken out still opens tokens")
+		t.Error("a removed secret still opens tokens")
 	}
 	writeFile(t, path, []byte("3:"+strings.Repeat("33", 32)+"\n"))
 	reload(early)
 	if _, err := late.Keyring.Open(early.Keyring.Seal(token.Token{Purpose: token.PurposeKey}), token.PurposeKey); err == nil {
-		t.Error("a signer that was taken out, perhaps because it leaked, still signs")
+		t.Error("a removed signer, which may have leaked, still signs")
 	}
 }
 
--- a/internal/secure/securetest/securetest.go
+++ b/internal/secure/securetest/securetest.go
@@ -1,5 +1,5 @@
-// Package securetest issues certificates to tests, as an operator's own
-// authority would.
+// Package securetest issues certificates for tests, in place of an operator's
+// certificate authority.
 package securetest
 
 import (
@@ -15,17 +15,17 @@
 	"time"
 )
 
-// validity is how long the certificates last from now.
+// validity is how long certificates are valid from their issue.
 const validity = time.Hour
 
 // CA is a certificate authority.
 type CA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	PEM  []byte // its certificate
+	PEM  []byte // its certificate, PEM-encoded
 }
 
-// NewCA returns a new authority.
+// NewCA returns a new authority with a self-signed certificate.
 func NewCA(name string) (*CA, error) {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
@@ -46,8 +46,8 @@
 	return &CA{cert: cert, key: key, PEM: encode("CERTIFICATE", der)}, nil
 }
 
-// Issue returns a certificate and its key. It names uri, or the loopback
-// address when uri is nil.
+// Issue returns a certificate and its key, both PEM-encoded. The certificate names
+// uri, or the loopback address if uri is nil.
 func (ca *CA) Issue(uri *url.URL) (cert, key []byte, err error) {
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "parsley"},
--- a/internal/secure/ticket.go
+++ b/internal/secure/ticket.go
@@ -7,23 +7,23 @@
 	"sync"
 )
 
-// ticketSize is the length of a session ticket in bytes, enough that it can't
-// be guessed.
+// ticketSize is the size of a session ticket in bytes, large enough that it can't be
+// guessed.
 const ticketSize = 16
 
-// ticketStore keeps the sessions of a server, so that a ticket is no more than
-// a name. The library's own tickets hold the whole session with the client's
-// certificates, which travels twice on each resumption; routers come and go at
-// thousands of sidecars, and count each byte that is no request.
+// ticketStore stores a server's sessions, so that a ticket is only a random
+// identifier. The tickets of crypto/tls contain the whole session with the client's
+// certificates and are sent twice on each resumption. Routers reconnect to thousands
+// of sidecars, so these bytes count.
 //
-// The sessions are lost with the process, and of no use once the files have
-// changed; the next connection then begins with a full handshake.
+// Sessions are lost when the process exits and become unusable when the files
+// change; the next connection then starts with a full handshake.
 type ticketStore struct {
 	currentMaterial func() *material
 	mu              sync.Mutex
 	limit           int
 	byTicket        map[[ticketSize]byte]*list.Element
-	order           *list.List // of *storedSession, the oldest first
+	order           *list.List // of *storedSession, oldest first
 }
 
 type storedSession struct {
@@ -53,8 +53,8 @@
 	return stored.ticket[:], nil
 }
 
-// unwrap hands out a session once. A client that resumes gets a new ticket, so
-// the one that it used is of no further use to anyone else.
+// unwrap returns the session of a ticket and removes it. A client that resumes gets a
+// new ticket, so a used one cannot be replayed.
 func (s *ticketStore) unwrap(identity []byte, _ tls.ConnectionState) (*tls.SessionState, error) {
 	if len(identity) != ticketSize {
 		return nil, nil
@@ -73,7 +73,7 @@
 	return stored.state, nil
 }
 
-// remove needs s.mu held.
+// remove removes a session. The caller holds s.mu.
 func (s *ticketStore) remove(elem *list.Element) {
 	s.order.Remove(elem)
 	delete(s.byTicket, elem.Value.(*storedSession).ticket)
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a sidecar.
+	// dialTimeout limits the time to open a connection to a sidecar.
 	dialTimeout = time.Second
-	// handshakeTimeout bounds a handshake. A peer that connects and then says
-	// nothing would otherwise hold a place for ever.
+	// handshakeTimeout limits the time of a handshake. A peer that connects and then
+	// sends nothing would otherwise occupy a slot for ever.
 	handshakeTimeout = 3 * time.Second
-	// maxConcurrentHandshakes bounds the handshakes that a listener works on at a time,
-	// so that a flood of connections waits in the kernel, not in memory.
+	// maxConcurrentHandshakes limits the handshakes of a listener that run at a time,
+	// so that a flood of connections waits in the kernel's queue, not in memory.
 	maxConcurrentHandshakes = 256
-	// refusalLogInterval is the least time between two lines about refused peers.
+	// refusalLogInterval is the minimum time between two log lines about refused peers.
 	refusalLogInterval = time.Minute
 )
 
-// handshakeKind tells how much work a handshake was.
+// handshakeKind tells a full handshake from a resumption.
 type handshakeKind string
 
 const (
@@ -56,7 +56,8 @@
 	Listen(l net.Listener) net.Listener
 }
 
-// Plain is a Transport without any trust, for development on one machine.
+// Plain is a Transport without encryption or authentication, for development on one
+// machine.
 type Plain struct{}
 
 // Dial implements Transport.
@@ -70,11 +71,11 @@
 	return l
 }
 
-// Conn is a connection whose peer has shown who it is.
+// Conn is a connection whose peer is authenticated.
 type Conn struct {
 	*tls.Conn
 	Peer   Identity
-	usage  x509.ExtKeyUsage // that the peer's certificate must allow
+	usage  x509.ExtKeyUsage // required of the peer's certificate
 	mutual *MutualTLS
 }
 
@@ -84,8 +85,8 @@
 	return c.Conn.Close()
 }
 
-// PeerOf returns who is at the other end of a connection of a Transport. It
-// reports false for a Plain one.
+// PeerOf returns the identity of the peer of a connection opened or accepted by a
+// Transport. It returns false for a Plain one, whose peer is unknown.
 func PeerOf(c net.Conn) (Identity, bool) {
 	conn, ok := c.(*Conn)
 	if !ok {
@@ -103,8 +104,8 @@
 	return m.handshake(ctx, raw, x509.ExtKeyUsageServerAuth, func(c net.Conn) *tls.Conn { return tls.Client(c, m.ClientConfig(vm)) })
 }
 
-// handshake runs a handshake over raw, with a peer whose certificate must allow
-// use, and closes raw when it fails.
+// handshake runs a TLS handshake over raw with a peer whose certificate must allow
+// usage. It closes raw on failure.
 func (m *MutualTLS) handshake(ctx context.Context, raw net.Conn, usage x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -129,16 +130,16 @@
 	handshakes.Inc(kind)
 	c := &Conn{Conn: conn, Peer: peer, usage: usage, mutual: m}
 	m.addConn(c)
-	// Files that changed during the handshake have judged only the connections
-	// that were there.
+	// A reload during the handshake did not check this connection, which was not yet
+	// registered.
 	if m.material.Load() != initial {
 		m.closeDistrusted()
 	}
 	return c, nil
 }
 
-// recordFailure tells a peer that is not trusted, or does not trust us, from a
-// connection that broke.
+// recordFailure counts a failed handshake: either the connection failed, or one side
+// refused the other's certificate, which is also logged.
 func (m *MutualTLS) recordFailure(from net.Addr, err error) {
 	if isConnectionFailure(err) {
 		brokenHandshakes.Inc()
@@ -148,12 +149,12 @@
 	now := time.Now().UnixNano()
 	last := m.lastRefusalLog.Load()
 	if now-last > int64(refusalLogInterval) && m.lastRefusalLog.CompareAndSwap(last, now) {
-		slog.Warn("peer refused; more within a minute are only counted", "peer", from.String(), "error", err)
+		slog.Warn("TLS handshake refused; further refusals within a minute are only counted", "peer", from.String(), "error", err)
 	}
 }
 
-// remoteAlertOp is the Op of the error that crypto/tls returns for an alert that
-// the other side has sent.
+// remoteAlertOp is the Op of the net.OpError that crypto/tls returns for an alert
+// sent by the peer.
 const remoteAlertOp = "remote error"
 
 func isConnectionFailure(err error) bool {
@@ -165,14 +166,14 @@
 		errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// countingConn counts the bytes of a handshake in both directions. Its count
-// runs on afterwards, unread.
+// countingConn counts bytes in both directions. The count is read only after the
+// handshake, though counting continues.
 type countingConn struct {
 	net.Conn
 	byteCount atomic.Int64
 }
 
-// NetConn returns the connection within, as that of tls.Conn does.
+// NetConn returns the wrapped connection, like the method of tls.Conn.
 func (c *countingConn) NetConn() net.Conn {
 	return c.Conn
 }
@@ -189,8 +190,8 @@
 	return n, err
 }
 
-// Listen implements Transport. Handshakes run beside each other, so that a
-// peer that is slow or silent holds up no other.
+// Listen implements Transport. Handshakes run concurrently, so that a slow or stalled
+// peer does not delay others.
 func (m *MutualTLS) Listen(l net.Listener) net.Listener {
 	out := &listener{
 		Listener: l,
@@ -210,7 +211,7 @@
 	slots    chan struct{}
 	once     sync.Once
 	closed   chan struct{}
-	err      error // why accepting has ended; set before closed is
+	err      error // why accepting ended; set before closed is closed
 }
 
 func (l *listener) run() {
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -8,7 +8,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// Stream is a router's reading of one answer over one connection.
+// Stream reads one response over one connection on behalf of a router.
 type Stream struct {
 	link   *link
 	id     StreamID
@@ -16,13 +16,13 @@
 	window int64
 
 	mu            sync.Mutex
-	wake          chan struct{} // holds one token when there is something new
-	headReceived  bool          // the Head has come
-	skipHead      bool          // the reader has the Head from an earlier Stream
-	head          *Head         // not yet taken
-	buf           []byte        // not yet taken
+	wake          chan struct{} // holds one token when there is something new to read
+	headReceived  bool          // the Head has arrived
+	skipHead      bool          // the reader has already received the Head from an earlier Stream
+	head          *Head         // not yet returned by Next
+	buf           []byte        // received, not yet returned by Next
 	nextOffset    int64         // offset of the next byte to arrive
-	readOffset    int64         // offset of the next byte to be read
+	readOffset    int64         // offset of the next byte that Next returns
 	creditLimit   int64         // offset up to which the sidecar may send
 	end           *End
 	err           *verdict.Error
@@ -37,16 +37,16 @@
 	}
 }
 
-// Piece is what a Stream has to say next. Exactly one field is set.
+// Piece is one item read from a Stream. Exactly one field is set.
 type Piece struct {
 	Head  *Head
 	Bytes []byte
 	End   *End
 }
 
-// Next waits for the next piece: the Head, unless it was seen before, then the
-// bytes in order, then the End. An error means that the stream is broken at
-// Offset; the answer can be attached to again from there.
+// Next waits for the next piece: the Head, unless the reader already has it, then
+// the bytes in order, then the End. An error other than that of ctx means that the
+// stream broke at Offset; the reader can attach to the response again from there.
 func (s *Stream) Next(ctx context.Context) (Piece, error) {
 	for {
 		piece, ok, err := s.takePiece()
@@ -64,8 +64,8 @@
 	}
 }
 
-// takePiece returns what has arrived already. It grants new credit once half of the
-// window has been read.
+// takePiece returns the next piece that has arrived and whether there is one. It
+// grants new credit once half of the window has been read.
 func (s *Stream) takePiece() (Piece, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +88,8 @@
 	return Piece{}, false, nil
 }
 
-// grantCredit sends new credit, away from the reader since a write can block. It
-// needs s.mu held.
+// grantCredit sends new credit if due, in a separate goroutine since a write can
+// block. The caller holds s.mu.
 func (s *Stream) grantCredit() {
 	if s.creditPending || s.end != nil || s.err != nil || s.readOffset+s.window-s.creditLimit < s.window/2 {
 		return
@@ -107,14 +107,14 @@
 	_ = s.link.conn.Send(Credit{Stream: s.id, UpTo: upTo})
 }
 
-// Offset is the offset of the next byte that Next will return.
+// Offset returns the offset of the next byte that Next will return.
 func (s *Stream) Offset() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.readOffset
 }
 
-// Close ends the stream on this side. The request goes on at the sidecar.
+// Close closes the stream on this side. The request continues at the sidecar.
 func (s *Stream) Close() {
 	s.link.remove(s)
 	s.mu.Lock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// accepts reports whether a frame is for this stream. A frame that names another
-// request is crossed: it must not reach this reader in any way.
+// accepts reports whether a frame with nonce belongs to this stream and the stream
+// is still open. A frame of another request must never reach this reader.
 func (s *Stream) accepts(nonce token.Nonce) bool {
 	if nonce == s.nonce {
 		return s.end == nil && s.err == nil
@@ -143,8 +143,8 @@
 	return false
 }
 
-// onHead takes the Head. There is one: a second one is dropped, since the
-// caller has been told its status and headers already.
+// onHead handles a Head. A second one is dropped, since the caller already has the
+// status and header.
 func (s *Stream) onHead(h Head) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,10 +158,10 @@
 	s.signal()
 }
 
-// onData takes the part of a frame that comes next in the answer. What was
-// seen before is dropped. A gap, bytes ahead of the Head or bytes beyond the
-// credit break the stream: the answer is then attached to anew from what has
-// been read, so no byte is missed, repeated or given to the reader out of order.
+// onData appends the new part of a frame's bytes and drops bytes that were received
+// before. A gap, bytes before the Head or bytes beyond the credit break the stream.
+// The reader then attaches again at its offset, so no byte is lost, repeated or
+// delivered out of order.
 func (s *Stream) onData(d Data) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 }
 
-// push needs s.mu held.
+// push appends received bytes. The caller holds s.mu.
 func (s *Stream) push(b []byte) {
 	s.nextOffset += int64(len(b))
 	if len(s.buf) == 0 {
@@ -193,7 +193,7 @@
 	s.signal()
 }
 
-// onEnd ends the stream, unless something is missing before the end.
+// onEnd ends the stream, or breaks it if the Head or bytes are missing.
 func (s *Stream) onEnd(e End) {
 	s.mu.Lock()
 	accepted := s.accepts(e.Nonce)
@@ -213,7 +213,7 @@
 	}
 }
 
-// breakOff needs s.mu held.
+// breakOff fails the stream because of inconsistent frames. The caller holds s.mu.
 func (s *Stream) breakOff(reason string) {
 	brokenStreams.Inc()
 	s.err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s at offset %d", reason, s.nextOffset)
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// countingHandler counts frames and admits what is submitted.
+// countingHandler admits every submit, and closes done after the remaining frames have arrived.
 type countingHandler struct {
 	remaining int
 	done      chan struct{}
@@ -26,7 +26,7 @@
 	}
 }
 
-// loopback joins two Conns by TCP.
+// loopback connects two Conns over TCP and returns one of them.
 func loopback(b *testing.B, h Handler) *Conn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,8 @@
 	return x
 }
 
-// BenchmarkData sends the event of a token, from writer to handler.
+// BenchmarkData measures a Data frame of the size of one token's event, from Send to
+// HandleFrame.
 func BenchmarkData(b *testing.B) {
 	h := &countingHandler{remaining: b.N, done: make(chan struct{})}
 	c := loopback(b, h)
@@ -61,7 +62,7 @@
 	<-h.done
 }
 
-// BenchmarkSubmit makes a submit call with bodies of some sizes.
+// BenchmarkSubmit measures a submit and its reply for several body sizes.
 func BenchmarkSubmit(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 16 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -21,20 +21,20 @@
 	writeTimeout = 3 * time.Second
 )
 
-// keepAlive lets the kernel find idle connections whose other end is gone, which
-// a sidecar would keep for ever. It begins later than a router closes an idle
-// connection, so that a healthy one is never probed: by Go's default of fifteen
-// seconds a router before 2,900 sidecars would take part in some 400 probes a
-// second, which is more than all its control traffic may come to.
+// keepAlive makes the kernel detect idle connections whose peer is gone; a sidecar
+// would otherwise keep them for ever. Idle exceeds the time after which a router
+// closes an idle connection, so that a healthy one is never probed. With Go's
+// default of fifteen seconds, a router with 2,900 sidecars would take part in some
+// 400 probes a second, more than the limit for all its control traffic.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 11 * time.Minute, Interval: 30 * time.Second, Count: 3}
 
-// Handler serves what a peer sends.
+// Handler handles the calls and frames that a peer sends.
 type Handler interface {
-	// HandleCall serves a call, on a goroutine of its own. Its context ends
-	// with the connection.
+	// HandleCall serves a call in its own goroutine. Its context ends with the
+	// connection.
 	HandleCall(ctx context.Context, c *Conn, m Method, p Params) (any, error)
-	// HandleFrame takes a frame. Frames come one after the other in the order
-	// of their arrival, so it must not block.
+	// HandleFrame handles a frame. It is called for one frame at a time, in the
+	// order of arrival, so it must not block.
 	HandleFrame(c *Conn, f Frame)
 }
 
@@ -44,12 +44,12 @@
 	transport *transport
 	handler   Handler
 	ctx       context.Context // ends with the connection
-	replyMu   sync.Mutex      // keeps link.method right for a reply
+	replyMu   sync.Mutex      // held from setting transport.replyMethod until the reply is written
 	pongMu    sync.Mutex      // held while a pong is written
 	liveness  liveness
 
 	mu             sync.Mutex
-	pendingSubmits map[StreamID]chan submitReply // that wait for their reply
+	pendingSubmits map[StreamID]chan submitReply // submits that wait for their reply
 }
 
 // NewConn runs the protocol over c until Close, until ctx ends or until c fails.
@@ -83,8 +83,8 @@
 	}
 }
 
-// discardLogger drops what jsonrpc2 would log at the end of a connection: the counters
-// tell of it.
+// discardLogger drops what jsonrpc2 logs at the end of a connection, which the
+// counters already show.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
@@ -125,8 +125,8 @@
 	return rpc.SendResponse(context.Background(), r)
 }
 
-// onSend notes what is written next. It is called in front of WriteObject
-// under the same lock.
+// onSend records the method of the message that is written next, for the counters.
+// It is called before WriteObject, under the same lock.
 func (c *Conn) onSend(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	if req != nil {
 		c.transport.nextMethod = Method(req.Method)
@@ -135,7 +135,7 @@
 	c.transport.nextMethod = c.transport.replyMethod
 }
 
-// onReceive counts what was read last.
+// onReceive counts the bytes of the call that was read last.
 func (c *Conn) onReceive(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	if req != nil {
 		countFrame(Method(req.Method), c.transport.lastSize)
@@ -157,8 +157,8 @@
 	}
 }
 
-// sendPong answers a ping, away from the reading goroutine since a write can
-// block. While one is under way, more pings need no more answers.
+// sendPong answers a ping in a separate goroutine, since a write can block the
+// reading goroutine. While a pong is being written, further pings are not answered.
 func (c *Conn) sendPong() {
 	if !c.pongMu.TryLock() {
 		return
@@ -169,9 +169,9 @@
 	}()
 }
 
-// Call makes a call and waits for its result. An error of the peer keeps its
-// verdict. A call that was never wholly sent is NotRun; one whose reply did
-// not come, because ctx or the connection ended, is MayHaveRun.
+// Call makes a call and waits for its result. An error from the peer keeps its
+// verdict. A call that was not completely sent fails with NotRun; one that got no
+// reply because ctx or the connection ended fails with MayHaveRun.
 func (c *Conn) Call(ctx context.Context, m Method, params, result any) error {
 	if ctx.Err() != nil {
 		return notSentError(ctx.Err())
@@ -215,7 +215,7 @@
 	}
 }
 
-// setWaiter sets, or with nil takes away, who waits for the reply to a Submit.
+// setWaiter sets the channel for the reply to a Submit, or removes it if reply is nil.
 func (c *Conn) setWaiter(id StreamID, reply chan submitReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,14 +226,14 @@
 	c.pendingSubmits[id] = reply
 }
 
-// deliverReply hands a reply to who waits for it, once.
+// deliverReply sends a reply to the submit that waits for it, at most once.
 func (c *Conn) deliverReply(a submitReply) {
 	c.mu.Lock()
 	reply := c.pendingSubmits[a.Stream]
 	delete(c.pendingSubmits, a.Stream)
 	c.mu.Unlock()
 	if reply != nil {
-		reply <- a // it has room for the one
+		reply <- a // the channel's buffer holds one reply
 	}
 }
 
@@ -276,19 +276,19 @@
 	}
 }
 
-// lastRead is the time at which the peer was heard last.
+// lastRead returns when the last frame was received from the peer.
 func (c *Conn) lastRead() time.Time {
 	return time.Unix(0, c.transport.lastRead.Load())
 }
 
-// Params is the content of a call.
+// Params holds the encoded parameters of a call.
 type Params struct {
 	json   json.RawMessage
-	submit *Submit // instead, for a submit
+	submit *Submit // set instead of json for a submit
 }
 
-// Decode decodes the content into v. An error is NotRun: nobody can have acted
-// on the call.
+// Decode decodes the parameters into v. An error has the verdict NotRun, since the
+// call cannot have had any effect.
 func (p Params) Decode(v any) error {
 	if s, ok := v.(*Submit); ok && p.submit != nil {
 		*s = *p.submit
--- a/internal/wire/counters.go
+++ b/internal/wire/counters.go
@@ -33,7 +33,7 @@
 		"Answers that this router is reading now.")
 )
 
-// controlKinds are the frames that are neither a request nor an answer.
+// controlKinds maps frames that carry neither a request nor a response to their kind of control traffic.
 var controlKinds = map[Method]telemetry.ControlKind{
 	MethodHello:             telemetry.ControlHello,
 	MethodStatus:            telemetry.ControlStatus,
@@ -54,7 +54,7 @@
 	}
 }
 
-// countControl counts what travels on the back of a request or an answer.
+// countControl counts the control bytes that are sent with a request or a response.
 func countControl(c Control) {
 	if n := len(c.Samples); n > 0 {
 		telemetry.ControlBytes.Add(telemetry.ControlLoad, int64(base64.StdEncoding.EncodedLen(n)))
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -9,10 +9,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// frameKind tells what a frame holds.
+// frameKind is the type of a frame's content.
 type frameKind byte
 
-// Kinds of frame. All but kindRPC hold CBOR.
+// Frame kinds. All but kindRPC contain CBOR.
 const (
 	kindRPC frameKind = iota + 1 // a JSON-RPC call or reply
 	kindSubmit
@@ -27,21 +27,21 @@
 	kindCount
 )
 
-// Limits of the content of a frame, in bytes. A longer one is a peer that has
-// lost its place in the stream, or worse.
+// Limits of the content of a frame, in bytes. Longer content indicates a peer that
+// is out of sync with the stream, faulty or hostile.
 const (
-	// MaxMessage is the largest call or reply.
+	// MaxMessage is the size limit of a call or reply.
 	MaxMessage = 16 << 20
-	// MaxBody is the largest body of a request.
+	// MaxBody is the size limit of a request's body.
 	MaxBody = 16 << 20
-	// MaxData is the largest piece of an answer.
+	// MaxData is the size limit of the response bytes in one Data frame.
 	MaxData = 64 << 10
 
 	maxHead      = 1 << 20
 	maxEnd       = 64 << 10
 	maxSmall     = 64
 	maxUnknown   = 64 << 10
-	cborOverhead = 64 // what CBOR adds to a run of bytes
+	cborOverhead = 64 // upper bound of the bytes that CBOR adds to a byte string
 )
 
 var maxContentSize = [kindCount]int{
@@ -57,7 +57,7 @@
 	kindPong:        maxSmall,
 }
 
-// frameLabels names the kinds that are no calls, for the counters.
+// frameLabels holds the metric labels of the kinds that are not JSON-RPC.
 var frameLabels = [kindCount]Method{
 	kindSubmit:      MethodSubmit,
 	kindSubmitReply: "admitted",
@@ -70,20 +70,20 @@
 	kindPong:        "pong",
 }
 
-// StreamID numbers the readings of answers on one connection. Each Submit and
-// each Attach has its own, so that what was sent for a former reading of the
-// same answer is told from what belongs to the present one.
+// StreamID identifies a stream on one connection. Each Submit and each Attach has
+// its own, so that frames of an earlier stream of the same response can be told
+// from those of the current one.
 type StreamID uint32
 
-// Frame is a Head, Data, End, Credit or Detach; within this package also a
-// Submit and its reply. Those are no JSON-RPC call because jsonrpc2 decodes and
-// encodes a message several times over, which was a quarter of what a request
-// cost a router.
+// Frame is a Head, Data, End, Credit or Detach; within this package also a Submit,
+// its reply, a ping or a pong. Submits are not JSON-RPC calls because jsonrpc2
+// decodes and encodes a message several times, which was a quarter of the cost of
+// a request at a router.
 type Frame interface {
 	kind() frameKind
 }
 
-// Head is the start of an answer.
+// Head carries the status and header of a response.
 type Head struct {
 	Stream StreamID    `cbor:"1,keyasint"`
 	Nonce  token.Nonce `cbor:"2,keyasint"` // of the request key
@@ -91,7 +91,7 @@
 	Header http.Header `cbor:"4,keyasint,omitempty"`
 }
 
-// Data is a piece of an answer.
+// Data carries a part of a response's body.
 type Data struct {
 	Stream StreamID    `cbor:"1,keyasint"`
 	Nonce  token.Nonce `cbor:"2,keyasint"`
@@ -99,23 +99,23 @@
 	Bytes  []byte      `cbor:"4,keyasint"` // at most MaxData
 }
 
-// End is the end of an answer. Without an Error the answer is whole.
+// End marks the end of a response. Without an Error the response is complete.
 type End struct {
 	Stream  StreamID       `cbor:"1,keyasint"`
 	Nonce   token.Nonce    `cbor:"2,keyasint"`
-	Length  int64          `cbor:"3,keyasint"` // of the answer in bytes
+	Length  int64          `cbor:"3,keyasint"` // of the response in bytes
 	Error   *verdict.Error `cbor:"4,keyasint,omitempty"`
 	Control Control        `cbor:"5,keyasint"`
-	Moved   *Key           `cbor:"6,keyasint,omitempty"` // with an Error: the request goes on under this key
+	Moved   *Key           `cbor:"6,keyasint,omitempty"` // with an Error: the key under which the request continues
 }
 
-// Credit lets a sidecar send up to an offset.
+// Credit allows a sidecar to send up to an offset.
 type Credit struct {
 	Stream StreamID `cbor:"1,keyasint"`
 	UpTo   int64    `cbor:"2,keyasint"`
 }
 
-// Detach tells a sidecar to send no more of a stream.
+// Detach tells a sidecar to stop sending a stream.
 type Detach struct {
 	Stream StreamID `cbor:"1,keyasint"`
 }
@@ -140,8 +140,8 @@
 func (ping) kind() frameKind        { return kindPing }
 func (pong) kind() frameKind        { return kindPong }
 
-// decodeFrame decodes the content of a frame. It returns nil for a kind that
-// it does not know: a newer peer may send more than we understand.
+// decodeFrame decodes the content of a frame. It returns nil for an unknown kind,
+// which a newer peer may send.
 func decodeFrame(k frameKind, content []byte) (Frame, error) {
 	switch k {
 	case kindHead:
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// memoryConn is a connection that holds what there is to read and keeps what is written.
+// memoryConn is a net.Conn that reads from and writes to memory.
 type memoryConn struct {
 	net.Conn
 	in  bytes.Reader
@@ -34,8 +34,8 @@
 	Submit{Stream: 1, Session: 2, Treatment: Treatment{Deadline: 3}, Call: Call{Body: []byte("y")}, Control: Control{Suspects: json.RawMessage("{}")}}, submitReply{Stream: 1, Admission: Admission{Joined: true}}, ping{}, pong{},
 }
 
-// FuzzFrames reads a connection that may hold anything: it must end in an
-// error, or in a frame that reads the same when written and read again.
+// FuzzFrames reads arbitrary bytes from a connection. Reading must end with an
+// error, and each frame read before that must survive encoding and decoding.
 func FuzzFrames(f *testing.F) {
 	all := &memoryConn{}
 	w := newTransport(all, time.Second)
@@ -71,7 +71,8 @@
 	})
 }
 
-// FuzzMessages decodes the parameters and results of calls.
+// FuzzMessages decodes arbitrary parameters and results of calls. What decodes must
+// survive encoding and decoding.
 func FuzzMessages(f *testing.F) {
 	types := []any{
 		Attach{}, Cancel{}, StatusRequest{}, Status{}, Hello{}, Admission{},
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -9,8 +9,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// link is one connection of a Peer with the streams that are read over it. It
-// implements Handler.
+// link is one connection of a Peer with its open streams. It implements Handler.
 type link struct {
 	peer  *Peer
 	conn  *Conn
@@ -20,9 +19,9 @@
 	ended        bool
 	streams      map[StreamID]*Stream
 	lastStreamID StreamID
-	activeCalls  int // under way
+	activeCalls  int // in progress
 	lastUsed     time.Time
-	timer        *time.Timer // set while the connection lives
+	timer        *time.Timer // runs onTimer; stopped when the connection ends
 }
 
 func newLink(p *Peer, c net.Conn) *link {
@@ -41,8 +40,8 @@
 	return !l.ended
 }
 
-// acquire notes a call that is about to be made. It reports false when the
-// connection has ended.
+// acquire registers a call that is about to be made. It reports whether the
+// connection is usable; false means that it has ended.
 func (l *link) acquire(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +58,7 @@
 	return true
 }
 
-// release notes the end of a call.
+// release records the end of a call.
 func (l *link) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +72,7 @@
 	return l.activeCalls == 0 && len(l.streams) == 0 && now.Sub(l.lastUsed) >= l.peer.config.Timing.IdleTimeout
 }
 
-// open adds a stream. It needs a call acquired.
+// open adds a stream. The caller must have acquired l for a call.
 func (l *link) open(o streamOptions) *Stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +87,7 @@
 	return s
 }
 
-// remove removes a stream.
+// remove removes a stream if it is still open.
 func (l *link) remove(s *Stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,8 +98,8 @@
 	}
 }
 
-// onTimer runs on the link's timer: often while something is awaited, else when
-// the connection may have been idle for long enough.
+// onTimer checks the peer while calls or streams are active, and otherwise closes
+// the connection once it has been idle for IdleTimeout.
 func (l *link) onTimer() {
 	now := time.Now()
 	t := l.peer.config.Timing
@@ -127,7 +126,7 @@
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "connection lost")
 }
 
-// onClose breaks what is still awaited when the connection has ended.
+// onClose fails all open streams after the connection has ended.
 func (l *link) onClose() {
 	l.mu.Lock()
 	l.ended = true
@@ -169,9 +168,9 @@
 	}
 }
 
-// findStream returns the stream that a frame belongs to. A frame for a stream that
-// nobody reads is late: the sidecar is told again to send no more of it, for
-// it may have started to send after it was told first.
+// findStream returns the stream that a frame belongs to, or nil if it is closed. In
+// that case it sends another Detach, since the sidecar may have started to send
+// after it received the first one.
 func (l *link) findStream(id StreamID) *Stream {
 	l.mu.Lock()
 	s := l.streams[id]
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,11 +1,11 @@
-// Package wire is the protocol between routers and sidecars, over one TCP
-// connection a pair: calls as JSON-RPC 2.0, answers and their flow control as
-// frames in CBOR beside it.
+// Package wire implements the protocol between routers and sidecars, over one TCP
+// connection per pair. Calls are JSON-RPC 2.0; responses and their flow control are
+// CBOR frames on the same connection.
 //
-// Either side calls. A sidecar sends the frames of the streams that a router
-// has open. A frame names its stream, the nonce of the request key and its
-// offset in the answer, so a receiver can tell a late, crossed, repeated or
-// missing frame from the one it waits for.
+// Either side can make calls. A sidecar sends the frames of the streams that a
+// router has open. A frame carries its stream id, the nonce of the request key and
+// its offset in the response, so that a receiver can recognise late, misrouted,
+// repeated and missing frames.
 package wire
 
 import (
@@ -35,14 +35,14 @@
 	MethodOrder  Method = "order"
 )
 
-// Calls that either side makes of the other.
+// Calls that either side can make.
 const (
 	MethodConfigSince Method = "config.since"
-	// MethodMembersSince is the same for entries of upstreams, between routers.
+	// MethodMembersSince is the same for upstream entries. Only routers call it, on each other.
 	MethodMembersSince Method = "members.since"
 )
 
-// Calls from a sidecar that leaves or has joined to another.
+// Calls between sidecars, made by one that is leaving or has just joined.
 const (
 	MethodImport Method = "import"
 	MethodJoined Method = "joined"
@@ -51,96 +51,98 @@
 // Key is a request key without its signature.
 type Key = idempotency.Key
 
-// Call is the request to be made of the upstream.
+// Call is the HTTP request to send to the upstream.
 type Call struct {
 	Method string      `json:"method"`
-	Path   string      `json:"path"` // with the query, if any
+	Path   string      `json:"path"` // includes the query, if any
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Treatment is what the profile and the organisation ask for one request. It
-// travels with the request, so a sidecar needs no configuration of its own.
+// Treatment holds the scheduling parameters of one request, as set by its profile
+// and organisation. It is sent with the request, so a sidecar needs no
+// configuration of its own.
 type Treatment struct {
 	Profile       string        `json:"profile"`
 	Priority      int           `json:"prio,omitempty"`  // higher runs earlier
-	LoadMultiple  float64       `json:"mult,omitempty"`  // of the pool's mean load; zero: unbounded
-	QueueBound    int           `json:"queue,omitempty"` // requests waiting, of this profile
+	LoadMultiple  float64       `json:"mult,omitempty"`  // load bound as a multiple of the pool's mean load; zero: unbounded
+	QueueBound    int           `json:"queue,omitempty"` // maximum number of waiting requests of this profile
 	OrgWeight     int           `json:"weight,omitempty"`
 	OrgQueueBound int           `json:"org_queue,omitempty"`
 	Idempotent    bool          `json:"idem,omitempty"`
 	KeepAnswer    time.Duration `json:"keep,omitempty"`
-	FirstByte     time.Duration `json:"first,omitempty"`    // left until the first byte is due
-	Deadline      time.Duration `json:"deadline,omitempty"` // left for the whole answer
+	FirstByte     time.Duration `json:"first,omitempty"`    // time left until the first byte is due
+	Deadline      time.Duration `json:"deadline,omitempty"` // time left for the whole response
 }
 
 // Submit asks a sidecar to run a request once.
 type Submit struct {
 	Key         Key       `json:"key"`
-	Successor   *Key      `json:"succ,omitempty"` // where the request goes on if it is refused here
+	Successor   *Key      `json:"succ,omitempty"` // key under which the request continues if this sidecar refuses it
 	Home        string    `json:"home,omitempty"` // VM that ranks first for the session
 	Org         string    `json:"org"`
 	Session     uint64    `json:"session,omitempty"`
-	Fingerprint uint64    `json:"print,omitempty"` // of the organisation and the call
+	Fingerprint uint64    `json:"print,omitempty"` // hash of the organisation and the call
 	Treatment   Treatment `json:"treat"`
 	Call        Call      `json:"call"`
 	Stream      StreamID  `json:"stream"` // set by Peer
-	Window      int       `json:"window"` // bytes that may be sent ahead of credit
+	Window      int       `json:"window"` // bytes that may be sent before the first Credit
 	Trace       string    `json:"trace,omitempty"`
 	Control     Control   `json:"ctl"`
 
-	// HasPermit is the word of the sidecar that saw the upstream crash under this
-	// request: it may run alone at another VM (package quarantine).
+	// HasPermit reports whether the sidecar whose upstream crashed while running
+	// this request permits it to run alone at another VM (package quarantine).
 	HasPermit bool `json:"leave,omitempty"`
 }
 
-// Control is what nodes tell each other on the back of a request or a reply.
+// Control is the state that nodes exchange with requests and replies.
 type Control struct {
-	// Load is, of sidecars, the requests admitted and not yet ended. The reply to
-	// a Submit that has been admitted tells them as it found them.
+	// Load is the number of requests that a sidecar has admitted and not yet
+	// finished. The reply to an admitted Submit reports the count without that
+	// request.
 	Load         int             `json:"load,omitempty"`
-	Running      int             `json:"running,omitempty"`       // those of them at the upstream
-	Draining     bool            `json:"drain,omitempty"`         // the sidecar takes no new work
-	Down         bool            `json:"down,omitempty"`          // the upstream does not answer its sidecar
-	Samples      []byte          `json:"samples,omitempty"`       // loads of other upstreams, packed by package load
-	Config       topo.Version    `json:"config,omitempty"`        // newest configuration object known; only between nodes that keep a copy
-	ConfigDigest uint64          `json:"config_digest,omitempty"` // of all configuration at that version
+	Running      int             `json:"running,omitempty"`       // those of Load that run at the upstream
+	Draining     bool            `json:"drain,omitempty"`         // the sidecar accepts no new requests
+	Down         bool            `json:"down,omitempty"`          // the upstream does not respond to its sidecar
+	Samples      []byte          `json:"samples,omitempty"`       // loads of other upstreams, encoded by package load
+	Config       topo.Version    `json:"config,omitempty"`        // version of the newest configuration object known; only between nodes that keep a copy
+	ConfigDigest uint64          `json:"config_digest,omitempty"` // digest of the whole configuration at that version
 	Suspects     json.RawMessage `json:"suspects,omitempty"`
 }
 
-// Admission is the reply to a Submit or Attach. Without an Error the answer
+// Admission is the reply to a Submit or Attach. Without an Error the response
 // follows as frames.
 type Admission struct {
-	Joined    bool           `json:"joined,omitempty"` // the key was known; its answer is joined or replayed
+	Joined    bool           `json:"joined,omitempty"` // the key was known; its response is joined or replayed
 	Error     *verdict.Error `json:"err,omitempty"`
-	Moved     *Key           `json:"moved,omitempty"` // with an Error of ReasonMoved: follow this key
-	HasPermit bool           `json:"leave,omitempty"` // with Moved: for Submit.Leave along the chain
+	Moved     *Key           `json:"moved,omitempty"` // with an Error of ReasonMoved: the key under which the request continues
+	HasPermit bool           `json:"leave,omitempty"` // with Moved: value of Submit.HasPermit for the next submission
 	Control   Control        `json:"ctl"`
 }
 
-// Attach asks for the answer to a key from an offset on.
+// Attach requests the response for a key, starting at an offset.
 type Attach struct {
 	Key      Key      `json:"key"`
 	Org      string   `json:"org"`
 	Offset   int64    `json:"offset"`
 	Stream   StreamID `json:"stream"` // set by Peer
 	Window   int      `json:"window"`
-	HeadSeen bool     `json:"-"` // the reader has the Head and is not given it again
+	HeadSeen bool     `json:"-"` // the reader already has the Head, so it is not delivered again
 }
 
-// Cancel asks a sidecar to end a request.
+// Cancel asks a sidecar to cancel a request.
 type Cancel struct {
 	Key Key    `json:"key"`
 	Org string `json:"org"`
 }
 
-// StatusRequest asks what became of a key.
+// StatusRequest asks for the state of the request with a key.
 type StatusRequest struct {
 	Key Key    `json:"key"`
 	Org string `json:"org"`
 }
 
-// RequestState says how far a request has come.
+// RequestState is the progress of a request.
 type RequestState string
 
 // States of a request.
@@ -150,22 +152,22 @@
 	StateDone    RequestState = "done"
 )
 
-// Status is what a sidecar knows of a request.
+// Status is the state of a request at a sidecar.
 type Status struct {
 	State   RequestState    `json:"state"`
 	Verdict verdict.Verdict `json:"verdict"`
-	Length  int64           `json:"length"` // bytes of the answer so far
+	Length  int64           `json:"length"` // bytes of the response so far
 }
 
-// Hello is a sidecar's introduction.
+// Hello is the reply to MethodHello, in which a sidecar identifies itself.
 type Hello struct {
 	VM          string  `json:"vm"`
 	Incarnation uint64  `json:"inc"`
 	Control     Control `json:"ctl"`
 }
 
-// Notice tells a sidecar that its VM is to leave or to stay. Notices of one VM
-// are ordered by Version; a sidecar ignores one that is older than it knows.
+// Notice tells a sidecar whether its VM is to leave or to stay. Notices for one VM
+// are ordered by Version; a sidecar ignores one older than the newest it has seen.
 type Notice struct {
 	Leaving bool         `json:"leaving"`
 	Version topo.Version `json:"version"` // zero: from the list of VMs, which has no versions
@@ -174,33 +176,33 @@
 // ConfigSince asks for the configuration objects newer than a version.
 type ConfigSince = config.Query
 
-// ConfigDelta is a piece of the answer to ConfigSince.
+// ConfigDelta is one part of the reply to ConfigSince.
 type ConfigDelta = config.Delta
 
-// Import hands the cached prefix of a session to the sidecar that serves the
-// session next.
+// Import transfers the cached prefix of a session to the sidecar that will serve
+// the session next.
 type Import struct {
 	Session uint64 `json:"session"`
-	Cached  []byte `json:"cached"` // as the engine exported it
+	Cached  []byte `json:"cached"` // in the format that the engine exported
 }
 
-// Joined asks a sidecar to hand over the cached prefixes of the sessions that
-// rank first at an upstream that has joined the pool.
+// Joined asks a sidecar to transfer the cached prefixes of the sessions that now
+// rank first at VM, whose upstream has joined the pool.
 type Joined struct {
 	VM string `json:"vm"`
 }
 
-// Report tells a sidecar of suspects for which it is the home: a resend of the
-// request would be offered to it first.
+// Report sends a sidecar the suspects for which it is the home, since a resend of
+// such a request is offered to the home first. It also returns unused permits.
 type Report struct {
 	Suspects     json.RawMessage `json:"suspects,omitempty"`
 	UnusedPermit *Permit         `json:"unused,omitempty"`
 }
 
-// Permit names the leave to run alone elsewhere that a sidecar gave a submission.
+// Permit identifies a sidecar's permission for a submission to run alone at another VM.
 type Permit struct {
 	Fingerprint uint64      `json:"print"`
-	Nonce       token.Nonce `json:"nonce"` // of the key that was submitted
+	Nonce       token.Nonce `json:"nonce"` // of the submitted key
 }
 
 // Empty is the result of a call that returns nothing.
--- a/internal/wire/middle_test.go
+++ b/internal/wire/middle_test.go
@@ -19,33 +19,33 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// fault is what a middle does to one frame.
+// fault is what a middlebox does to one frame.
 type fault string
 
 const (
 	drop   fault = "drop"
 	repeat fault = "repeat"
-	swap   fault = "swap"    // with the next one
-	cut    fault = "cut"     // end the connection within the frame
-	stall  fault = "silence" // deliver nothing from here on, in this direction
+	swap   fault = "swap"  // with the next one
+	cut    fault = "cut"   // end the connection within the frame
+	stall  fault = "stall" // deliver nothing from here on, in this direction
 )
 
-// faults maps numbers of frames of one direction to what happens to them.
+// faults maps frame indexes of one direction to faults.
 type faults map[int]fault
 
-// middlebox stands between a router and a sidecar, one for each connection.
+// middlebox is a faulty proxy between a router and a sidecar, for one connection.
 type middlebox struct {
-	up, down faults // up: from the router to the sidecar
+	up, down faults // up: from router to sidecar
 }
 
-// join connects a router's end to a sidecar's end through m.
+// join connects the router's end of a connection to the sidecar's end through m.
 func (m middlebox) join(router, sidecar net.Conn) {
 	go forwardFrames(router, sidecar, m.up)
 	go forwardFrames(sidecar, router, m.down)
 }
 
-// forwardFrames passes on frames with their faults. It always reads, so that no writer
-// ever waits for it.
+// forwardFrames forwards frames and applies faults. It always reads, so that no
+// writer blocks on it.
 func forwardFrames(from, to net.Conn, f faults) {
 	defer from.Close()
 	defer to.Close()
@@ -92,14 +92,14 @@
 	return append(frame, content...), nil
 }
 
-// chunk is a piece of an answer and the pause ahead of it.
+// chunk is a part of a response and the pause before it.
 type chunk struct {
 	size  int
 	pause time.Duration
 }
 
-// script is how an upstream answers one request. Its bytes follow from the
-// request's body, so that a crossed answer shows.
+// script is an upstream's response to one request, as chunks. Its bytes are derived
+// from the request's body, so that a misrouted response is detected.
 type script []chunk
 
 func (s script) bytes(body []byte) []byte {
@@ -112,15 +112,15 @@
 	return out
 }
 
-// fakeSidecar runs scripts, each key once, and sends the answers.
+// fakeSidecar runs the script of each key once and sends the responses.
 type fakeSidecar struct {
 	mu        sync.Mutex
 	scripts   map[token.Nonce]script
-	responses map[token.Nonce][]byte // whole
+	responses map[token.Nonce][]byte // complete bodies
 	available map[token.Nonce]int    // bytes produced so far
 	runs      map[token.Nonce]int
 	credits   map[*Conn]map[StreamID]chan int64
-	noReply   atomic.Bool // reply to no submit
+	noReply   atomic.Bool // no replies to submits
 }
 
 func newFakeSidecar() *fakeSidecar {
@@ -183,7 +183,7 @@
 	return f.available[id], f.responses[id]
 }
 
-// send sends an answer from an offset on, looking for more every few
+// send starts to send a response from an offset on, polling for new bytes every few
 // milliseconds.
 func (f *fakeSidecar) send(c *Conn, a Attach) {
 	credits := make(chan int64, 100)
@@ -237,7 +237,7 @@
 }
 
 // testNetwork connects a Peer to a fake sidecar. The first connections go through
-// the given middles, all later ones through one without faults.
+// the given middleboxes, all later ones through one without faults.
 type testNetwork struct {
 	sidecar     *fakeSidecar
 	mu          sync.Mutex
@@ -260,21 +260,21 @@
 	return router, nil
 }
 
-// responseReader is one caller's responseReader of one answer, across connections.
+// responseReader reads one response for one caller, across connections.
 type responseReader struct {
 	peer     *Peer
 	key      Key
 	body     []byte
 	window   int
-	pause    time.Duration // the caller takes between pieces
-	detachAt []int64       // offsets at which it lets go and attaches again
+	pause    time.Duration // between pieces
+	detachAt []int64       // offsets at which the reader detaches and attaches again
 
-	admitted bool // admitted once
+	admitted bool // a submit has been admitted
 	heads    int
 	got      []byte
 }
 
-// read reads to the end, attaching again whenever the stream breaks.
+// read reads to the end of the response, attaching again whenever the stream breaks.
 func (r *responseReader) read(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s, err := r.open(ctx)
@@ -305,8 +305,8 @@
 	return s, err
 }
 
-// readStream reads until the end of the answer, or until the stream breaks or the
-// caller lets go of it.
+// readStream reads until the response ends, the stream breaks or the next offset in
+// detachAt is reached. It reports whether the response ended.
 func (r *responseReader) readStream(ctx context.Context, s *Stream) bool {
 	for {
 		p, err := s.Next(ctx)
--- a/internal/wire/order.go
+++ b/internal/wire/order.go
@@ -2,27 +2,27 @@
 
 import "github.com/parsleyfront/parsleyfront/internal/verdict"
 
-// FencingToken orders the holders of the controller's lease. Each holder's is
-// higher than all before.
+// FencingToken orders the holders of the controller's lease. Each holder has a
+// higher one than all holders before it.
 type FencingToken int64
 
-// OrderAction is what an order asks of an upstream.
+// OrderAction is the operation that an order requests from an upstream.
 type OrderAction string
 
 // Actions of orders.
 const (
-	// OrderQuery asks what the upstream has loaded, and makes the sidecar turn
-	// away orders with a lower fencing token from then on.
+	// OrderQuery asks what the upstream has loaded. From then on the sidecar
+	// rejects orders with a lower fencing token.
 	OrderQuery OrderAction = "query"
-	// OrderPrepare empties the upstream for a load: its sidecar takes no new
-	// work and lets what runs finish.
+	// OrderPrepare drains the upstream before a load: its sidecar accepts no new
+	// requests and lets running ones finish.
 	OrderPrepare OrderAction = "prepare"
-	// OrderLoad makes an upstream that has been prepared under the same id load
-	// what Order.Want says.
+	// OrderLoad makes an upstream that was prepared under the same id load
+	// Order.Want.
 	OrderLoad OrderAction = "load"
 )
 
-// Loaded is what an upstream serves.
+// Loaded describes the model that an upstream serves.
 type Loaded struct {
 	Model    string   `json:"model,omitempty"`
 	Version  string   `json:"version,omitempty"`
@@ -30,33 +30,33 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// Order is an instruction of the controller to an upstream.
+// Order is an instruction from the controller to an upstream.
 type Order struct {
-	ID     string       `json:"id"` // the same id is the same order: it is carried out once
+	ID     string       `json:"id"` // an order is executed once per id
 	Token  FencingToken `json:"token"`
 	Action OrderAction  `json:"action"`
 	Want   Loaded       `json:"want"`
 }
 
-// OrderPhase says how far an order has come.
+// OrderPhase is the progress of an order.
 type OrderPhase string
 
 // Phases of an order.
 const (
-	PhaseNone     OrderPhase = ""         // the upstream has had no order
+	PhaseNone     OrderPhase = ""         // the upstream has received no order
 	PhaseDraining OrderPhase = "draining" // requests are still running
-	PhaseReady    OrderPhase = "ready"    // prepared, and waits for the load
-	PhaseRunning  OrderPhase = "running"  // it loads
+	PhaseReady    OrderPhase = "ready"    // prepared, waiting for OrderLoad
+	PhaseRunning  OrderPhase = "running"  // the upstream is loading
 	PhaseDone     OrderPhase = "done"
 	PhaseFailed   OrderPhase = "failed"
 )
 
-// OrderStatus is the reply to an Order: the latest order at the upstream, and
-// what it serves.
+// OrderStatus is the reply to an Order: the state of the latest order at the
+// upstream and the model that it serves.
 type OrderStatus struct {
 	ID     string         `json:"id,omitempty"`
 	Phase  OrderPhase     `json:"phase,omitempty"`
 	Loaded Loaded         `json:"loaded"`
-	Token  FencingToken   `json:"token"`         // the highest that the sidecar knows
-	Error  *verdict.Error `json:"err,omitempty"` // why the order was not taken
+	Token  FencingToken   `json:"token"`         // the highest that the sidecar has seen
+	Error  *verdict.Error `json:"err,omitempty"` // why the order was rejected
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -13,37 +13,37 @@
 // Dialer opens a connection to a sidecar.
 type Dialer func(ctx context.Context) (net.Conn, error)
 
-// CallHandler serves the calls that a sidecar makes of a router.
+// CallHandler serves the calls that a sidecar makes to a router.
 type CallHandler func(ctx context.Context, m Method, p Params) (any, error)
 
-// PeerConfig is what a Peer is told at its start.
+// PeerConfig configures a Peer.
 type PeerConfig struct {
 	Dial   Dialer
-	Calls  CallHandler // nil: the router serves none
+	Calls  CallHandler // nil: calls are refused
 	Timing Timing      // zero: DefaultTiming
 }
 
-// Peer is a router's side of the protocol with one sidecar. It keeps at most
-// one connection, opened when needed.
+// Peer is a router's client for one sidecar. It keeps at most one connection,
+// opened on demand.
 type Peer struct {
 	config PeerConfig
-	ctx    context.Context // ends with Close
+	ctx    context.Context // ends on Close
 	cancel context.CancelFunc
 
 	mu            sync.Mutex
 	link          *link
 	dialing       *pendingDial
-	lastDialError *verdict.Error // of the last dial; nil: it went well
+	lastDialError *verdict.Error // of the last dial; nil: it succeeded
 	lastDialEnd   time.Time      // when the last dial ended
 }
 
-// pendingDial is the opening of a connection, which all wait for who need it.
+// pendingDial is an attempt to connect, shared by all callers that wait for it.
 type pendingDial struct {
 	done chan struct{}
 	err  *verdict.Error // set before done is closed
 }
 
-// NewPeer returns a Peer. It connects when it is first used.
+// NewPeer returns a Peer that connects on first use.
 func NewPeer(c PeerConfig) *Peer {
 	if c.Timing == (Timing{}) {
 		c.Timing = DefaultTiming()
@@ -52,8 +52,8 @@
 	return &Peer{config: c, ctx: ctx, cancel: cancel}
 }
 
-// Connect returns the sidecar's introduction, connecting first when there is
-// no connection. An error is NotRun: nothing has been asked of the sidecar.
+// Connect returns the sidecar's Hello, connecting first when there is no
+// connection. An error has the verdict NotRun, since no request was sent.
 func (p *Peer) Connect(ctx context.Context) (Hello, error) {
 	l, err := p.acquire(ctx)
 	if err != nil {
@@ -63,9 +63,9 @@
 	return l.hello, nil
 }
 
-// Submit asks the sidecar to run a request. The Stream carries its answer. A
-// refusal is an error together with the Admission that explains it. An error
-// that is NotRun with ReasonNoUpstream says that the request was not sent.
+// Submit asks the sidecar to run a request. The Stream carries its response. A
+// refusal returns an error together with the Admission that explains it. An error
+// with NotRun and ReasonNoUpstream means that the request was not sent.
 func (p *Peer) Submit(ctx context.Context, s Submit) (*Stream, Admission, error) {
 	o := streamOptions{nonce: s.Key.Nonce, window: s.Window}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (Admission, error) {
@@ -74,7 +74,7 @@
 	})
 }
 
-// Attach asks for the answer to a request from an offset on.
+// Attach requests the response to a submitted request, starting at an offset.
 func (p *Peer) Attach(ctx context.Context, a Attach) (*Stream, Admission, error) {
 	o := streamOptions{nonce: a.Key.Nonce, offset: a.Offset, window: a.Window, headSeen: a.HeadSeen}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (adm Admission, err error) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// streamOptions is what a Stream begins with.
+// streamOptions holds the initial parameters of a Stream.
 type streamOptions struct {
 	nonce    token.Nonce
 	offset   int64
@@ -92,14 +92,14 @@
 	headSeen bool
 }
 
-// open opens a stream by a call, which it hands the stream's id.
+// open opens a stream and starts it with call, which gets the stream's id.
 func (p *Peer) open(ctx context.Context, o streamOptions, call func(*Conn, StreamID) (Admission, error)) (*Stream, Admission, error) {
 	l, err := p.acquire(ctx)
 	if err != nil {
 		return nil, Admission{}, err
 	}
 	defer l.release()
-	// Frames can overtake the reply, so the stream is there before the call.
+	// Frames can arrive before the reply, so the stream is registered before the call.
 	s := l.open(o)
 	adm, err := call(l.conn, s.id)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return s, adm, nil
 }
 
-// Call makes a call of the sidecar, connecting first when there is no connection.
+// Call makes a call to the sidecar, connecting first when there is no connection.
 func (p *Peer) Call(ctx context.Context, m Method, params, result any) error {
 	l, err := p.acquire(ctx)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return l.conn.Call(ctx, m, params, result)
 }
 
-// Close ends the connection and breaks its streams. The Peer connects no more.
+// Close closes the connection and fails its streams. The Peer does not connect again.
 func (p *Peer) Close() {
 	p.cancel()
 	p.mu.Lock()
@@ -142,10 +142,10 @@
 	return p.link != nil && p.link.alive()
 }
 
-// acquire returns the connection for a call, whose end release tells. It waits
-// for a connection to be opened, except where the last try failed: then it
-// returns that failure while another try goes on in the background, since a
-// request is better off at another upstream than waiting for a dead one.
+// acquire returns the connection for a call; the caller releases it after the call.
+// It waits for a connection to be opened, unless the last attempt failed recently:
+// then it returns that error while another attempt runs in the background, since
+// trying another upstream beats waiting for one that is down.
 func (p *Peer) acquire(ctx context.Context) (*link, error) {
 	for {
 		l, d, err := p.currentLink(time.Now())
@@ -163,8 +163,8 @@
 	}
 }
 
-// currentLink returns the connection or else its opening, or the failure of the
-// last try.
+// currentLink returns the connection, the pending dial, or the error of the last
+// dial, whichever applies. It starts a dial if one is needed.
 func (p *Peer) currentLink(now time.Time) (*link, *pendingDial, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,8 +188,8 @@
 	return verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "connect: %s", err)
 }
 
-// connect runs without p.mu held, so that it holds up nobody but those who
-// wait for it.
+// connect dials and completes d. It dials without holding p.mu, so that only
+// callers that wait for d are delayed.
 func (p *Peer) connect(d *pendingDial) {
 	dials.Inc()
 	l, err := p.openLink()
@@ -208,7 +208,7 @@
 	close(d.done)
 }
 
-// openLink opens a connection and hears the sidecar's introduction.
+// openLink opens a connection and waits for the sidecar's Hello.
 func (p *Peer) openLink() (*link, error) {
 	if err := p.ctx.Err(); err != nil {
 		return nil, err
@@ -227,7 +227,7 @@
 	return l, nil
 }
 
-// dropLink takes l out of use.
+// dropLink stops using l for new calls.
 func (p *Peer) dropLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,8 +236,8 @@
 	}
 }
 
-// closeIfIdle closes l if nothing is awaited on it. It takes l out of use first,
-// under the lock that acquire holds, so that no request is sent on a
+// closeIfIdle closes l if it has been idle for IdleTimeout. It first removes l from
+// the Peer, under the lock that acquire holds, so that no request is sent on a
 // connection that is about to be closed.
 func (p *Peer) closeIfIdle(l *link) {
 	p.mu.Lock()
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// steadyScript is an answer of n bytes a tenth of a second.
+// steadyScript returns a response that produces n bytes every 100 ms.
 func steadyScript(tenths, n int) script {
 	var s script
 	for range tenths {
@@ -27,14 +27,14 @@
 	return s
 }
 
-// closePeer closes p and lets what it has started come to its end.
+// closePeer closes p and waits until the goroutines that it started have ended.
 func closePeer(p *Peer) {
 	p.Close()
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// newReader starts a reading of a script under a fresh key.
+// newReader returns a reader of a script under a key with nonce id.
 func (n *testNetwork) newReader(p *Peer, id byte, s script) *responseReader {
 	r := &responseReader{peer: p, key: Key{Nonce: token.Nonce{id}}, body: []byte{id}, window: 16 << 10}
 	n.sidecar.mu.Lock()
@@ -43,10 +43,10 @@
 	return r
 }
 
-// An answer is under way when the connection goes silent in one direction, for
-// good. Its reader, or the next caller, must not wait longer than some seconds:
-// what is due does not come although nothing fails. In the upward case frames
-// of the first answer keep coming, so only the reply that is due shows it.
+// A connection silently drops everything in one or both directions while a response
+// is being sent. Neither its reader nor the next caller may wait longer than a few
+// seconds, although no read or write fails. In the upward case frames of the first
+// response keep arriving, so only the missing reply reveals the fault.
 func TestStalledConnectionIsDetectedWithinSeconds(t *testing.T) {
 	cases := map[string]middlebox{
 		"upward":   {up: faults{3: stall}},
@@ -75,9 +75,9 @@
 	}
 }
 
-// A connection has not been used for a minute, and something in between has
-// forgotten it. The caller who comes next should not pay the full time in which
-// silence is found.
+// A connection has been unused for a minute, and a firewall in between has dropped
+// it. The next caller must not wait for the full detection time of an active
+// connection.
 func TestStaleConnectionIsProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &testNetwork{sidecar: newFakeSidecar(), middleboxes: []middlebox{{up: faults{1: stall}}}}
@@ -97,8 +97,8 @@
 	})
 }
 
-// One caller stops reading a long answer. Another, whose answer comes over the
-// same connection, must not notice.
+// One caller stops reading a long response. Another caller, whose response uses the
+// same connection, must not be delayed.
 func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &testNetwork{sidecar: newFakeSidecar()}
@@ -114,16 +114,16 @@
 		}
 		s.mu.Lock()
 		if len(s.buf) > slow.window {
-			t.Errorf("%d bytes held for a window of %d", len(s.buf), slow.window)
+			t.Errorf("%d bytes buffered for a window of %d", len(s.buf), slow.window)
 		}
 		s.mu.Unlock()
 		closePeer(p)
 	})
 }
 
-// Callers come at the very moment at which the connection has been idle for
-// long enough to be closed. None may be told that its request may have run
-// because it was sent on a connection that was being closed.
+// Calls are made at the moment when the connection reaches its idle timeout. None
+// may fail with MayHaveRun because it was sent on a connection that was being
+// closed.
 func TestIdleCloseLosesNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &testNetwork{sidecar: newFakeSidecar()}
@@ -141,9 +141,9 @@
 	})
 }
 
-// A sidecar's VM swallows what is sent to it. The first caller finds out; those
-// who come after it are not to wait as well, and the way is found open again
-// once it is.
+// A sidecar's VM accepts connections but never replies. Only the first caller waits
+// for the timeout; later ones fail at once, and connecting succeeds again once the
+// sidecar is reachable.
 func TestUnreachableSidecarDelaysOnlyOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &testNetwork{sidecar: newFakeSidecar(), middleboxes: []middlebox{{up: faults{0: stall}}, {up: faults{0: stall}}}}
@@ -159,20 +159,20 @@
 			t.Errorf("ten callers waited for %s", waited)
 		}
 		time.Sleep(2 * time.Second)
-		_, _ = p.Connect(t.Context()) // starts the second try, which hangs as well
+		_, _ = p.Connect(t.Context()) // starts the second dial, which hangs as well
 		time.Sleep(2 * time.Second)
 		_, _ = p.Connect(t.Context())
 		time.Sleep(time.Second)
 		if _, err := p.Connect(t.Context()); err != nil {
-			t.Errorf("still %v", err)
+			t.Errorf("still unreachable: %v", err)
 		}
 		closePeer(p)
 	})
 }
 
-// A router stops while a caller waits for a reply that never comes, another
-// reads a stream and a third waits for a connection to another sidecar. All
-// must return, and nothing may be left running.
+// A router stops while one caller waits for a reply that never arrives, another
+// reads a stream and a third waits for a connection to another sidecar. All must
+// return, and no goroutine or connection may be left.
 func TestCloseUnblocksAllWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		openBefore := openConnections.Value()
@@ -202,7 +202,7 @@
 		if _, err := p.Connect(t.Context()); verdict.From(err).Verdict != verdict.NotRun {
 			t.Errorf("after Close: %v", err)
 		}
-		time.Sleep(time.Hour) // the fake's script
+		time.Sleep(time.Hour) // until the fake sidecar's script has ended
 		synctest.Wait()
 		if left := openConnections.Value() - openBefore; left != 0 {
 			t.Errorf("%d connections count as open", left)
@@ -210,24 +210,24 @@
 	})
 }
 
-// A router has stopped reading. The sidecar's write to it must end, and the
-// connection with it: all streams of that router share it.
+// A router has stopped reading. The sidecar's write to it must time out and close
+// the connection, since all streams of that router share it.
 func TestWriteToStalledPeerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		defer far.Close()
 		c := NewConn(context.Background(), near, newFakeSidecar())
 		if err := c.Send(Head{Status: 200}); err == nil {
-			t.Error("written to nobody")
+			t.Error("a write to a peer that does not read succeeded")
 		}
 		<-c.Done()
 	})
 }
 
-// A router keeps thousands of connections, most of them idle, each of which the
-// kernel would probe every fifteen seconds if nobody told it otherwise: the
-// probes alone would exceed what a router may spend on control. TLS and what
-// counts its bytes wrap the connection.
+// A router keeps thousands of mostly idle connections. With Go's default the kernel
+// would probe each of them every fifteen seconds, which alone would exceed a
+// router's limit for control traffic. The setting must reach the TCP connection
+// through the wrappers for TLS and for byte counting.
 func TestIdleConnectionsAreNotProbed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -238,7 +238,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// With no name to check a handshake fails at once, and the connection closes under the test.
+	// Without InsecureSkipVerify the handshake would fail for lack of a server name and
+	// close the connection during the test.
 	config := &tls.Config{InsecureSkipVerify: true}
 	c := NewConn(context.Background(), tls.Client(tls.Client(raw, config), config), newFakeSidecar())
 	defer c.Close()
@@ -257,9 +258,9 @@
 	}
 }
 
-// The process is stopped for a minute and goes on. That nothing was read in
-// the meantime says nothing about the sidecars: no connection may be given up
-// for it before the sidecar has been asked anew.
+// The process is stopped for a minute and continues. That nothing was read meanwhile
+// says nothing about the sidecars: no connection may be closed for it before the
+// sidecar has been pinged again.
 func TestOwnPauseDoesNotMarkPeerLost(t *testing.T) {
 	timing := DefaultTiming()
 	start := time.Unix(1000, 0)
@@ -276,14 +277,14 @@
 		}
 	}
 	if got := p.check(timing, after.Add(timing.PongTimeout), start, true); got != actionClose {
-		t.Fatalf("in the end: %d", got)
+		t.Fatalf("after PongTimeout: %d", got)
 	}
 }
 
-// rogueSidecar sends the frames that it is given, whatever they are.
+// rogueSidecar sends the given frames on each submit, valid or not.
 type rogueSidecar struct {
 	frames   []Frame
-	detached atomic.Uint32 // stream, the latest
+	detached atomic.Uint32 // stream id of the last Detach
 }
 
 func (r *rogueSidecar) HandleCall(_ context.Context, c *Conn, m Method, _ Params) (any, error) {
@@ -310,9 +311,9 @@
 	return near, nil
 }
 
-// A router lets go of an answer before its sidecar has begun to send it, and
-// the word of it gets there too early to find anything to stop. The sidecar
-// must be told again once it sends, or it keeps a sender for nobody.
+// A router closes a stream before the sidecar has started to send it, so the Detach
+// arrives too early and stops nothing. Once frames arrive, the router must send
+// another Detach, or the sidecar keeps a sender without a reader.
 func TestLateFramesAreAnsweredWithDetach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &rogueSidecar{frames: []Frame{Head{Stream: 77, Status: 200}}}
@@ -320,14 +321,14 @@
 		_, _, _ = p.Submit(t.Context(), Submit{})
 		time.Sleep(time.Second)
 		if r.detached.Load() != 77 {
-			t.Error("the sidecar was not told")
+			t.Error("no Detach was sent for the late frames")
 		}
 		closePeer(p)
 	})
 }
 
-// A sidecar sends more than it was given credit for to a caller that does not
-// read. The router's memory must not grow with it.
+// A sidecar sends more than its credit allows to a caller that does not read. The
+// router must not buffer the excess.
 func TestStreamBuffersNoMoreThanItsCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &rogueSidecar{frames: []Frame{Head{Stream: 1, Status: 200}, Data{Stream: 1, Bytes: make([]byte, 9)}}}
@@ -338,15 +339,15 @@
 		}
 		_, _ = s.Next(t.Context())
 		if piece, err := s.Next(t.Context()); err == nil {
-			t.Errorf("took %d bytes", len(piece.Bytes))
+			t.Errorf("received %d bytes beyond the credit", len(piece.Bytes))
 		}
 		closePeer(p)
 	})
 }
 
-// A sidecar has a fault and sends frames of other requests, twice, in a wrong
-// order or not at all. The caller gets the beginning of its own answer and then
-// either all of it or the news that the stream is broken.
+// A faulty sidecar sends frames of other requests, or its frames are repeated, out of
+// order or missing. The caller must receive a prefix of its own response, followed
+// either by the rest of it or by an error that the stream is broken.
 func TestStreamDeliversOnlyConsistentFrames(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mine, other := token.Nonce{1}, token.Nonce{2}
--- a/internal/wire/pulse.go
+++ b/internal/wire/pulse.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Timing is how a connection is watched.
+// Timing holds the timeouts and intervals of a connection.
 type Timing struct {
-	// PingAfter is how long a connection from which something is awaited may say
-	// nothing before the peer is asked for a sign of life. It is also how
-	// often that is looked at, twice over.
+	// PingAfter is how long an active connection may receive nothing before the
+	// peer is pinged. The connection is checked twice in each such period.
 	PingAfter time.Duration
 
-	// PongTimeout is how long the peer may leave that question unanswered before
-	// the connection counts as lost. A connection that something in between
-	// has forgotten neither delivers nor fails, so only silence shows it.
+	// PongTimeout is how long the peer may take to answer a ping before the
+	// connection counts as lost. A connection that a NAT or firewall in between has
+	// dropped neither delivers nor fails, so only a timeout detects it.
 	PongTimeout time.Duration
 
-	// StaleAfter is how long a connection may have been unused before a request
-	// that takes it also asks for a sign of life at once, to be given within
-	// StalePongTimeout: what stands in between forgets unused connections first.
+	// StaleAfter is how long a connection may be unused before the next request on
+	// it is accompanied by a ping, to be answered within StalePongTimeout: a NAT or
+	// firewall in between drops unused connections first.
 	StaleAfter, StalePongTimeout time.Duration
 
-	// IdleTimeout is how long a connection on which nothing is awaited is kept. At the
-	// target's size a router comes back to a sidecar every two minutes on
-	// average, and each new connection costs a handshake.
+	// IdleTimeout is how long a connection without calls or streams is kept. At the
+	// target fleet size a router uses the same sidecar every two minutes on average,
+	// and each new connection costs a handshake.
 	IdleTimeout time.Duration
 
-	// HelloTimeout bounds the introduction on a new connection.
+	// HelloTimeout limits the wait for Hello on a new connection.
 	HelloTimeout time.Duration
 
-	// RedialInterval is the least time from one failed try to reach a sidecar to the
-	// next, and FailFastFor how long after it requests do not wait for the next.
+	// RedialInterval is the minimum time between a failed dial and the next one.
+	// FailFastFor is how long after a failed dial requests fail at once instead of
+	// waiting for the next one.
 	RedialInterval, FailFastFor time.Duration
 }
 
-// DefaultTiming returns the Timing of routers towards sidecars. A lost connection
-// is found within two ticks, Quiet and Silent, three and a half seconds in all.
+// DefaultTiming returns the Timing of a router's connections to sidecars. A lost
+// connection is detected within two check intervals, PingAfter and PongTimeout,
+// three and a half seconds in all.
 func DefaultTiming() Timing {
 	return Timing{
 		PingAfter:        time.Second,
@@ -50,9 +51,9 @@
 	}
 }
 
-// ReaderTiming returns the Timing of sidecars towards routers that read an
-// answer. A router is only heard when it has read half a window, and a sidecar
-// can wait for longer than a caller: what a reader that is gone holds is memory
+// ReaderTiming returns the Timing of a sidecar's connections to routers that read a
+// response. Such a router sends something only after it has read half a window. A
+// sidecar can wait longer than a caller: a reader that is gone costs only memory
 // and, at a planned stop, time.
 func ReaderTiming() Timing {
 	return Timing{PingAfter: 30 * time.Second, PongTimeout: 15 * time.Second}
@@ -62,7 +63,7 @@
 	return t.PingAfter / 2
 }
 
-// livenessAction is what a connection needs.
+// livenessAction is the result of a liveness check.
 type livenessAction uint8
 
 const (
@@ -71,37 +72,37 @@
 	actionClose
 )
 
-// liveness decides when a connection is asked for a sign of life and when it
+// liveness decides when the peer of a connection is pinged and when the connection
 // counts as lost.
 type liveness struct {
-	mu          sync.Mutex    // held by those of a Conn
-	pingSent    time.Time     // when the ping without an answer was sent; zero: none
-	pongTimeout time.Duration // how long its answer is waited for
-	lastPong    time.Time     // when the last answer came
+	mu          sync.Mutex    // held by the methods of Conn
+	pingSent    time.Time     // when the unanswered ping was sent; zero: none
+	pongTimeout time.Duration // how long to wait for the pong
+	lastPong    time.Time     // when the last pong arrived or monitoring started
 	lastCheck   time.Time
 }
 
-// recordPing notes a ping.
+// recordPing records that a ping is sent, to be answered within timeout.
 func (p *liveness) recordPing(now time.Time, timeout time.Duration) {
 	p.pingSent, p.pongTimeout = now, timeout
 }
 
-// recordPong notes a pong.
+// recordPong records that a pong has arrived.
 func (p *liveness) recordPong(now time.Time) {
 	p.pingSent = time.Time{}
 	p.lastPong = now
 }
 
-// check decides what a connection needs on which an answer is awaited. heard
-// is when anything came in last. calls says that a reply is due as well: then
-// frames that keep coming prove only one direction, so the sidecar is asked
-// nevertheless.
+// check returns what to do with a connection that has calls or streams. lastRead is
+// when the last frame arrived. replyDue says that a reply is awaited as well: then
+// frames of other streams show that only one direction works, so the sidecar is
+// pinged even if they keep arriving.
 func (p *liveness) check(t Timing, now, lastRead time.Time, replyDue bool) livenessAction {
 	wasPaused := now.Sub(p.lastCheck) > t.checkInterval()+t.PingAfter
 	p.lastCheck = now
 	if wasPaused {
-		// This process was paused. What the sidecar said meanwhile has not been
-		// read yet, so its silence so far proves nothing.
+		// This process was paused and has not yet read what the sidecar sent
+		// meanwhile, so the time without frames says nothing about the sidecar.
 		p.pingSent = time.Time{}
 		return actionPing
 	}
@@ -117,8 +118,8 @@
 	return actionNone
 }
 
-// startMonitoring starts to watch the peer, from which something is awaited from now on.
-// A connection that has not been used for long is probed at once.
+// startMonitoring resets the liveness state of a connection that becomes active. A
+// stale connection is pinged at once.
 func (c *Conn) startMonitoring(t Timing, now time.Time) {
 	c.liveness.mu.Lock()
 	defer c.liveness.mu.Unlock()
@@ -128,7 +129,7 @@
 	}
 }
 
-// checkPeer looks at the peer and reports whether it counts as lost.
+// checkPeer pings the peer if due and reports whether the connection counts as lost.
 func (c *Conn) checkPeer(t Timing, now time.Time, replyDue bool) (lost bool) {
 	c.liveness.mu.Lock()
 	defer c.liveness.mu.Unlock()
@@ -142,7 +143,8 @@
 	return false
 }
 
-// sendPing needs c.pulse.mu held. The write can block, so it has its own goroutine.
+// sendPing sends a ping in a separate goroutine, since the write can block. The
+// caller holds c.liveness.mu.
 func (c *Conn) sendPing(now time.Time, timeout time.Duration) {
 	c.liveness.recordPing(now, timeout)
 	go func() { _ = c.Send(ping{}) }()
@@ -154,8 +156,9 @@
 	c.liveness.recordPong(time.Now())
 }
 
-// MonitorPeer ends the connection when its peer falls silent while awaited says that
-// something is expected of it.
+// MonitorPeer starts to check the peer periodically and closes the connection when
+// the peer stops responding. The peer is only checked while isAwaiting reports that
+// something is expected from it.
 func (c *Conn) MonitorPeer(t Timing, isAwaiting func() bool) {
 	monitoring := false
 	var timer *time.Timer
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// Several callers read long answers through one router while what stands
-// between router and sidecar drops, repeats, swaps and cuts frames or goes
-// silent in one direction. Callers also let go and come back in the middle.
-// Each must end with its own whole answer, its head once, from one run.
+// Several callers read long responses through one router while a middlebox drops,
+// repeats, swaps and truncates frames or stalls in one direction. Callers also
+// detach and attach again midway. Each must receive exactly its own complete
+// response with one head, and each request must run once.
 func TestEachReaderReceivesItsWholeResponseOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := &testNetwork{sidecar: newFakeSidecar()}
@@ -62,10 +62,10 @@
 	})
 }
 
-// runReaders carries out the readings and returns what went wrong.
+// runReaders runs the readers concurrently and returns their failures.
 func (n *testNetwork) runReaders(readers []*responseReader) []error {
 	p := NewPeer(PeerConfig{Dial: n.dial})
-	defer synctest.Wait() // nothing may be left running
+	defer synctest.Wait() // no goroutine may be left running
 	defer p.Close()
 	errs := make([]error, len(readers))
 	var wg sync.WaitGroup
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -16,53 +16,53 @@
 )
 
 const (
-	// headerSize is the length in bytes of a frame's header: the length of the
-	// content, its kind and the frame's number.
+	// headerSize is the size in bytes of a frame's header: the content's length, its
+	// kind and the frame's sequence number.
 	headerSize = 4 + 1 + 4
 
 	readBufferSize = 4 << 10
 
-	// readChunk is how much of a frame is made room for at a time. A length that
-	// is a lie costs no more memory than the bytes that really come.
+	// readChunk is the initial size in bytes of the buffer for a frame's content. It
+	// grows as bytes arrive, so a false length in a header allocates little memory.
 	readChunk = 64 << 10
 
-	// writeChunk is how much is written under one deadline, in bytes.
+	// writeChunk is the number of bytes written under one deadline.
 	writeChunk = 256 << 10
 
-	// maxPooledBuffer is the largest buffer that is kept for the next frame.
+	// maxPooledBuffer is the capacity in bytes up to which a buffer is reused.
 	maxPooledBuffer = 64 << 10
 )
 
 // Errors that end a connection.
 var (
-	// ErrTooLarge is a frame over the limit of its kind.
+	// ErrTooLarge means that a frame exceeds the size limit of its kind.
 	ErrTooLarge = errors.New("wire: frame too large")
-	// ErrGap is a frame that does not follow the one before it.
+	// ErrGap means that a frame's number does not follow that of the previous frame.
 	ErrGap = errors.New("wire: frames are missing")
 )
 
-// transport carries frames over a connection. It implements
-// jsonrpc2.ObjectStream for the calls and replies among them and hands the
-// others to onFrame, in order of arrival and on the same goroutine.
+// transport sends and receives frames over a connection. It implements
+// jsonrpc2.ObjectStream for calls and replies and passes other frames to onFrame,
+// in order of arrival and in the same goroutine.
 //
-// Frames are numbered. TCP keeps them in order, but what stands between the
-// two ends may not: a repeated frame is dropped, so that a call is not served
-// twice; a missing one ends the connection, so that nobody waits for an answer
-// or a credit that never comes.
+// Frames are numbered. TCP preserves their order, but a proxy between the two ends
+// may not. A repeated frame is dropped, so that a call is not served twice; a
+// missing one ends the connection, so that no side waits for a response or credit
+// that never arrives.
 type transport struct {
 	conn         net.Conn
 	in           *bufio.Reader
 	onFrame      func(Frame)
 	onClose      func()
 	writeTimeout time.Duration
-	received     uint32       // frames
+	received     uint32       // number of frames
 	lastRead     atomic.Int64 // Unix nanoseconds
-	lastSize     int          // bytes of the frame that was read last
-	nextMethod   Method       // of the call or reply that is written next
-	replyMethod  Method       // of the call that is replied to
+	lastSize     int          // bytes of the last frame that was read
+	nextMethod   Method       // of the call or reply that is written next, for the counters
+	replyMethod  Method       // of the call whose reply is written next
 
 	mu   sync.Mutex // held while a frame is written
-	sent uint32     // frames
+	sent uint32     // number of frames
 }
 
 func newTransport(c net.Conn, writeTimeout time.Duration) *transport {
@@ -84,8 +84,8 @@
 }
 
 // write sends one frame. After an error other than ErrTooLarge the peer has
-// not got the frame, or only a part that it can't use, and the connection is
-// of no further use.
+// received at most an unusable part of the frame. If the write itself failed, the
+// connection is closed.
 func (t *transport) write(k frameKind, encode func(*bytes.Buffer) error) error {
 	b := buffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(b)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// label names a frame that is written, for the counters.
+// label returns the metric label of a frame that is written.
 func (t *transport) label(k frameKind) Method {
 	if k == kindRPC {
 		return t.nextMethod
@@ -127,8 +127,8 @@
 	}
 }
 
-// writeAll writes b. The deadline guards against a peer that has stopped
-// reading, which would hold all who share the connection for ever.
+// writeAll writes b. The deadlines protect against a peer that has stopped reading,
+// which would block all users of the connection for ever.
 func (t *transport) writeAll(b []byte) error {
 	for len(b) > 0 {
 		if err := t.conn.SetWriteDeadline(time.Now().Add(t.writeTimeout)); err != nil {
@@ -171,7 +171,7 @@
 	return errors.WithStack(err)
 }
 
-// nextFrame returns the nextFrame frame that was not there before.
+// nextFrame reads the next frame and skips repeated ones. It returns ErrGap if a frame is missing.
 func (t *transport) nextFrame() (frameKind, []byte, error) {
 	for {
 		h, content, err := readFrame(t.in)
@@ -202,13 +202,14 @@
 	return err
 }
 
-// closeNow closes c without the farewell of TLS, which would wait for a peer
-// that does not read. An End tells a whole answer from one that was cut.
+// closeNow closes c without TLS's close_notify alert, whose write can block on a peer
+// that does not read. The alert is not needed: an End shows that a response is
+// complete.
 func closeNow(c net.Conn) error {
 	return unwrapConn(c).Close()
 }
 
-// unwrapConn returns the connection inside those that wrap it, such as TLS.
+// unwrapConn returns the innermost connection below wrappers such as TLS.
 func unwrapConn(c net.Conn) net.Conn {
 	for {
 		wrapped, ok := c.(interface{ NetConn() net.Conn })
@@ -243,8 +244,8 @@
 	return h, content, err
 }
 
-// contentLimit returns the largest content of a kind, which may be one that only a
-// newer peer knows.
+// contentLimit returns the size limit of the content of a kind, in bytes. Unknown
+// kinds, which a newer peer may send, have a limit as well.
 func contentLimit(k frameKind) int {
 	if k >= kindCount || maxContentSize[k] == 0 {
 		return maxUnknown
@@ -268,7 +269,7 @@
 	}
 }
 
-// unexpectedEOF turns an end of the stream within a frame into the error that it is.
+// unexpectedEOF converts io.EOF, which within a frame is unexpected, to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
