--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -65,7 +65,7 @@
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, errors.Wrap(err, "parse authority")
+			return nil, errors.Wrap(err, "authority")
 		}
 		pool.AddCert(cert)
 		n++
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -29,7 +29,7 @@
 	refusalLogInterval = time.Minute
 )
 
-// handshakeKind tells a full handshake from a resumption.
+// handshakeKind distinguishes full handshakes from resumptions.
 type handshakeKind string
 
 const (
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -17,7 +17,7 @@
 	// codeVerdict is the JSON-RPC error code of an error that carries a verdict.
 	codeVerdict = 4000
 
-	// writeTimeout bounds a write to a peer that has stopped reading.
+	// writeTimeout limits a write to a peer that has stopped reading.
 	writeTimeout = 3 * time.Second
 )
 
@@ -57,7 +57,7 @@
 	return newConn(ctx, c, h, nil)
 }
 
-// newConn calls onClose once the connection has ended.
+// newConn is NewConn with a function that is called once the connection has ended.
 func newConn(ctx context.Context, c net.Conn, h Handler, onClose func(*Conn)) *Conn {
 	setKeepAlive(c)
 	conn := &Conn{transport: newTransport(c, writeTimeout), handler: h, pendingSubmits: make(map[StreamID]chan submitReply)}
@@ -112,7 +112,7 @@
 		reply.Error = encodeError(err)
 	}
 	if errors.Is(c.reply(rpc, m, reply), ErrTooLarge) {
-		// Without this the caller would wait for a reply that never comes.
+		// Without this reply the caller would wait until its context ends.
 		e := encodeError(verdict.New(verdict.MayHaveRun, verdict.ReasonTooLarge, "the reply is too large"))
 		_ = c.reply(rpc, m, &jsonrpc2.Response{ID: req.ID, Error: e})
 	}
@@ -257,12 +257,12 @@
 	return c.transport.writeFrame(f)
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error {
 	return c.rpc.Close()
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} {
 	return c.rpc.DisconnectNotify()
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -226,7 +226,7 @@
 	number uint32
 }
 
-// readFrame reads one frame.
+// readFrame reads the header and the content of one frame.
 func readFrame(r io.Reader) (header, []byte, error) {
 	var b [headerSize]byte
 	if _, err := io.ReadFull(r, b[:]); err != nil {
