--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -194,10 +194,10 @@
 // Resumption sends no certificates, so without a check it would keep its access
 // indefinitely.
 func TestRemovedAuthorityIsDistrusted(t *testing.T) {
-	former, next := newCA(t), newCA(t)
-	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, writeCertFiles(t, next, sidecar.URI(domain), append(next.PEM, former.PEM...)))
+	previous, next := newCA(t), newCA(t)
+	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, writeCertFiles(t, next, sidecar.URI(domain), append(next.PEM, previous.PEM...)))
 	addr := serve(t, server)
-	r := mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, former, router.URI(domain), append(former.PEM, next.PEM...)))
+	r := mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, previous, router.URI(domain), append(previous.PEM, next.PEM...)))
 	for i := range 2 {
 		if c, err := dialAndEcho(r, addr); err != nil || c.ConnectionState().DidResume != (i == 1) {
 			t.Fatalf("connection %d: %v", i, err)
@@ -225,9 +225,9 @@
 // lock out a router, and one that stays invalid must be counted while the previous
 // files stay in use.
 func TestRotationRefusesNoValidPeer(t *testing.T) {
-	former, next := newCA(t), newCA(t)
-	bundle := append(append([]byte{}, former.PEM...), next.PEM...)
-	p := writeCertFiles(t, former, sidecar.URI(domain), bundle)
+	previous, next := newCA(t), newCA(t)
+	bundle := append(append([]byte{}, previous.PEM...), next.PEM...)
+	p := writeCertFiles(t, previous, sidecar.URI(domain), bundle)
 	server := mustMutualTLS(t, NewMutualTLS, sidecar, domain, p)
 	addr := serve(t, server)
 	r := mustMutualTLS(t, NewMutualTLS, router, domain, writeCertFiles(t, next, router.URI(domain), bundle))
@@ -239,8 +239,8 @@
 		polls   int
 		fails   int64
 	}{
-		{p.CA, bundle[:len(former.PEM)], 1, 0}, // cut between two authorities: parses, but is incomplete
-		{p.CA, bundle[:len(bundle)-30], 3, 1},  // cut within one, and left that way
+		{p.CA, bundle[:len(previous.PEM)], 1, 0}, // cut between two authorities: parses, but is incomplete
+		{p.CA, bundle[:len(bundle)-30], 3, 1},    // cut within one, and left that way
 		{p.CA, renewed, 2, 0},
 		{p.Cert, cert, 3, 1}, // without its key, and left that way
 		{p.Key, key[:40], 1, 0},
