--- a/cmd/parsleystandin/main.go
+++ b/cmd/parsleystandin/main.go
@@ -45,7 +45,7 @@
 		standin.NewVMList().Register(mux)
 	case "engine":
 		standin.NewEngine(standin.EngineConfig{Model: o.Name, TokenDelay: o.Delay, Tokens: o.Tokens, CacheSize: o.Cache}).Register(mux)
-		loaded := wire.Loaded{Model: o.Name, Version: "1", Role: string(profile.DefaultEngineRole)}
+		loaded := wire.ModelSpec{Model: o.Name, Version: "1", Role: string(profile.DefaultEngineRole)}
 		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Fences: o.Fences, Weights: o.Weights, Takes: o.Takes}).Register(mux)
 	case "weights":
 		standin.NewWeightStore(o.Every).Register(mux)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -17,7 +17,7 @@
 	s.Step(fleetOf(n))
 	for !s.fenced {
 		for _, send := range s.Step(Tick{Now: now}) {
-			have := wire.Loaded{Model: "m", Version: "1"}
+			have := wire.ModelSpec{Model: "m", Version: "1"}
 			s.Step(Replied{Now: now, VM: send.VM.ID, Order: send.Order, Status: wire.OrderStatus{Loaded: have}})
 		}
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -76,7 +76,7 @@
 	for i := range 6 {
 		e := &engine{vm: topo.VM{ID: fmt.Sprint("vm-", i), Pool: "notes"}}
 		e.fence.Learn(0)
-		e.status.Loaded = wire.Loaded{Model: "notes-7b", Version: "1"}
+		e.status.Loaded = wire.ModelSpec{Model: "notes-7b", Version: "1"}
 		r.engines = append(r.engines, e)
 	}
 	r.takeOver()
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -124,13 +124,13 @@
 	return max(1, int(p.MaxUnavailable*float64(total)))
 }
 
-func want(p profile.Pool) wire.Loaded {
-	return wire.Loaded{Model: p.Model, Version: p.Version, Adapters: p.Adapters, Role: string(p.Role)}
+func want(p profile.Pool) wire.ModelSpec {
+	return wire.ModelSpec{Model: p.Model, Version: p.Version, Adapters: p.Adapters, Role: string(p.Role)}
 }
 
 // matches reports whether an upstream has what is wanted. What the pool leaves
 // open may be anything.
-func matches(want, have wire.Loaded) bool {
+func matches(want, have wire.ModelSpec) bool {
 	open := func(w, h string) bool { return w == "" || w == h }
 	return open(want.Model, have.Model) && open(want.Version, have.Version) && open(want.Role, have.Role) &&
 		sameAdapters(want.Adapters, have.Adapters)
@@ -146,7 +146,7 @@
 // orderID names an order by what it asks and of whom, and by how often that has
 // failed. A holder that repeats an order of its predecessor, or one whose
 // answer was lost, uses the same id, and the upstream loads once.
-func orderID(u *upstream, w wire.Loaded) string {
+func orderID(u *upstream, w wire.ModelSpec) string {
 	sum := xxh3.HashString(strings.Join(append([]string{u.vm.ID, w.Model, w.Version, w.Role}, w.Adapters...), "\x00"))
 	base := fmt.Sprintf("%016x", sum)
 	last, failures, _ := strings.Cut(u.status.ID, ".")
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -157,7 +157,7 @@
 	for i := range engines {
 		mux := http.NewServeMux()
 		standin.NewEngine(standin.EngineConfig{Model: devModel, TokenDelay: devTokenDelay, Tokens: devTokens, CacheSize: devCache}).Register(mux)
-		loaded := wire.Loaded{Model: devModel, Version: "1", Role: string(profile.DefaultEngineRole)}
+		loaded := wire.ModelSpec{Model: devModel, Version: "1", Role: string(profile.DefaultEngineRole)}
 		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Takes: devLoadTakes}).Register(mux)
 		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("engine-%d", i), Pool: devNotes}, mux); err != nil {
 			return err
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -66,7 +66,7 @@
 
 func (v *vm) handle(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
 	t.Helper()
-	status, err := v.Handle(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.Loaded{Model: "m"}})
+	status, err := v.Handle(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.ModelSpec{Model: "m"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -29,7 +29,7 @@
 		calls := func(ctx context.Context, m wire.Method, params wire.Params) (any, error) {
 			return r.handleSidecarCall(ctx, vm, m, params)
 		}
-		p = wire.NewPeer(wire.PeerConfig{Dial: dial, Calls: calls})
+		p = wire.NewPeer(wire.PeerConfig{Dial: dial, CallHandler: calls})
 		r.peers[ep] = p
 	}
 	return p
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -144,9 +144,9 @@
 
 // treatment returns how the sidecar is to treat the request, with the time left
 // until the deadlines of plan.
-func (r *Request) treatment(now time.Time, plan dispatch.Plan) wire.Treatment {
+func (r *Request) treatment(now time.Time, plan dispatch.Plan) wire.RequestPolicy {
 	p := r.Profile
-	return wire.Treatment{
+	return wire.RequestPolicy{
 		Profile:       p.Name,
 		Priority:      p.Priority,
 		LoadMultiple:  p.LoadMultiple,
--- a/internal/router/sidecars.go
+++ b/internal/router/sidecars.go
@@ -48,7 +48,7 @@
 		Org:         s.req.Org.Name,
 		Session:     s.session,
 		Fingerprint: s.fingerprint,
-		Treatment:   s.req.treatment(now, s.plan),
+		Policy:      s.req.treatment(now, s.plan),
 		Call:        at.call,
 		Window:      streamWindow,
 		Trace:       string(at.span.Traceparent()),
--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -22,7 +22,7 @@
 func (f *fleet) send(t *rapid.T, c *requestCopy) {
 	n := f.vm(c.key.VM)
 	sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
-	sub.Treatment = wire.Treatment{
+	sub.Policy = wire.RequestPolicy{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
 		Idempotent:   idempotent(c.req),
@@ -49,7 +49,7 @@
 	r := &f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
 	sub.Control = wire.Control{Samples: r.loads.Pack(f.now, 8), Suspects: r.suspects}
 	n.state.mergeControl(f.now, "", sub.Control)
-	before, bound := n.state.load(), n.state.loadBound(f.now, sub.Treatment.LoadMultiple)
+	before, bound := n.state.load(), n.state.loadBound(f.now, sub.Policy.LoadMultiple)
 	a := f.step(t, n, Submitted{Now: f.now, Ticket: f.tickets, Submit: sub})
 	if a == nil {
 		return nil
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -34,8 +34,8 @@
 	next := key
 	return wire.Submit{
 		Key: key, Successor: &next, Org: fmt.Sprintf("organisation-%d", i%64), Session: uint64(i), Fingerprint: uint64(i),
-		Treatment: wire.Treatment{Profile: "notes", OrgWeight: 1, Deadline: time.Minute},
-		Call:      wire.Call{Method: "POST", Path: "/v1/chat/completions", Body: make([]byte, 1<<10)},
+		Policy: wire.RequestPolicy{Profile: "notes", OrgWeight: 1, Deadline: time.Minute},
+		Call:   wire.Call{Method: "POST", Path: "/v1/chat/completions", Body: make([]byte, 1<<10)},
 	}
 }
 
--- a/internal/sidecar/finish.go
+++ b/internal/sidecar/finish.go
@@ -68,7 +68,7 @@
 
 // keepUntil returns until when the response to r is retained.
 func (s *State) keepUntil(now time.Time, r *request) time.Time {
-	return now.Add(max(s.settings.KeepAnswer, r.submit.Treatment.KeepAnswer))
+	return now.Add(max(s.settings.KeepAnswer, r.submit.Policy.KeepAnswer))
 }
 
 // finishRequest ends the response to a request and retains it until keepUntil.
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -60,8 +60,8 @@
 	resp, err := s.config.Upstream.Do(ctx, upstream.Request{
 		ID:          e.Submit.Key.Nonce.String(),
 		Session:     e.Submit.Session,
-		Priority:    e.Submit.Treatment.Priority,
-		Idempotent:  e.Submit.Treatment.Idempotent,
+		Priority:    e.Submit.Policy.Priority,
+		Idempotent:  e.Submit.Policy.Idempotent,
 		Traceparent: string(span.Traceparent()),
 		Call:        e.Submit.Call,
 	})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -115,9 +115,9 @@
 	return f
 }
 
-func testSubmit(n byte, t wire.Treatment) wire.Submit {
+func testSubmit(n byte, t wire.RequestPolicy) wire.Submit {
 	key := wire.Key{VM: "vm", Incarnation: 1, Nonce: token.Nonce{n}, Expires: time.Now().Add(time.Hour).Unix()}
-	return wire.Submit{Key: key, Org: "org", Treatment: t, Window: 16 << 10}
+	return wire.Submit{Key: key, Org: "org", Policy: t, Window: 16 << 10}
 }
 
 // readStream reads a stream until it has n bytes or the stream ends.
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, true)
 		began := time.Now()
-		s, _, err := f.peer.Submit(f.ctx, testSubmit(1, wire.Treatment{Deadline: 3 * time.Second}))
+		s, _, err := f.peer.Submit(f.ctx, testSubmit(1, wire.RequestPolicy{Deadline: 3 * time.Second}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,12 +167,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, true)
 		for n := range byte(4) {
-			if _, _, err := f.peer.Submit(f.ctx, testSubmit(n, wire.Treatment{Deadline: 10 * time.Second})); err != nil {
+			if _, _, err := f.peer.Submit(f.ctx, testSubmit(n, wire.RequestPolicy{Deadline: 10 * time.Second})); err != nil {
 				t.Fatal(err)
 			}
 		}
 		began := time.Now()
-		s, _, err := f.peer.Submit(f.ctx, testSubmit(9, wire.Treatment{FirstByte: 2 * time.Second}))
+		s, _, err := f.peer.Submit(f.ctx, testSubmit(9, wire.RequestPolicy{FirstByte: 2 * time.Second}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, false)
 		ctx := f.ctx
-		sub := testSubmit(1, wire.Treatment{})
+		sub := testSubmit(1, wire.RequestPolicy{})
 		first, _, err := f.peer.Submit(ctx, sub)
 		if err != nil {
 			t.Fatal(err)
@@ -224,7 +224,7 @@
 		time.Sleep(time.Second)
 
 		other := wire.NewPeer(wire.PeerConfig{Dial: f.listener.dial})
-		_, _, err = other.Submit(ctx, testSubmit(2, wire.Treatment{}))
+		_, _, err = other.Submit(ctx, testSubmit(2, wire.RequestPolicy{}))
 		if e := verdict.From(err); e == nil || e.Verdict != verdict.NotRun || e.Reason != verdict.ReasonDraining {
 			t.Errorf("new work while stopping: %v", err)
 		}
@@ -259,7 +259,7 @@
 		f.listener.conns <- far
 		blocked := make(chan struct{})
 		peer := wire.NewPeer(wire.PeerConfig{Dial: func(context.Context) (net.Conn, error) { return blackhole(near, blocked), nil }})
-		sub := testSubmit(1, wire.Treatment{})
+		sub := testSubmit(1, wire.RequestPolicy{})
 		s, _, err := peer.Submit(f.ctx, sub)
 		if err != nil {
 			t.Fatal(err)
@@ -315,7 +315,7 @@
 	for _, idempotent := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, false)
-			sub := testSubmit(1, wire.Treatment{Idempotent: idempotent})
+			sub := testSubmit(1, wire.RequestPolicy{Idempotent: idempotent})
 			s, _, err := f.peer.Submit(f.ctx, sub)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -111,7 +111,7 @@
 	for i := range requests {
 		sub := benchSubmit(i)
 		sub.Key.Expires += int64(i)
-		sub.Treatment.KeepAnswer = 12 * time.Hour
+		sub.Policy.KeepAnswer = 12 * time.Hour
 		s.Step(Submitted{Now: benchStart, Submit: sub})
 		s.Step(CallEnded{Now: benchStart, Nonce: sub.Key.Nonce})
 	}
@@ -151,7 +151,7 @@
 				continue
 			}
 			n := f.vm(c.key.VM)
-			sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), Treatment: wire.Treatment{FirstByte: time.Second}}
+			sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), Policy: wire.RequestPolicy{FirstByte: time.Second}}
 			if a := f.submit(t, n, sub); a != nil {
 				f.onReply(t, c, a)
 			} else {
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -102,7 +102,7 @@
 	if s.probe.down {
 		return false, reject(verdict.ReasonUpstreamDown, "the upstream is down").withRetryAfter(probeIntervalDown)
 	}
-	bound := s.loadBound(now, sub.Treatment.LoadMultiple)
+	bound := s.loadBound(now, sub.Policy.LoadMultiple)
 	if !isolated {
 		if err := s.queue.Offer(now, s.admissionRequest(now, sub, bound)); err != nil {
 			return false, &rejection{err: err}
@@ -147,7 +147,7 @@
 
 // grantExpiry returns when the grant of a suspect to run alone expires.
 func (s *State) grantExpiry(now time.Time, sub *wire.Submit) time.Time {
-	if d := sub.Treatment.Deadline; d > 0 {
+	if d := sub.Policy.Deadline; d > 0 {
 		return now.Add(d)
 	}
 	return now.Add(quarantine.SuspectTTL)
@@ -164,7 +164,7 @@
 // admissionRequest converts a submission for the admission queue. The queue does
 // not count the isolation lane, so the lane is subtracted from the bound.
 func (s *State) admissionRequest(now time.Time, sub *wire.Submit, bound int) admission.Request {
-	t := &sub.Treatment
+	t := &sub.Policy
 	return admission.Request{
 		ID:            sub.Key.Nonce,
 		Org:           sub.Org,
@@ -226,7 +226,7 @@
 		seq:         s.admittedCount,
 		isolated:    isolated,
 		expires:     adm.Expires(),
-		deadline:    deadlineAfter(now, sub.Treatment.Deadline),
+		deadline:    deadlineAfter(now, sub.Policy.Deadline),
 		unreadSince: now,
 	}
 	s.requests[r.nonce()] = r
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -33,7 +33,7 @@
 	s.copies++
 	key := wire.Key{VM: "a", Incarnation: 1, Nonce: token.Nonce{s.copies}, Expires: s.now.Add(time.Hour).Unix()}
 	next := wire.Key{VM: "b", Incarnation: 2, Nonce: token.Nonce{100 + s.copies}, Expires: key.Expires}
-	sub := wire.Submit{Key: key, Successor: &next, Org: "org", Fingerprint: crasherPrint, Treatment: wire.Treatment{Deadline: time.Minute}}
+	sub := wire.Submit{Key: key, Successor: &next, Org: "org", Fingerprint: crasherPrint, Policy: wire.RequestPolicy{Deadline: time.Minute}}
 	for _, effect := range s.Step(Submitted{Now: s.now, Submit: sub}) {
 		if reply, ok := effect.(Reply); ok {
 			return key.Nonce, reply.Admission
--- a/internal/sidecar/timer.go
+++ b/internal/sidecar/timer.go
@@ -137,7 +137,7 @@
 // not idempotent runs to its end, because the upstream has started it and the
 // caller may ask for its outcome.
 func (s *State) handleUnread(now time.Time, r *request) []Effect {
-	if r.phase == queued || r.submit.Treatment.Idempotent {
+	if r.phase == queued || r.submit.Policy.Idempotent {
 		return s.abort(now, r)
 	}
 	if r.discarding {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -12,10 +12,10 @@
 
 // OrdersConfig says how a stand-in engine takes orders.
 type OrdersConfig struct {
-	Loaded  wire.Loaded   // at the start
-	Fences  bool          // refuse an order with an older fencing token than before
-	Weights string        // URL of the weight store; empty: loads need none
-	Takes   time.Duration // how long a load takes
+	Loaded  wire.ModelSpec // at the start
+	Fences  bool           // refuse an order with an older fencing token than before
+	Weights string         // URL of the weight store; empty: loads need none
+	Takes   time.Duration  // how long a load takes
 }
 
 // Orders is the part of a stand-in engine that takes orders.
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -68,7 +68,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := loopback(b, &countingHandler{})
 			s := Submit{
-				Org: "acme", Treatment: Treatment{Profile: "chat", Deadline: time.Minute, Priority: 3},
+				Org: "acme", Policy: RequestPolicy{Profile: "chat", Deadline: time.Minute, Priority: 3},
 				Call: Call{Method: "POST", Path: "/v1/chat/completions", Header: http.Header{"Content-Type": {"application/json"}}, Body: make([]byte, size)},
 			}
 			for range b.N {
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -31,7 +31,7 @@
 	Data{Stream: 1, Offset: 7, Bytes: []byte("x")},
 	End{Stream: 1, Length: 8, Error: verdict.New(verdict.Ran, verdict.ReasonCancelled, "d")},
 	Credit{Stream: 1, UpTo: 9}, Detach{Stream: 1},
-	Submit{Stream: 1, Session: 2, Treatment: Treatment{Deadline: 3}, Call: Call{Body: []byte("y")}, Control: Control{Suspects: json.RawMessage("{}")}}, submitReply{Stream: 1, Admission: Admission{Joined: true}}, ping{}, pong{},
+	Submit{Stream: 1, Session: 2, Policy: RequestPolicy{Deadline: 3}, Call: Call{Body: []byte("y")}, Control: Control{Suspects: json.RawMessage("{}")}}, submitReply{Stream: 1, Admission: Admission{Joined: true}}, ping{}, pong{},
 }
 
 // FuzzFrames reads arbitrary bytes from a connection. Reading must end with an
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -143,10 +143,10 @@
 
 // HandleCall implements Handler.
 func (l *link) HandleCall(ctx context.Context, _ *Conn, m Method, p Params) (any, error) {
-	if l.peer.config.Calls == nil {
+	if l.peer.config.CallHandler == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "this router serves no calls")
 	}
-	return l.peer.config.Calls(ctx, m, p)
+	return l.peer.config.CallHandler(ctx, m, p)
 }
 
 // HandleFrame implements Handler.
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -59,10 +59,10 @@
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// Treatment holds the scheduling parameters of one request, as set by its profile
+// RequestPolicy holds the scheduling parameters of one request, as set by its profile
 // and organisation. It is sent with the request, so a sidecar needs no
 // configuration of its own.
-type Treatment struct {
+type RequestPolicy struct {
 	Profile       string        `json:"profile"`
 	Priority      int           `json:"prio,omitempty"`  // higher runs earlier
 	LoadMultiple  float64       `json:"mult,omitempty"`  // load bound as a multiple of the pool's mean load; zero: unbounded
@@ -77,18 +77,18 @@
 
 // Submit asks a sidecar to run a request once.
 type Submit struct {
-	Key         Key       `json:"key"`
-	Successor   *Key      `json:"succ,omitempty"` // key under which the request continues if this sidecar refuses it
-	Home        string    `json:"home,omitempty"` // VM that ranks first for the session
-	Org         string    `json:"org"`
-	Session     uint64    `json:"session,omitempty"`
-	Fingerprint uint64    `json:"print,omitempty"` // hash of the organisation and the call
-	Treatment   Treatment `json:"treat"`
-	Call        Call      `json:"call"`
-	Stream      StreamID  `json:"stream"` // set by Peer
-	Window      int       `json:"window"` // bytes that may be sent before the first Credit
-	Trace       string    `json:"trace,omitempty"`
-	Control     Control   `json:"ctl"`
+	Key         Key           `json:"key"`
+	Successor   *Key          `json:"succ,omitempty"` // key under which the request continues if this sidecar refuses it
+	Home        string        `json:"home,omitempty"` // VM that ranks first for the session
+	Org         string        `json:"org"`
+	Session     uint64        `json:"session,omitempty"`
+	Fingerprint uint64        `json:"print,omitempty"` // hash of the organisation and the call
+	Policy      RequestPolicy `json:"treat"`
+	Call        Call          `json:"call"`
+	Stream      StreamID      `json:"stream"` // set by Peer
+	Window      int           `json:"window"` // bytes that may be sent before the first Credit
+	Trace       string        `json:"trace,omitempty"`
+	Control     Control       `json:"ctl"`
 
 	// HasPermit reports whether the sidecar whose upstream crashed while running
 	// this request permits it to run alone at another VM (package quarantine).
--- a/internal/wire/order.go
+++ b/internal/wire/order.go
@@ -22,8 +22,8 @@
 	OrderLoad OrderAction = "load"
 )
 
-// Loaded describes the model that an upstream serves.
-type Loaded struct {
+// ModelSpec describes the model that an upstream serves.
+type ModelSpec struct {
 	Model    string   `json:"model,omitempty"`
 	Version  string   `json:"version,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
@@ -35,7 +35,7 @@
 	ID     string       `json:"id"` // an order is executed once per id
 	Token  FencingToken `json:"token"`
 	Action OrderAction  `json:"action"`
-	Want   Loaded       `json:"want"`
+	Want   ModelSpec    `json:"want"`
 }
 
 // OrderPhase is the progress of an order.
@@ -56,7 +56,7 @@
 type OrderStatus struct {
 	ID     string         `json:"id,omitempty"`
 	Phase  OrderPhase     `json:"phase,omitempty"`
-	Loaded Loaded         `json:"loaded"`
+	Loaded ModelSpec      `json:"loaded"`
 	Token  FencingToken   `json:"token"`         // the highest that the sidecar has seen
 	Error  *verdict.Error `json:"err,omitempty"` // why the order was rejected
 }
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -18,9 +18,9 @@
 
 // PeerConfig configures a Peer.
 type PeerConfig struct {
-	Dial   Dialer
-	Calls  CallHandler // nil: calls are refused
-	Timing Timing      // zero: DefaultTiming
+	Dial        Dialer
+	CallHandler CallHandler // nil: calls are refused
+	Timing      Timing      // zero: DefaultTiming
 }
 
 // Peer is a router's client for one sidecar. It keeps at most one connection,
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -108,7 +108,7 @@
 		frozen.session.Signal(syscall.SIGCONT)
 
 		for i, vm := range f.upstreams {
-			old := wire.Order{ID: "old", Token: oldToken, Action: wire.OrderPrepare, Want: wire.Loaded{Model: model, Version: "1"}}
+			old := wire.Order{ID: "old", Token: oldToken, Action: wire.OrderPrepare, Want: wire.ModelSpec{Model: model, Version: "1"}}
 			status := f.order(vm, old)
 			Expect(status.Error).NotTo(BeNil(), "engine %d took an old order", i)
 			Expect(status.Error.Reason).To(Equal(verdict.ReasonFenced))
