--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -22,7 +22,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-var unreadWords = telemetry.NewFamily[string]("vocabulary_unread_words_total", "word",
+var unknownWordCount = telemetry.NewFamily[string]("vocabulary_unread_words_total", "word",
 	"Words of other systems' messages that nothing here reads, nor passes over for a reason.", telemetry.Alert)
 
 // Word is a word that a protocol names.
@@ -35,27 +35,27 @@
 }
 
 const (
-	// looksPerSecond bounds how many objects' fields are looked at, each of which takes some
+	// inspectionsPerSecond bounds how many objects' fields are looked at, each of which takes some
 	// microseconds.
-	looksPerSecond = 50
-	// mostLooked is the size up to which an object's fields are looked at, in bytes.
-	mostLooked = 16 << 10
-	// mostUnread bounds the unread words that are remembered.
-	mostUnread = 64
+	inspectionsPerSecond = 50
+	// maxObjectBytes is the size up to which an object's fields are looked at, in bytes.
+	maxObjectBytes = 16 << 10
+	// maxUnknownWords bounds the unread words that are remembered.
+	maxUnknownWords = 64
 )
 
 // Table is the words that may stand at one place of a protocol. It is safe for concurrent use.
 type Table struct {
-	place    string
-	words    []Word
-	known    map[string]bool
-	statuses map[int]bool
-	looks    *rate.Limiter
+	place       string
+	words       []Word
+	known       map[string]bool
+	statuses    map[int]bool
+	inspections *rate.Limiter
 }
 
 // New returns the Table of a place, such as "header of an answer".
 func New(place string, words ...Word) *Table {
-	t := &Table{place: place, words: words, known: make(map[string]bool), statuses: make(map[int]bool), looks: rate.NewLimiter(looksPerSecond, looksPerSecond)}
+	t := &Table{place: place, words: words, known: make(map[string]bool), statuses: make(map[int]bool), inspections: rate.NewLimiter(inspectionsPerSecond, inspectionsPerSecond)}
 	for _, w := range words {
 		t.known[w.Name] = true
 		if status, err := strconv.Atoi(w.Name); err == nil {
@@ -72,51 +72,51 @@
 func (t *Table) Words() []Word { return slices.Clone(t.words) }
 
 // CheckHeaders takes in the headers of a message, and of what it was a part.
-func (t *Table) CheckHeaders(h http.Header, of string) {
+func (t *Table) CheckHeaders(h http.Header, message string) {
 	for name := range h {
 		if !t.known[name] {
-			t.unread(name, of)
+			t.report(name, message)
 		}
 	}
 }
 
 // CheckStatus takes in the status of an answer.
-func (t *Table) CheckStatus(status int, of string) {
+func (t *Table) CheckStatus(status int, message string) {
 	if !t.statuses[status] {
-		t.unread(strconv.Itoa(status), of)
+		t.report(strconv.Itoa(status), message)
 	}
 }
 
 // CheckFields takes in the fields of a JSON object. Large ones are not looked at, nor all of many
 // that come at once. What is no object has no fields.
-func (t *Table) CheckFields(object []byte, of string) {
-	if len(object) > mostLooked || !t.looks.Allow() {
+func (t *Table) CheckFields(object []byte, message string) {
+	if len(object) > maxObjectBytes || !t.inspections.Allow() {
 		return
 	}
-	for _, name := range fields(object) {
+	for _, name := range fieldNames(object) {
 		if !t.known[name] {
-			t.unread(name, of)
+			t.report(name, message)
 		}
 	}
 }
 
 // ReportMalformed takes in that the value of a word makes no sense.
-func (t *Table) ReportMalformed(word, value, of string) {
-	t.unread(word+": "+clip(value), of)
+func (t *Table) ReportMalformed(word, value, message string) {
+	t.report(word+": "+truncate(value), message)
 }
 
-// mostValue is how much of a value is told, in bytes.
-const mostValue = 32
+// maxValueBytes is how much of a value is told, in bytes.
+const maxValueBytes = 32
 
-func clip(value string) string {
-	if len(value) > mostValue {
-		return value[:mostValue] + "..."
+func truncate(value string) string {
+	if len(value) > maxValueBytes {
+		return value[:maxValueBytes] + "..."
 	}
 	return value
 }
 
-// fields returns the names of the fields of a JSON object.
-func fields(object []byte) []string {
+// fieldNames returns the names of the fieldNames of a JSON object.
+func fieldNames(object []byte) []string {
 	d := json.NewDecoder(bytes.NewReader(object))
 	if open, err := d.Token(); err != nil || open != json.Delim('{') {
 		return nil
@@ -145,34 +145,34 @@
 	Count   int       `json:"count"`
 }
 
-// seen is the unread words of the process.
-var seen struct {
+// unknown is the unread words of the process.
+var unknown struct {
 	mu    sync.Mutex
 	words []UnknownWord
 }
 
 // UnknownWords returns the words that have come and that nothing reads, by place and word.
 func UnknownWords() []UnknownWord {
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	out := slices.Clone(seen.words)
+	unknown.mu.Lock()
+	defer unknown.mu.Unlock()
+	out := slices.Clone(unknown.words)
 	slices.SortFunc(out, func(a, b UnknownWord) int { return strings.Compare(a.Place+a.Word, b.Place+b.Word) })
 	return out
 }
 
-func (t *Table) unread(word, of string) {
-	unreadWords.Inc(t.place + ": " + word)
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	for i := range seen.words {
-		if u := &seen.words[i]; u.Place == t.place && u.Word == word {
+func (t *Table) report(word, message string) {
+	unknownWordCount.Inc(t.place + ": " + word)
+	unknown.mu.Lock()
+	defer unknown.mu.Unlock()
+	for i := range unknown.words {
+		if u := &unknown.words[i]; u.Place == t.place && u.Word == word {
 			u.Count++
 			return
 		}
 	}
-	if len(seen.words) >= mostUnread {
+	if len(unknown.words) >= maxUnknownWords {
 		return
 	}
-	seen.words = append(seen.words, UnknownWord{Place: t.place, Word: word, Message: of, First: time.Now(), Count: 1})
-	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", of)
+	unknown.words = append(unknown.words, UnknownWord{Place: t.place, Word: word, Message: message, First: time.Now(), Count: 1})
+	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", message)
 }
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// unreadAt returns the unread words of a place, with how often they came.
-func unreadAt(place string) []string {
+// unknownAt returns the unread words of a place, with how often they came.
+func unknownAt(place string) []string {
 	var out []string
 	for _, u := range UnknownWords() {
 		if u.Place == place {
@@ -19,7 +19,7 @@
 }
 
 // Guards against a new word of a peer that goes unheard.
-func TestUnreadWordsAreNoticed(t *testing.T) {
+func TestUnknownWordsAreReported(t *testing.T) {
 	table := New("test", Word{Name: "Known"}, Word{Name: "200"}, Word{Name: "state"})
 	for range 2 {
 		table.CheckHeaders(http.Header{"Known": {"1"}, "New": {"1"}}, "a")
@@ -29,40 +29,40 @@
 		table.ReportMalformed("Known", "soon", "a")
 	}
 	want := []string{"418 2", "Known: soon 2", "New 2", "born 2"}
-	if got := unreadAt("test"); !slices.Equal(got, want) {
+	if got := unknownAt("test"); !slices.Equal(got, want) {
 		t.Errorf("noticed %v, want %v", got, want)
 	}
 }
 
 // Guards against objects that others have spoilt.
-func TestWhatIsNoObjectHasNoFields(t *testing.T) {
+func TestNonObjectsHaveNoFields(t *testing.T) {
 	for _, raw := range []string{"", "7", "null", "[1]", `"text"`, "{", `{"a"`, `{"a":`, `{"a":}`, "{{", "\x00"} {
-		if got := fields([]byte(raw)); len(got) != 0 {
+		if got := fieldNames([]byte(raw)); len(got) != 0 {
 			t.Errorf("%q has fields %v", raw, got)
 		}
 	}
 }
 
 // Guards against fields of objects that take the processor when thousands come at once.
-func TestLooksAreBounded(t *testing.T) {
+func TestInspectionsAreRateLimited(t *testing.T) {
 	table := New("objects")
-	for range 40 * looksPerSecond {
+	for range 40 * inspectionsPerSecond {
 		table.CheckFields([]byte(`{"unknown": 1}`), "a")
 	}
 	for _, u := range UnknownWords() {
-		if u.Place == "objects" && u.Count > 10*looksPerSecond {
+		if u.Place == "objects" && u.Count > 10*inspectionsPerSecond {
 			t.Errorf("%d objects were looked at", u.Count)
 		}
 	}
 }
 
 // Guards against a peer whose words are all different, and fill the memory.
-func TestUnreadWordsAreBounded(t *testing.T) {
+func TestUnknownWordsAreBounded(t *testing.T) {
 	table := New("many")
-	for i := range 10 * mostUnread {
+	for i := range 10 * maxUnknownWords {
 		table.CheckHeaders(http.Header{fmt.Sprint("X-", i): {"1"}}, "a")
 	}
-	if n := len(UnknownWords()); n > mostUnread {
+	if n := len(UnknownWords()); n > maxUnknownWords {
 		t.Errorf("%d words are remembered", n)
 	}
 }
@@ -70,5 +70,5 @@
 func FuzzFields(f *testing.F) {
 	f.Add([]byte(`{"a": 1, "b": {"c": [null]}}`))
 	f.Add([]byte(`{"a": 1, 2: 3}`))
-	f.Fuzz(func(_ *testing.T, raw []byte) { fields(raw) })
+	f.Fuzz(func(_ *testing.T, raw []byte) { fieldNames(raw) })
 }
