--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -1,9 +1,9 @@
-// Package vocabulary notices words of a protocol that nothing reads.
+// Package vocabulary detects headers, statuses and fields of a protocol that no code handles.
 //
-// Whoever decodes what another system sends keeps a Table of the words that may stand at a
-// place: those that it reads, and those that it passes over for a reason. Any other word is
-// told in a line when it comes first, and counted. What a peer says in a word that nobody
-// knows yet would else go unheard until it does harm.
+// A decoder of another system's messages keeps a Table of the words that may occur at a place,
+// such as the headers of a response: those that it reads, and those that it ignores, with the
+// reason. Any other word is logged at its first occurrence and counted. Without that, an
+// addition to the protocol would be ignored silently until it causes a failure.
 package vocabulary
 
 import (
@@ -25,26 +25,27 @@
 var unknownWordCount = telemetry.NewFamily[string]("vocabulary_unread_words_total", "word",
 	"Words of other systems' messages that nothing here reads, nor passes over for a reason.", telemetry.Alert)
 
-// Word is a word that a protocol names.
+// Word is a name that a protocol defines: of a header or a field, or a status code. It has either
+// a Reader or an IgnoreReason.
 type Word struct {
 	Name string
-	// Reader is what reads it: a function or a type, as "package.Name" or "package.Type.Method".
+	// Reader is the function or type that reads the word, as "package.Name" or
+	// "package.Type.Method".
 	Reader string
-	// IgnoreReason nothing reads it, if that is so.
+	// IgnoreReason says why nothing reads the word.
 	IgnoreReason string
 }
 
 const (
-	// inspectionsPerSecond bounds how many objects' fields are looked at, each of which takes some
-	// microseconds.
+	// inspectionsPerSecond limits how many objects a Table inspects; each takes a few microseconds.
 	inspectionsPerSecond = 50
-	// maxObjectBytes is the size up to which an object's fields are looked at, in bytes.
+	// maxObjectBytes is the size up to which an object's fields are inspected.
 	maxObjectBytes = 16 << 10
-	// maxUnknownWords bounds the unread words that are remembered.
+	// maxUnknownWords limits the unknown words that the process remembers.
 	maxUnknownWords = 64
 )
 
-// Table is the words that may stand at one place of a protocol. It is safe for concurrent use.
+// Table holds the words that may occur at one place of a protocol. It is safe for concurrent use.
 type Table struct {
 	place       string
 	words       []Word
@@ -53,7 +54,7 @@
 	inspections *rate.Limiter
 }
 
-// New returns the Table of a place, such as "header of an answer".
+// New returns the Table of a place, such as "header of a response".
 func New(place string, words ...Word) *Table {
 	t := &Table{place: place, words: words, known: make(map[string]bool), statuses: make(map[int]bool), inspections: rate.NewLimiter(inspectionsPerSecond, inspectionsPerSecond)}
 	for _, w := range words {
@@ -65,13 +66,14 @@
 	return t
 }
 
-// Place returns where the words stand.
+// Place returns the place at which the words occur.
 func (t *Table) Place() string { return t.place }
 
-// Words returns the words of the Table.
+// Words returns a copy of the Table's words.
 func (t *Table) Words() []Word { return slices.Clone(t.words) }
 
-// CheckHeaders takes in the headers of a message, and of what it was a part.
+// CheckHeaders reports the headers that are not in the Table. message identifies the message that
+// carried them.
 func (t *Table) CheckHeaders(h http.Header, message string) {
 	for name := range h {
 		if !t.known[name] {
@@ -80,15 +82,16 @@
 	}
 }
 
-// CheckStatus takes in the status of an answer.
+// CheckStatus reports a status that is not in the Table. message identifies the response.
 func (t *Table) CheckStatus(status int, message string) {
 	if !t.statuses[status] {
 		t.report(strconv.Itoa(status), message)
 	}
 }
 
-// CheckFields takes in the fields of a JSON object. Large ones are not looked at, nor all of many
-// that come at once. What is no object has no fields.
+// CheckFields reports the fields of a JSON object that are not in the Table. It skips objects
+// larger than maxObjectBytes and those beyond inspectionsPerSecond. Other JSON values and
+// malformed JSON have no fields. message identifies the object.
 func (t *Table) CheckFields(object []byte, message string) {
 	if len(object) > maxObjectBytes || !t.inspections.Allow() {
 		return
@@ -100,12 +103,12 @@
 	}
 }
 
-// ReportMalformed takes in that the value of a word makes no sense.
+// ReportMalformed reports that a known word has a value that cannot be interpreted.
 func (t *Table) ReportMalformed(word, value, message string) {
 	t.report(word+": "+truncate(value), message)
 }
 
-// maxValueBytes is how much of a value is told, in bytes.
+// maxValueBytes is the length to which reported values are truncated.
 const maxValueBytes = 32
 
 func truncate(value string) string {
@@ -115,7 +118,7 @@
 	return value
 }
 
-// fieldNames returns the names of the fieldNames of a JSON object.
+// fieldNames returns the names of the fields of a JSON object, up to the first syntax error.
 func fieldNames(object []byte) []string {
 	d := json.NewDecoder(bytes.NewReader(object))
 	if open, err := d.Token(); err != nil || open != json.Delim('{') {
@@ -131,27 +134,28 @@
 		if err := d.Decode(&skipped); err != nil {
 			return out
 		}
-		out = append(out, name.(string)) // a Decoder takes nothing else for a field's name
+		out = append(out, name.(string)) // a Decoder accepts only strings as field names
 	}
 	return out
 }
 
-// UnknownWord is a word that nothing reads.
+// UnknownWord is a word that has occurred and is not in the Table of its place, or has a malformed
+// value.
 type UnknownWord struct {
 	Place   string    `json:"place"`
 	Word    string    `json:"word"`
-	Message string    `json:"of"` // the message in which it came first
+	Message string    `json:"of"` // the message of its first occurrence
 	First   time.Time `json:"first"`
 	Count   int       `json:"count"`
 }
 
-// unknown is the unread words of the process.
+// unknown holds the unknown words that the process has received.
 var unknown struct {
 	mu    sync.Mutex
 	words []UnknownWord
 }
 
-// UnknownWords returns the words that have come and that nothing reads, by place and word.
+// UnknownWords returns the unknown words that the process has received, sorted by place and word.
 func UnknownWords() []UnknownWord {
 	unknown.mu.Lock()
 	defer unknown.mu.Unlock()
@@ -160,6 +164,7 @@
 	return out
 }
 
+// report counts an unknown word, and logs it at its first occurrence.
 func (t *Table) report(word, message string) {
 	unknownWordCount.Inc(t.place + ": " + word)
 	unknown.mu.Lock()
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// unknownAt returns the unread words of a place, with how often they came.
+// unknownAt returns the unknown words of a place, each with its number of occurrences.
 func unknownAt(place string) []string {
 	var out []string
 	for _, u := range UnknownWords() {
@@ -18,7 +18,7 @@
 	return out
 }
 
-// Guards against a new word of a peer that goes unheard.
+// Guards against words that a peer adds to the protocol and that are ignored silently.
 func TestUnknownWordsAreReported(t *testing.T) {
 	table := New("test", Word{Name: "Known"}, Word{Name: "200"}, Word{Name: "state"})
 	for range 2 {
@@ -30,11 +30,11 @@
 	}
 	want := []string{"418 2", "Known: soon 2", "New 2", "born 2"}
 	if got := unknownAt("test"); !slices.Equal(got, want) {
-		t.Errorf("noticed %v, want %v", got, want)
+		t.Errorf("reported %v, want %v", got, want)
 	}
 }
 
-// Guards against objects that others have spoilt.
+// Guards against failures on values that are no JSON objects or malformed.
 func TestNonObjectsHaveNoFields(t *testing.T) {
 	for _, raw := range []string{"", "7", "null", "[1]", `"text"`, "{", `{"a"`, `{"a":`, `{"a":}`, "{{", "\x00"} {
 		if got := fieldNames([]byte(raw)); len(got) != 0 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against fields of objects that take the processor when thousands come at once.
+// Guards against inspections that use up the processor when thousands of objects arrive at once.
 func TestInspectionsAreRateLimited(t *testing.T) {
 	table := New("objects")
 	for range 40 * inspectionsPerSecond {
@@ -51,12 +51,12 @@
 	}
 	for _, u := range UnknownWords() {
 		if u.Place == "objects" && u.Count > 10*inspectionsPerSecond {
-			t.Errorf("%d objects were looked at", u.Count)
+			t.Errorf("%d objects were inspected", u.Count)
 		}
 	}
 }
 
-// Guards against a peer whose words are all different, and fill the memory.
+// Guards against unbounded memory use when a peer sends ever different words.
 func TestUnknownWordsAreBounded(t *testing.T) {
 	table := New("many")
 	for i := range 10 * maxUnknownWords {
