--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -19,8 +19,8 @@
 // A chat client that knows nothing of tickets or sessions sends its turns
 // through whichever router answers. Its cached prefix is at one upstream; a
 // session that is named by what changes from turn to turn is sent elsewhere.
-func TestTurnsOfAChatMeetOneUpstream(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestChatTurnsGoToOneUpstream(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for chat := range 5 {
 			turns := fmt.Sprintf(`{"role":"system","content":"coach"},{"role":"user","content":"match %d"}`, chat)
 			before := make([]int, testVMs)
@@ -43,24 +43,24 @@
 // A coach closes the app while a clip is being fetched, and a guest while a
 // room is being booked. The fetch is of no use to anyone; the booking must not
 // be broken off half-way.
-func TestCallerWhoLeavesEndsOnlyAReadThatNobodyCanAskFor(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		left := func(method, profile string) (n int) {
-			ctx, leave := context.WithTimeout(context.Background(), 3*tick)
-			defer leave()
+func TestDisconnectCancelsReadButNotBooking(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		cancelledAfterDisconnect := func(method, profile string) (n int) {
+			ctx, disconnect := context.WithTimeout(context.Background(), 3*tick)
+			defer disconnect()
 			f.send(ctx, 0, method, "/services/"+profile+"/x", method+profile, nil)
 			time.Sleep(2 * tick)
 			for _, v := range f.vm {
 				v.upstream.mu.Lock()
-				n += v.upstream.left
+				n += v.upstream.cancelled
 				v.upstream.mu.Unlock()
 			}
 			return n
 		}
-		if n := left(http.MethodPost, booking); n != 0 {
+		if n := cancelledAfterDisconnect(http.MethodPost, booking); n != 0 {
 			t.Fatal("the booking was cancelled")
 		}
-		if n := left(http.MethodGet, clips); n != 1 {
+		if n := cancelledAfterDisconnect(http.MethodGet, clips); n != 1 {
 			t.Fatalf("%d reads were cancelled", n)
 		}
 	})
@@ -68,8 +68,8 @@
 
 // Headers that concern one connection, the caller's secrets, or the fleet's own
 // words must not cross the gateway in either direction.
-func TestHeadersThatDoNotCross(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestHeadersNotForwarded(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		header := http.Header{
 			"Accept": {"text/plain"}, "Cookie": {"c"}, "Connection": {"X-Hop, close"}, "X-Hop": {"1"},
 			"Te": {"trailers"}, "X-Request-Id": {"spoofed"}, "X-Priority": {"9"}, "X-Forwarded-For": {"1.2.3.4"},
@@ -90,7 +90,7 @@
 }
 
 // What callers get wrong, and what they are told.
-func TestMistakesOfCallers(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	long := strings.Repeat("x", 2<<20)
 	cases := []struct {
 		method, path, body string
@@ -113,7 +113,7 @@
 		{"GET", "/v1/requests/none", "", nil, 404, "unknown-request"},
 		{"GET", "/nowhere", "", nil, 404, "not-found"},
 	}
-	inBubble(t, func(t *testing.T, f *fleet) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for _, c := range cases {
 			f.send(f.ctx, 0, c.method, c.path, c.body, c.header).expect(t, c.status, "not-run", c.reason)
 		}
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// headerMark and idleMark are the timeouts of the http.Server. It has one of
+	// headerTimeoutSentinel and idleMark are the timeouts of the http.Server. It has one of
 	// each for its life, while operators change theirs as connections live: a
 	// callerConn knows by them which of its deadlines one is meant to be. Both are
 	// far longer than any that operators set.
-	headerMark = 24 * time.Hour
-	idleMark   = 48 * time.Hour
-	// markSlack is how much may pass between the choice of a deadline and its
+	headerTimeoutSentinel = 24 * time.Hour
+	idleTimeoutSentinel   = 48 * time.Hour
+	// sentinelSlack is how much may pass between the choice of a deadline and its
 	// setting.
-	markSlack = time.Hour
-	// hardHeaderBytes bounds what the server reads of headers before the operators'
+	sentinelSlack = time.Hour
+	// serverMaxHeaderBytes bounds what the server reads of headers before the operators'
 	// limit is looked at.
-	hardHeaderBytes = 1 << 20
+	serverMaxHeaderBytes = 1 << 20
 )
 
 // Server returns a server of callers that keeps at most a number of connections.
@@ -33,13 +33,13 @@
 		Server: &http.Server{
 			Handler:           h,
 			ConnContext:       withConn,
-			ReadHeaderTimeout: headerMark,
-			IdleTimeout:       idleMark,
-			MaxHeaderBytes:    hardHeaderBytes,
+			ReadHeaderTimeout: headerTimeoutSentinel,
+			IdleTimeout:       idleTimeoutSentinel,
+			MaxHeaderBytes:    serverMaxHeaderBytes,
 		},
 		limits: g.limits,
 		grace:  grace,
-		places: make(chan struct{}, connections),
+		slots:  make(chan struct{}, connections),
 	}
 }
 
@@ -53,7 +53,7 @@
 	*http.Server
 	limits func() *profile.Limits
 	grace  time.Duration
-	places chan struct{} // one for each open connection
+	slots  chan struct{} // one for each open connection
 }
 
 // Serve serves the connections of l until it is closed.
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.server.places <- struct{}{}
+	l.server.slots <- struct{}{}
 	return &callerConn{Conn: c, server: l.server}, nil
 }
 
@@ -88,7 +88,7 @@
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.closed.Do(func() { <-c.server.places })
+	c.closed.Do(func() { <-c.server.slots })
 	return c.Conn.Close()
 }
 
@@ -98,10 +98,10 @@
 		return c.Conn.SetReadDeadline(at)
 	}
 	now := time.Now()
-	switch left := at.Sub(now); {
-	case left > idleMark-markSlack:
+	switch remaining := at.Sub(now); {
+	case remaining > idleTimeoutSentinel-sentinelSlack:
 		at = now.Add(c.server.limits().IdleTime.Std() + c.server.grace)
-	case left > headerMark-markSlack:
+	case remaining > headerTimeoutSentinel-sentinelSlack:
 		at = now.Add(c.server.limits().HeaderTime.Std() + c.server.grace)
 	}
 	return c.Conn.SetReadDeadline(at)
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -33,7 +33,7 @@
 }
 
 func (g *Gateway) chat(x *exchange) error {
-	body, err := x.body(x.largestChat())
+	body, err := x.body(x.maxChatBodyBytes())
 	if err != nil {
 		return err
 	}
@@ -45,36 +45,36 @@
 	if p == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonUnknownProfile, "no profile of yours serves this model")
 	}
-	if int64(len(body)) > maxBody(p) {
-		return tooLarge(maxBody(p))
+	if int64(len(body)) > maxBodyBytes(p) {
+		return tooLarge(maxBodyBytes(p))
 	}
 	return g.forward(x, router.Request{
 		Org:     x.org,
 		Profile: p,
 		Session: chatSession(x.r, chat),
-		Call:    wire.Call{Method: x.r.Method, Path: x.r.URL.Path, Header: passed(x.r.Header), Body: body},
+		Call:    wire.Call{Method: x.r.Method, Path: x.r.URL.Path, Header: forwardedHeaders(x.r.Header), Body: body},
 	})
 }
 
-// largestChat returns the largest body of the organisation's chat profiles.
+// maxChatBodyBytes returns the largest body of the organisation's chat profiles.
 // Which of them counts is known only once the body has been read.
-func (x *exchange) largestChat() int64 {
+func (x *exchange) maxChatBodyBytes() int64 {
 	largest := int64(0)
 	for _, name := range x.org.Profiles {
 		if p := x.view.Profiles[name]; p != nil && p.Model != "" {
-			largest = max(largest, maxBody(p))
+			largest = max(largest, maxBodyBytes(p))
 		}
 	}
 	if largest == 0 {
-		return defaultMaxBody
+		return defaultMaxBodyBytes
 	}
 	return largest
 }
 
 const (
-	// maxOpening is how many messages may come before a chat's first question.
-	maxOpening = 8
-	roleUser   = "user"
+	// maxOpeningMessages is how many messages may come before a chat's first question.
+	maxOpeningMessages = 8
+	roleUser           = "user"
 )
 
 // chatSession names the chat: by the caller's header, or else by the messages
@@ -85,7 +85,7 @@
 	}
 	var b strings.Builder
 	b.WriteString(chat.User)
-	for _, m := range chat.Messages[:min(maxOpening, len(chat.Messages))] {
+	for _, m := range chat.Messages[:min(maxOpeningMessages, len(chat.Messages))] {
 		b.WriteByte(0)
 		b.Write(m)
 		var message struct {
@@ -136,7 +136,7 @@
 	if p == nil {
 		return unknownService()
 	}
-	body, err := x.body(maxBody(p))
+	body, err := x.body(maxBodyBytes(p))
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 		Org:     x.org,
 		Profile: p,
 		Session: x.r.Header.Get(HeaderSession),
-		Call:    wire.Call{Method: x.r.Method, Path: servicePath(x.r), Header: passed(x.r.Header), Body: body},
+		Call:    wire.Call{Method: x.r.Method, Path: servicePath(x.r), Header: forwardedHeaders(x.r.Header), Body: body},
 	})
 }
 
@@ -167,8 +167,8 @@
 	return path
 }
 
-// profileFor returns the profile that a call for keys is about.
-func (x *exchange) profileFor(name string) *profile.Profile {
+// profileByName returns the profile that a call for keys is about.
+func (x *exchange) profileByName(name string) *profile.Profile {
 	for _, allowed := range x.org.Profiles {
 		if allowed == name {
 			return x.view.Profiles[name]
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -36,16 +36,16 @@
 // fleet is routers, sidecars and upstreams in one process, with a store that
 // can be taken away.
 type fleet struct {
-	net      *network
-	store    *store
-	vms      *vmList
-	gateways []*gateway.Gateway
-	kill     []context.CancelFunc // of the routers
-	vm       []*vm
-	stop     context.CancelFunc
-	ctx      context.Context
-	ring     *token.Keyring
-	slots    int
+	net         *network
+	store       *store
+	vms         *vmList
+	gateways    []*gateway.Gateway
+	stopRouters []context.CancelFunc // of the routers
+	vm          []*vm
+	stop        context.CancelFunc
+	ctx         context.Context
+	ring        *token.Keyring
+	slots       int
 }
 
 // vm is an upstream VM whose sidecar can be replaced by a new incarnation.
@@ -53,8 +53,8 @@
 	id       string
 	mu       sync.Mutex // held while it is replaced
 	upstream *fakeUpstream
-	stop     func()
-	leave    func() // a planned stop
+	kill     func()
+	shutdown func() // a planned stop
 	starts   uint64
 }
 
@@ -78,7 +78,7 @@
 		Name: "club", Weight: 1, Profiles: []string{booking, clips, chat.Name}, Keys: []profile.APIKey{{ID: "k", SHA256: profile.HashKey(apiKey)}},
 	})
 	for i := range vms {
-		v := &vm{id: fmt.Sprintf("vm-%d", i), upstream: &fakeUpstream{thaw: make(chan struct{}), crash: make(chan struct{})}}
+		v := &vm{id: fmt.Sprintf("vm-%d", i), upstream: &fakeUpstream{unfreeze: make(chan struct{}), crashed: make(chan struct{})}}
 		f.vm = append(f.vm, v)
 		f.startSidecar(v)
 		f.vms.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p"})
@@ -93,10 +93,10 @@
 }
 
 func (f *fleet) startRouter(name string, s topo.Store, l topo.VMList) {
-	ctx, kill := context.WithCancel(f.ctx)
+	ctx, stop := context.WithCancel(f.ctx)
 	r := router.New(ctx, router.Config{VM: name, Store: s, VMs: l, Ring: f.ring, Dial: f.net.dialer(name)})
 	f.gateways = append(f.gateways, gateway.New(r))
-	f.kill = append(f.kill, kill)
+	f.stopRouters = append(f.stopRouters, stop)
 }
 
 func (f *fleet) startSidecar(v *vm) {
@@ -114,18 +114,18 @@
 		Upstream: v.upstream,
 	})
 	l := f.net.listen(v.id)
-	ctx, leave := context.WithCancel(context.Background())
-	v.stop = func() { _ = l.Close() } // at once, like a killed process
-	v.leave = leave
+	ctx, shutdown := context.WithCancel(context.Background())
+	v.kill = func() { _ = l.Close() } // at once, like a killed process
+	v.shutdown = shutdown
 	go func() { _ = s.Serve(ctx, l) }()
 }
 
 // replace stops a sidecar as planned, and starts another when that has ended.
 func (f *fleet) replace(v *vm) {
 	v.mu.Lock()
-	leave := v.leave
+	shutdown := v.shutdown
 	v.mu.Unlock()
-	leave()
+	shutdown()
 	time.Sleep(10 * time.Second)
 	f.restart(v)
 }
@@ -134,7 +134,7 @@
 func (f *fleet) restart(v *vm) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.stop()
+	v.kill()
 	f.net.cut(func(c *faultyConn) bool { return c.addr == v.id })
 	f.startSidecar(v)
 }
@@ -142,8 +142,8 @@
 func (f *fleet) close() {
 	f.stop()
 	for _, v := range f.vm {
-		close(v.upstream.thaw)
-		v.stop()
+		close(v.upstream.unfreeze)
+		v.kill()
 	}
 	f.net.cut(func(*faultyConn) bool { return true })
 }
@@ -163,23 +163,23 @@
 
 // fakeUpstream logs its runs and answers with what follows from the body.
 type fakeUpstream struct {
-	mu     sync.Mutex
-	runs   []string
-	header http.Header                                  // of the last call
-	left   int                                          // runs that were cancelled
-	do     func(ctx context.Context, body string) error // before a run is logged
-	downTo time.Time                                    // it has crashed and is down until then
-	crash  chan struct{}                                // closed when it crashes, and replaced
-	starts int
-	frozen bool // runs, and answers nothing until thaw
-	thaw   chan struct{}
+	mu        sync.Mutex
+	runs      []string
+	header    http.Header                                  // of the last call
+	cancelled int                                          // runs that were cancelled
+	beforeRun func(ctx context.Context, body string) error // before a run is logged
+	downUntil time.Time                                    // it has crashed and is down until then
+	crashed   chan struct{}                                // closed when it crashes, and replaced
+	starts    int
+	frozen    bool // runs, and answers nothing until thaw
+	unfreeze  chan struct{}
 }
 
 // Probe implements upstream.Upstream.
 func (u *fakeUpstream) Probe(context.Context) upstream.Health {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if time.Now().Before(u.downTo) {
+	if time.Now().Before(u.downUntil) {
 		return upstream.Health{State: upstream.Gone}
 	}
 	return upstream.Health{Instance: upstream.Instance(fmt.Sprint(u.starts))}
@@ -188,14 +188,14 @@
 // poison begins the body of a request that crashes each upstream that runs it.
 const poison = "poison"
 
-// crashes ends all that runs, and the upstream for a while.
-func (u *fakeUpstream) crashes() {
+// simulateCrash ends all that runs, and the upstream for a while.
+func (u *fakeUpstream) simulateCrash() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.starts++
-	u.downTo = time.Now().Add(time.Second)
-	close(u.crash)
-	u.crash = make(chan struct{})
+	u.downUntil = time.Now().Add(time.Second)
+	close(u.crashed)
+	u.crashed = make(chan struct{})
 }
 
 // Export implements upstream.Upstream.
@@ -208,13 +208,13 @@
 func (u *fakeUpstream) Do(ctx context.Context, r upstream.Request) (*upstream.Response, error) {
 	body := string(r.Call.Body)
 	u.mu.Lock()
-	do, frozen, crash, down := u.do, u.frozen, u.crash, time.Now().Before(u.downTo)
+	beforeRun, frozen, crashed, down := u.beforeRun, u.frozen, u.crashed, time.Now().Before(u.downUntil)
 	u.mu.Unlock()
 	if down {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonUpstreamDown, "")
 	}
-	if do != nil {
-		if err := do(ctx, body); err != nil {
+	if beforeRun != nil {
+		if err := beforeRun(ctx, body); err != nil {
 			return nil, err
 		}
 	}
@@ -222,25 +222,25 @@
 	u.runs, u.header = append(u.runs, body), r.Call.Header
 	u.mu.Unlock()
 	if frozen {
-		<-u.thaw
+		<-u.unfreeze
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")
 	}
 	if strings.HasPrefix(body, poison) {
 		time.Sleep(2 * tick)
-		u.crashes()
+		u.simulateCrash()
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")
 	}
 	context.AfterFunc(ctx, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		u.left++
+		u.cancelled++
 	})
 	h := http.Header{"Content-Type": {"text/event-stream"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Own": {"1"}, "Set-Cookie": {"a=b"}, "Parsley-Ticket": {"spoofed"}}
-	return &upstream.Response{Status: http.StatusOK, Header: h, Body: &slowBody{ctx: ctx, crash: crash, rest: expected(body)}}, nil
+	return &upstream.Response{Status: http.StatusOK, Header: h, Body: &slowBody{ctx: ctx, crashed: crashed, rest: expectedBody(body)}}, nil
 }
 
-// expected is the answer to a body. No two bodies have the same.
-func expected(body string) []byte {
+// expectedBody is the answer to a body. No two bodies have the same.
+func expectedBody(body string) []byte {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(body))
 	var b bytes.Buffer
@@ -252,15 +252,15 @@
 
 // slowBody is an answer that comes piece by piece.
 type slowBody struct {
-	ctx   context.Context
-	crash <-chan struct{}
-	rest  []byte
+	ctx     context.Context
+	crashed <-chan struct{}
+	rest    []byte
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
 	select {
 	case <-time.After(tick):
-	case <-b.crash:
+	case <-b.crashed:
 		return 0, io.ErrUnexpectedEOF
 	case <-b.ctx.Done():
 		return 0, b.ctx.Err()
@@ -280,12 +280,12 @@
 	status  int
 	header  http.Header
 	body    []byte
-	cut     bool // the connection was broken off
+	aborted bool // the connection was broken off
 	verdict string
 }
 
-// whole reports whether the caller has good reason to take the answer for whole.
-func (r reply) whole() bool { return r.status == http.StatusOK && !r.cut }
+// complete reports whether the caller has good reason to take the answer for complete.
+func (r reply) complete() bool { return r.status == http.StatusOK && !r.aborted }
 
 // send makes a request of a router as its HTTP server would.
 func (f *fleet) send(ctx context.Context, router int, method, path, body string, header http.Header) (out reply) {
@@ -299,7 +299,7 @@
 		if p := recover(); p != nil && p != http.ErrAbortHandler {
 			panic(p)
 		} else if p != nil {
-			out.cut = true
+			out.aborted = true
 		}
 		out.status, out.header, out.body = w.Code, w.Header(), w.Body.Bytes()
 		out.verdict = w.Header().Get(gateway.HeaderVerdict)
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -14,13 +14,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// stalledAfter is how long a caller may take no byte of its answer. A caller
+// stalledWriteTimeout is how long a caller may take no byte of its answer. A caller
 // that is gone without a word would otherwise hold its connection for good.
-const stalledAfter = time.Minute
+const stalledWriteTimeout = time.Minute
 
 // forward sends the request on and copies the answer to the caller.
 func (g *Gateway) forward(x *exchange, req router.Request) error {
-	key, err := g.key(x, req.Profile, req.Session)
+	key, err := g.requestKey(x, req.Profile, req.Session)
 	if err != nil {
 		return err
 	}
@@ -31,18 +31,18 @@
 	span.Set(telemetry.AttrOrganisation, req.Org.Name)
 	span.Set(telemetry.AttrProfile, req.Profile.Name)
 	req.Trace = string(span.Traceparent())
-	x.offered = true
-	answer, err := g.router.Dispatch(x.r.Context(), req)
+	x.dispatched = true
+	response, err := g.router.Dispatch(x.r.Context(), req)
 	if err != nil {
 		span.Fail(string(verdict.From(err).Reason))
 		return err
 	}
 	h := x.w.Header()
-	h.Set(HeaderNextKey, answer.NextKey())
-	if ticket := answer.Ticket(); ticket != "" {
+	h.Set(HeaderNextKey, response.NextKey())
+	if ticket := response.Ticket(); ticket != "" {
 		h.Set(HeaderTicket, ticket)
 	}
-	if err := x.copyAnswer(answer, 0); err != nil {
+	if err := x.copyResponse(response, 0); err != nil {
 		span.Fail(string(err.Reason))
 	}
 	return nil
@@ -58,16 +58,16 @@
 	tail   []byte // last bytes that were sent, to know where an event ends
 }
 
-// copyAnswer copies an answer to the caller and closes it. The error is one
+// copyResponse copies an answer to the caller and closes it. The error is one
 // that the caller has been shown already.
-func (x *exchange) copyAnswer(answer *router.Response, offset int64) *verdict.Error {
-	defer answer.Close()
-	c := &copier{w: x.w, ctl: http.NewResponseController(x.w), id: answer.ID(), offset: offset}
+func (x *exchange) copyResponse(response *router.Response, offset int64) *verdict.Error {
+	defer response.Close()
+	c := &copier{w: x.w, ctl: http.NewResponseController(x.w), id: response.ID(), offset: offset}
 	x.w.Header().Set(HeaderRequestID, c.id)
 	for {
-		piece, err := answer.Next()
+		piece, err := response.Next()
 		if err != nil {
-			return c.cutShort(verdict.From(err))
+			return c.abort(verdict.From(err))
 		}
 		if piece.End != nil {
 			// The connection may serve another request, much later.
@@ -82,10 +82,10 @@
 
 func (c *copier) write(p wire.Piece) error {
 	if p.Head != nil {
-		c.head(p.Head)
+		c.writeHead(p.Head)
 		return nil
 	}
-	_ = c.ctl.SetWriteDeadline(time.Now().Add(stalledAfter))
+	_ = c.ctl.SetWriteDeadline(time.Now().Add(stalledWriteTimeout))
 	if _, err := c.w.Write(p.Bytes); err != nil {
 		return err
 	}
@@ -94,9 +94,9 @@
 	return c.ctl.Flush()
 }
 
-func (c *copier) head(head *wire.Head) {
+func (c *copier) writeHead(head *wire.Head) {
 	h := c.w.Header()
-	for name, values := range without(head.Header, replaced) {
+	for name, values := range withoutHeaders(head.Header, replacedHeaders) {
 		h[name] = values
 	}
 	if c.offset > 0 {
@@ -110,11 +110,11 @@
 
 var eventEnd = []byte("\n\n")
 
-// cutShort shows the caller that the answer is not whole and never will be by
+// abort shows the caller that the answer is not whole and never will be by
 // itself. Bytes have gone out, so the status can't change any more. A stream of
 // events gets one that chat clients take for an error; then the connection is
 // broken, for a regular end would make a whole answer of what was sent.
-func (c *copier) cutShort(e *verdict.Error) *verdict.Error {
+func (c *copier) abort(e *verdict.Error) *verdict.Error {
 	if c.events {
 		if !bytes.HasSuffix(c.tail, eventEnd) {
 			_, _ = c.w.Write(eventEnd)
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -32,7 +32,7 @@
 	f.Add("PUT", "/services/clips/a%2Fb/../c?x=%zz", "rk-AQ", "s", "body")
 	f.Add("GET", "/services//x", "\x00", "\xff", "")
 	f.Add("GET", "//", "", "", "")
-	g := lonelyGateway(f)
+	g := gatewayWithoutUpstreams(f)
 	f.Fuzz(func(t *testing.T, method, target, key, session, body string) {
 		u, err := url.ParseRequestURI(target)
 		if err != nil || method == "" {
@@ -59,8 +59,8 @@
 	})
 }
 
-// lonelyGateway returns a gateway whose fleet has no upstreams.
-func lonelyGateway(f *testing.F) *gateway.Gateway {
+// gatewayWithoutUpstreams returns a gateway whose fleet has no upstreams.
+func gatewayWithoutUpstreams(f *testing.F) *gateway.Gateway {
 	s := newStore()
 	for _, model := range []string{"", "m"} {
 		p := profile.New(topo.KindProfile).(*profile.Profile)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,14 +30,14 @@
 )
 
 const (
-	// defaultMaxBody is the largest request body where the profile says nothing, in bytes.
-	defaultMaxBody = 1 << 20
-	// maxHeader is the most that the headers of a request may come to, in bytes.
-	maxHeader = 32 << 10
+	// defaultMaxBodyBytes is the largest request body where the profile says nothing, in bytes.
+	defaultMaxBodyBytes = 1 << 20
+	// maxHeaderBytes is the most that the headers of a request may come to, in bytes.
+	maxHeaderBytes = 32 << 10
 	// bodyTimeout bounds how long a caller may take to send a body.
 	bodyTimeout = time.Minute
-	// maxName bounds what a caller may put into one of our headers, in bytes.
-	maxName = 512
+	// maxHeaderValueBytes bounds what a caller may put into one of our headers, in bytes.
+	maxHeaderValueBytes = 512
 )
 
 // Gateway serves callers.
@@ -51,9 +51,9 @@
 	g := &Gateway{router: r, mux: http.NewServeMux()}
 	g.handle("POST /v1/chat/completions", g.chat)
 	g.handle("GET /v1/models", g.models)
-	g.handle("POST /v1/keys", g.mint)
-	g.handle("GET /v1/requests/{id}", g.request)
-	g.handle("DELETE /v1/requests/{id}", g.cancel)
+	g.handle("POST /v1/keys", g.mintKeys)
+	g.handle("GET /v1/requests/{id}", g.requestStatus)
+	g.handle("DELETE /v1/requests/{id}", g.cancelRequest)
 	g.handle("/services/{service}/{path...}", g.service)
 	g.mux.HandleFunc("GET /livez", func(http.ResponseWriter, *http.Request) {})
 	g.mux.HandleFunc("GET /readyz", g.ready)
@@ -82,9 +82,9 @@
 	r    *http.Request
 	view *router.View
 	org  *profile.Organisation
-	// offered is set once the request has gone to the sidecar that decides on
+	// dispatched is set once the request has gone to the sidecar that decides on
 	// its key. Before that, not-run speaks of this arrival of the request only.
-	offered bool
+	dispatched bool
 }
 
 // handler serves an exchange. What it returns is written as a problem.
@@ -102,16 +102,16 @@
 			err = h(x)
 		}
 		if err != nil {
-			writeProblem(w, x.bounded(err))
+			writeProblem(w, x.withEarlierUnknown(err))
 		}
 	})
 }
 
-// bounded limits a not-run to what is known. A request that comes with a key
+// withEarlierUnknown limits a not-run to what is known. A request that comes with a key
 // may have come before: refused at the door now, it may be running all the same.
-func (x *exchange) bounded(err error) error {
+func (x *exchange) withEarlierUnknown(err error) error {
 	e := *verdict.From(err)
-	if !x.offered && e.Verdict == verdict.NotRun && x.r.Header.Get(HeaderIdempotencyKey) != "" {
+	if !x.dispatched && e.Verdict == verdict.NotRun && x.r.Header.Get(HeaderIdempotencyKey) != "" {
 		e.EarlierUnknown = true
 	}
 	return &e
@@ -124,12 +124,12 @@
 		for _, v := range values {
 			size += len(name) + len(v)
 		}
-		if strings.HasPrefix(name, headerPrefix) && len(h.Get(name)) > maxName {
-			return verdict.New(verdict.NotRun, reasonHeader, "the header %s is over %d bytes", name, maxName)
+		if strings.HasPrefix(name, headerPrefix) && len(h.Get(name)) > maxHeaderValueBytes {
+			return verdict.New(verdict.NotRun, reasonHeader, "the header %s is over %d bytes", name, maxHeaderValueBytes)
 		}
 	}
-	if size > maxHeader {
-		return verdict.New(verdict.NotRun, reasonHeader, "the headers are over %d bytes", maxHeader)
+	if size > maxHeaderBytes {
+		return verdict.New(verdict.NotRun, reasonHeader, "the headers are over %d bytes", maxHeaderBytes)
 	}
 	return nil
 }
@@ -149,12 +149,12 @@
 	return nil
 }
 
-// maxBody returns the largest body that a profile takes, in bytes.
-func maxBody(p *profile.Profile) int64 {
+// maxBodyBytes returns the largest body that a profile takes, in bytes.
+func maxBodyBytes(p *profile.Profile) int64 {
 	if p.MaxBody > 0 {
 		return int64(p.MaxBody)
 	}
-	return defaultMaxBody
+	return defaultMaxBodyBytes
 }
 
 // body reads the request's body, of at most limit bytes.
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -46,14 +46,14 @@
 
 // ServeHTTP implements http.Handler.
 func (g *PlatformGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &hostedExchange{w: w, r: r, arrived: time.Now(), said: g.dialect.Read(r.Header)}
+	x := &platformExchange{w: w, r: r, arrived: time.Now(), headers: g.dialect.Read(r.Header)}
 	if err := g.serve(x); err != nil {
 		if errors.Is(err, context.Canceled) {
 			return // its caller is gone, which its own line tells
 		}
 		e := verdict.From(err)
 		x.logRefusal(g.requests, e)
-		writeHostedProblem(w, e)
+		writePlatformProblem(w, e)
 	}
 }
 
@@ -64,13 +64,13 @@
 // come back at the same moment after a loss of power.
 const startWait = time.Second
 
-// awaitStart waits until the router is ready, if it has only just started.
-func (g *PlatformGateway) awaitStart(x *hostedExchange) {
-	left := startWait - time.Since(g.started)
-	if left <= 0 || g.router.Ready() || !g.router.WaitsForConfig() {
+// awaitFirstConfig waits until the router is ready, if it has only just started.
+func (g *PlatformGateway) awaitFirstConfig(x *platformExchange) {
+	remaining := startWait - time.Since(g.started)
+	if remaining <= 0 || g.router.Ready() || !g.router.WaitsForConfig() {
 		return
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-g.router.FirstReady():
@@ -79,16 +79,16 @@
 	}
 }
 
-func (g *PlatformGateway) serve(x *hostedExchange) error {
-	g.awaitStart(x)
+func (g *PlatformGateway) serve(x *platformExchange) error {
+	g.awaitFirstConfig(x)
 	x.view = g.router.View()
 	if !g.router.Ready() {
 		return verdict.New(verdict.NotRun, verdict.ReasonNoUpstream, "no configuration or no upstream is known yet").WithRetryAfter(time.Second)
 	}
-	if err := x.checkHead(); err != nil {
+	if err := x.checkHeaders(); err != nil {
 		return err
 	}
-	x.endAfterChunks()
+	x.closeAfterChunked()
 	if err := x.authorise(); err != nil {
 		return err
 	}
@@ -100,29 +100,29 @@
 }
 
 // forward sends the request on and copies the answer to the caller.
-func (g *PlatformGateway) forward(x *hostedExchange, body []byte) error {
+func (g *PlatformGateway) forward(x *platformExchange, body []byte) error {
 	span := telemetry.Start(telemetry.HopCaller, telemetry.ParseTraceparent(x.r.Header.Get(telemetry.HeaderTraceparent)))
 	defer span.End()
 	span.Set(telemetry.AttrProfile, x.profile.Name)
-	answer, err := g.router.Dispatch(x.r.Context(), router.Request{
+	response, err := g.router.Dispatch(x.r.Context(), router.Request{
 		Org:           x.org,
 		Profile:       x.profile,
-		Session:       x.said.Session,
-		Call:          wire.Call{Method: x.r.Method, Path: x.target(), Header: without(x.r.Header, notForwarded), Body: body},
+		Session:       x.headers.Session,
+		Call:          wire.Call{Method: x.r.Method, Path: x.target(), Header: withoutHeaders(x.r.Header, rewrittenHeaders), Body: body},
 		Trace:         string(span.Traceparent()),
-		ID:            x.said.ID,
+		ID:            x.headers.ID,
 		Host:          x.r.Host,
 		Urgency:       urgency(x.profile, x.org),
 		Arrived:       x.arrived,
-		CallerTimeout: x.said.Timeout,
-		LastEventID:   x.said.LastEventID,
-		CallerGone:    x.gone,
+		CallerTimeout: x.headers.Timeout,
+		LastEventID:   x.headers.LastEventID,
+		CallerGone:    x.callerGone,
 	})
 	if err != nil {
 		span.Fail(string(verdict.From(err).Reason))
 		return err
 	}
-	x.copy(answer)
+	x.copyResponse(response)
 	return nil
 }
 
@@ -132,5 +132,5 @@
 	writeSlack = 5 * time.Second
 )
 
-// notForwarded are the headers that the router writes itself.
-var notForwarded = []string{"Content-Length", "Expect"}
+// rewrittenHeaders are the headers that the router writes itself.
+var rewrittenHeaders = []string{"Content-Length", "Expect"}
--- a/internal/gateway/hostedanswer.go
+++ b/internal/gateway/hostedanswer.go
@@ -11,15 +11,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// copy copies an answer to the caller and closes it. An answer that breaks off
+// copyResponse copies an answer to the caller and closes it. An answer that breaks off
 // ends the connection, so that it does not look whole.
-func (x *hostedExchange) copy(answer *router.Response) {
-	defer answer.Close()
+func (x *platformExchange) copyResponse(response *router.Response) {
+	defer response.Close()
 	ctl := http.NewResponseController(x.w)
 	streamed := false
-	x.boundWrites(ctl)
+	x.setWriteDeadline(ctl)
 	for {
-		piece, err := answer.Next()
+		piece, err := response.Next()
 		switch {
 		case err != nil:
 			panic(http.ErrAbortHandler)
@@ -27,7 +27,7 @@
 			return
 		case piece.Head != nil:
 			h := x.w.Header()
-			for name, values := range without(piece.Head.Header, nil) {
+			for name, values := range withoutHeaders(piece.Head.Header, nil) {
 				h[name] = values
 			}
 			streamed = h.Get("Content-Length") == ""
@@ -43,32 +43,32 @@
 	}
 }
 
-// boundWrites ends the writing of an answer some time after its request's. A caller
+// setWriteDeadline ends the writing of an answer some time after its request's. A caller
 // that does not read, though its connection lives, would keep the answer's memory
 // and its upstream's place for good.
-func (x *hostedExchange) boundWrites(ctl *http.ResponseController) {
+func (x *platformExchange) setWriteDeadline(ctl *http.ResponseController) {
 	at := time.Time{} // the connection may have one of an earlier request
-	if patience := x.patience(); patience > 0 {
-		at = x.arrived.Add(patience + writeSlack)
+	if timeout := x.timeout(); timeout > 0 {
+		at = x.arrived.Add(timeout + writeSlack)
 	}
 	// It fails only on a connection that is closed, as the writes will.
 	_ = ctl.SetWriteDeadline(at)
 }
 
-// writeHostedProblem answers with the truth about a request without an answer.
-func writeHostedProblem(w http.ResponseWriter, e *verdict.Error) {
+// writePlatformProblem answers with the truth about a request without an answer.
+func writePlatformProblem(w http.ResponseWriter, e *verdict.Error) {
 	h := w.Header()
 	h.Set("Content-Type", problemType)
 	if e.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(math.Ceil(e.RetryAfter.Seconds()*100)/100, 'f', -1, 64))
 	}
-	w.WriteHeader(hostedStatus(e))
+	w.WriteHeader(platformStatus(e))
 	_, _ = io.WriteString(w, `{"title":"`+string(e.Reason)+`","verdict":"`+e.Verdict.String()+`"}`+"\n")
 }
 
-// hostedStatus returns the status for a request without an answer. 503 promises
+// platformStatus returns the status for a request without an answer. 503 promises
 // that it has not run and never will.
-func hostedStatus(e *verdict.Error) int {
+func platformStatus(e *verdict.Error) int {
 	s := status(e)
 	switch {
 	case e.Reason == verdict.ReasonQuarantined:
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -20,9 +20,9 @@
 )
 
 // logRefusal tells why a request gets no answer of an upstream.
-func (x *hostedExchange) logRefusal(log *telemetry.RequestLog, e *verdict.Error) {
-	log.Line(telemetry.LineFailure, "request refused", x.said.ID,
-		slog.Int("status", hostedStatus(e)),
+func (x *platformExchange) logRefusal(log *telemetry.RequestLog, e *verdict.Error) {
+	log.Line(telemetry.LineFailure, "request refused", x.headers.ID,
+		slog.Int("status", platformStatus(e)),
 		slog.String("reason", string(e.Reason)),
 		slog.String("verdict", e.Verdict.String()),
 		slog.String("detail", e.Detail),
@@ -32,21 +32,21 @@
 		slog.Any("config_version", x.view.Version))
 }
 
-// hostedExchange is one request of a caller.
-type hostedExchange struct {
+// platformExchange is one request of a caller.
+type platformExchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
 	arrived time.Time // when its headers had been read
 	view    *router.View
-	said    CallerHeaders
+	headers CallerHeaders
 	profile *profile.Profile
 	org     *profile.Organisation
 }
 
-// checkHead refuses a request that upstreams could not tell from another one, or
+// checkHeaders refuses a request that upstreams could not tell from another one, or
 // whose headers are over the operators' limit.
-func (x *hostedExchange) checkHead() error {
-	if x.said.ID == "" {
+func (x *platformExchange) checkHeaders() error {
+	if x.headers.ID == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the request names no attempt")
 	}
 	if limit := x.limits().HeaderBytes; headerBytes(x.r) > int64(limit) {
@@ -55,18 +55,18 @@
 	return nil
 }
 
-// endAfterChunks lets a chunked request be the last of its connection. One that has
+// closeAfterChunked lets a chunked request be the last of its connection. One that has
 // a length beside its chunks is read by the chunks, as it should be; but who reads
 // it by the length takes what follows the last chunk for a part of its body, and
 // here it would be a request of its own. The server does not show both.
-func (x *hostedExchange) endAfterChunks() {
+func (x *platformExchange) closeAfterChunked() {
 	if len(x.r.TransferEncoding) > 0 {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
 // limits returns the operators' limits on callers.
-func (x *hostedExchange) limits() *profile.Limits {
+func (x *platformExchange) limits() *profile.Limits {
 	return limitsOf(x.view)
 }
 
@@ -92,23 +92,23 @@
 	return int64(n)
 }
 
-// patience returns for how long the request may take in all; zero: any time.
-func (x *hostedExchange) patience() time.Duration {
+// timeout returns for how long the request may take in all; zero: any time.
+func (x *platformExchange) timeout() time.Duration {
 	route := x.profile.Deadline.Std()
-	if x.said.Timeout > 0 && (route == 0 || x.said.Timeout < route) {
-		return x.said.Timeout
+	if x.headers.Timeout > 0 && (route == 0 || x.headers.Timeout < route) {
+		return x.headers.Timeout
 	}
 	return route
 }
 
 // path returns the path as the caller wrote it.
-func (x *hostedExchange) path() string {
+func (x *platformExchange) path() string {
 	path, _, _ := strings.Cut(x.target(), "?")
 	return path
 }
 
 // target returns path and query as the caller wrote them.
-func (x *hostedExchange) target() string {
+func (x *platformExchange) target() string {
 	if strings.HasPrefix(x.r.RequestURI, "/") {
 		return x.r.RequestURI
 	}
@@ -116,13 +116,13 @@
 }
 
 // authorise finds the profile and the organisation.
-func (x *hostedExchange) authorise() error {
+func (x *platformExchange) authorise() error {
 	x.profile = x.view.ForHost(x.r.Host, x.path())
 	if x.profile == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonUnknownProfile, "no profile is for this host and path")
 	}
-	if x.said.APIKey != "" {
-		x.org = x.view.Orgs[profile.HashKey(x.said.APIKey)]
+	if x.headers.APIKey != "" {
+		x.org = x.view.Orgs[profile.HashKey(x.headers.APIKey)]
 	}
 	if x.profile.Anonymous || len(x.view.Orgs) == 0 {
 		return nil
@@ -136,7 +136,7 @@
 // body reads the body. A caller that has not sent it when its request's time is
 // over gets its answer then: it would hold a connection and its part of the memory
 // for as long as it likes.
-func (x *hostedExchange) body() ([]byte, error) {
+func (x *platformExchange) body() ([]byte, error) {
 	limit := int64(x.limits().BodyBytes)
 	if x.r.ContentLength > limit {
 		return nil, tooLarge(limit)
@@ -145,11 +145,11 @@
 		return nil, nil
 	}
 	ctl := http.NewResponseController(x.w)
-	within := x.patience()
-	if within == 0 {
-		within = bodyTimeout
+	timeout := x.timeout()
+	if timeout == 0 {
+		timeout = bodyTimeout
 	}
-	if err := ctl.SetReadDeadline(x.arrived.Add(within)); err != nil {
+	if err := ctl.SetReadDeadline(x.arrived.Add(timeout)); err != nil {
 		return nil, errors.Wrap(err, "gateway: body")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
@@ -161,7 +161,7 @@
 		return nil, tooLarge(limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		x.w.Header().Set("Connection", "close")
-		return nil, verdict.New(verdict.NotRun, reasonTimeout, "the body was not complete after %v", within)
+		return nil, verdict.New(verdict.NotRun, reasonTimeout, "the body was not complete after %v", timeout)
 	default:
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the body is cut short or malformed: %s", err)
 	}
@@ -170,18 +170,18 @@
 // connKey is where a request's context holds the caller's connection.
 type connKey struct{}
 
-// gone reports whether the caller has closed its connection.
-func (x *hostedExchange) gone() bool {
+// callerGone reports whether the caller has closed its connection.
+func (x *platformExchange) callerGone() bool {
 	c, ok := x.r.Context().Value(connKey{}).(net.Conn)
 	return ok && netpeek.Peek(c) == netpeek.Closed
 }
 
 // urgency returns the rank of a request: 0 is first.
 func urgency(p *profile.Profile, o *profile.Organisation) int {
-	const last = 9
+	const lowest = 9
 	priority := p.Priority
 	if o != nil && o.Priority != nil {
 		priority = *o.Priority
 	}
-	return min(max(-priority, 0), last)
+	return min(max(-priority, 0), lowest)
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -13,8 +13,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// mintLimit is the largest body of a call for keys, in bytes.
-const mintLimit = 4 << 10
+// maxMintBodyBytes is the largest body of a call for keys, in bytes.
+const maxMintBodyBytes = 4 << 10
 
 // mintRequest is the body of POST /v1/keys.
 type mintRequest struct {
@@ -23,14 +23,14 @@
 	Count   int    `json:"count,omitempty"` // zero means one
 }
 
-// mintAnswer is the answer to it.
-type mintAnswer struct {
+// mintResponse is the answer to it.
+type mintResponse struct {
 	Keys    []string  `json:"keys"`
 	Expires time.Time `json:"expires"`
 }
 
-func (g *Gateway) mint(x *exchange) error {
-	body, err := x.body(mintLimit)
+func (g *Gateway) mintKeys(x *exchange) error {
+	body, err := x.body(maxMintBodyBytes)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	if req.Count < 0 || count > router.MaxMintedKeys {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "count is out of range: ask for 1 to %d keys", router.MaxMintedKeys)
 	}
-	p := x.profileFor(req.Profile)
+	p := x.profileByName(req.Profile)
 	if p == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonUnknownProfile, "you have no profile of this name")
 	}
@@ -50,22 +50,22 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(x.w, http.StatusOK, mintAnswer{Keys: keys, Expires: expires.UTC()})
+	writeJSON(x.w, http.StatusOK, mintResponse{Keys: keys, Expires: expires.UTC()})
 	return nil
 }
 
-// key returns the request key that the caller wants its request to run under,
+// requestKey returns the request requestKey that the caller wants its request to run under,
 // or nil if it has none.
-func (g *Gateway) key(x *exchange, p *profile.Profile, session string) (*wire.Key, error) {
+func (g *Gateway) requestKey(x *exchange, p *profile.Profile, session string) (*wire.Key, error) {
 	values := x.r.Header.Values(HeaderIdempotencyKey)
 	if len(values) == 0 {
 		return nil, nil
 	}
 	text := values[0]
 	if len(values) > 1 || !validKey(text) {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadKey, "the idempotency key is not 1 to %d printable characters", maxName)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadKey, "the idempotency key is not 1 to %d printable characters", maxHeaderValueBytes)
 	}
-	key, err := g.ownKey(x, p, session, text)
+	key, err := g.resolveKey(x, p, session, text)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	return &key, nil
 }
 
-func (g *Gateway) ownKey(x *exchange, p *profile.Profile, session, text string) (wire.Key, error) {
+func (g *Gateway) resolveKey(x *exchange, p *profile.Profile, session, text string) (wire.Key, error) {
 	if strings.HasPrefix(text, router.KeyPrefix) {
 		return g.router.OpenKey(x.org.Name, text)
 	}
@@ -90,7 +90,7 @@
 			return false
 		}
 	}
-	return len(s) > 0 && len(s) <= maxName
+	return len(s) > 0 && len(s) <= maxHeaderValueBytes
 }
 
 // requestState is the answer to GET and DELETE of a request.
@@ -101,10 +101,10 @@
 	Length  int64             `json:"length"` // bytes of the answer so far
 }
 
-// request tells the state of an earlier request or, with an offset, the rest
+// requestStatus tells the state of an earlier requestStatus or, with an offset, the rest
 // of its answer.
-func (g *Gateway) request(x *exchange) error {
-	key, err := g.earlier(x)
+func (g *Gateway) requestStatus(x *exchange) error {
+	key, err := g.earlierKey(x)
 	if err != nil {
 		return err
 	}
@@ -116,17 +116,17 @@
 	if err != nil || offset < 0 {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "offset is not a number of bytes")
 	}
-	answer, err := g.router.Resume(x.r.Context(), x.org, key, offset)
+	response, err := g.router.Resume(x.r.Context(), x.org, key, offset)
 	if err != nil {
 		return err
 	}
 	x.w.Header().Set(HeaderOffset, strconv.FormatInt(offset, 10))
-	x.copyAnswer(answer, offset)
+	x.copyResponse(response, offset)
 	return nil
 }
 
-func (g *Gateway) cancel(x *exchange) error {
-	key, err := g.earlier(x)
+func (g *Gateway) cancelRequest(x *exchange) error {
+	key, err := g.earlierKey(x)
 	if err != nil {
 		return err
 	}
@@ -134,9 +134,9 @@
 	return x.writeState(status, err)
 }
 
-// earlier returns the key of the request that the path names. To its caller an
+// earlierKey returns the key of the request that the path names. To its caller an
 // id of another organisation is one that does not exist.
-func (g *Gateway) earlier(x *exchange) (wire.Key, error) {
+func (g *Gateway) earlierKey(x *exchange) (wire.Key, error) {
 	key, err := g.router.OpenKey(x.org.Name, x.r.PathValue("id"))
 	if err != nil {
 		return key, verdict.New(verdict.NotRun, verdict.ReasonUnknownRequest, "there is no request of yours with this id")
--- a/internal/gateway/network_test.go
+++ b/internal/gateway/network_test.go
@@ -15,7 +15,7 @@
 // fault is what becomes of one connection after some bytes.
 type fault struct {
 	up, down int  // bytes that get through to the sidecar and back
-	silent   bool // nothing moves any more, in place of a cut
+	stalls   bool // nothing moves any more, in place of a cut
 }
 
 // network connects routers with sidecars in memory. Each connection that is
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// allowance takes up to n bytes from what a direction has left. The second
+// consume takes up to n bytes from what a direction has left. The second
 // result reports that it has nothing left after them.
-func (c *faultyConn) allowance(n int, left func(*fault) *int) (int, bool) {
+func (c *faultyConn) consume(n int, remaining func(*fault) *int) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := left(&c.fault)
+	p := remaining(&c.fault)
 	if *p < 0 {
 		return n, false
 	}
@@ -150,22 +150,22 @@
 func down(f *fault) *int { return &f.down }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
-	n, over := c.allowance(len(b), up)
+	n, exhausted := c.consume(len(b), up)
 	if n > 0 {
 		if n, err := c.Conn.Write(b[:n]); err != nil {
 			return n, err
 		}
 	}
-	if over {
-		return len(b), c.exhausted()
+	if exhausted {
+		return len(b), c.triggerFault()
 	}
 	return n, nil
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
-	n, over := c.allowance(len(b), down)
-	if over && n == 0 {
-		if err := c.exhausted(); err != nil {
+	n, exhausted := c.consume(len(b), down)
+	if exhausted && n == 0 {
+		if err := c.triggerFault(); err != nil {
 			return 0, err
 		}
 		// What the sidecar sends is taken and lost, like in a socket's buffer.
@@ -175,12 +175,12 @@
 	return c.Conn.Read(b[:n])
 }
 
-// exhausted is the fault itself. A silent connection swallows what is written.
-func (c *faultyConn) exhausted() error {
+// triggerFault is the fault itself. A silent connection swallows what is written.
+func (c *faultyConn) triggerFault() error {
 	c.mu.Lock()
-	silent := c.fault.silent
+	stalls := c.fault.stalls
 	c.mu.Unlock()
-	if silent {
+	if stalls {
 		return nil
 	}
 	c.cut()
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -14,12 +14,12 @@
 
 // store implements topo.Store in memory.
 type store struct {
-	mu      sync.Mutex
-	version topo.Version
-	objects map[topo.Ref]topo.Object
-	changed chan struct{} // closed at each change, and replaced
-	down    bool
-	lose    int // answers to writes that are lost after they took effect
+	mu          sync.Mutex
+	version     topo.Version
+	objects     map[topo.Ref]topo.Object
+	changed     chan struct{} // closed at each change, and replaced
+	down        bool
+	lostReplies int // answers to writes that are lost after they took effect
 }
 
 func newStore() *store {
@@ -32,7 +32,7 @@
 	_, _ = s.Put(context.Background(), topo.Ref{Kind: kind, Name: name}, value, 0)
 }
 
-func (s *store) set(f func(*store)) {
+func (s *store) update(f func(*store)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
@@ -80,8 +80,8 @@
 	s.objects[ref] = o
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if s.lose > 0 {
-		s.lose--
+	if s.lostReplies > 0 {
+		s.lostReplies--
 		return topo.Object{}, topo.ErrUnknown
 	}
 	return o, nil
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	problemType   = "application/problem+json"
-	earlierUnsure = "unknown" // value of earlier_attempts
+	problemType    = "application/problem+json"
+	earlierUnknown = "unknown" // value of earlier_attempts
 )
 
 // problem is an RFC 9457 problem document. Its extension members say what is
@@ -58,7 +58,7 @@
 		Error:      chatError{Message: e.Error(), Type: e.Reason, Code: e.Reason, Verdict: e.Verdict},
 	}
 	if e.EarlierUnknown {
-		p.EarlierAttempts = earlierUnsure
+		p.EarlierAttempts = earlierUnknown
 	}
 	return p
 }
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -16,8 +16,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// inBubble runs f with a fleet on a clock of its own.
-func inBubble(t *testing.T, f func(*testing.T, *fleet)) {
+// withFleet runs f with a fleet on a clock of its own.
+func withFleet(t *testing.T, f func(*testing.T, *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(testVMs, testRouters, 64)
 		defer fl.close()
@@ -43,8 +43,8 @@
 // The clip service freezes while a coach on the bench fetches a clip: it takes
 // the call and never answers. Without a deadline in the router the app hangs
 // until the match is over.
-func TestFrozenServiceDoesNotHoldACallPastItsDeadline(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestDeadlineEndsCallToFrozenService(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for _, v := range f.vm {
 			v.upstream.frozen = true
 		}
@@ -60,12 +60,12 @@
 // The sidecar's VM stops dead: connections open and nothing ever answers. The
 // caller's deadline passes before anything has been sent for it, so that
 // nothing ran, and it is told so.
-func TestDeadlineBeforeAnythingWasSentIsNotRun(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestDeadlineBeforeSendIsNotRun(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		f.net.cut(func(*faultyConn) bool { return true })
 		f.net.mu.Lock()
 		for range 100 {
-			f.net.faults = append(f.net.faults, fault{silent: true})
+			f.net.faults = append(f.net.faults, fault{stalls: true})
 		}
 		f.net.mu.Unlock()
 		r := f.call(0, clips, "fetch", "")
@@ -84,25 +84,25 @@
 func TestRetriesDoNotAmplify(t *testing.T) {
 	for _, v := range []verdict.Verdict{verdict.MayHaveRun, verdict.NotRun} {
 		t.Run(v.String(), func(t *testing.T) {
-			inBubble(t, func(t *testing.T, f *fleet) {
+			withFleet(t, func(t *testing.T, f *fleet) {
 				var mu sync.Mutex
-				asked := 0
+				attempts := 0
 				fail := func(context.Context, string) error {
 					mu.Lock()
 					defer mu.Unlock()
-					asked++
+					attempts++
 					return verdict.New(v, verdict.ReasonUpstreamFailed, "")
 				}
 				for _, v := range f.vm {
-					v.upstream.do = fail
+					v.upstream.beforeRun = fail
 				}
 				for requests := 1; requests <= 200; requests++ {
 					f.call(0, clips, "fetch", "")
-					if asked > requests && 10*asked >= 11*requests {
-						t.Fatalf("%d attempts for %d requests", asked, requests)
+					if attempts > requests && 10*attempts >= 11*requests {
+						t.Fatalf("%d attempts for %d requests", attempts, requests)
 					}
 				}
-				if asked <= 200 {
+				if attempts <= 200 {
 					t.Fatal("nothing was tried again")
 				}
 			})
@@ -115,9 +115,9 @@
 // router, and the room must be booked once. With the store out, the guest
 // hears at once that this request has not run, and that nothing is known of
 // earlier ones.
-func TestCallersOwnKeyRunsOnceOrNotAtAll(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.store.set(func(s *store) { s.lose = 1 })
+func TestCallerChosenKeyRunsAtMostOnce(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.store.update(func(s *store) { s.lostReplies = 1 })
 		var wg sync.WaitGroup
 		for router := range testRouters {
 			wg.Go(func() { f.call(router, booking, "book", "mine").expect(t, http.StatusOK, "ran", "") })
@@ -126,7 +126,7 @@
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
 		}
-		f.store.set(func(s *store) { s.down = true })
+		f.store.update(func(s *store) { s.down = true })
 		began := time.Now()
 		r := f.call(0, booking, "book", "mine")
 		r.expect(t, http.StatusServiceUnavailable, "not-run", "store-down")
@@ -144,8 +144,8 @@
 }
 
 // What a caller may try with keys and ids that are not its own, or not ours.
-func TestForgedAndForeignKeysAreRefusedAlike(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestForgedAndForeignKeysAreRejectedAlike(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		key := f.mint(0, booking)
 		other, err := f.foreignKey()
 		if err != nil {
@@ -174,16 +174,16 @@
 // A caller loses its router in mid-answer and comes back for the rest through
 // another one. It is the one who holds the answer's beginning, so each byte
 // must come once, and the request must not run again.
-func TestAnswerIsResumedThroughAnotherRouter(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		ctx, leave := context.WithTimeout(context.Background(), 4*tick)
-		defer leave()
+func TestResponseIsResumedThroughAnotherRouter(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		ctx, disconnect := context.WithTimeout(context.Background(), 4*tick)
+		defer disconnect()
 		first := f.send(ctx, 0, http.MethodPost, "/services/"+booking+"/x", "book", nil)
 		id := first.header.Get(gateway.HeaderRequestID)
-		a := arrival{body: "book", first: first, answer: first.body}
+		a := copyResult{body: "book", first: first, answer: first.body}
 		a.resume(f, 1)
-		if id == "" || len(first.body) == 0 || !a.whole || string(a.answer) != string(expected("book")) {
-			t.Fatalf("%d bytes at first, %d in all, whole %v", len(first.body), len(a.answer), a.whole)
+		if id == "" || len(first.body) == 0 || !a.complete || string(a.answer) != string(expectedBody("book")) {
+			t.Fatalf("%d bytes at first, %d in all, whole %v", len(first.body), len(a.answer), a.complete)
 		}
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
@@ -195,8 +195,8 @@
 // again at once, through whichever router answers, while other guests' calls
 // run beside it. Without quarantine the whole fleet goes down, one upstream
 // after the other; a careless one convicts the bystanders.
-func TestCrashingRequestTakesTwoUpstreamsAtMost(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestCrashingRequestCrashesAtMostTwoUpstreams(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		var wg sync.WaitGroup
 		for i := range 30 {
 			wg.Go(func() {
@@ -227,8 +227,8 @@
 // next upstream. Its caller sends it again through a router that has heard of
 // nothing, and the home is back. Unless the home was told before the caller
 // was answered, each of two routers goes by its own crash and a third follows.
-func TestHomeHearsOfACrashBeforeTheCallerDoes(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestCrashIsReportedToHomeBeforeCaller(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		header := http.Header{gateway.HeaderSession: {"s"}}
 		send := func(router int, body string) reply {
 			return f.send(context.Background(), router, http.MethodPost, "/services/"+booking+"/x", body, header)
@@ -241,7 +241,7 @@
 			}
 		}
 		home.upstream.mu.Lock()
-		home.upstream.downTo = time.Now().Add(2 * time.Second)
+		home.upstream.downUntil = time.Now().Add(2 * time.Second)
 		home.upstream.mu.Unlock()
 		for i := range 12 {
 			send(i%testRouters, poison)
@@ -258,15 +258,15 @@
 // what it always sent. The upstream must get no new work all the same, and what
 // it was doing must end well.
 func TestLeavingUpstreamGetsNoNewWorkFromAStaleRouter(t *testing.T) {
-	leave := map[string]func(*fleet, *vm){
+	sources := map[string]func(*fleet, *vm){
 		"drain order": func(f *fleet, v *vm) { f.store.put(topo.KindDrain, v.id, profile.Drain{Name: v.id}) },
 		"list of VMs": func(f *fleet, v *vm) {
 			f.vms.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p", Leaving: true})
 		},
 	}
-	for name, order := range leave {
+	for name, startDrain := range sources {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, f *fleet) {
+			withFleet(t, func(t *testing.T, f *fleet) {
 				stale := len(f.gateways)
 				f.startRouter("stale", f.store.clone(), f.vms.clone())
 				time.Sleep(3 * time.Second)
@@ -276,7 +276,7 @@
 					inFlight.Go(func() { f.call(stale, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "") })
 				}
 				time.Sleep(tick)
-				order(f, v)
+				startDrain(f, v)
 				inFlight.Wait()
 				time.Sleep(4 * time.Second)
 				for i := range 30 {
@@ -294,20 +294,20 @@
 // The store goes out, and the entry VMs are replaced meanwhile. A router that
 // starts now has no configuration of its own; turned away by it, callers are
 // out for as long as the store is, although every upstream is well.
-func TestRouterThatStartsWhileTheStoreIsOutServes(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestRouterStartedDuringStoreOutageServes(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for i := range 9 { // routers and sidecars compare what they know on the way
 			f.call(i%testRouters, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "")
 		}
 		time.Sleep(10 * time.Second)
-		f.store.set(func(s *store) { s.down = true })
+		f.store.update(func(s *store) { s.down = true })
 		late := len(f.gateways)
 		f.startRouter("late", f.store, f.vms)
 		time.Sleep(5 * time.Second)
 		f.call(late, booking, "first", "").expect(t, http.StatusOK, "ran", "")
 		time.Sleep(20 * time.Minute) // longer than keys last
 		f.call(late, booking, "second", f.mint(late, booking)).expect(t, http.StatusOK, "ran", "")
-		f.store.set(func(s *store) { s.down = false })
+		f.store.update(func(s *store) { s.down = false })
 		f.store.put(topo.KindOrganisation, "other", profile.Organisation{
 			Name: "other", Weight: 1, Profiles: []string{booking}, Keys: []profile.APIKey{{ID: "k", SHA256: profile.HashKey("other-key")}},
 		})
@@ -320,15 +320,15 @@
 // A request was found to crash upstreams last night, and by the morning every
 // VM of the fleet has been replaced. Its caller is still sending it. If nobody
 // remembers, it takes two upstreams each morning.
-func TestConvictionOutlivesEveryVM(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestConvictionSurvivesReplacementOfEveryVM(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for i := range 10 {
 			f.call(i%testRouters, booking, poison, "")
 			time.Sleep(time.Second)
 		}
 		before := f.runs()[poison]
-		for _, kill := range f.kill {
-			kill()
+		for _, stop := range f.stopRouters {
+			stop()
 		}
 		for _, v := range f.vm {
 			f.restart(v)
@@ -346,7 +346,7 @@
 // The one upstream of a small pool closes its idle connections, as when
 // certificates change, just as a request is written. Nothing was sent and a
 // fresh connection works, but the caller was refused.
-func TestRequestOutlivesAConnectionThatClosesAsItIsSent(t *testing.T) {
+func TestRequestSurvivesConnectionClosedDuringSend(t *testing.T) {
 	for up := range 400 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(1, 1, 64)
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func pair(t *testing.T) (near, far *net.TCPConn) {
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,9 +25,9 @@
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
-// becomes waits until a connection is in a state: what the other side does takes
+// waitForState waits until a connection is in a state: what the other side does takes
 // the kernel a moment.
-func becomes(t *testing.T, c net.Conn, want State) {
+func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); Peek(c) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -39,27 +39,27 @@
 // A client gives up and closes while its request waits for the processor. Its
 // request must not go on to a runner; the close is there to be seen before anyone
 // reads from the connection.
-func TestLookSeesAClose(t *testing.T) {
-	near, far := pair(t)
-	becomes(t, near, Idle)
+func TestPeekReportsClose(t *testing.T) {
+	near, far := tcpPair(t)
+	waitForState(t, near, Idle)
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, Readable)
-	becomes(t, near, Readable) // looking takes nothing away
+	waitForState(t, near, Readable)
+	waitForState(t, near, Readable) // looking takes nothing away
 	var b [1]byte
 	if _, err := near.Read(b[:]); err != nil || b[0] != 'x' {
 		t.Fatalf("read %q, %v", b, err)
 	}
 	_ = far.Close()
-	becomes(t, near, Closed)
+	waitForState(t, near, Closed)
 }
 
-func TestLookSeesAReset(t *testing.T) {
-	near, far := pair(t)
+func TestPeekReportsReset(t *testing.T) {
+	near, far := tcpPair(t)
 	if err := far.SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	_ = far.Close()
-	becomes(t, near, Closed)
+	waitForState(t, near, Closed)
 }
--- a/internal/profile/byname.go
+++ b/internal/profile/byname.go
@@ -44,8 +44,8 @@
 	}
 	longest := -1
 	for _, r := range routes {
-		methodFits := len(r.Methods) == 0 || slices.Contains(r.Methods, method)
-		if methodFits && strings.HasPrefix(path, r.Prefix) {
+		methodMatches := len(r.Methods) == 0 || slices.Contains(r.Methods, method)
+		if methodMatches && strings.HasPrefix(path, r.Prefix) {
 			longest = max(longest, len(r.Prefix))
 		}
 	}
--- a/internal/profile/check.go
+++ b/internal/profile/check.go
@@ -34,11 +34,11 @@
 )
 
 var (
-	label      = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
-	vmName     = regexp.MustCompile(`^[!-.0-~]+$`)              // printable, without space and slash
-	domainName = regexp.MustCompile(`^[!-.0-~]+(/[!-.0-~]+)?$`) // a region may stand before a slash
-	modelName  = regexp.MustCompile(`^[!-~]+$`)
-	sha256Hash = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	labelPattern      = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	vmNamePattern     = regexp.MustCompile(`^[!-.0-~]+$`)              // printable, without space and slash
+	domainNamePattern = regexp.MustCompile(`^[!-.0-~]+(/[!-.0-~]+)?$`) // a region may stand before a slash
+	modelNamePattern  = regexp.MustCompile(`^[!-~]+$`)
+	sha256Pattern     = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
 var methods = []string{
@@ -69,7 +69,7 @@
 	switch {
 	case value == "":
 		c.add(field, "is missing: write a name such as halftime-notes")
-	case !label.MatchString(value):
+	case !labelPattern.MatchString(value):
 		c.add(field, "%q is not a name: write up to 63 of a-z, 0-9 and -, not - at either end", value)
 	}
 }
@@ -78,7 +78,7 @@
 func (c *checker) regions(names []string) {
 	for i, name := range names {
 		field := fmt.Sprintf("regions[%d]", i)
-		if len(name) > MaxDomainName || !vmName.MatchString(name) {
+		if len(name) > MaxDomainName || !vmNamePattern.MatchString(name) {
 			c.add(field, "%q is not a region: write it as it stands before the slash of a failure domain", name)
 		}
 		if slices.Contains(names[:i], name) {
@@ -127,7 +127,7 @@
 // checkTraffic checks which calls the profile is for.
 func (p *Profile) checkTraffic(c *checker) {
 	switch {
-	case p.byHost():
+	case p.isChosenByHost():
 	case p.Model == "" && p.Service == "":
 		c.add("model", "is missing: write model for chats, service for a plain service, or routes with a host")
 	case p.Model != "" && p.Service != "":
@@ -137,7 +137,7 @@
 	default:
 		c.label("service", p.Service)
 	}
-	if len(p.Routes) > 0 && p.Service == "" && !p.byHost() {
+	if len(p.Routes) > 0 && p.Service == "" && !p.isChosenByHost() {
 		c.add("routes", "are for a plain service: write service, or remove routes")
 	}
 	for i, r := range p.Routes {
@@ -145,13 +145,13 @@
 	}
 }
 
-// byHost reports whether the profile is chosen by the host that callers name.
-func (p *Profile) byHost() bool {
+// isChosenByHost reports whether the profile is chosen by the host that callers name.
+func (p *Profile) isChosenByHost() bool {
 	return len(p.Routes) > 0 && p.Routes[0].Host != ""
 }
 
 func (c *checker) model(field, value string) {
-	if len(value) > MaxModelName || !modelName.MatchString(value) {
+	if len(value) > MaxModelName || !modelNamePattern.MatchString(value) {
 		c.add(field, "%q is not a name: write up to %d printable characters without spaces", value, MaxModelName)
 	}
 }
@@ -185,12 +185,12 @@
 
 // checkHedge checks that a second attempt is harmless, affordable and in time.
 func (p *Profile) checkHedge(c *checker) {
-	within, field := p.Deadline, "deadline"
+	limit, field := p.Deadline, "deadline"
 	if p.FirstToken > 0 {
-		within, field = p.FirstToken, "first_token"
+		limit, field = p.FirstToken, "first_token"
 	}
-	if within > 0 && (p.HedgeAfter < 0 || p.HedgeAfter >= within) {
-		c.add("hedge_after", "%s is out of range: write less than %s, which is %s", p.HedgeAfter, field, within)
+	if limit > 0 && (p.HedgeAfter < 0 || p.HedgeAfter >= limit) {
+		c.add("hedge_after", "%s is out of range: write less than %s, which is %s", p.HedgeAfter, field, limit)
 	}
 	if !p.Idempotent {
 		c.add("hedge_after", "would run a call twice that is not idempotent: remove it, or write idempotent: true if repeating the call does no harm")
@@ -232,7 +232,7 @@
 	for i, k := range o.Keys {
 		field := fmt.Sprintf("keys[%d]", i)
 		c.label(field+".id", k.ID)
-		if !sha256Hash.MatchString(k.SHA256) {
+		if !sha256Pattern.MatchString(k.SHA256) {
 			// The value may be the key itself, so it is not repeated.
 			c.add(field+".sha256", "is not a hash: write the 64 hexadecimal digits that parsleyctl key prints, not the key")
 		}
@@ -263,7 +263,7 @@
 	c.duration("warmup", p.Warmup, 0, MaxDeadline)
 	checkRange(c, "warmup_rate", p.WarmupRate, 0, MaxWarmupRate)
 	if p.Model == "" {
-		p.checkPlain(c)
+		p.checkPlainService(c)
 		return
 	}
 	c.model("model", p.Model)
@@ -279,8 +279,8 @@
 	}
 }
 
-// checkPlain checks the pool of a plain service, which loads nothing.
-func (p *Pool) checkPlain(c *checker) {
+// checkPlainService checks the pool of a plain service, which loads nothing.
+func (p *Pool) checkPlainService(c *checker) {
 	if p.Version != "" {
 		c.add("version", "stands without model: write model, or remove version")
 	}
@@ -304,13 +304,13 @@
 }
 
 func (d *DomainDrain) check(c *checker) {
-	if len(d.Name) > MaxDomainName || !domainName.MatchString(d.Name) {
+	if len(d.Name) > MaxDomainName || !domainNamePattern.MatchString(d.Name) {
 		c.add("name", "%q is not a failure domain: write it as in the platform's list, such as casablanca/hall-a", d.Name)
 	}
 }
 
 func (d *Drain) check(c *checker) {
-	if len(d.Name) > MaxVMName || !vmName.MatchString(d.Name) {
+	if len(d.Name) > MaxVMName || !vmNamePattern.MatchString(d.Name) {
 		c.add("name", "%q is not the id of a VM: write the id as in the platform's list", d.Name)
 	}
 }
--- a/internal/profile/decode.go
+++ b/internal/profile/decode.go
@@ -12,39 +12,39 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// nearEnough is the edit distance up to which a field name counts as misspelt.
-const nearEnough = 3
+// maxTypoDistance is the edit distance up to which a field name counts as misspelt.
+const maxTypoDistance = 3
 
 // decoder reads YAML nodes into Go values by their json tags. Unlike the
 // library's own decoder it goes on after a mistake, so that an operator sees
 // all of them at once.
 type decoder struct {
-	file     string
-	at       map[string]position
-	broken   map[string]bool // fields that could not be read
-	change   string
-	problems Problems
+	file       string
+	positions  map[string]position
+	unreadable map[string]bool // fields that could not be read
+	change     string
+	problems   Problems
 }
 
-func (d *decoder) mark(field string, n ast.Node) {
+func (d *decoder) recordPosition(field string, n ast.Node) {
 	if m, ok := n.(*ast.MappingNode); ok && !m.IsFlowStyle && len(m.Values) > 0 {
 		n = m.Values[0].Key // the node's own token is the colon
 	}
 	if t := n.GetToken(); t != nil && t.Position != nil {
-		d.at[field] = position{t.Position.Line, t.Position.Column}
+		d.positions[field] = position{t.Position.Line, t.Position.Column}
 	}
 }
 
 // add notes a problem at a field that has been marked.
 func (d *decoder) add(field, format string, args ...any) {
-	at := d.at[field]
+	at := d.positions[field]
 	d.problems = append(d.problems, Problem{
 		File: d.file, Line: at.line, Column: at.column, Field: field, Message: fmt.Sprintf(format, args...),
 	})
-	if d.broken == nil {
-		d.broken = make(map[string]bool)
+	if d.unreadable == nil {
+		d.unreadable = make(map[string]bool)
 	}
-	d.broken[field] = true
+	d.unreadable[field] = true
 }
 
 // mapping returns the fields of a mapping.
@@ -64,10 +64,10 @@
 		if keyName(f) != kindField {
 			continue
 		}
-		d.mark(kindField, f.Value)
+		d.recordPosition(kindField, f.Value)
 		var kind string
 		d.value(f.Value, reflect.ValueOf(&kind).Elem(), kindField)
-		if New(topo.Kind(kind)) == nil && !d.broken[kindField] {
+		if New(topo.Kind(kind)) == nil && !d.unreadable[kindField] {
 			d.add(kindField, "%q does not exist: write %s", kind, kindNames())
 		}
 		return topo.Kind(kind)
@@ -85,17 +85,17 @@
 
 // object reads the fields of a document into o.
 func (d *decoder) object(fields []*ast.MappingValueNode, o Object) {
-	own := make([]*ast.MappingValueNode, 0, len(fields))
+	objectFields := make([]*ast.MappingValueNode, 0, len(fields))
 	for _, f := range fields {
 		switch keyName(f) {
 		case kindField:
 		case changeField:
 			d.value(f.Value, reflect.ValueOf(&d.change).Elem(), changeField)
 		default:
-			own = append(own, f)
+			objectFields = append(objectFields, f)
 		}
 	}
-	d.fields(own, reflect.ValueOf(o).Elem(), "")
+	d.fields(objectFields, reflect.ValueOf(o).Elem(), "")
 }
 
 func (d *decoder) fields(fields []*ast.MappingValueNode, into reflect.Value, parent string) {
@@ -105,8 +105,8 @@
 		path := join(parent, name)
 		i, ok := index[name]
 		if !ok {
-			d.mark(path, f.Key)
-			d.add(path, "unknown field: %s", adviseField(name, into.Type()))
+			d.recordPosition(path, f.Key)
+			d.add(path, "unknown field: %s", suggestField(name, into.Type()))
 			continue
 		}
 		d.value(f.Value, into.Field(i), path)
@@ -114,7 +114,7 @@
 }
 
 func (d *decoder) value(n ast.Node, v reflect.Value, path string) {
-	d.mark(path, n)
+	d.recordPosition(path, n)
 	switch n.(type) {
 	case *ast.NullNode:
 		d.add(path, "has no value: write one, or leave the field out")
@@ -240,13 +240,13 @@
 	return strings.Join(names, ", ")
 }
 
-// adviseField says which field was probably meant.
-func adviseField(name string, t reflect.Type) string {
-	best, nearest := "", nearEnough+1
+// suggestField says which field was probably meant.
+func suggestField(name string, t reflect.Type) string {
+	best, bestDistance := "", maxTypoDistance+1
 	for i := range t.NumField() {
 		known := fieldName(t.Field(i))
-		if n := distance(name, known); n < nearest && n < len(known) {
-			best, nearest = known, n
+		if n := distance(name, known); n < bestDistance && n < len(known) {
+			best, bestDistance = known, n
 		}
 	}
 	if best != "" {
--- a/internal/profile/genschema/main.go
+++ b/internal/profile/genschema/main.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	module     = "github.com/parsleyfront/parsleyfront/internal/profile"
-	schemaBase = "urn:parsleyfront:schema:"
-	fileSuffix = ".schema.json"
+	packagePath = "github.com/parsleyfront/parsleyfront/internal/profile"
+	schemaBase  = "urn:parsleyfront:schema:"
+	fileSuffix  = ".schema.json"
 )
 
 func main() {
@@ -39,14 +39,14 @@
 // schema returns the JSON Schema of kind. The descriptions are the doc comments
 // in the package's source, which is in dir.
 func schema(kind topo.Kind, dir string) ([]byte, error) {
-	r := jsonschema.Reflector{ExpandedStruct: true, FieldNameTag: "json", Mapper: unit}
-	if err := r.AddGoComments(module, dir); err != nil {
+	r := jsonschema.Reflector{ExpandedStruct: true, FieldNameTag: "json", Mapper: textTypeSchema}
+	if err := r.AddGoComments(packagePath, dir); err != nil {
 		return nil, err
 	}
 	s := r.Reflect(profile.New(kind))
 	s.ID = jsonschema.ID(schemaBase + string(kind))
 	s.Properties.Set("kind", &jsonschema.Schema{Const: string(kind)})
-	s.Required = append([]string{"kind"}, required(kind)...)
+	s.Required = append([]string{"kind"}, requiredFields(kind)...)
 	if err := setDefaults(s, kind); err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 	if err := json.Unmarshal(text, &defaults); err != nil {
 		return err
 	}
-	for _, name := range append(required(kind), "keys") {
+	for _, name := range append(requiredFields(kind), "keys") {
 		delete(defaults, name)
 	}
 	for name, value := range defaults {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// required returns the fields without a default.
-func required(kind topo.Kind) []string {
+// requiredFields returns the fields without a default.
+func requiredFields(kind topo.Kind) []string {
 	switch kind {
 	case topo.KindProfile:
 		return []string{"name", "pool", "deadline"}
--- a/internal/profile/genschema/unit.go
+++ b/internal/profile/genschema/unit.go
@@ -8,8 +8,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/profile"
 )
 
-// unit returns the schema of the types that are written as text with a unit.
-func unit(t reflect.Type) *jsonschema.Schema {
+// textTypeSchema returns the schema of the types that are written as text with a textTypeSchema.
+func textTypeSchema(t reflect.Type) *jsonschema.Schema {
 	switch t {
 	case reflect.TypeFor[profile.Duration]():
 		return &jsonschema.Schema{Type: "string", Pattern: `^([0-9]+(\.[0-9]*)?(ms|s|m|h))+$`, Examples: []any{"1.9s"}}
--- a/internal/profile/problem.go
+++ b/internal/profile/problem.go
@@ -47,8 +47,8 @@
 // Error implements error.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.String()
+	for i, problem := range p {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/profile/read.go
+++ b/internal/profile/read.go
@@ -32,8 +32,8 @@
 	// Change is the id of the change that the file was made from; empty when it
 	// does not say. Whoever writes the object has to refuse when the object has
 	// been changed since.
-	Change string
-	at     map[string]position // of each field that is written
+	Change    string
+	positions map[string]position // of each field that is written
 }
 
 // position is a place in a file.
@@ -114,27 +114,27 @@
 	return docs, problems
 }
 
-// located is an error of the YAML library that knows its place.
-type located interface {
+// tokenError is an error of the YAML library that knows its place.
+type tokenError interface {
 	GetToken() *token.Token
 	GetMessage() string
 }
 
 func syntaxProblem(file string, err error) Problem {
 	p := Problem{File: file, Message: "is not YAML: " + err.Error()}
-	var at located
-	if errors.As(err, &at) && at.GetToken() != nil {
-		pos := at.GetToken().Position
+	var tokenErr tokenError
+	if errors.As(err, &tokenErr) && tokenErr.GetToken() != nil {
+		pos := tokenErr.GetToken().Position
 		p.Line, p.Column = pos.Line, pos.Column
-		p.Message = "is not YAML: " + at.GetMessage()
+		p.Message = "is not YAML: " + tokenErr.GetMessage()
 	}
 	return p
 }
 
 // readDocument reads one object and checks it.
 func readDocument(file string, body ast.Node) (Document, Problems) {
-	d := decoder{file: file, at: make(map[string]position)}
-	d.mark("", body)
+	d := decoder{file: file, positions: make(map[string]position)}
+	d.recordPosition("", body)
 	fields, ok := mapping(body)
 	if !ok {
 		d.add("", "is not an object: write fields, beginning with kind: %s", kindNames())
@@ -149,11 +149,11 @@
 	for i := range problems {
 		problems[i].Ref = object.Ref()
 	}
-	doc := Document{Object: object, File: file, Change: d.change, at: d.at}
+	doc := Document{Object: object, File: file, Change: d.change, positions: d.positions}
 	for _, p := range Check(object) {
 		// A field that could not be read holds its default or nothing, of
 		// which nothing more need be said.
-		if !d.broken[p.Field] {
+		if !d.unreadable[p.Field] {
 			problems = append(problems, doc.locate(p))
 		}
 	}
@@ -165,10 +165,10 @@
 // the nearest one around it when the field is not written.
 func (d Document) locate(p Problem) Problem {
 	field := p.Field
-	at, ok := d.at[field]
+	at, ok := d.positions[field]
 	for !ok && field != "" {
 		field = field[:max(0, strings.LastIndexAny(field, ".["))]
-		at, ok = d.at[field]
+		at, ok = d.positions[field]
 	}
 	p.File, p.Line, p.Column = d.File, at.line, at.column
 	return p
--- a/internal/profile/refs.go
+++ b/internal/profile/refs.go
@@ -21,8 +21,8 @@
 	first := make(map[topo.Ref]Document, len(docs))
 	for _, d := range docs {
 		ref := d.Object.Ref()
-		if former, twice := first[ref]; twice {
-			c.add(d, "name", "is there twice, first in %s line %d: remove one or rename it", former.File, former.at["name"].line)
+		if earlier, duplicate := first[ref]; duplicate {
+			c.add(d, "name", "is there twice, first in %s line %d: remove one or rename it", earlier.File, earlier.positions["name"].line)
 			continue
 		}
 		first[ref] = d
@@ -30,7 +30,7 @@
 	}
 	for ref, o := range stored {
 		if _, replaced := first[ref]; !replaced {
-			c.claimKeys(Document{Object: o})
+			c.checkKeyOwners(Document{Object: o})
 		}
 	}
 	for _, d := range docs {
@@ -40,7 +40,7 @@
 		p, ok := o.(*Profile)
 		_, replaced := first[ref]
 		if _, poolChanges := first[poolRef(p)]; ok && !replaced && poolChanges {
-			c.pool(Document{Object: p}, p)
+			c.checkPool(Document{Object: p}, p)
 		}
 	}
 	return c.problems
@@ -54,7 +54,7 @@
 
 func (c *referenceChecker) add(d Document, field, format string, args ...any) {
 	p := Problem{Ref: d.Object.Ref(), Field: field, Message: fmt.Sprintf(format, args...)}
-	if d.at != nil {
+	if d.positions != nil {
 		p = d.locate(p)
 	}
 	c.problems = append(c.problems, p)
@@ -63,23 +63,23 @@
 func (c *referenceChecker) check(d Document) {
 	switch o := d.Object.(type) {
 	case *Profile:
-		c.pool(d, o)
+		c.checkPool(d, o)
 	case *Organisation:
 		for i, name := range o.Profiles {
 			if c.all[topo.Ref{Kind: topo.KindProfile, Name: name}] == nil {
-				c.add(d, fmt.Sprintf("profiles[%d]", i), "profile %q does not exist: %s", name, c.advise(topo.KindProfile, name))
+				c.add(d, fmt.Sprintf("profiles[%d]", i), "profile %q does not exist: %s", name, c.suggest(topo.KindProfile, name))
 			}
 		}
-		c.claimKeys(d)
+		c.checkKeyOwners(d)
 	}
 }
 
-// pool checks that a profile fits its pool.
-func (c *referenceChecker) pool(d Document, p *Profile) {
+// checkPool checks that a profile fits its checkPool.
+func (c *referenceChecker) checkPool(d Document, p *Profile) {
 	pool, ok := c.all[poolRef(p)].(*Pool)
 	switch {
 	case !ok:
-		c.add(d, "pool", "pool %q does not exist: %s", p.Pool, c.advise(topo.KindPool, p.Pool))
+		c.add(d, "pool", "pool %q does not exist: %s", p.Pool, c.suggest(topo.KindPool, p.Pool))
 	case p.Model != "" && pool.Model == "":
 		c.add(d, "pool", "pool %q loads no model: write a pool that loads %q", p.Pool, p.Model)
 	case p.Model != "" && !pool.Serves(p.Model):
@@ -111,10 +111,10 @@
 	return false
 }
 
-// claimKeys checks that no API key belongs to two organisations, as it does
+// checkKeyOwners checks that no API key belongs to two organisations, as it does
 // when an organisation's file is copied to make another: the calls of one
 // would then be taken for the other's.
-func (c *referenceChecker) claimKeys(d Document) {
+func (c *referenceChecker) checkKeyOwners(d Document) {
 	o, ok := d.Object.(*Organisation)
 	if !ok {
 		return
@@ -128,16 +128,16 @@
 	}
 }
 
-// advise names the object of the kind that was probably meant.
-func (c *referenceChecker) advise(kind topo.Kind, name string) string {
-	best, nearest := "", nearEnough+1
+// suggest names the object of the kind that was probably meant.
+func (c *referenceChecker) suggest(kind topo.Kind, name string) string {
+	best, bestDistance := "", maxTypoDistance+1
 	for ref := range c.all {
 		if ref.Kind != kind {
 			continue
 		}
 		n := distance(name, ref.Name)
-		if n < nearest || n == nearest && ref.Name < best {
-			best, nearest = ref.Name, n
+		if n < bestDistance || n == bestDistance && ref.Name < best {
+			best, bestDistance = ref.Name, n
 		}
 	}
 	if best != "" {
