--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// headerTimeoutSentinel and idleMark are the timeouts of the http.Server. It has one of
-	// each for its life, while operators change theirs as connections live: a
-	// callerConn knows by them which of its deadlines one is meant to be. Both are
-	// far longer than any that operators set.
+	// headerTimeoutSentinel and idleTimeoutSentinel are the timeouts of the
+	// http.Server, which are fixed for its lifetime, while operators change theirs
+	// when connections are open. A callerConn recognises by them which timeout the
+	// server sets and replaces it by the operators' one. Both are far longer than
+	// any timeout that operators can set.
 	headerTimeoutSentinel = 24 * time.Hour
 	idleTimeoutSentinel   = 48 * time.Hour
-	// sentinelSlack is how much may pass between the choice of a deadline and its
-	// setting.
+	// sentinelSlack is the time that may pass between the computation of a deadline
+	// by the server and the call that sets it.
 	sentinelSlack = time.Hour
-	// serverMaxHeaderBytes bounds what the server reads of headers before the operators'
-	// limit is looked at.
+	// serverMaxHeaderBytes bounds the headers that the server reads before the
+	// operators' limit is checked.
 	serverMaxHeaderBytes = 1 << 20
 )
 
-// Server returns a server of callers that keeps at most a number of connections.
-// Their timeouts are those of the operators' limits in force, and grace more:
-// callers may not have heard of a shorter one yet, or this router of a longer one.
+// Server returns a server for callers that keeps at most the given number of
+// connections open. Its timeouts are those of the operators' limits in force plus
+// grace, as callers may not have received a shorter one yet, nor this router a longer one.
 func (g *PlatformGateway) Server(h http.Handler, connections int, grace time.Duration) *CallerServer {
 	return &CallerServer{
 		Server: &http.Server{
@@ -43,20 +44,20 @@
 	}
 }
 
-// limits returns the operators' limits on callers that are in force.
+// limits returns the operators' limits for callers that are in force.
 func (g *PlatformGateway) limits() *profile.Limits {
 	return limitsOf(g.router.View())
 }
 
-// CallerServer serves the callers of a platform.
+// CallerServer serves the callers of a platform and applies the operators' limits to their connections.
 type CallerServer struct {
 	*http.Server
 	limits func() *profile.Limits
 	grace  time.Duration
-	slots  chan struct{} // one for each open connection
+	slots  chan struct{} // holds one value for each open connection
 }
 
-// Serve serves the connections of l until it is closed.
+// Serve accepts and serves connections of l until l is closed.
 func (s *CallerServer) Serve(l net.Listener) error {
 	return s.Server.Serve(callerListener{Listener: l, server: s})
 }
@@ -66,9 +67,9 @@
 	server *CallerServer
 }
 
-// Accept implements net.Listener. Connections over the most that are kept wait to
-// be accepted: out of descriptors, the router could call no upstream for those that
-// it has.
+// Accept implements net.Listener. It blocks while the maximum number of connections
+// is open. Without this limit the router could run out of file descriptors and
+// would then be unable to connect to upstreams for its open connections.
 func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -78,7 +79,7 @@
 	return &callerConn{Conn: c, server: l.server}, nil
 }
 
-// callerConn is a connection of a caller. It turns the timeouts of the server into
+// callerConn is a connection of a caller. It replaces the timeouts of the server by
 // those of the operators' limits.
 type callerConn struct {
 	net.Conn
@@ -92,7 +93,8 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn. It replaces a deadline that the server
+// derived from a sentinel by the operators' timeout.
 func (c *callerConn) SetReadDeadline(at time.Time) error {
 	if at.IsZero() {
 		return c.Conn.SetReadDeadline(at)
@@ -107,7 +109,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// withConn keeps the caller's connection in the context of its requests.
+// withConn stores the caller's connection in the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	if caller, ok := c.(*callerConn); ok {
 		c = caller.Conn
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -11,7 +11,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// chatRequest is the part of a chat request that routing needs.
+// chatRequest holds the fields of a chat request that routing needs.
 type chatRequest struct {
 	Model    string            `json:"model"`
 	Messages []json.RawMessage `json:"messages"`
@@ -56,8 +56,8 @@
 	})
 }
 
-// maxChatBodyBytes returns the largest body of the organisation's chat profiles.
-// Which of them counts is known only once the body has been read.
+// maxChatBodyBytes returns the largest body that any of the organisation's chat
+// profiles accepts. The profile of the request is known only once its body has been read.
 func (x *exchange) maxChatBodyBytes() int64 {
 	largest := int64(0)
 	for _, name := range x.org.Profiles {
@@ -72,13 +72,14 @@
 }
 
 const (
-	// maxOpeningMessages is how many messages may come before a chat's first question.
+	// maxOpeningMessages bounds the messages that identify a chat: those up to the
+	// first one of the user.
 	maxOpeningMessages = 8
 	roleUser           = "user"
 )
 
-// chatSession names the chat: by the caller's header, or else by the messages
-// up to the first question, which every later turn repeats.
+// chatSession returns the session of a chat: the caller's header, or else the
+// messages up to the first one of the user, which every later turn repeats.
 func chatSession(r *http.Request, chat chatRequest) string {
 	if s := r.Header.Get(HeaderSession); s != "" {
 		return s
@@ -98,7 +99,7 @@
 	return b.String()
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -152,8 +153,8 @@
 	return verdict.New(verdict.NotRun, verdict.ReasonUnknownProfile, "no profile of yours serves this call")
 }
 
-// servicePath returns the path and query that the service gets, as the caller
-// wrote them: an escaped slash is no separator.
+// servicePath returns the path and query for the service as the caller wrote
+// them. An escaped slash does not separate path elements.
 func servicePath(r *http.Request) string {
 	const skip = 3 // "", "services" and the name
 	parts := strings.SplitN(r.URL.EscapedPath(), "/", skip+1)
@@ -167,7 +168,8 @@
 	return path
 }
 
-// profileByName returns the profile that a call for keys is about.
+// profileByName returns the profile with the given name that a request for keys
+// is about, or nil if the organisation may not use it.
 func (x *exchange) profileByName(name string) *profile.Profile {
 	for _, allowed := range x.org.Profiles {
 		if allowed == name {
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -14,11 +14,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// stalledWriteTimeout is how long a caller may take no byte of its answer. A caller
-// that is gone without a word would otherwise hold its connection for good.
+// stalledWriteTimeout is how long a write of the response may block. Without it, a
+// caller that vanished without closing its connection would keep it open indefinitely.
 const stalledWriteTimeout = time.Minute
 
-// forward sends the request on and copies the answer to the caller.
+// forward dispatches the request and copies the response to the caller.
 func (g *Gateway) forward(x *exchange, req router.Request) error {
 	key, err := g.requestKey(x, req.Profile, req.Session)
 	if err != nil {
@@ -48,18 +48,18 @@
 	return nil
 }
 
-// copier writes one answer to its caller.
+// copier writes one response to its caller.
 type copier struct {
 	w      http.ResponseWriter
 	ctl    *http.ResponseController
 	id     string
-	events bool   // the answer is a stream of server-sent events
-	offset int64  // of the next byte of the answer
-	tail   []byte // last bytes that were sent, to know where an event ends
+	events bool   // the response is a stream of server-sent events
+	offset int64  // of the next byte of the response
+	tail   []byte // last bytes sent, which show whether an event is complete
 }
 
-// copyResponse copies an answer to the caller and closes it. The error is one
-// that the caller has been shown already.
+// copyResponse copies a response to the caller and closes it. The caller has
+// already been informed of the error that it returns.
 func (x *exchange) copyResponse(response *router.Response, offset int64) *verdict.Error {
 	defer response.Close()
 	c := &copier{w: x.w, ctl: http.NewResponseController(x.w), id: response.ID(), offset: offset}
@@ -70,7 +70,7 @@
 			return c.abort(verdict.From(err))
 		}
 		if piece.End != nil {
-			// The connection may serve another request, much later.
+			// The connection may serve another request much later.
 			_ = c.ctl.SetWriteDeadline(time.Time{})
 			return nil
 		}
@@ -100,7 +100,7 @@
 		h[name] = values
 	}
 	if c.offset > 0 {
-		h.Del("Content-Length") // of the whole answer
+		h.Del("Content-Length") // it counts the whole response
 	}
 	mediaType, _, _ := mime.ParseMediaType(h.Get("Content-Type"))
 	c.events = mediaType == "text/event-stream"
@@ -110,16 +110,17 @@
 
 var eventEnd = []byte("\n\n")
 
-// abort shows the caller that the answer is not whole and never will be by
-// itself. Bytes have gone out, so the status can't change any more. A stream of
-// events gets one that chat clients take for an error; then the connection is
-// broken, for a regular end would make a whole answer of what was sent.
+// abort tells the caller that the response is incomplete. Part of the body has been
+// sent, so the status can't change any more. If the response is a stream of events,
+// abort appends an event that chat clients read as an error. Then it breaks the
+// connection, as after a regular end the caller would take what was sent for a
+// whole response.
 func (c *copier) abort(e *verdict.Error) *verdict.Error {
 	if c.events {
 		if !bytes.HasSuffix(c.tail, eventEnd) {
 			_, _ = c.w.Write(eventEnd)
 		}
-		body, _ := json.Marshal(struct { // has no value that could fail
+		body, _ := json.Marshal(struct { // has no value that fails to encode
 			Error chatError `json:"error"`
 		}{chatError{Message: e.Error(), Type: e.Reason, Code: e.Reason, Verdict: e.Verdict, RequestID: c.id, Offset: &c.offset}})
 		_, _ = fmt.Fprintf(c.w, "data: %s\n\n", body)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the HTTP face that callers see: it authenticates them,
-// reads their requests, and writes answers and problems.
+// Package gateway serves the HTTP API for callers: it authenticates them,
+// reads their requests, and writes responses and problem documents.
 package gateway
 
 import (
@@ -30,17 +30,17 @@
 )
 
 const (
-	// defaultMaxBodyBytes is the largest request body where the profile says nothing, in bytes.
+	// defaultMaxBodyBytes is the largest request body if the profile sets no limit.
 	defaultMaxBodyBytes = 1 << 20
-	// maxHeaderBytes is the most that the headers of a request may come to, in bytes.
+	// maxHeaderBytes bounds the total size of a request's headers.
 	maxHeaderBytes = 32 << 10
-	// bodyTimeout bounds how long a caller may take to send a body.
+	// bodyTimeout bounds the time in which a caller must send a body.
 	bodyTimeout = time.Minute
-	// maxHeaderValueBytes bounds what a caller may put into one of our headers, in bytes.
+	// maxHeaderValueBytes bounds a Parsley- header and an idempotency key.
 	maxHeaderValueBytes = 512
 )
 
-// Gateway serves callers.
+// Gateway is the HTTP handler of the API for callers.
 type Gateway struct {
 	router *router.Router
 	mux    *http.ServeMux
@@ -82,12 +82,12 @@
 	r    *http.Request
 	view *router.View
 	org  *profile.Organisation
-	// dispatched is set once the request has gone to the sidecar that decides on
-	// its key. Before that, not-run speaks of this arrival of the request only.
+	// dispatched is set once the request goes to the sidecar that decides on its
+	// key. Before that, a not-run verdict holds for this copy of the request only.
 	dispatched bool
 }
 
-// handler serves an exchange. What it returns is written as a problem.
+// handler serves an exchange. Its error is written as a problem document.
 type handler func(*exchange) error
 
 // handle routes pattern to h, after authentication.
@@ -107,8 +107,9 @@
 	})
 }
 
-// withEarlierUnknown limits a not-run to what is known. A request that comes with a key
-// may have come before: refused at the door now, it may be running all the same.
+// withEarlierUnknown marks a not-run verdict as saying nothing about earlier
+// copies of the request. An earlier request with the same idempotency key may be
+// running although this one was rejected before it was dispatched.
 func (x *exchange) withEarlierUnknown(err error) error {
 	e := *verdict.From(err)
 	if !x.dispatched && e.Verdict == verdict.NotRun && x.r.Header.Get(HeaderIdempotencyKey) != "" {
@@ -117,7 +118,7 @@
 	return &e
 }
 
-// checkHeader bounds the headers, which travel on to sidecar and upstream.
+// checkHeader limits the size of the headers, which are forwarded to sidecar and upstream.
 func checkHeader(h http.Header) error {
 	size := 0
 	for name, values := range h {
@@ -134,9 +135,9 @@
 	return nil
 }
 
-// authenticate finds the organisation by the hash of the caller's API key. How
-// long the look-up takes depends on the hash, of which a caller can't choose
-// parts, so it tells nothing about keys that exist.
+// authenticate finds the organisation by the hash of the caller's API key. The
+// duration of the look-up depends only on the hash, parts of which a caller can't
+// choose, so its timing reveals nothing about existing keys.
 func (x *exchange) authenticate() error {
 	key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if ok {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// maxBodyBytes returns the largest body that a profile takes, in bytes.
+// maxBodyBytes returns the size in bytes of the largest body that a profile accepts.
 func maxBodyBytes(p *profile.Profile) int64 {
 	if p.MaxBody > 0 {
 		return int64(p.MaxBody)
@@ -157,13 +158,13 @@
 	return defaultMaxBodyBytes
 }
 
-// body reads the request's body, of at most limit bytes.
+// body reads the request's body of at most limit bytes.
 func (x *exchange) body(limit int64) ([]byte, error) {
 	if x.r.ContentLength > limit {
 		return nil, tooLarge(limit)
 	}
-	// A caller that sends its body a byte at a time would hold a goroutine and
-	// what has arrived of it for good.
+	// Without a deadline, a caller that sends its body one byte at a time would
+	// keep a goroutine and the bytes received so far indefinitely.
 	ctl := http.NewResponseController(x.w)
 	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer ctl.SetReadDeadline(time.Time{})
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -13,24 +13,25 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// CallerHeaders is what the headers of a caller's request say on a platform.
+// CallerHeaders holds what the gateway reads from the headers of a request in a
+// platform's own protocol.
 type CallerHeaders struct {
-	ID          string        // of this attempt of the request
-	APIKey      string        // empty: none
-	Timeout     time.Duration // for which the caller waits; zero: it does not say
-	Session     string        // what the prompt shares with others of its chat; empty: none
-	LastEventID string        // id of the last event of an earlier answer; empty: none
+	ID          string        // of this attempt; a retry has another one
+	APIKey      string        // empty if there is none
+	Timeout     time.Duration // how long the caller waits; zero if it does not say
+	Session     string        // identifies the prompt prefix shared by the turns of a chat; empty if there is none
+	LastEventID string        // id of the last event of an earlier response; empty if there is none
 }
 
-// Dialect reads the headers of a platform's callers.
+// Dialect parses the headers that the callers of a platform send.
 type Dialect interface {
 	Read(h http.Header) CallerHeaders
 }
 
-// PlatformGateway serves the callers of a platform that has a protocol of its own: they
-// choose a profile by host and path, and get their upstream's answer unchanged.
-// Beside that only statuses speak: 503 and 429 promise that the request has not
-// run and never will.
+// PlatformGateway serves the callers of a platform that has its own protocol. The
+// profile is chosen by host and path, and the upstream's response is forwarded
+// unchanged. Otherwise the status alone informs callers: 503 and 429 guarantee that
+// the request has not run and never will.
 type PlatformGateway struct {
 	router   *router.Router
 	dialect  Dialect
@@ -38,8 +39,8 @@
 	started  time.Time
 }
 
-// NewPlatformGateway returns the Hosted in front of r. Refusals are told to log, which may
-// be nil.
+// NewPlatformGateway returns a PlatformGateway in front of r. Rejected requests are
+// logged to log, which may be nil.
 func NewPlatformGateway(r *router.Router, d Dialect, log *telemetry.RequestLog) *PlatformGateway {
 	return &PlatformGateway{router: r, dialect: d, requests: log, started: time.Now()}
 }
@@ -49,7 +50,7 @@
 	x := &platformExchange{w: w, r: r, arrived: time.Now(), headers: g.dialect.Read(r.Header)}
 	if err := g.serve(x); err != nil {
 		if errors.Is(err, context.Canceled) {
-			return // its caller is gone, which its own line tells
+			return // the caller has disconnected, which is logged elsewhere
 		}
 		e := verdict.From(err)
 		x.logRefusal(g.requests, e)
@@ -57,14 +58,14 @@
 	}
 }
 
-// startWait is for how long after its start a router lets requests wait for its
-// first configuration: as long as those that it refuses are told to stay away. It has
-// read it after 25 to 90 ms where the store answers, and up to 800 ms where the store
-// resets its first calls or a small router has two thousand routes to read. All callers
-// come back at the same moment after a loss of power.
+// startWait is how long after its start a router lets requests wait for its first
+// configuration. It equals the Retry-After of the requests that are rejected until
+// then. The configuration arrives after 25 to 90 ms if the store answers, and after
+// up to 800 ms if the store resets the first calls or a small router has two
+// thousand routes to read. After a power failure all callers return at the same moment.
 const startWait = time.Second
 
-// awaitFirstConfig waits until the router is ready, if it has only just started.
+// awaitFirstConfig waits until the router is ready if it started less than startWait ago.
 func (g *PlatformGateway) awaitFirstConfig(x *platformExchange) {
 	remaining := startWait - time.Since(g.started)
 	if remaining <= 0 || g.router.Ready() || !g.router.WaitsForConfig() {
@@ -99,7 +100,7 @@
 	return g.forward(x, body)
 }
 
-// forward sends the request on and copies the answer to the caller.
+// forward dispatches the request and copies the response to the caller.
 func (g *PlatformGateway) forward(x *platformExchange, body []byte) error {
 	span := telemetry.Start(telemetry.HopCaller, telemetry.ParseTraceparent(x.r.Header.Get(telemetry.HeaderTraceparent)))
 	defer span.End()
@@ -127,10 +128,11 @@
 }
 
 const (
-	// writeSlack is how long after the end of its request's time an answer may still
-	// be written. What is in flight then takes a few round trips of a slow link.
+	// writeSlack is how long after the timeout of its request a response may still
+	// be written. Data in flight then needs a few round trips of a slow link.
 	writeSlack = 5 * time.Second
 )
 
-// rewrittenHeaders are the headers that the router writes itself.
+// rewrittenHeaders are the headers that the router does not copy from the caller
+// because it sets them itself.
 var rewrittenHeaders = []string{"Content-Length", "Expect"}
--- a/internal/gateway/hostedanswer.go
+++ b/internal/gateway/hostedanswer.go
@@ -11,8 +11,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// copyResponse copies an answer to the caller and closes it. An answer that breaks off
-// ends the connection, so that it does not look whole.
+// copyResponse copies a response to the caller and closes it. If the response breaks
+// off, it breaks the connection, so that the caller does not take the response for whole.
 func (x *platformExchange) copyResponse(response *router.Response) {
 	defer response.Close()
 	ctl := http.NewResponseController(x.w)
@@ -43,19 +43,19 @@
 	}
 }
 
-// setWriteDeadline ends the writing of an answer some time after its request's. A caller
-// that does not read, though its connection lives, would keep the answer's memory
-// and its upstream's place for good.
+// setWriteDeadline ends the writing of a response writeSlack after the request's
+// timeout. Otherwise a caller that keeps its connection open without reading would
+// occupy the memory of the response and a slot of the upstream indefinitely.
 func (x *platformExchange) setWriteDeadline(ctl *http.ResponseController) {
-	at := time.Time{} // the connection may have one of an earlier request
+	at := time.Time{} // clears the deadline of an earlier request on the connection
 	if timeout := x.timeout(); timeout > 0 {
 		at = x.arrived.Add(timeout + writeSlack)
 	}
-	// It fails only on a connection that is closed, as the writes will.
+	// It fails only on a closed connection, where writes fail as well.
 	_ = ctl.SetWriteDeadline(at)
 }
 
-// writePlatformProblem answers with the truth about a request without an answer.
+// writePlatformProblem writes the problem document for a request that has no response.
 func writePlatformProblem(w http.ResponseWriter, e *verdict.Error) {
 	h := w.Header()
 	h.Set("Content-Type", problemType)
@@ -66,13 +66,13 @@
 	_, _ = io.WriteString(w, `{"title":"`+string(e.Reason)+`","verdict":"`+e.Verdict.String()+`"}`+"\n")
 }
 
-// platformStatus returns the status for a request without an answer. 503 promises
-// that it has not run and never will.
+// platformStatus returns the HTTP status for a request that has no response. 503
+// guarantees that the request has not run and never will.
 func platformStatus(e *verdict.Error) int {
 	s := status(e)
 	switch {
 	case e.Reason == verdict.ReasonQuarantined:
-		return http.StatusServiceUnavailable // there is nothing wrong with its form
+		return http.StatusServiceUnavailable // the request is well-formed
 	case e.Verdict == verdict.NotRun && s >= http.StatusInternalServerError:
 		return http.StatusServiceUnavailable
 	case e.Verdict != verdict.NotRun && (s == http.StatusServiceUnavailable || s < http.StatusInternalServerError):
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -19,7 +19,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// logRefusal tells why a request gets no answer of an upstream.
+// logRefusal logs why a request gets no response from an upstream.
 func (x *platformExchange) logRefusal(log *telemetry.RequestLog, e *verdict.Error) {
 	log.Line(telemetry.LineFailure, "request refused", x.headers.ID,
 		slog.Int("status", platformStatus(e)),
@@ -32,7 +32,7 @@
 		slog.Any("config_version", x.view.Version))
 }
 
-// platformExchange is one request of a caller.
+// platformExchange is one request of a caller of the platform.
 type platformExchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -43,8 +43,8 @@
 	org     *profile.Organisation
 }
 
-// checkHeaders refuses a request that upstreams could not tell from another one, or
-// whose headers are over the operators' limit.
+// checkHeaders rejects a request without an attempt id, which upstreams could not
+// distinguish from others, and one whose headers are over the operators' limit.
 func (x *platformExchange) checkHeaders() error {
 	if x.headers.ID == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the request names no attempt")
@@ -55,17 +55,18 @@
 	return nil
 }
 
-// closeAfterChunked lets a chunked request be the last of its connection. One that has
-// a length beside its chunks is read by the chunks, as it should be; but who reads
-// it by the length takes what follows the last chunk for a part of its body, and
-// here it would be a request of its own. The server does not show both.
+// closeAfterChunked closes the connection after a chunked request. If the request
+// also had a Content-Length, the server reads it by its chunks, as RFC 9112 requires,
+// but a proxy that reads it by the length takes what follows the last chunk for a
+// part of the body, where this server would read another request. Such requests
+// can't be recognised here, as the server removes the Content-Length.
 func (x *platformExchange) closeAfterChunked() {
 	if len(x.r.TransferEncoding) > 0 {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// limits returns the operators' limits on callers.
+// limits returns the operators' limits for callers.
 func (x *platformExchange) limits() *profile.Limits {
 	return limitsOf(x.view)
 }
@@ -77,10 +78,10 @@
 	return defaultLimits
 }
 
-// defaultLimits hold while operators set none.
+// defaultLimits apply while operators set no limits.
 var defaultLimits = profile.New(topo.KindLimits).(*profile.Limits)
 
-// headerBytes returns the size of a request's first line and headers.
+// headerBytes returns the size in bytes of a request's first line and headers.
 func headerBytes(r *http.Request) int64 {
 	const separators, lineEnd = len(": \r\n"), len("  HTTP/1.1\r\n")
 	n := len(r.Method) + len(r.RequestURI) + lineEnd + len("Host") + len(r.Host) + separators
@@ -92,7 +93,8 @@
 	return int64(n)
 }
 
-// timeout returns for how long the request may take in all; zero: any time.
+// timeout returns how long the request may take in total: the shorter one of the
+// caller's timeout and the profile's deadline. Zero means no limit.
 func (x *platformExchange) timeout() time.Duration {
 	route := x.profile.Deadline.Std()
 	if x.headers.Timeout > 0 && (route == 0 || x.headers.Timeout < route) {
@@ -101,13 +103,13 @@
 	return route
 }
 
-// path returns the path as the caller wrote it.
+// path returns the path without the query, as the caller wrote it.
 func (x *platformExchange) path() string {
 	path, _, _ := strings.Cut(x.target(), "?")
 	return path
 }
 
-// target returns path and query as the caller wrote them.
+// target returns the path with the query, as the caller wrote them.
 func (x *platformExchange) target() string {
 	if strings.HasPrefix(x.r.RequestURI, "/") {
 		return x.r.RequestURI
@@ -115,7 +117,8 @@
 	return x.r.URL.RequestURI()
 }
 
-// authorise finds the profile and the organisation.
+// authorise finds the profile and the organisation, and checks that the
+// organisation may use the profile.
 func (x *platformExchange) authorise() error {
 	x.profile = x.view.ForHost(x.r.Host, x.path())
 	if x.profile == nil {
@@ -133,9 +136,9 @@
 	return nil
 }
 
-// body reads the body. A caller that has not sent it when its request's time is
-// over gets its answer then: it would hold a connection and its part of the memory
-// for as long as it likes.
+// body reads the request's body. If a caller has not sent all of it within the
+// request's timeout, it gets an error response then. Otherwise it could occupy a
+// connection and the memory of the part received indefinitely.
 func (x *platformExchange) body() ([]byte, error) {
 	limit := int64(x.limits().BodyBytes)
 	if x.r.ContentLength > limit {
@@ -167,7 +170,7 @@
 	}
 }
 
-// connKey is where a request's context holds the caller's connection.
+// connKey is the context key of the caller's connection.
 type connKey struct{}
 
 // callerGone reports whether the caller has closed its connection.
@@ -176,7 +179,8 @@
 	return ok && netpeek.Peek(c) == netpeek.Closed
 }
 
-// urgency returns the rank of a request: 0 is first.
+// urgency returns the rank of a request in the queue, from 0 (first) to 9: the
+// negative of the organisation's priority, or else of the profile's.
 func urgency(p *profile.Profile, o *profile.Organisation) int {
 	const lowest = 9
 	priority := p.Priority
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -13,7 +13,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// maxMintBodyBytes is the largest body of a call for keys, in bytes.
+// maxMintBodyBytes bounds the body of POST /v1/keys.
 const maxMintBodyBytes = 4 << 10
 
 // mintRequest is the body of POST /v1/keys.
@@ -23,7 +23,7 @@
 	Count   int    `json:"count,omitempty"` // zero means one
 }
 
-// mintResponse is the answer to it.
+// mintResponse is the response to POST /v1/keys.
 type mintResponse struct {
 	Keys    []string  `json:"keys"`
 	Expires time.Time `json:"expires"`
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// requestKey returns the request requestKey that the caller wants its request to run under,
-// or nil if it has none.
+// requestKey returns the key for the Idempotency-Key header of the request, or nil
+// if it has none.
 func (g *Gateway) requestKey(x *exchange, p *profile.Profile, session string) (*wire.Key, error) {
 	values := x.r.Header.Values(HeaderIdempotencyKey)
 	if len(values) == 0 {
@@ -93,16 +93,16 @@
 	return len(s) > 0 && len(s) <= maxHeaderValueBytes
 }
 
-// requestState is the answer to GET and DELETE of a request.
+// requestState is the response to GET and DELETE of a request.
 type requestState struct {
 	ID      string            `json:"id"`
 	State   wire.RequestState `json:"state"`
 	Verdict verdict.Verdict   `json:"verdict"`
-	Length  int64             `json:"length"` // bytes of the answer so far
+	Length  int64             `json:"length"` // bytes of the response so far
 }
 
-// requestStatus tells the state of an earlier requestStatus or, with an offset, the rest
-// of its answer.
+// requestStatus writes the state of an earlier request or, if the query has an
+// offset, the rest of its response from there.
 func (g *Gateway) requestStatus(x *exchange) error {
 	key, err := g.earlierKey(x)
 	if err != nil {
@@ -134,8 +134,8 @@
 	return x.writeState(status, err)
 }
 
-// earlierKey returns the key of the request that the path names. To its caller an
-// id of another organisation is one that does not exist.
+// earlierKey returns the key of the request that the path names. An id of another
+// organisation is treated as one that does not exist.
 func (g *Gateway) earlierKey(x *exchange) (wire.Key, error) {
 	key, err := g.router.OpenKey(x.org.Name, x.r.PathValue("id"))
 	if err != nil {
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -9,7 +9,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// Reasons that only the gateway gives.
+// Reasons that only the gateway uses.
 const (
 	reasonHeader   verdict.Reason = "header-too-large"
 	reasonNotFound verdict.Reason = "not-found"
@@ -22,8 +22,8 @@
 	earlierUnknown = "unknown" // value of earlier_attempts
 )
 
-// problem is an RFC 9457 problem document. Its extension members say what is
-// known of the request; error repeats them in the form that chat clients read.
+// problem is an RFC 9457 problem document. Its extension members state what is
+// known about the request; error repeats them in the format that chat clients read.
 type problem struct {
 	Type            string          `json:"type"`
 	Title           string          `json:"title"`
@@ -36,14 +36,14 @@
 	Error           chatError       `json:"error"`
 }
 
-// chatError is an error in the form that chat clients read.
+// chatError is an error in the format that chat clients read.
 type chatError struct {
 	Message   string          `json:"message"`
 	Type      verdict.Reason  `json:"type"`
 	Code      verdict.Reason  `json:"code"`
 	Verdict   verdict.Verdict `json:"verdict"`
 	RequestID string          `json:"request_id,omitempty"`
-	Offset    *int64          `json:"offset,omitempty"` // bytes of the answer that were sent
+	Offset    *int64          `json:"offset,omitempty"` // bytes of the response that were sent
 }
 
 func newProblem(e *verdict.Error) problem {
@@ -63,7 +63,7 @@
 	return p
 }
 
-// writeProblem answers with the truth about a request without an answer.
+// writeProblem writes the problem document for a request that has no response.
 func writeProblem(w http.ResponseWriter, err error) {
 	e := verdict.From(err)
 	p := newProblem(e)
@@ -78,14 +78,14 @@
 	if p.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(p.RetryAfter))
 	}
-	// Chat clients send a request again by themselves after most statuses from
-	// 408 on, unless told not to. What may have run must not run twice for that.
+	// Without this header, chat clients retry a request by themselves after most
+	// statuses from 408 on. A request that may have run must not run twice because of that.
 	h.Set("X-Should-Retry", strconv.FormatBool(e.Verdict == verdict.NotRun && p.RetryAfter > 0))
 	w.WriteHeader(p.Status)
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// statuses are the HTTP statuses of the reasons that are not answered with 503.
+// statuses maps reasons to HTTP statuses. All other reasons have status 503.
 var statuses = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:      http.StatusBadRequest,
 	verdict.ReasonBadKey:          http.StatusBadRequest,
@@ -118,8 +118,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// noRoute answers a request for which there is no route. mux is the handler
-// that knows whether the path exists with another method.
+// noRoute responds to a request for which there is no route. mux is the fallback
+// handler of the ServeMux, which shows whether the path exists with another method.
 func noRoute(w http.ResponseWriter, r *http.Request, mux http.Handler) {
 	probe := &statusProbe{header: make(http.Header)}
 	mux.ServeHTTP(probe, r)
@@ -136,7 +136,7 @@
 	writeProblem(w, verdict.New(verdict.NotRun, reasonNotFound, "there is nothing at this path"))
 }
 
-// statusProbe is a ResponseWriter that keeps what the mux says and no body.
+// statusProbe is a ResponseWriter that records status and header and drops the body.
 type statusProbe struct {
 	header http.Header
 	status int
