--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -16,9 +16,9 @@
 	return f.send(context.Background(), router, http.MethodPost, "/v1/chat/completions", body, nil)
 }
 
-// A chat client that knows nothing of tickets or sessions sends its turns
-// through whichever router answers. Its cached prefix is at one upstream; a
-// session that is named by what changes from turn to turn is sent elsewhere.
+// The turns of a chat without ticket or session header arrive at different routers.
+// The upstream that ran the first turn has the prompt cached. If the session were
+// derived from anything that changes between turns, later turns would run elsewhere.
 func TestChatTurnsGoToOneUpstream(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		for chat := range 5 {
@@ -40,9 +40,9 @@
 	})
 }
 
-// A coach closes the app while a clip is being fetched, and a guest while a
-// room is being booked. The fetch is of no use to anyone; the booking must not
-// be broken off half-way.
+// A caller disconnects while a clip is being fetched, and another one while a room
+// is being booked. The fetch is of no use to anyone and must be cancelled; the
+// booking must not be interrupted half-way.
 func TestDisconnectCancelsReadButNotBooking(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		cancelledAfterDisconnect := func(method, profile string) (n int) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// Headers that concern one connection, the caller's secrets, or the fleet's own
-// words must not cross the gateway in either direction.
+// Headers that concern one connection, the caller's secrets and the fleet's own
+// headers must not be forwarded, neither to the upstream nor to the caller.
 func TestHeadersNotForwarded(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		header := http.Header{
@@ -79,17 +79,18 @@
 		for _, v := range f.vm {
 			if v.upstream.ran("book") {
 				if got := v.upstream.header; len(got) != 1 || got.Get("Accept") != "text/plain" {
-					t.Errorf("the upstream got %v", got)
+					t.Errorf("the upstream got headers %v", got)
 				}
 			}
 		}
 		if r.header.Get("X-Own") != "1" || r.header.Get("X-Hop")+r.header.Get("Set-Cookie") != "" || r.header.Get(gateway.HeaderTicket) == "spoofed" {
-			t.Errorf("the caller got %v", r.header)
+			t.Errorf("the caller got headers %v", r.header)
 		}
 	})
 }
 
-// What callers get wrong, and what they are told.
+// Invalid requests must be rejected as not-run, with the status and reason of the
+// mistake, and without running anything.
 func TestInvalidRequests(t *testing.T) {
 	long := strings.Repeat("x", 2<<20)
 	cases := []struct {
@@ -118,7 +119,7 @@
 			f.send(f.ctx, 0, c.method, c.path, c.body, c.header).expect(t, c.status, "not-run", c.reason)
 		}
 		if runs := f.runs(); len(runs) != 0 {
-			t.Fatalf("ran: %v", runs)
+			t.Fatalf("requests have run: %v", runs)
 		}
 	})
 }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -27,14 +27,14 @@
 
 const (
 	apiKey  = "club-key"
-	booking = "booking" // a profile and service whose calls must not be repeated
-	clips   = "clips"   // one whose calls may
+	booking = "booking" // a profile and service whose calls are not idempotent
+	clips   = "clips"   // a profile and service whose calls are idempotent
 	model   = "notes"
 	tick    = 10 * time.Millisecond
 )
 
-// fleet is routers, sidecars and upstreams in one process, with a store that
-// can be taken away.
+// fleet runs routers, sidecars and fake upstreams in one process, with a store that
+// can be made unavailable.
 type fleet struct {
 	net         *network
 	store       *store
@@ -51,15 +51,15 @@
 // vm is an upstream VM whose sidecar can be replaced by a new incarnation.
 type vm struct {
 	id       string
-	mu       sync.Mutex // held while it is replaced
+	mu       sync.Mutex // held while the sidecar is replaced
 	upstream *fakeUpstream
-	kill     func()
-	shutdown func() // a planned stop
+	kill     func() // closes the listener at once
+	shutdown func() // starts a planned stop
 	starts   uint64
 }
 
-// newFleet starts a fleet whose upstreams take so many requests at a time, and
-// let as many wait.
+// newFleet starts a fleet whose upstreams run up to slots requests at a time and
+// queue as many.
 func newFleet(vms, routers, slots int) *fleet {
 	ring, _ := token.NewKeyring(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
 	f := &fleet{net: newNetwork(), slots: slots, store: newStore(), vms: &vmList{}, ring: ring}
@@ -88,7 +88,7 @@
 		f.vms.set(topo.VM{ID: name, Role: topo.RoleRouter})
 		f.startRouter(name, f.store, f.vms)
 	}
-	time.Sleep(time.Second) // of the bubble's clock: configuration and list are read
+	time.Sleep(time.Second) // of the bubble's clock, until configuration and list of VMs have been read
 	return f
 }
 
@@ -115,12 +115,12 @@
 	})
 	l := f.net.listen(v.id)
 	ctx, shutdown := context.WithCancel(context.Background())
-	v.kill = func() { _ = l.Close() } // at once, like a killed process
+	v.kill = func() { _ = l.Close() } // like a killed process
 	v.shutdown = shutdown
 	go func() { _ = s.Serve(ctx, l) }()
 }
 
-// replace stops a sidecar as planned, and starts another when that has ended.
+// replace stops a sidecar as planned and starts a new one 10 s later.
 func (f *fleet) replace(v *vm) {
 	v.mu.Lock()
 	shutdown := v.shutdown
@@ -130,7 +130,7 @@
 	f.restart(v)
 }
 
-// restart replaces a sidecar, which forgets all that it knew.
+// restart kills a sidecar and starts a new one, which has lost all state.
 func (f *fleet) restart(v *vm) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -148,7 +148,7 @@
 	f.net.cut(func(*faultyConn) bool { return true })
 }
 
-// runs returns how often each request, told apart by its body, has run.
+// runs returns how often each request has run, by body.
 func (f *fleet) runs() map[string]int {
 	out := make(map[string]int)
 	for _, v := range f.vm {
@@ -161,17 +161,17 @@
 	return out
 }
 
-// fakeUpstream logs its runs and answers with what follows from the body.
+// fakeUpstream records its runs and responds with expectedBody of the request's body.
 type fakeUpstream struct {
 	mu        sync.Mutex
 	runs      []string
 	header    http.Header                                  // of the last call
-	cancelled int                                          // runs that were cancelled
-	beforeRun func(ctx context.Context, body string) error // before a run is logged
-	downUntil time.Time                                    // it has crashed and is down until then
-	crashed   chan struct{}                                // closed when it crashes, and replaced
+	cancelled int                                          // number of runs that were cancelled
+	beforeRun func(ctx context.Context, body string) error // called before a run is recorded
+	downUntil time.Time                                    // end of the down time after a crash
+	crashed   chan struct{}                                // closed and replaced on each crash
 	starts    int
-	frozen    bool // runs, and answers nothing until thaw
+	frozen    bool // runs requests, but does not respond until unfreeze is closed
 	unfreeze  chan struct{}
 }
 
@@ -185,10 +185,10 @@
 	return upstream.Health{Instance: upstream.Instance(fmt.Sprint(u.starts))}
 }
 
-// poison begins the body of a request that crashes each upstream that runs it.
+// poison is the prefix of the body of a request that crashes every upstream that runs it.
 const poison = "poison"
 
-// simulateCrash ends all that runs, and the upstream for a while.
+// simulateCrash ends all runs and makes the upstream unavailable for a second.
 func (u *fakeUpstream) simulateCrash() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -239,7 +239,7 @@
 	return &upstream.Response{Status: http.StatusOK, Header: h, Body: &slowBody{ctx: ctx, crashed: crashed, rest: expectedBody(body)}}, nil
 }
 
-// expectedBody is the answer to a body. No two bodies have the same.
+// expectedBody returns the response to a request body. It differs for every body.
 func expectedBody(body string) []byte {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(body))
@@ -250,7 +250,7 @@
 	return b.Bytes()
 }
 
-// slowBody is an answer that comes piece by piece.
+// slowBody returns a response in pieces of at most 100 bytes, one per tick.
 type slowBody struct {
 	ctx     context.Context
 	crashed <-chan struct{}
@@ -275,19 +275,19 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// reply is what a caller has got.
+// reply is a response as its caller received it.
 type reply struct {
 	status  int
 	header  http.Header
 	body    []byte
-	aborted bool // the connection was broken off
+	aborted bool // the connection was broken before the end of the response
 	verdict string
 }
 
-// complete reports whether the caller has good reason to take the answer for complete.
+// complete reports whether the caller can take the response for whole.
 func (r reply) complete() bool { return r.status == http.StatusOK && !r.aborted }
 
-// send makes a request of a router as its HTTP server would.
+// send serves a request by a router's handler, as an HTTP server would.
 func (f *fleet) send(ctx context.Context, router int, method, path, body string, header http.Header) (out reply) {
 	w := httptest.NewRecorder()
 	req := httptest.NewRequestWithContext(ctx, method, path, bytes.NewBufferString(body))
@@ -308,7 +308,7 @@
 	return out
 }
 
-// mint returns a request key.
+// mint returns a new request key, or "" if the router returns none.
 func (f *fleet) mint(router int, profile string) string {
 	r := f.send(f.ctx, router, http.MethodPost, "/v1/keys", `{"profile":"`+profile+`"}`, nil)
 	var keys struct{ Keys []string }
@@ -318,7 +318,7 @@
 	return keys.Keys[0]
 }
 
-// foreignKey returns a key like those of this fleet, of another organisation.
+// foreignKey returns a request key of this fleet that belongs to another organisation.
 func (f *fleet) foreignKey() (string, error) {
 	t, err := f.ring.Open(strings.TrimPrefix(f.mint(0, booking), router.KeyPrefix), token.PurposeKey)
 	t.Org++
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -18,8 +18,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// FuzzRequest sends what any caller may send to a gateway without upstreams:
-// each answer is one, and each failure a problem with a true verdict.
+// FuzzRequest sends arbitrary requests to a gateway without upstreams. Each failure
+// must be a problem document whose verdict is true: nothing has run.
 func FuzzRequest(f *testing.F) {
 	f.Add("POST", "/v1/chat/completions", "", "", `{"model":"m","messages":[{"role":"user","content":"hi"}]}`)
 	f.Add("POST", "/v1/chat/completions", "own key", "", `{"model":"m","messages":[]}`)
@@ -51,15 +51,15 @@
 		}
 		var p struct{ Verdict, Reason string }
 		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil {
-			t.Fatalf("%d with %q", w.Code, w.Body)
+			t.Fatalf("status %d with a body that is not a problem document: %q", w.Code, w.Body)
 		}
 		if p.Verdict != "not-run" && p.Reason != "incarnation-gone" || p.Reason == "internal" {
-			t.Fatalf("%s %s where nothing can run", p.Verdict, p.Reason)
+			t.Fatalf("verdict %s, reason %s, though nothing can run", p.Verdict, p.Reason)
 		}
 	})
 }
 
-// gatewayWithoutUpstreams returns a gateway whose fleet has no upstreams.
+// gatewayWithoutUpstreams returns a gateway of a fleet without upstreams.
 func gatewayWithoutUpstreams(f *testing.F) *gateway.Gateway {
 	s := newStore()
 	for _, model := range []string{"", "m"} {
@@ -81,7 +81,7 @@
 	f.Cleanup(stop)
 	r := router.New(ctx, router.Config{Store: s, VMs: &vmList{}, Ring: ring})
 	for len(r.View().Orgs) == 0 || len(r.View().Profiles) < 2 {
-		time.Sleep(time.Millisecond) // until the configuration has been read
+		time.Sleep(time.Millisecond) // wait until the configuration has been read
 	}
 	return gateway.New(r)
 }
--- a/internal/gateway/network_test.go
+++ b/internal/gateway/network_test.go
@@ -12,14 +12,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// fault is what becomes of one connection after some bytes.
+// fault describes how one connection fails after a number of bytes.
 type fault struct {
-	up, down int  // bytes that get through to the sidecar and back
-	stalls   bool // nothing moves any more, in place of a cut
+	up, down int  // bytes delivered to the sidecar and to the router before the fault; negative: no fault
+	stalls   bool // no more bytes are delivered, but the connection stays open
 }
 
-// network connects routers with sidecars in memory. Each connection that is
-// opened takes the next fault; when there are none left, connections are whole.
+// network connects routers with sidecars in memory. Each new connection takes the
+// next fault; once there are none left, connections don't fail.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -31,7 +31,7 @@
 	return &network{listeners: make(map[string]*listener), open: make(map[*faultyConn]bool)}
 }
 
-// listener implements net.Listener.
+// listener implements net.Listener in memory.
 type listener struct {
 	addr   string
 	conns  chan net.Conn
@@ -63,7 +63,7 @@
 
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: l.addr} }
 
-// dialer returns how one router dials.
+// dialer returns the dial function of one router.
 func (n *network) dialer(router string) func(context.Context, topo.VM) (net.Conn, error) {
 	return func(ctx context.Context, vm topo.VM) (net.Conn, error) {
 		addr := vm.Addr
@@ -97,7 +97,7 @@
 	return c
 }
 
-// cut breaks the connections that match.
+// cut closes the connections for which match returns true.
 func (n *network) cut(match func(*faultyConn) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// faultyConn is a router's end of a connection.
+// faultyConn is the router's end of a connection.
 type faultyConn struct {
 	net.Conn
 	far          net.Conn
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// consume takes up to n bytes from what a direction has left. The second
-// result reports that it has nothing left after them.
+// consume takes up to n bytes from the number of bytes that one direction still
+// delivers. It returns how many it took and whether none are left.
 func (c *faultyConn) consume(n int, remaining func(*fault) *int) (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,14 +168,15 @@
 		if err := c.triggerFault(); err != nil {
 			return 0, err
 		}
-		// What the sidecar sends is taken and lost, like in a socket's buffer.
+		// The bytes that the sidecar sends are read and lost, as in a socket's buffer.
 		_, _ = io.Copy(io.Discard, c.Conn)
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Read(b[:n])
 }
 
-// triggerFault is the fault itself. A silent connection swallows what is written.
+// triggerFault cuts the connection, or returns nil if it stalls: then bytes that are
+// written to it are dropped.
 func (c *faultyConn) triggerFault() error {
 	c.mu.Lock()
 	stalls := c.fault.stalls
--- a/internal/gateway/platform_test.go
+++ b/internal/gateway/platform_test.go
@@ -17,9 +17,9 @@
 	mu          sync.Mutex
 	version     topo.Version
 	objects     map[topo.Ref]topo.Object
-	changed     chan struct{} // closed at each change, and replaced
+	changed     chan struct{} // closed and replaced on each change
 	down        bool
-	lostReplies int // answers to writes that are lost after they took effect
+	lostReplies int // number of writes to come that take effect, but whose response is lost
 }
 
 func newStore() *store {
@@ -137,14 +137,14 @@
 	return l.vms, l.vms.Tag != tag, nil
 }
 
-// clone returns a store that stays as this one is now.
+// clone returns a store with the same objects that does not follow later changes.
 func (s *store) clone() *store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &store{version: s.version, objects: maps.Clone(s.objects), changed: make(chan struct{})}
 }
 
-// clone returns a list that stays as this one is now.
+// clone returns a list with the same VMs that does not follow later changes.
 func (l *vmList) clone() *vmList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -16,7 +16,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// withFleet runs f with a fleet on a clock of its own.
+// withFleet runs f with a new fleet in a synctest bubble, which has its own clock.
 func withFleet(t *testing.T, f func(*testing.T, *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet(testVMs, testRouters, 64)
@@ -40,9 +40,8 @@
 	}
 }
 
-// The clip service freezes while a coach on the bench fetches a clip: it takes
-// the call and never answers. Without a deadline in the router the app hangs
-// until the match is over.
+// Every upstream accepts calls and never responds. Without a deadline in the router
+// the caller would wait indefinitely.
 func TestDeadlineEndsCallToFrozenService(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		for _, v := range f.vm {
@@ -51,15 +50,15 @@
 		began := time.Now()
 		r := f.call(0, clips, "fetch", "")
 		if took := time.Since(began); took > 2*time.Second {
-			t.Fatalf("took %s of 2s", took)
+			t.Fatalf("the call took %s, want at most 2s", took)
 		}
 		r.expect(t, http.StatusGatewayTimeout, "may-have-run", "deadline")
 	})
 }
 
-// The sidecar's VM stops dead: connections open and nothing ever answers. The
-// caller's deadline passes before anything has been sent for it, so that
-// nothing ran, and it is told so.
+// Connections to the sidecars open, but stall at once, as when their VMs freeze. The
+// caller's deadline passes before anything of its request has been sent, so nothing
+// has run, and the verdict must be not-run.
 func TestDeadlineBeforeSendIsNotRun(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		f.net.cut(func(*faultyConn) bool { return true })
@@ -70,17 +69,17 @@
 		f.net.mu.Unlock()
 		r := f.call(0, clips, "fetch", "")
 		if r.verdict != "not-run" || r.header.Get("Retry-After") == "" {
-			t.Fatalf("got %s, retry after %q", r.verdict, r.header.Get("Retry-After"))
+			t.Fatalf("got verdict %s, Retry-After %q", r.verdict, r.header.Get("Retry-After"))
 		}
 		time.Sleep(time.Minute)
 		if runs := f.runs(); len(runs) != 0 {
-			t.Fatalf("ran: %v", runs)
+			t.Fatalf("requests have run: %v", runs)
 		}
 	})
 }
 
-// Every upstream fails what it is asked. If each caller's request is tried
-// again, the upstreams see a multiple of the traffic and stay down under it.
+// Every upstream fails every request. If each request is retried, upstreams get a
+// multiple of the traffic and can't recover, so retries must stay within the retry budget.
 func TestRetriesDoNotAmplify(t *testing.T) {
 	for _, v := range []verdict.Verdict{verdict.MayHaveRun, verdict.NotRun} {
 		t.Run(v.String(), func(t *testing.T) {
@@ -103,18 +102,17 @@
 					}
 				}
 				if attempts <= 200 {
-					t.Fatal("nothing was tried again")
+					t.Fatal("no request was retried")
 				}
 			})
 		})
 	}
 }
 
-// A guest's app sends a booking under an idempotency key of its own. The
-// store's answer to the claim is lost, the app sends again through another
-// router, and the room must be booked once. With the store out, the guest
-// hears at once that this request has not run, and that nothing is known of
-// earlier ones.
+// A booking is sent with an idempotency key that the caller chose. The store's
+// response to the claim is lost, and a copy of the request arrives at another router;
+// the room must be booked once. While the store is unavailable, the caller must get
+// not-run at once, and earlier attempts must be reported as unknown.
 func TestCallerChosenKeyRunsAtMostOnce(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		f.store.update(func(s *store) { s.lostReplies = 1 })
@@ -131,10 +129,10 @@
 		r := f.call(0, booking, "book", "mine")
 		r.expect(t, http.StatusServiceUnavailable, "not-run", "store-down")
 		if r.header.Get(gateway.HeaderEarlierAttempts) != "unknown" || r.header.Get("Retry-After") == "" {
-			t.Fatalf("headers %v", r.header)
+			t.Fatalf("response headers %v", r.header)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Fatalf("took %s", took)
+			t.Fatalf("the response took %s, want at most 1s", took)
 		}
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
@@ -143,7 +141,8 @@
 	})
 }
 
-// What a caller may try with keys and ids that are not its own, or not ours.
+// A caller uses forged keys, or keys and ids of another organisation. All must be
+// rejected with the same response, so that it doesn't reveal which keys exist.
 func TestForgedAndForeignKeysAreRejectedAlike(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		key := f.mint(0, booking)
@@ -162,18 +161,17 @@
 		}
 		for _, b := range bodies {
 			if b != bodies[0] {
-				t.Fatalf("answers differ: %s and %s", bodies[0], b)
+				t.Fatalf("responses differ: %s and %s", bodies[0], b)
 			}
 		}
 		if runs := f.runs(); len(runs) != 0 {
-			t.Fatalf("ran: %v", runs)
+			t.Fatalf("requests have run: %v", runs)
 		}
 	})
 }
 
-// A caller loses its router in mid-answer and comes back for the rest through
-// another one. It is the one who holds the answer's beginning, so each byte
-// must come once, and the request must not run again.
+// A caller is disconnected in the middle of a response and fetches the rest through
+// another router. Each byte must arrive once, and the request must not run again.
 func TestResponseIsResumedThroughAnotherRouter(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		ctx, disconnect := context.WithTimeout(context.Background(), 4*tick)
@@ -183,7 +181,7 @@
 		a := copyResult{body: "book", first: first, answer: first.body}
 		a.resume(f, 1)
 		if id == "" || len(first.body) == 0 || !a.complete || string(a.answer) != string(expectedBody("book")) {
-			t.Fatalf("%d bytes at first, %d in all, whole %v", len(first.body), len(a.answer), a.complete)
+			t.Fatalf("%d bytes at first, %d in total, complete: %v", len(first.body), len(a.answer), a.complete)
 		}
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
@@ -191,10 +189,10 @@
 	})
 }
 
-// One request crashes each upstream that runs it. Its caller's app sends it
-// again at once, through whichever router answers, while other guests' calls
-// run beside it. Without quarantine the whole fleet goes down, one upstream
-// after the other; a careless one convicts the bystanders.
+// One request crashes each upstream that runs it, and its caller retries it at once
+// through different routers, while other calls run at the same upstreams. Without
+// quarantine all upstreams would crash one after the other. Quarantine must not
+// convict the other calls that ran on an upstream that crashed.
 func TestCrashingRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		var wg sync.WaitGroup
@@ -218,15 +216,16 @@
 		wg.Wait()
 		last.expect(t, http.StatusUnprocessableEntity, "not-run", "quarantined")
 		if n := f.runs()[poison]; n > 2 {
-			t.Fatalf("%d upstreams crashed", n)
+			t.Fatalf("%d upstreams crashed, want at most 2", n)
 		}
 	})
 }
 
-// The session's home is down for a moment, so the crashing request runs at the
-// next upstream. Its caller sends it again through a router that has heard of
-// nothing, and the home is back. Unless the home was told before the caller
-// was answered, each of two routers goes by its own crash and a third follows.
+// The session's home upstream is down for a moment, so the crashing request runs at
+// the next one, and its caller retries through a router that has not received any
+// report of the crash, when the home is up again. If the home were not informed of
+// the crash before the caller gets its response, each of the two routers would know
+// of its own crash only, and a third upstream would crash.
 func TestCrashIsReportedToHomeBeforeCaller(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		header := http.Header{gateway.HeaderSession: {"s"}}
@@ -253,10 +252,9 @@
 	})
 }
 
-// An operator drains an upstream, or the list of VMs says that it leaves, while
-// one router is cut off from the store and the list: it goes on sending there
-// what it always sent. The upstream must get no new work all the same, and what
-// it was doing must end well.
+// An upstream is drained by an order, or the list of VMs marks it as leaving, while
+// one router has a stale store and list and still dispatches requests to it. The
+// upstream must run no new requests, and those in flight must end successfully.
 func TestLeavingUpstreamGetsNoNewWorkFromAStaleRouter(t *testing.T) {
 	sources := map[string]func(*fleet, *vm){
 		"drain order": func(f *fleet, v *vm) { f.store.put(topo.KindDrain, v.id, profile.Drain{Name: v.id}) },
@@ -283,7 +281,7 @@
 					body := fmt.Sprint("after ", i)
 					f.call(stale, booking, body, "").expect(t, http.StatusOK, "ran", "")
 					if v.upstream.ran(body) {
-						t.Fatalf("%s ran at the upstream that leaves", body)
+						t.Fatalf("%s ran at the upstream that is leaving", body)
 					}
 				}
 			})
@@ -291,12 +289,12 @@
 	}
 }
 
-// The store goes out, and the entry VMs are replaced meanwhile. A router that
-// starts now has no configuration of its own; turned away by it, callers are
-// out for as long as the store is, although every upstream is well.
+// Routers are replaced while the store is unavailable. A router that starts then
+// can't read the configuration from the store. If it rejected its callers, they would
+// get no service during the whole outage although every upstream is healthy.
 func TestRouterStartedDuringStoreOutageServes(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
-		for i := range 9 { // routers and sidecars compare what they know on the way
+		for i := range 9 { // makes routers and sidecars exchange configuration
 			f.call(i%testRouters, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "")
 		}
 		time.Sleep(10 * time.Second)
@@ -305,7 +303,7 @@
 		f.startRouter("late", f.store, f.vms)
 		time.Sleep(5 * time.Second)
 		f.call(late, booking, "first", "").expect(t, http.StatusOK, "ran", "")
-		time.Sleep(20 * time.Minute) // longer than keys last
+		time.Sleep(20 * time.Minute) // longer than request keys are valid
 		f.call(late, booking, "second", f.mint(late, booking)).expect(t, http.StatusOK, "ran", "")
 		f.store.update(func(s *store) { s.down = false })
 		f.store.put(topo.KindOrganisation, "other", profile.Organisation{
@@ -317,9 +315,9 @@
 	})
 }
 
-// A request was found to crash upstreams last night, and by the morning every
-// VM of the fleet has been replaced. Its caller is still sending it. If nobody
-// remembers, it takes two upstreams each morning.
+// A request was convicted of crashing upstreams, and later every VM of the fleet is
+// replaced while its caller still retries it. If the conviction were lost with the
+// VMs, two more upstreams would crash after each replacement.
 func TestConvictionSurvivesReplacementOfEveryVM(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		for i := range 10 {
@@ -343,9 +341,9 @@
 	})
 }
 
-// The one upstream of a small pool closes its idle connections, as when
-// certificates change, just as a request is written. Nothing was sent and a
-// fresh connection works, but the caller was refused.
+// The only upstream of a pool closes its idle connections, as when certificates
+// change, just as a request is written. Nothing was sent and a new connection works,
+// but the caller got an error.
 func TestRequestSurvivesConnectionClosedDuringSend(t *testing.T) {
 	for up := range 400 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/truth_test.go
+++ b/internal/gateway/truth_test.go
@@ -24,27 +24,27 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// scenario is what befalls a small fleet and its callers.
+// scenario lists the faults of a small fleet and the requests of its callers.
 type scenario struct {
 	faults      []fault
 	slots       int          // of each upstream
-	restarts    []timedEvent // of sidecars
-	shutdowns   []timedEvent // planned stops of sidecars
-	disconnects []timedEvent // of all connections of a router
+	restarts    []timedEvent // sidecars that are killed and restarted
+	shutdowns   []timedEvent // sidecars that are stopped as planned and replaced
+	disconnects []timedEvent // routers that lose all connections
 	callers     []caller
 }
 
-// timedEvent is something that happens to one of several.
+// timedEvent is an event that affects one of several targets, by index.
 type timedEvent struct {
 	at     time.Duration
 	target int
 }
 
-// caller sends one request, in several copies if it holds a key for it.
+// caller sends one request, in up to three copies if it has a key for it.
 type caller struct {
 	profile string
 	hasKey  bool
-	copies  []timedEvent // when, and through which router
+	copies  []timedEvent // time and router of each
 }
 
 const (
@@ -84,17 +84,18 @@
 	}
 }
 
-// copyResult is one copy of a request, as its caller saw it.
+// copyResult is the result of one copy of a request, as its caller saw it.
 type copyResult struct {
 	body       string
 	profile    string
 	sent, done time.Time
 	first      reply
-	answer     []byte // with what was resumed
+	answer     []byte // including the resumed part
 	complete   bool
 }
 
-// runScenario runs a scenario and returns the callers' history and the log of runs.
+// runScenario runs a scenario and returns the callers' results and the number of
+// runs by body.
 func runScenario(s scenario) ([]copyResult, map[string]int) {
 	f := newFleet(testVMs, testRouters, s.slots)
 	defer f.close()
@@ -141,12 +142,12 @@
 		}
 	}
 	wg.Wait()
-	time.Sleep(time.Minute) // whatever still runs comes to its end
+	time.Sleep(time.Minute) // until all runs have ended
 	return history, f.runs()
 }
 
-// sendCopy sends one copy. If its answer breaks off, the caller asks the other
-// router for the rest.
+// sendCopy sends one copy of a request. If the response breaks off, it requests the
+// rest from the other router.
 func (f *fleet) sendCopy(profile, body, key string, via int) copyResult {
 	header := http.Header{}
 	if key != "" {
@@ -174,7 +175,7 @@
 
 var errorEvent = regexp.MustCompile(`data: \{"error":.*"offset":(\d+)`)
 
-// trimErrorEvent takes the gateway's error event off an answer that began at from.
+// trimErrorEvent removes the gateway's error event from a response that began at offset from.
 func trimErrorEvent(b []byte, from int) []byte {
 	match := errorEvent.FindSubmatch(b)
 	if match == nil {
@@ -184,20 +185,20 @@
 	return bytes.Clone(b[:offset-from])
 }
 
-// keyState is what may be true of a request key.
+// keyState is the state of a request key that its caller can infer.
 type keyState int
 
 const (
 	keyFresh keyState = iota
 	keyRan
-	keyNeverRuns // answered not-run, for good
+	keyNeverRuns // not-run was returned, so it must never run
 )
 
-// audit is an operation that reads the upstreams' log at the end.
+// audit is an operation that reads the number of runs at the end.
 type audit struct{ runs int }
 
-// keyModel is a request key as its caller may think of it: it runs or does not,
-// once for all, whatever copies of the request say or how they overlap.
+// keyModel models a request key: it either runs once or never runs, however copies
+// of the request overlap.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyFresh },
 	Step: func(state, in, out any) (bool, any) {
@@ -216,11 +217,11 @@
 	},
 }
 
-// A guest's booking request crosses a fleet in which connections break or go
-// silent after any byte, sidecars restart and routers lose all connections,
-// and the guest's app sends copies of it through other routers meanwhile. The
-// guest must not hear "not run" of what has run or will, find two bookings, or
-// get an answer that is not, byte for byte, the one to this request.
+// Connections break or stall after an arbitrary byte, sidecars restart, routers lose
+// all connections, and callers send copies of a booking request through several
+// routers meanwhile. A caller must not get not-run for a request that has run or will
+// run, a booking must not run twice, and every response must be, byte for byte, the
+// one to its request.
 func TestVerdictsMatchRuns(t *testing.T) {
 	seen := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -255,14 +256,14 @@
 		return
 	}
 	if a.complete && !bytes.Equal(a.answer, want) {
-		t.Fatalf("%s: %d bytes as whole are not the answer's %d", a.body, len(a.answer), len(want))
+		t.Fatalf("%s: complete response of %d bytes differs from the expected one of %d", a.body, len(a.answer), len(want))
 	}
 	if !bytes.HasPrefix(want, a.answer) {
-		t.Fatalf("%s: %d bytes are not the first of the answer's %d", a.body, len(a.answer), len(want))
+		t.Fatalf("%s: the %d bytes received are not a prefix of the expected response of %d", a.body, len(a.answer), len(want))
 	}
 }
 
-// checkKey checks the copies of what must not run twice against the model.
+// checkKey checks the verdicts on the copies of a non-idempotent request against keyModel.
 func checkKey(t *rapid.T, copies []copyResult, runs int) {
 	if runs > 1 {
 		t.Fatalf("%s ran %d times", copies[0].body, runs)
@@ -279,7 +280,7 @@
 	}
 	ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: audit{runs}, Output: "", Call: last + 1, Return: last + 2})
 	if !porcupine.CheckOperations(keyModel, ops) {
-		t.Fatalf("%s: the verdicts do not fit together: %v with %d runs", copies[0].body, verdicts(copies), runs)
+		t.Fatalf("%s: the verdicts contradict each other or the log: %v with %d runs", copies[0].body, verdicts(copies), runs)
 	}
 }
 
@@ -291,8 +292,8 @@
 	return out
 }
 
-// checkNotRun holds for idempotent requests as well: if all that a caller was
-// told is not-run, nothing has run.
+// checkNotRun checks that nothing has run if every copy of a request got not-run.
+// It applies to idempotent requests as well.
 func checkNotRun(t *rapid.T, copies []copyResult, runs int) {
 	for _, a := range copies {
 		if a.first.verdict != "not-run" || a.first.header.Get(gateway.HeaderEarlierAttempts) != "" {
@@ -300,6 +301,6 @@
 		}
 	}
 	if runs > 0 {
-		t.Fatalf("%s: not-run, and ran %d times", copies[0].body, runs)
+		t.Fatalf("%s: got not-run, but ran %d times", copies[0].body, runs)
 	}
 }
