--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -46,10 +46,10 @@
 func TestDisconnectCancelsReadButNotBooking(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
 		cancelledAfterDisconnect := func(method, profile string) (n int) {
-			ctx, disconnect := context.WithTimeout(context.Background(), 3*tick)
+			ctx, disconnect := context.WithTimeout(context.Background(), 3*responseInterval)
 			defer disconnect()
 			f.send(ctx, 0, method, "/services/"+profile+"/x", method+profile, nil)
-			time.Sleep(2 * tick)
+			time.Sleep(2 * responseInterval)
 			for _, v := range f.vm {
 				v.upstream.mu.Lock()
 				n += v.upstream.cancelled
--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -33,7 +33,7 @@
 	return &CallerServer{
 		Server: &http.Server{
 			Handler:           h,
-			ConnContext:       withConn,
+			ConnContext:       contextWithConn,
 			ReadHeaderTimeout: headerTimeoutSentinel,
 			IdleTimeout:       idleTimeoutSentinel,
 			MaxHeaderBytes:    serverMaxHeaderBytes,
@@ -109,8 +109,8 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// withConn stores the caller's connection in the context of its requests.
-func withConn(ctx context.Context, c net.Conn) context.Context {
+// contextWithConn stores the caller's connection in the context of its requests.
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	if caller, ok := c.(*callerConn); ok {
 		c = caller.Conn
 	}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	apiKey  = "club-key"
-	booking = "booking" // a profile and service whose calls are not idempotent
-	clips   = "clips"   // a profile and service whose calls are idempotent
-	model   = "notes"
-	tick    = 10 * time.Millisecond
+	apiKey           = "club-key"
+	booking          = "booking" // a profile and service whose calls are not idempotent
+	clips            = "clips"   // a profile and service whose calls are idempotent
+	model            = "notes"
+	responseInterval = 10 * time.Millisecond
 )
 
 // fleet runs routers, sidecars and fake upstreams in one process, with a store that
@@ -226,7 +226,7 @@
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")
 	}
 	if strings.HasPrefix(body, poison) {
-		time.Sleep(2 * tick)
+		time.Sleep(2 * responseInterval)
 		u.simulateCrash()
 		return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamFailed, "")
 	}
@@ -259,7 +259,7 @@
 
 func (b *slowBody) Read(p []byte) (int, error) {
 	select {
-	case <-time.After(tick):
+	case <-time.After(responseInterval):
 	case <-b.crashed:
 		return 0, io.ErrUnexpectedEOF
 	case <-b.ctx.Done():
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -50,12 +50,12 @@
 
 // copier writes one response to its caller.
 type copier struct {
-	w      http.ResponseWriter
-	ctl    *http.ResponseController
-	id     string
-	events bool   // the response is a stream of server-sent events
-	offset int64  // of the next byte of the response
-	tail   []byte // last bytes sent, which show whether an event is complete
+	w         http.ResponseWriter
+	ctl       *http.ResponseController
+	id        string
+	events    bool   // the response is a stream of server-sent events
+	offset    int64  // of the next byte of the response
+	lastBytes []byte // last bytes sent, which show whether an event is complete
 }
 
 // copyResponse copies a response to the caller and closes it. The caller has
@@ -90,7 +90,7 @@
 		return err
 	}
 	c.offset += int64(len(p.Bytes))
-	c.tail = append(c.tail[:0], p.Bytes[max(0, len(p.Bytes)-len(eventEnd)):]...)
+	c.lastBytes = append(c.lastBytes[:0], p.Bytes[max(0, len(p.Bytes)-len(eventEnd)):]...)
 	return c.ctl.Flush()
 }
 
@@ -117,7 +117,7 @@
 // whole response.
 func (c *copier) abort(e *verdict.Error) *verdict.Error {
 	if c.events {
-		if !bytes.HasSuffix(c.tail, eventEnd) {
+		if !bytes.HasSuffix(c.lastBytes, eventEnd) {
 			_, _ = c.w.Write(eventEnd)
 		}
 		body, _ := json.Marshal(struct { // has no value that fails to encode
--- a/internal/gateway/network_test.go
+++ b/internal/gateway/network_test.go
@@ -14,8 +14,8 @@
 
 // fault describes how one connection fails after a number of bytes.
 type fault struct {
-	up, down int  // bytes delivered to the sidecar and to the router before the fault; negative: no fault
-	stalls   bool // no more bytes are delivered, but the connection stays open
+	toSidecar, toRouter int  // bytes delivered to the sidecar and to the router before the fault; negative: no fault
+	stalls              bool // no more bytes are delivered, but the connection stays open
 }
 
 // network connects routers with sidecars in memory. Each new connection takes the
@@ -88,7 +88,7 @@
 func (n *network) wrap(router, addr string, near, far net.Conn) net.Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f := fault{up: -1, down: -1}
+	f := fault{toSidecar: -1, toRouter: -1}
 	if len(n.faults) > 0 {
 		f, n.faults = n.faults[0], n.faults[1:]
 	}
@@ -146,11 +146,11 @@
 	return n, *p == 0
 }
 
-func up(f *fault) *int   { return &f.up }
-func down(f *fault) *int { return &f.down }
+func toSidecar(f *fault) *int { return &f.toSidecar }
+func toRouter(f *fault) *int  { return &f.toRouter }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
-	n, exhausted := c.consume(len(b), up)
+	n, exhausted := c.consume(len(b), toSidecar)
 	if n > 0 {
 		if n, err := c.Conn.Write(b[:n]); err != nil {
 			return n, err
@@ -163,7 +163,7 @@
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
-	n, exhausted := c.consume(len(b), down)
+	n, exhausted := c.consume(len(b), toRouter)
 	if exhausted && n == 0 {
 		if err := c.triggerFault(); err != nil {
 			return 0, err
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -174,14 +174,14 @@
 // another router. Each byte must arrive once, and the request must not run again.
 func TestResponseIsResumedThroughAnotherRouter(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
-		ctx, disconnect := context.WithTimeout(context.Background(), 4*tick)
+		ctx, disconnect := context.WithTimeout(context.Background(), 4*responseInterval)
 		defer disconnect()
 		first := f.send(ctx, 0, http.MethodPost, "/services/"+booking+"/x", "book", nil)
 		id := first.header.Get(gateway.HeaderRequestID)
-		a := copyResult{body: "book", first: first, answer: first.body}
+		a := copyResult{body: "book", first: first, received: first.body}
 		a.resume(f, 1)
-		if id == "" || len(first.body) == 0 || !a.complete || string(a.answer) != string(expectedBody("book")) {
-			t.Fatalf("%d bytes at first, %d in total, complete: %v", len(first.body), len(a.answer), a.complete)
+		if id == "" || len(first.body) == 0 || !a.complete || string(a.received) != string(expectedBody("book")) {
+			t.Fatalf("%d bytes at first, %d in total, complete: %v", len(first.body), len(a.received), a.complete)
 		}
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
@@ -265,21 +265,21 @@
 	for name, startDrain := range sources {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(t *testing.T, f *fleet) {
-				stale := len(f.gateways)
+				staleRouter := len(f.gateways)
 				f.startRouter("stale", f.store.clone(), f.vms.clone())
 				time.Sleep(3 * time.Second)
 				v := f.vm[0]
 				var inFlight sync.WaitGroup
 				for i := range 9 {
-					inFlight.Go(func() { f.call(stale, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "") })
+					inFlight.Go(func() { f.call(staleRouter, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "") })
 				}
-				time.Sleep(tick)
+				time.Sleep(responseInterval)
 				startDrain(f, v)
 				inFlight.Wait()
 				time.Sleep(4 * time.Second)
 				for i := range 30 {
 					body := fmt.Sprint("after ", i)
-					f.call(stale, booking, body, "").expect(t, http.StatusOK, "ran", "")
+					f.call(staleRouter, booking, body, "").expect(t, http.StatusOK, "ran", "")
 					if v.upstream.ran(body) {
 						t.Fatalf("%s ran at the upstream that is leaving", body)
 					}
@@ -299,19 +299,19 @@
 		}
 		time.Sleep(10 * time.Second)
 		f.store.update(func(s *store) { s.down = true })
-		late := len(f.gateways)
+		lateRouter := len(f.gateways)
 		f.startRouter("late", f.store, f.vms)
 		time.Sleep(5 * time.Second)
-		f.call(late, booking, "first", "").expect(t, http.StatusOK, "ran", "")
+		f.call(lateRouter, booking, "first", "").expect(t, http.StatusOK, "ran", "")
 		time.Sleep(20 * time.Minute) // longer than request keys are valid
-		f.call(late, booking, "second", f.mint(late, booking)).expect(t, http.StatusOK, "ran", "")
+		f.call(lateRouter, booking, "second", f.mint(lateRouter, booking)).expect(t, http.StatusOK, "ran", "")
 		f.store.update(func(s *store) { s.down = false })
 		f.store.put(topo.KindOrganisation, "other", profile.Organisation{
 			Name: "other", Weight: 1, Profiles: []string{booking}, Keys: []profile.APIKey{{ID: "k", SHA256: profile.HashKey("other-key")}},
 		})
 		time.Sleep(7 * time.Second)
 		header := http.Header{"Authorization": {"Bearer other-key"}}
-		f.send(f.ctx, late, http.MethodPost, "/services/"+booking+"/x", "third", header).expect(t, http.StatusOK, "ran", "")
+		f.send(f.ctx, lateRouter, http.MethodPost, "/services/"+booking+"/x", "third", header).expect(t, http.StatusOK, "ran", "")
 	})
 }
 
@@ -331,10 +331,10 @@
 		for _, v := range f.vm {
 			f.restart(v)
 		}
-		late := len(f.gateways)
+		lateRouter := len(f.gateways)
 		f.startRouter("late", f.store, f.vms)
 		time.Sleep(5 * time.Second)
-		f.call(late, booking, poison, "").expect(t, http.StatusUnprocessableEntity, "not-run", "quarantined")
+		f.call(lateRouter, booking, poison, "").expect(t, http.StatusUnprocessableEntity, "not-run", "quarantined")
 		if n := f.runs()[poison]; n != before || n > 2 {
 			t.Fatalf("%d upstreams crashed, %d of them before", n, before)
 		}
@@ -351,7 +351,7 @@
 			defer f.close()
 			f.net.cut(func(*faultyConn) bool { return true })
 			f.net.mu.Lock()
-			f.net.faults = []fault{{up: up, down: -1}}
+			f.net.faults = []fault{{toSidecar: up, toRouter: -1}}
 			f.net.mu.Unlock()
 			r := f.call(0, booking, "book", "")
 			if strings.Contains(string(r.body), `"detail":"not sent`) {
--- a/internal/gateway/truth_test.go
+++ b/internal/gateway/truth_test.go
@@ -61,7 +61,7 @@
 		})
 	}
 	faults := rapid.Custom(func(t *rapid.T) fault {
-		return fault{up: bytesUntil.Draw(t, "up"), down: bytesUntil.Draw(t, "down"), stalls: rapid.Bool().Draw(t, "silent")}
+		return fault{toSidecar: bytesUntil.Draw(t, "up"), toRouter: bytesUntil.Draw(t, "down"), stalls: rapid.Bool().Draw(t, "silent")}
 	})
 	callers := rapid.Custom(func(t *rapid.T) caller {
 		c := caller{
@@ -90,7 +90,7 @@
 	profile    string
 	sent, done time.Time
 	first      reply
-	answer     []byte // including the resumed part
+	received   []byte // including the resumed part
 	complete   bool
 }
 
@@ -156,7 +156,7 @@
 	a := copyResult{body: body, profile: profile, sent: time.Now()}
 	a.first = f.send(context.Background(), via, http.MethodPost, "/services/"+profile+"/x", body, header)
 	a.done = time.Now()
-	a.answer, a.complete = a.first.body, a.first.complete()
+	a.received, a.complete = a.first.body, a.first.complete()
 	if a.first.status == http.StatusOK && a.first.aborted {
 		a.resume(f, 1-via)
 	}
@@ -164,11 +164,11 @@
 }
 
 func (a *copyResult) resume(f *fleet, via int) {
-	a.answer = trimErrorEvent(a.answer, 0)
-	path := "/v1/requests/" + a.first.header.Get(gateway.HeaderRequestID) + "?offset=" + strconv.Itoa(len(a.answer))
+	a.received = trimErrorEvent(a.received, 0)
+	path := "/v1/requests/" + a.first.header.Get(gateway.HeaderRequestID) + "?offset=" + strconv.Itoa(len(a.received))
 	rest := f.send(context.Background(), via, http.MethodGet, path, "", nil)
 	if rest.status == http.StatusOK {
-		a.answer = append(a.answer, trimErrorEvent(rest.body, len(a.answer))...)
+		a.received = append(a.received, trimErrorEvent(rest.body, len(a.received))...)
 		a.complete = rest.complete()
 	}
 }
@@ -223,7 +223,7 @@
 // run, a booking must not run twice, and every response must be, byte for byte, the
 // one to its request.
 func TestVerdictsMatchRuns(t *testing.T) {
-	seen := make(map[string]int)
+	verdictCounts := make(map[string]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
 		var history []copyResult
@@ -231,9 +231,9 @@
 		synctest.Test(t, func(*testing.T) { history, runs = runScenario(s) })
 		byBody := make(map[string][]copyResult)
 		for _, a := range history {
-			seen[a.first.verdict]++
+			verdictCounts[a.first.verdict]++
 			byBody[a.body] = append(byBody[a.body], a)
-			checkAnswer(rt, a)
+			checkResponse(rt, a)
 		}
 		for body, copies := range byBody {
 			if copies[0].profile == booking {
@@ -243,23 +243,23 @@
 		}
 	})
 	for _, v := range []string{"ran", "not-run", "may-have-run"} {
-		if seen[v] == 0 {
-			t.Errorf("no scenario led to %s: %v", v, seen)
+		if verdictCounts[v] == 0 {
+			t.Errorf("no scenario led to %s: %v", v, verdictCounts)
 		}
 	}
-	t.Log(seen)
+	t.Log(verdictCounts)
 }
 
-func checkAnswer(t *rapid.T, a copyResult) {
+func checkResponse(t *rapid.T, a copyResult) {
 	want := expectedBody(a.body)
 	if a.first.status != http.StatusOK {
 		return
 	}
-	if a.complete && !bytes.Equal(a.answer, want) {
-		t.Fatalf("%s: complete response of %d bytes differs from the expected one of %d", a.body, len(a.answer), len(want))
+	if a.complete && !bytes.Equal(a.received, want) {
+		t.Fatalf("%s: complete response of %d bytes differs from the expected one of %d", a.body, len(a.received), len(want))
 	}
-	if !bytes.HasPrefix(want, a.answer) {
-		t.Fatalf("%s: the %d bytes received are not a prefix of the expected response of %d", a.body, len(a.answer), len(want))
+	if !bytes.HasPrefix(want, a.received) {
+		t.Fatalf("%s: the %d bytes received are not a prefix of the expected response of %d", a.body, len(a.received), len(want))
 	}
 }
 
--- a/internal/profile/read_test.go
+++ b/internal/profile/read_test.go
@@ -23,7 +23,7 @@
 // A file with several mistakes must be rejected with all of them and their
 // positions. If only the first one were reported, the operator would have to come
 // back for each. A misspelt field that were ignored would leave a default in force.
-func TestReadReportsEveryMistakeAtItsPlace(t *testing.T) {
+func TestReadReportsEveryMistakeWithPosition(t *testing.T) {
 	text, err := os.ReadFile("testdata/mistakes.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 
 // A profile must be the same after it has been stored and decoded by a router, or
 // read from a file, also where a field is set to zero and its default is not zero.
-func TestProfileSurvivesTheStore(t *testing.T) {
+func TestProfileRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawProfile(t)
 		value, err := Encode(p)
