--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -15,7 +15,7 @@
 	// http.Server, which are fixed for its lifetime, while operators change theirs
 	// when connections are open. A callerConn recognises by them which timeout the
 	// server sets and replaces it by the operators' one. Both are far longer than
-	// any timeout that operators can set.
+	// any timeout that operators set.
 	headerTimeoutSentinel = 24 * time.Hour
 	idleTimeoutSentinel   = 48 * time.Hour
 	// sentinelSlack is the time that may pass between the computation of a deadline
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -40,7 +40,7 @@
 	store       *store
 	vms         *vmList
 	gateways    []*gateway.Gateway
-	stopRouters []context.CancelFunc // of the routers
+	stopRouters []context.CancelFunc
 	vm          []*vm
 	stop        context.CancelFunc
 	ctx         context.Context
@@ -53,7 +53,7 @@
 	id       string
 	mu       sync.Mutex // held while the sidecar is replaced
 	upstream *fakeUpstream
-	kill     func() // closes the listener at once
+	kill     func() // stops the sidecar at once
 	shutdown func() // starts a planned stop
 	starts   uint64
 }
@@ -250,7 +250,7 @@
 	return b.Bytes()
 }
 
-// slowBody returns a response in pieces of at most 100 bytes, one per tick.
+// slowBody returns a response in pieces of at most 100 bytes, one per responseInterval.
 type slowBody struct {
 	ctx     context.Context
 	crashed <-chan struct{}
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -55,10 +55,10 @@
 	return nil
 }
 
-// closeAfterChunked closes the connection after a chunked request. If the request
-// also had a Content-Length, the server reads it by its chunks, as RFC 9112 requires,
-// but a proxy that reads it by the length takes what follows the last chunk for a
-// part of the body, where this server would read another request. Such requests
+// closeAfterChunked closes the connection after a chunked request. A request may have
+// a Content-Length beside its chunks. The server reads it by its chunks, as it should,
+// but a proxy that reads it by its length takes what follows the last chunk for a part
+// of the body, while the server would read that as a request of its own. Such requests
 // can't be recognised here, as the server removes the Content-Length.
 func (x *platformExchange) closeAfterChunked() {
 	if len(x.r.TransferEncoding) > 0 {
