--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,13 +16,13 @@
 
 // Paths of the API. Those under fleet ask every live router.
 const (
-	PathStatus   = "/admin/status"
-	PathVersions = "/admin/config/versions"
-	PathWait     = "/admin/config/wait"
-	PathExplain  = "/admin/explain"
-	PathFleet    = "/admin/fleet"
-	PathFleetAll = "/admin/fleet/wait"
-	PathVars     = "/debug/vars"
+	PathStatus    = "/admin/status"
+	PathVersions  = "/admin/config/versions"
+	PathWait      = "/admin/config/wait"
+	PathExplain   = "/admin/explain"
+	PathFleet     = "/admin/fleet"
+	PathFleetWait = "/admin/fleet/wait"
+	PathVars      = "/debug/vars"
 )
 
 // Node is what the API needs of the router that serves it. Its methods may be
@@ -70,8 +70,8 @@
 	Pools         []PoolStatus  `json:"pools"`
 	Control       []ControlRate `json:"control"`
 	Quarantined   []Quarantined `json:"quarantined,omitempty"`
-	// Unread are words of other systems that came and that the router does not read.
-	Unread []vocabulary.UnknownWord `json:"unread,omitempty"`
+	// UnknownWords are words of other systems that came and that the router does not read.
+	UnknownWords []vocabulary.UnknownWord `json:"unread,omitempty"`
 }
 
 // ConfigStatus is how far a router follows the configuration.
@@ -80,8 +80,8 @@
 	// Rejected are the objects that the router holds to be invalid. It goes on
 	// with the version before.
 	Rejected []profile.Problem `json:"rejected,omitempty"`
-	// StoreHeard is when the store answered last; zero is never.
-	StoreHeard time.Time `json:"store_heard,omitzero"`
+	// LastStoreResponse is when the store answered last; zero is never.
+	LastStoreResponse time.Time `json:"store_heard,omitzero"`
 }
 
 // PoolStatus is a pool as one router sees it, by samples of other nodes.
@@ -107,24 +107,24 @@
 	Load          int    `json:"load"`  // requests admitted and not ended
 }
 
-// UpstreamAccount is what a router holds against an upstream that has no sidecar.
-type UpstreamAccount struct {
+// UpstreamConditions is what a router holds against an upstream that has no sidecar.
+type UpstreamConditions struct {
 	VM            string      `json:"vm"`
 	Addr          string      `json:"addr"`
 	Pool          string      `json:"pool"`
 	FailureDomain string      `json:"failure_domain,omitempty"`
 	Load          float64     `json:"load"`          // requests, as believed
-	Work          string      `json:"work"`          // whether it gets requests: never, last or freely
-	Why           string      `json:"why,omitempty"` // the kind of condition that says so
+	Permission    string      `json:"work"`          // whether it gets requests: never, last or freely
+	Reason        string      `json:"why,omitempty"` // the kind of condition that says so
 	Conditions    []Condition `json:"conditions,omitempty"`
 }
 
 // Condition is something that speaks against an upstream.
 type Condition struct {
-	Kind  string    `json:"kind"`
-	By    string    `json:"by"` // who says so
-	Since time.Time `json:"since,omitzero"`
-	Until time.Time `json:"until,omitzero"`
+	Kind   string    `json:"kind"`
+	Source string    `json:"by"` // who says so
+	Since  time.Time `json:"since,omitzero"`
+	Until  time.Time `json:"until,omitzero"`
 }
 
 // ControlRate is what a router spends on control traffic of one kind.
@@ -172,7 +172,7 @@
 	State         string `json:"state"`
 	Load          int    `json:"load"`
 	Bound         int    `json:"bound"` // as the router estimates it; zero: none
-	Why           string `json:"why"`
+	Reason        string `json:"why"`
 }
 
 // ObjectVersion is an object at a version.
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(ctx, waitTime(r)+fleetTimeout)
 	defer cancel()
 	var w FleetWait
-	err := c.post(ctx, PathFleetAll, r, &w)
+	err := c.post(ctx, PathFleetWait, r, &w)
 	return w, err
 }
 
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -15,13 +15,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Followed is what has come into force, or was rejected.
-type Followed struct {
+// Update is what has come into force, or was rejected.
+type Update struct {
 	Objects  []admin.ObjectVersion
 	Rejected []profile.Problem // each object's first problem
 	Complete topo.Version      // of the store, up to which all is known
-	// StoreHeard is when the store last answered with what was not stale.
-	StoreHeard time.Time
+	// LastStoreResponse is when the store last answered with what was not stale.
+	LastStoreResponse time.Time
 }
 
 // Ledger is which version of each object is in force, for operators. The
@@ -46,8 +46,8 @@
 	}
 }
 
-// Take takes in what has come into force.
-func (l *Ledger) Take(f Followed) {
+// Apply takes in what has come into force.
+func (l *Ledger) Apply(f Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range f.Objects {
@@ -60,7 +60,7 @@
 	}
 	l.dirty = l.dirty || len(f.Objects)+len(f.Rejected) > 0 || f.Complete > l.complete
 	l.complete = max(l.complete, f.Complete)
-	l.heard = f.StoreHeard
+	l.heard = f.LastStoreResponse
 }
 
 // Publish tells those who wait for Next of what was taken in.
@@ -101,7 +101,7 @@
 func (l *Ledger) Status() admin.ConfigStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := admin.ConfigStatus{Version: l.newest, StoreHeard: l.heard}
+	s := admin.ConfigStatus{Version: l.newest, LastStoreResponse: l.heard}
 	for _, p := range l.rejected {
 		s.Rejected = append(s.Rejected, p)
 	}
@@ -109,8 +109,8 @@
 	return s
 }
 
-// Next is closed when the configuration in force changes next.
-func (l *Ledger) Next() <-chan struct{} {
+// Changed is closed when the configuration in force changes next.
+func (l *Ledger) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -45,7 +45,7 @@
 	s.mux.HandleFunc("POST "+PathWait, s.wait)
 	s.mux.HandleFunc("POST "+PathExplain, s.explain)
 	s.mux.HandleFunc("GET "+PathFleet, s.fleet)
-	s.mux.HandleFunc("POST "+PathFleetAll, s.fleetWait)
+	s.mux.HandleFunc("POST "+PathFleetWait, s.fleetWait)
 	s.mux.Handle("GET "+PathVars, telemetry.Handler())
 	return s
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -13,7 +13,7 @@
 // settled returns a State that has asked n upstreams, all with what is wanted.
 func settled(n int) (*State, time.Time) {
 	s, now := NewState(time.Second), time.Unix(1_800_000_000, 0)
-	s.Step(Held{Now: now, Token: 1})
+	s.Step(LeaseChanged{Now: now, Token: 1})
 	s.Step(fleetOf(n))
 	for !s.fenced {
 		for _, send := range s.Step(Tick{Now: now}) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -39,8 +39,8 @@
 	Process string
 	// LeaseTTL is how long the lease lasts without renewal.
 	LeaseTTL time.Duration
-	// LoadEvery is the time between two loads that the weight store allows.
-	LoadEvery time.Duration
+	// LoadInterval is the time between two loads that the weight store allows.
+	LoadInterval time.Duration
 	// Routers returns the VMs of routers that the platform lists.
 	Routers func() []string
 	// Desired returns the pools and the VMs of their upstreams.
@@ -63,12 +63,12 @@
 func New(c Config) *Controller {
 	stands := func() bool { return lease.IsCandidate(LeaseName, c.Self, c.Routers()) }
 	ctl := &Controller{config: c, lease: lease.NewRunner(c.Store, LeaseName, c.Self+"/"+c.Process, c.LeaseTTL, stands)}
-	ctl.loop = loop.New(NewState(c.LoadEvery), ctl.act, func() {})
+	ctl.loop = loop.New(NewState(c.LoadInterval), ctl.act, func() {})
 	return ctl
 }
 
-// Holds reports whether this router is the controller.
-func (c *Controller) Holds() bool {
+// HoldsLease reports whether this router is the controller.
+func (c *Controller) HoldsLease() bool {
 	return c.lease.Grant().Valid(time.Now())
 }
 
@@ -101,7 +101,7 @@
 	if !grant.Valid(now) {
 		grant.Token = 0
 	}
-	c.loop.Post(Held{Now: now, Token: grant.Token})
+	c.loop.Post(LeaseChanged{Now: now, Token: grant.Token})
 	if grant.Token == 0 {
 		return
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -93,7 +93,7 @@
 	for _, e := range r.engines {
 		d.VMs = append(d.VMs, e.vm)
 	}
-	r.holder.Step(Held{Now: r.now, Token: r.token})
+	r.holder.Step(LeaseChanged{Now: r.now, Token: r.token})
 	r.holder.Step(d)
 }
 
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -33,8 +33,8 @@
 // Event is something that has happened to a controller.
 type Event interface{ isEvent() }
 
-// Held is a change of the lease. A zero token means that it is not held.
-type Held struct {
+// LeaseChanged is a change of the lease. A zero token means that it is not held.
+type LeaseChanged struct {
 	Now   time.Time
 	Token wire.FencingToken
 }
@@ -59,10 +59,10 @@
 	Now time.Time
 }
 
-func (Held) isEvent()    {}
-func (Desired) isEvent() {}
-func (Replied) isEvent() {}
-func (Tick) isEvent()    {}
+func (LeaseChanged) isEvent() {}
+func (Desired) isEvent()      {}
+func (Replied) isEvent()      {}
+func (Tick) isEvent()         {}
 
 // Send gives an order to a sidecar; Replied follows.
 type Send struct {
@@ -108,7 +108,7 @@
 // Step applies an event.
 func (s *State) Step(event Event) []Send {
 	switch e := event.(type) {
-	case Held:
+	case LeaseChanged:
 		s.held(e)
 	case Desired:
 		s.desired(e)
@@ -122,7 +122,7 @@
 
 // held begins or ends a holding. Whatever was known before is forgotten: the
 // holder in between may have changed it.
-func (s *State) held(e Held) {
+func (s *State) held(e LeaseChanged) {
 	if e.Token == s.token {
 		return
 	}
--- a/internal/controller/sweep.go
+++ b/internal/controller/sweep.go
@@ -55,7 +55,7 @@
 
 func (c *Controller) pass(ctx context.Context, kind topo.Kind) {
 	cont := ""
-	for c.Holds() {
+	for c.HoldsLease() {
 		page, err := c.config.Store.List(ctx, kind, cont)
 		if err != nil {
 			return // the store is down or busy: the next pass will do
@@ -75,7 +75,7 @@
 // remove deletes an object at the version that was seen to be old: one that
 // has been renewed since stays. It reports whether to go on.
 func (c *Controller) remove(ctx context.Context, o topo.Object) bool {
-	if !rest(ctx, deleteEvery) || !c.Holds() {
+	if !rest(ctx, deleteEvery) || !c.HoldsLease() {
 		return false
 	}
 	err := c.config.Store.Delete(ctx, o.Ref, o.Version)
--- a/internal/controller/sweep_test.go
+++ b/internal/controller/sweep_test.go
@@ -36,7 +36,7 @@
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		c := New(Config{
-			Store: s, Self: "a", Process: "1", LeaseTTL: lease.DefaultTTL, LoadEvery: time.Second,
+			Store: s, Self: "a", Process: "1", LeaseTTL: lease.DefaultTTL, LoadInterval: time.Second,
 			Routers: func() []string { return []string{"a"} },
 			Desired: func() Desired { return Desired{} },
 		})
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0f\n", r.VM, r.Status.FailureDomain, routerState(*r.Status),
-			s.versionOf(*r.Status), ago(r.Status.Config.StoreHeard), controlRate(*r.Status))
+			s.versionOf(*r.Status), ago(r.Status.Config.LastStoreResponse), controlRate(*r.Status))
 	}
 	fmt.Fprintln(w, "\nPOOL\tUPSTREAMS\tSERVING\tDRAINING\tDOWN\tMEAN LOAD\tMAX LOAD\tSKEW\tBUSIEST\tSEEN BY")
 	for _, p := range s.Pools {
@@ -127,7 +127,7 @@
 		for _, p := range r.Status.Config.Rejected {
 			fmt.Fprintf(w, "\nrejected by %s: %s\n", r.VM, p)
 		}
-		for _, u := range r.Status.Unread {
+		for _, u := range r.Status.UnknownWords {
 			fmt.Fprintf(w, "\nnot read by %s: %s, %s (%d times, first in %s)\n", r.VM, u.Place, u.Word, u.Count, u.Message)
 		}
 	}
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -15,14 +15,14 @@
 // runController lets a router stand for the controller's lease until ctx ends.
 func runController(ctx context.Context, store topo.Store, vm string, s settings.Controller, r *router.Router) {
 	controller.New(controller.Config{
-		Store:     store,
-		Self:      vm,
-		Process:   token.NewNonce().String(),
-		LeaseTTL:  s.LeaseTTL.D,
-		LoadEvery: s.WeightLoadInterval.D,
-		Routers:   r.RouterVMs,
-		Desired:   r.Desired,
-		Order:     r.Order,
+		Store:        store,
+		Self:         vm,
+		Process:      token.NewNonce().String(),
+		LeaseTTL:     s.LeaseTTL.D,
+		LoadInterval: s.WeightLoadInterval.D,
+		Routers:      r.RouterVMs,
+		Desired:      r.Desired,
+		Order:        r.Order,
 	}).Run(ctx)
 }
 
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -278,7 +278,7 @@
 }
 
 // Account returns what this router holds against each upstream.
-func (e *Entry) Account() []admin.UpstreamAccount {
+func (e *Entry) Account() []admin.UpstreamConditions {
 	return e.router.DirectUpstreams(time.Now())
 }
 
--- a/internal/router/account.go
+++ b/internal/router/account.go
@@ -13,8 +13,8 @@
 
 // DirectUpstreams returns the load and the conditions of each upstream without a sidecar, as
 // known to this router, sorted by pool and id.
-func (r *Router) DirectUpstreams(now time.Time) []admin.UpstreamAccount {
-	var out []admin.UpstreamAccount
+func (r *Router) DirectUpstreams(now time.Time) []admin.UpstreamConditions {
+	var out []admin.UpstreamConditions
 	for _, p := range r.View().Pools {
 		for _, vm := range p.VMs {
 			if vm.Role == topo.RoleDirect {
@@ -22,13 +22,13 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b admin.UpstreamAccount) int {
+	slices.SortFunc(out, func(a, b admin.UpstreamConditions) int {
 		return cmp.Or(cmp.Compare(a.Pool, b.Pool), cmp.Compare(a.VM, b.VM))
 	})
 	return out
 }
 
-func (r *Router) directUpstream(now time.Time, p *Pool, vm topo.VM) admin.UpstreamAccount {
+func (r *Router) directUpstream(now time.Time, p *Pool, vm topo.VM) admin.UpstreamConditions {
 	id := load.Hash(vm.ID)
 	set := r.conditionsOf(now, p, vm.ID)
 	statements := append(p.listedStatements(now, vm.ID), r.conditions.Statements(now, vm.ID)...)
@@ -37,15 +37,15 @@
 		statements = append(statements, condition.Statement{Kind: condition.Suspected, By: condition.ByOutcomes})
 	}
 	permission, reason := set.Permission(condition.Work)
-	out := admin.UpstreamAccount{
+	out := admin.UpstreamConditions{
 		VM: vm.ID, Addr: vm.Addr, Pool: vm.Pool, FailureDomain: vm.FailureDomain,
-		Load: roundTenths(p.tracker.Load(now, id)), Work: permission.String(),
+		Load: roundTenths(p.tracker.Load(now, id)), Permission: permission.String(),
 	}
 	if permission != condition.Freely {
-		out.Why = reason.String()
+		out.Reason = reason.String()
 	}
 	for _, s := range statements {
-		out.Conditions = append(out.Conditions, admin.Condition{Kind: s.Kind.String(), By: string(s.By), Since: s.Since, Until: s.Until})
+		out.Conditions = append(out.Conditions, admin.Condition{Kind: s.Kind.String(), Source: string(s.By), Since: s.Since, Until: s.Until})
 	}
 	return out
 }
--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -55,7 +55,7 @@
 		Config:        n.router.ledger.Status(),
 		Control:       controlRates(now.Sub(n.started)),
 		Quarantined:   n.router.suspects.quarantined(now),
-		Unread:        vocabulary.UnknownWords(),
+		UnknownWords:  vocabulary.UnknownWords(),
 	}
 	for name, out := range n.upstreams() {
 		var p admin.PoolStatus
@@ -140,7 +140,7 @@
 }
 
 // Changed implements admin.Node.
-func (n *AdminNode) Changed() <-chan struct{} { return n.router.ledger.Next() }
+func (n *AdminNode) Changed() <-chan struct{} { return n.router.ledger.Changed() }
 
 // Refresh implements admin.Node.
 func (n *AdminNode) Refresh() { n.router.refreshConfig() }
@@ -233,7 +233,7 @@
 		e.Candidates = append(e.Candidates, admin.Candidate{
 			VM: vm.ID, FailureDomain: vm.FailureDomain, State: stateName(report, reported),
 			Load: report.Load, Bound: bound,
-			Why: n.explainPlace(now, vm, resp.session != 0, vm.ID == named, report, bound),
+			Reason: n.explainPlace(now, vm, resp.session != 0, vm.ID == named, report, bound),
 		})
 	}
 	return e, nil
--- a/internal/router/ledger_test.go
+++ b/internal/router/ledger_test.go
@@ -32,7 +32,7 @@
 		listed := config.Listed{Now: time.Unix(int64(v), 0), Objects: []topo.Object{o}, Version: v}
 		for _, e := range s.Step(ConfigEvent{Event: listed}) {
 			if followed, ok := e.(ConfigApplied); ok {
-				l.Take(followed.Followed)
+				l.Apply(followed.Update)
 			}
 		}
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -204,7 +204,7 @@
 	case Notify:
 		r.sendNotice(e)
 	case ConfigApplied:
-		r.ledger.Take(e.Followed)
+		r.ledger.Apply(e.Update)
 		logFollowed(e)
 	case MembershipChanged:
 		logMembers(e)
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -59,7 +59,7 @@
 // ConfigApplied is an Effect: log and publish which objects have come into force or
 // were rejected.
 type ConfigApplied struct {
-	ledger.Followed
+	ledger.Update
 	Drained []DomainOrder
 	Edition int64 // the operators' number of a configuration that is written as a whole
 }
@@ -243,7 +243,7 @@
 		effects = append(effects, ConfigEffect{Effect: effect})
 	}
 	status := s.follower.Status()
-	applied.Complete, applied.StoreHeard = status.CompleteUpTo, status.StoreAnswered
+	applied.Complete, applied.LastStoreResponse = status.CompleteUpTo, status.StoreAnswered
 	applied.Edition = s.follower.Set().Summary().Edition
 	return append(effects, applied)
 }
