--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -125,9 +125,9 @@
 		return err
 	}
 	q.lastSeq++
-	it := &waitingRequest{Request: r, seq: q.lastSeq}
-	q.waiting[r.ID] = it
-	q.class(r.Priority).push(it)
+	w := &waitingRequest{Request: r, seq: q.lastSeq}
+	q.waiting[r.ID] = w
+	q.class(r.Priority).push(w)
 	q.adjustQueueLengths(&r, 1)
 	q.organisations[r.Org].waiting++
 	q.bytes += r.Size
@@ -179,10 +179,10 @@
 		if f == nil {
 			return Request{}, false // lower priorities must not overtake
 		}
-		it := f.items[0]
-		q.dequeue(it)
-		c.charge(f, q.begin(now, it.Request).charged)
-		return it.Request, true
+		w := f.requests[0]
+		q.dequeue(w)
+		c.charge(f, q.begin(now, w.Request).charged)
+		return w.Request, true
 	}
 	return Request{}, false
 }
@@ -195,51 +195,51 @@
 }
 
 func (q *Queue) begin(now time.Time, r Request) *runningRequest {
-	s := &runningRequest{Request: r, started: now, charged: q.expectedServiceTime().Seconds()}
-	q.running[r.ID] = s
+	run := &runningRequest{Request: r, started: now, charged: q.expectedServiceTime().Seconds()}
+	q.running[r.ID] = run
 	q.organisations[r.Org].running++
-	return s
+	return run
 }
 
 // Remove removes a waiting request. It returns false if the request is not waiting.
 func (q *Queue) Remove(id token.Nonce) bool {
-	it := q.waiting[id]
-	if it == nil {
+	w := q.waiting[id]
+	if w == nil {
 		return false
 	}
-	q.dequeue(it)
+	q.dequeue(w)
 	return true
 }
 
 // FirstByte records that the response to a running request has begun.
 func (q *Queue) FirstByte(now time.Time, id token.Nonce) {
-	s := q.running[id]
-	if s == nil || s.hasFirstByte {
+	run := q.running[id]
+	if run == nil || run.hasFirstByte {
 		return
 	}
-	s.hasFirstByte = true
-	q.observeFirstByte(s.Profile, now.Sub(s.started))
+	run.hasFirstByte = true
+	q.observeFirstByte(run.Profile, now.Sub(run.started))
 }
 
 // Done records that a running request has ended.
 func (q *Queue) Done(now time.Time, id token.Nonce) {
-	s := q.running[id]
-	if s == nil {
+	run := q.running[id]
+	if run == nil {
 		return
 	}
 	delete(q.running, id)
-	q.organisations[s.Org].running--
-	duration := now.Sub(s.started)
+	q.organisations[run.Org].running--
+	duration := now.Sub(run.started)
 	q.service.observe(duration)
-	q.class(s.Priority).correctCharge(&s.Request, max(duration.Seconds(), minCostSeconds)-s.charged)
+	q.class(run.Priority).correctCharge(&run.Request, max(duration.Seconds(), minCostSeconds)-run.charged)
 }
 
-func (q *Queue) dequeue(it *waitingRequest) {
-	delete(q.waiting, it.ID)
-	q.class(it.Priority).remove(it)
-	q.adjustQueueLengths(&it.Request, -1)
-	q.organisations[it.Org].waiting--
-	q.bytes -= it.Size
+func (q *Queue) dequeue(w *waitingRequest) {
+	delete(q.waiting, w.ID)
+	q.class(w.Priority).remove(w)
+	q.adjustQueueLengths(&w.Request, -1)
+	q.organisations[w.Org].waiting--
+	q.bytes -= w.Size
 }
 
 func (q *Queue) adjustQueueLengths(r *Request, by int) {
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -21,9 +21,9 @@
 
 // flow holds the waiting requests of one organisation in one class.
 type flow struct {
-	tag    float64 // virtual time, in seconds divided by weight
-	weight float64
-	items  []*waitingRequest // in order of arrival
+	startTag float64 // virtual time, in seconds divided by weight
+	weight   float64
+	requests []*waitingRequest // in order of arrival
 }
 
 // class returns the class of a priority and creates it if it doesn't exist.
@@ -38,17 +38,17 @@
 	return q.classes[at]
 }
 
-func (c *class) push(it *waitingRequest) {
-	f := c.flows[it.Org]
+func (c *class) push(w *waitingRequest) {
+	f := c.flows[w.Org]
 	if f == nil {
 		f = &flow{}
-		c.flows[it.Org] = f
+		c.flows[w.Org] = f
 	}
-	if len(f.items) == 0 {
-		f.tag = max(f.tag, c.virtualTime) // idle time earns no credit
+	if len(f.requests) == 0 {
+		f.startTag = max(f.startTag, c.virtualTime) // idle time earns no credit
 	}
-	f.weight = float64(it.Weight)
-	f.items = append(f.items, it)
+	f.weight = float64(w.Weight)
+	f.requests = append(f.requests, w)
 	c.waiting++
 }
 
@@ -58,10 +58,10 @@
 func (c *class) next(spare capacity) *flow {
 	var best *flow
 	for _, f := range c.flows {
-		if len(f.items) == 0 || (best != nil && !f.startsBefore(best)) {
+		if len(f.requests) == 0 || (best != nil && !f.startsBefore(best)) {
 			continue
 		}
-		if spare.fits(f.items[0].Org) {
+		if spare.fits(f.requests[0].Org) {
 			best = f
 		}
 	}
@@ -69,23 +69,23 @@
 }
 
 func (f *flow) startsBefore(g *flow) bool {
-	if f.tag != g.tag {
-		return f.tag < g.tag
+	if f.startTag != g.startTag {
+		return f.startTag < g.startTag
 	}
-	return f.items[0].seq < g.items[0].seq
+	return f.requests[0].seq < g.requests[0].seq
 }
 
 // charge records that a request of f has started, at an estimated cost in seconds.
 func (c *class) charge(f *flow, seconds float64) {
-	c.virtualTime = max(c.virtualTime, f.tag)
-	f.tag += seconds / f.weight
+	c.virtualTime = max(c.virtualTime, f.startTag)
+	f.startTag += seconds / f.weight
 }
 
 // correctCharge adds seconds to the charge of a request that has ended, to make up for
 // a wrong estimate.
 func (c *class) correctCharge(r *Request, seconds float64) {
 	if f := c.flows[r.Org]; f != nil {
-		f.tag += seconds / f.weight
+		f.startTag += seconds / f.weight
 	}
 	c.prune()
 }
@@ -94,7 +94,7 @@
 // once no request waits and tags have no meaning.
 func (c *class) prune() {
 	for org, f := range c.flows {
-		if len(f.items) == 0 && (c.waiting == 0 || f.tag <= c.virtualTime) {
+		if len(f.requests) == 0 && (c.waiting == 0 || f.startTag <= c.virtualTime) {
 			delete(c.flows, org)
 		}
 	}
@@ -103,10 +103,10 @@
 	}
 }
 
-func (c *class) remove(it *waitingRequest) {
-	f := c.flows[it.Org]
-	at := slices.Index(f.items, it)
-	f.items = slices.Delete(f.items, at, at+1)
+func (c *class) remove(w *waitingRequest) {
+	f := c.flows[w.Org]
+	at := slices.Index(f.requests, w)
+	f.requests = slices.Delete(f.requests, at, at+1)
 	c.waiting--
 }
 
@@ -120,22 +120,22 @@
 			n += c.waiting
 		}
 		if c.priority == r.Priority {
-			n += c.ahead(r)
+			n += c.countAhead(r)
 		}
 	}
 	return n
 }
 
-func (c *class) ahead(r *Request) int {
+func (c *class) countAhead(r *Request) int {
 	own := 0
 	if f := c.flows[r.Org]; f != nil {
-		own = len(f.items)
+		own = len(f.requests)
 	}
 	n := own
 	for org, f := range c.flows {
 		if org != r.Org {
-			earned := float64(own+1) * f.weight / float64(r.Weight)
-			n += min(len(f.items), int(earned))
+			entitled := float64(own+1) * f.weight / float64(r.Weight)
+			n += min(len(f.requests), int(entitled))
 		}
 	}
 	return n
--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -49,8 +49,8 @@
 
 func (q *Queue) capacity(priority int) capacity {
 	lowerPriority := 0
-	for _, s := range q.running {
-		if s.Priority < priority {
+	for _, run := range q.running {
+		if run.Priority < priority {
 			lowerPriority++
 		}
 	}
--- a/internal/order/desk.go
+++ b/internal/order/desk.go
@@ -120,9 +120,9 @@
 // prepare starts to drain the upstream. If that has already started for another order,
 // it continues under the new ID.
 func (h *Handler) prepare(o wire.Order) {
-	isDraining := h.id != ""
+	hasOrder := h.id != ""
 	h.id = o.ID
-	if isDraining {
+	if hasOrder {
 		h.restartReadyTimer()
 		return
 	}
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -19,33 +19,33 @@
 	started time.Time
 }
 
-func (e *testUpstream) OrderStatus(context.Context) (wire.OrderStatus, error) {
+func (u *testUpstream) OrderStatus(context.Context) (wire.OrderStatus, error) {
 	switch {
-	case e.loads == 0:
+	case u.loads == 0:
 		return wire.OrderStatus{}, nil
-	case time.Since(e.started) < time.Second:
-		return wire.OrderStatus{ID: e.order.ID, Phase: wire.PhaseRunning}, nil
+	case time.Since(u.started) < time.Second:
+		return wire.OrderStatus{ID: u.order.ID, Phase: wire.PhaseRunning}, nil
 	default:
-		return wire.OrderStatus{ID: e.order.ID, Phase: wire.PhaseDone, Loaded: e.order.Want}, nil
+		return wire.OrderStatus{ID: u.order.ID, Phase: wire.PhaseDone, Loaded: u.order.Want}, nil
 	}
 }
 
-func (e *testUpstream) Load(_ context.Context, o wire.Order) error {
-	e.loads++
-	e.order, e.started = o, time.Now()
+func (u *testUpstream) Load(_ context.Context, o wire.Order) error {
+	u.loads++
+	u.order, u.started = o, time.Now()
 	return nil
 }
 
-// vm is a sidecar's Handler with its upstream and store.
-type vm struct {
+// testVM is a sidecar's Handler with its upstream and store.
+type testVM struct {
 	*Handler
 	upstream testUpstream
 	serving  atomic.Bool
 	stored   wire.FencingToken // zero: the store refuses calls
 }
 
-func newVM(t *testing.T) *vm {
-	v := &vm{stored: 5}
+func newVM(t *testing.T) *testVM {
+	v := &testVM{stored: 5}
 	v.serving.Store(true)
 	v.Handler = NewHandler(t.Context(), Config{
 		Upstream: &v.upstream,
@@ -64,7 +64,7 @@
 	return v
 }
 
-func (v *vm) handle(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
+func (v *testVM) handle(t *testing.T, token wire.FencingToken, a wire.OrderAction) wire.OrderStatus {
 	t.Helper()
 	status, err := v.Handle(t.Context(), wire.Order{ID: "o", Token: token, Action: a, Want: wire.ModelSpec{Model: "m"}})
 	if err != nil {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -160,12 +160,12 @@
 	running := s.running
 	waiting := s.suspects
 	s.running, s.suspects, s.down = nil, nil, true
-	at := make([]RunningRequest, len(running))
+	requests := make([]RunningRequest, len(running))
 	for i, r := range running {
-		at[i] = r.RunningRequest
+		requests[i] = r.RunningRequest
 		f.crashed[r.Fingerprint] = true
 	}
-	s.table.RecordCrash(f.now, at)
+	s.table.RecordCrash(f.now, requests)
 	for _, w := range waiting {
 		s.table.Revoke(w.Fingerprint)
 	}
@@ -174,8 +174,8 @@
 		for _, ticket := range []bool{true, false} {
 			_ = f.offerOrder(r.Fingerprint, ticket)[0].table.Merge(f.now, r.router.table.EvidenceFor(f.now, r.Fingerprint))
 		}
-		for _, first := range s.table.byFingerprint[r.Fingerprint] {
-			_ = f.sidecarOf(first.VM).table.Merge(f.now, r.router.table.EvidenceFor(f.now, r.Fingerprint))
+		for _, e := range s.table.byFingerprint[r.Fingerprint] {
+			_ = f.sidecarOf(e.VM).table.Merge(f.now, r.router.table.EvidenceFor(f.now, r.Fingerprint))
 		}
 	}
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// gossipFor is how long a process gossips an entry after it was added or its status
+	// gossipPeriod is how long a process gossips an entry after it was added or its status
 	// changed.
-	gossipFor = 30 * time.Second
+	gossipPeriod = 30 * time.Second
 	// gossipBytesPerSecond limits the gossip of a process.
 	gossipBytesPerSecond = 512
 	// gossipBurstBytes is how many bytes a process may gossip at once.
@@ -94,7 +94,7 @@
 func (t *outbox) pick(now time.Time) []*Entry {
 	current := make([]*pendingEntry, 0, len(t.pending))
 	for k, n := range t.pending {
-		if now.Sub(n.since) > gossipFor || !n.entry.isLive(now) {
+		if now.Sub(n.since) > gossipPeriod || !n.entry.isLive(now) {
 			delete(t.pending, k)
 			continue
 		}
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -53,9 +53,9 @@
 // guilty. A conviction thereby clears all other fingerprints of the crash at once. The
 // result is computed from the entries and not stored, so Tables with the same entries
 // agree in whatever order they received them.
-func (t *Table) isExplained(now time.Time, e *Entry, isGuilty func(time.Time, Fingerprint) bool) bool {
+func (t *Table) isExplained(now time.Time, e *Entry, isConvicted func(time.Time, Fingerprint) bool) bool {
 	return slices.ContainsFunc(t.byCrash[e.Crash], func(o *Entry) bool {
-		return o.Fingerprint != e.Fingerprint && isGuilty(now, o.Fingerprint)
+		return o.Fingerprint != e.Fingerprint && isConvicted(now, o.Fingerprint)
 	})
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -33,7 +33,7 @@
 // Two routers receive entries of the same crashes on different paths: late, twice or in
 // another order. If their Tables differed, one router would send a retried request to
 // an upstream that the other keeps it away from.
-func TestMergeIsASemilattice(t *testing.T) {
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var messages [][]byte
 		sidecars := []*Table{New("a", 1), New("b", 2), New("c", 3)}
@@ -55,19 +55,19 @@
 			messages = append(messages, sidecar.All(epoch))
 		}
 		seed := rapid.Uint64().Draw(t, "order")
-		one, two := New("", 0), New("", 0)
+		inOrder, outOfOrder := New("", 0), New("", 0)
 		for _, m := range messages {
-			_ = one.Merge(epoch, m)
+			_ = inOrder.Merge(epoch, m)
 		}
 		rng := rand.New(rand.NewPCG(seed, 1))
 		shuffled := slices.Concat(messages, messages[:len(messages)/2])
 		rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		half := New("", 0)
+		otherHalf := New("", 0)
 		for i, m := range shuffled {
-			_ = []*Table{two, half}[i%2].Merge(epoch, m)
+			_ = []*Table{outOfOrder, otherHalf}[i%2].Merge(epoch, m)
 		}
-		_ = two.Merge(epoch, half.All(epoch))
-		if a, b := snapshot(one, epoch), snapshot(two, epoch); a != b {
+		_ = outOfOrder.Merge(epoch, otherHalf.All(epoch))
+		if a, b := snapshot(inOrder, epoch), snapshot(outOfOrder, epoch); a != b {
 			t.Fatalf("tables differ:\n%s\n%s", a, b)
 		}
 	})
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 	}
-	if limit := gossipBurstBytes + gossipBytesPerSecond*int(gossipFor.Seconds()); sentBytes > limit {
+	if limit := gossipBurstBytes + gossipBytesPerSecond*int(gossipPeriod.Seconds()); sentBytes > limit {
 		t.Fatalf("%d bytes sent, limit %d", sentBytes, limit)
 	}
 	if receiver.size < len(running)/2 {
--- a/internal/relay/beat.go
+++ b/internal/relay/beat.go
@@ -40,8 +40,8 @@
 // or the last confirmation by the store is more than MaxAge later than the published
 // one.
 func (s *State) hasNews(now time.Time) bool {
-	for i, k := range s.heartbeat(now).Progress {
-		if k.Summary != s.published[i] || k.Age >= 0 && confirmedAt(now, k).Sub(s.publishedAt[i]) > s.timing.MaxAge {
+	for i, progress := range s.heartbeat(now).Progress {
+		if progress.Summary != s.published[i] || progress.Age >= 0 && confirmedAt(now, progress).Sub(s.publishedAt[i]) > s.timing.MaxAge {
 			return true
 		}
 	}
@@ -50,11 +50,11 @@
 
 // confirmedAt returns when the store confirmed that k was the newest state; zero if it
 // is not known.
-func confirmedAt(now time.Time, k Progress) time.Time {
-	if k.Age < 0 {
+func confirmedAt(now time.Time, progress Progress) time.Time {
+	if progress.Age < 0 {
 		return time.Time{}
 	}
-	return now.Add(-milliseconds(k.Age))
+	return now.Add(-milliseconds(progress.Age))
 }
 
 // sendHeartbeats sends a heartbeat to each subscriber, immediately or when one is due.
@@ -63,15 +63,15 @@
 		return nil
 	}
 	var out []Effect
-	b := s.heartbeat(now)
+	h := s.heartbeat(now)
 	for _, p := range s.sorted {
 		if now.Before(p.subscribedUntil) {
-			out = append(out, SendHeartbeat{To: p.router, Heartbeat: b})
+			out = append(out, SendHeartbeat{To: p.router, Heartbeat: h})
 		}
 	}
 	s.nextHeartbeat = now.Add(s.timing.HeartbeatInterval)
-	for i, k := range b.Progress {
-		s.published[i], s.publishedAt[i] = k.Summary, confirmedAt(now, k)
+	for i, progress := range h.Progress {
+		s.published[i], s.publishedAt[i] = progress.Summary, confirmedAt(now, progress)
 	}
 	return out
 }
@@ -79,22 +79,22 @@
 // heartbeat returns the heartbeat to send at now. Its summaries are those of this
 // router's own state; its ages are the parent's, if there is one.
 func (s *State) heartbeat(now time.Time) Heartbeat {
-	b := Heartbeat{From: s.self, Progress: s.own, StoreFailing: s.reading && s.storeFailing}
+	h := Heartbeat{From: s.self, Progress: s.own, StoreFailing: s.reading && s.storeFailing}
 	source, at := s.own, s.ownAsOf
 	if s.parent != nil {
-		b.StoreFailing = s.reading && s.parent.heartbeat.StoreFailing
-		b.Path = append(slices.Clone(s.parent.heartbeat.Path), s.parent.router.Name)
+		h.StoreFailing = s.reading && s.parent.heartbeat.StoreFailing
+		h.Path = append(slices.Clone(s.parent.heartbeat.Path), s.parent.router.Name)
 		source, at = s.parent.heartbeat.Progress, s.parent.heartbeatAt
 	}
 	elapsed := now.Sub(at).Milliseconds()
-	for i := range b.Progress {
-		b.Progress[i].Age = addElapsed(source[i].Age, elapsed)
-		b.Progress[i].SinceRecovery = addElapsed(source[i].SinceRecovery, elapsed)
-		if s.parent != nil && !b.Progress[i].Summary.CaughtUp(source[i].Summary) {
-			b.Progress[i].Age = -1 // the parent's state is not pulled yet
+	for i := range h.Progress {
+		h.Progress[i].Age = addElapsed(source[i].Age, elapsed)
+		h.Progress[i].SinceRecovery = addElapsed(source[i].SinceRecovery, elapsed)
+		if s.parent != nil && !h.Progress[i].Summary.CaughtUp(source[i].Summary) {
+			h.Progress[i].Age = -1 // the parent's state is not pulled yet
 		}
 	}
-	return b
+	return h
 }
 
 // addElapsed adds the elapsed time to an age, both in milliseconds. A negative age
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -15,8 +15,8 @@
 	if !p.unpulledSince.IsZero() && now.Sub(p.unpulledSince) > s.timing.PullTimeout+grace {
 		return false // heartbeats arrive, but pulls bring nothing
 	}
-	for _, k := range p.heartbeat.Progress {
-		if k.Age < 0 || milliseconds(k.Age)+since > s.timing.MaxAge+grace {
+	for _, progress := range p.heartbeat.Progress {
+		if progress.Age < 0 || milliseconds(progress.Age)+since > s.timing.MaxAge+grace {
 			return false
 		}
 	}
@@ -48,8 +48,8 @@
 	if s.storeFailing {
 		return true
 	}
-	for _, k := range s.own {
-		if k.Age < 0 || milliseconds(k.Age)+now.Sub(s.ownAsOf) > s.timing.MaxAge {
+	for _, progress := range s.own {
+		if progress.Age < 0 || milliseconds(progress.Age)+now.Sub(s.ownAsOf) > s.timing.MaxAge {
 			return true
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -160,8 +160,8 @@
 	name     string
 }
 
-func rankOf(n Router) rank {
-	return rank{capacity: n.Capacity, hash: xxh3.HashString(n.Name), name: n.Name}
+func rankOf(router Router) rank {
+	return rank{capacity: router.Capacity, hash: xxh3.HashString(router.Name), name: router.Name}
 }
 
 // compare returns a negative number if a router of rank r reads the store in preference
@@ -265,20 +265,20 @@
 
 // recordPeer adds or updates the peer for n and marks it as seen. It returns nil for
 // this router itself and for routers of other regions.
-func (s *State) recordPeer(now time.Time, n Router) *peer {
-	if n.Name == s.self.Name || topo.Region(n.Domain) != topo.Region(s.self.Domain) {
+func (s *State) recordPeer(now time.Time, router Router) *peer {
+	if router.Name == s.self.Name || topo.Region(router.Domain) != topo.Region(s.self.Domain) {
 		return nil
 	}
-	p := s.peers[n.Name]
+	p := s.peers[router.Name]
 	if p == nil {
 		p = &peer{}
-		s.peers[n.Name] = p
+		s.peers[router.Name] = p
 		s.sorted = append(s.sorted, p)
 	}
-	if o := rankOf(n); p.rank != o {
-		p.rank = o
+	if newRank := rankOf(router); p.rank != newRank {
+		p.rank = newRank
 		slices.SortFunc(s.sorted, byRank)
 	}
-	p.router, p.lastSeen = n, now
+	p.router, p.lastSeen = router, now
 	return p
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -83,52 +83,52 @@
 		router := Router{Name: fmt.Sprintf("front-%d", i), Addr: fmt.Sprint(i), Domain: fmt.Sprintf("r/%d", i%domains)}
 		s.routers = append(s.routers, &testRouter{router: router, state: New(router, TimingFor(bound)), reading: true})
 	}
-	for _, n := range s.routers {
-		s.register(n)
+	for _, r := range s.routers {
+		s.register(r)
 	}
 	return s
 }
 
-func (s *simulation) register(n *testRouter) {
+func (s *simulation) register(r *testRouter) {
 	var all []Router
-	for _, o := range s.routers {
-		all = append(all, o.router)
+	for _, other := range s.routers {
+		all = append(all, other.router)
 	}
-	s.apply(n, n.state.Step(Registered{Now: s.now, Routers: all}))
+	s.apply(r, r.state.Step(Registered{Now: s.now, Routers: all}))
 }
 
 func (s *simulation) find(name string) *testRouter {
-	for _, n := range s.routers {
-		if n.router.Name == name {
-			return n
+	for _, r := range s.routers {
+		if r.router.Name == name {
+			return r
 		}
 	}
 	return nil
 }
 
-func (s *simulation) apply(n *testRouter, effects []Effect) {
+func (s *simulation) apply(r *testRouter, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case SendHeartbeat:
-			s.send(n, e.To, func(now time.Time) Event { return HeartbeatReceived{Now: now, Heartbeat: e.Heartbeat} })
+			s.send(r, e.To, func(now time.Time) Event { return HeartbeatReceived{Now: now, Heartbeat: e.Heartbeat} })
 		case SendSubscribe:
-			s.send(n, e.To, func(now time.Time) Event { return SubscribeReceived{Now: now, Subscribe: e.Subscribe} })
+			s.send(r, e.To, func(now time.Time) Event { return SubscribeReceived{Now: now, Subscribe: e.Subscribe} })
 		case SendReport:
 			switch {
 			case s.reportsSent == nil:
 			case e.Report.IsSummary:
 				s.summariesReceived[e.To.Name]++
-			case e.To.Name == n.parent.Name:
-				s.reportsSent[n.router.Name]++
+			case e.To.Name == r.parent.Name:
+				s.reportsSent[r.router.Name]++
 			}
 		case SwitchStoreReading:
-			n.reading = e.On
+			r.reading = e.On
 			s.roleChanges++
-			n.watchVersion = 0 // it lists the store, then watches it
+			r.watchVersion = 0 // it lists the store, then watches it
 		case SetParent:
-			n.parent = e.Parent
+			r.parent = e.Parent
 		case ParentProgress:
-			s.pull(n, e)
+			s.pull(r, e)
 		}
 	}
 }
@@ -149,46 +149,46 @@
 
 // pull copies the parent's version, unless the link is cut or pulls from the parent
 // fail.
-func (s *simulation) pull(n *testRouter, e ParentProgress) {
+func (s *simulation) pull(r *testRouter, e ParentProgress) {
 	p := s.find(e.Parent.Name)
-	if p.frozen || p.pullsFail || s.cutLinks[linkKey(n.router.Name, p.router.Name)] {
+	if p.frozen || p.pullsFail || s.cutLinks[linkKey(r.router.Name, p.router.Name)] {
 		return
 	}
-	if p.version > n.version {
-		n.version = p.version
-		s.reportProgress(n)
+	if p.version > r.version {
+		r.version = p.version
+		s.reportProgress(r)
 	}
 }
 
-func (s *simulation) reportProgress(n *testRouter) {
-	k := Progress{Summary: config.Summary{Version: n.version}, Age: -1, SinceRecovery: -1}
-	if !n.storeAnsweredAt.IsZero() {
-		k.Age = s.now.Sub(n.storeAnsweredAt).Milliseconds()
+func (s *simulation) reportProgress(r *testRouter) {
+	progress := Progress{Summary: config.Summary{Version: r.version}, Age: -1, SinceRecovery: -1}
+	if !r.storeAnsweredAt.IsZero() {
+		progress.Age = s.now.Sub(r.storeAnsweredAt).Milliseconds()
 	}
-	failing := n.reading && n.failures >= 2
-	s.apply(n, n.state.Step(ProgressUpdated{Now: s.now, Progress: Sets[Progress]{k, k}, StoreFailing: failing}))
+	failing := r.reading && r.failures >= 2
+	s.apply(r, r.state.Step(ProgressUpdated{Now: s.now, Progress: Sets[Progress]{progress, progress}, StoreFailing: failing}))
 }
 
 // callStore simulates a router's calls of the store.
-func (s *simulation) callStore(n *testRouter) {
-	if !n.reading {
-		n.callDeadline, n.failures = time.Time{}, 0
+func (s *simulation) callStore(r *testRouter) {
+	if !r.reading {
+		r.callDeadline, r.failures = time.Time{}, 0
 		return
 	}
-	if n.callDeadline.IsZero() {
-		n.callCount++
-		n.callDeadline = s.now.Add(storeTimeout)
-		n.callStarted = s.now
+	if r.callDeadline.IsZero() {
+		r.callCount++
+		r.callDeadline = s.now.Add(storeTimeout)
+		r.callStarted = s.now
 	}
 	switch {
-	case n.storeRefuses && s.now.Sub(n.callStarted) >= refusedRetryDelay, n.storeUnreachable && !s.now.Before(n.callDeadline):
-		n.callDeadline = time.Time{}
-		n.failures++
-	case n.storeRefuses, n.storeUnreachable:
-	case n.watchVersion == 0 || s.version > n.watchVersion || s.now.Sub(n.callStarted) >= watchTimeout:
-		n.watchVersion, n.version = s.version, max(n.version, s.version)
-		n.storeAnsweredAt, n.callDeadline, n.failures = s.now, time.Time{}, 0
-		s.reportProgress(n)
+	case r.storeRefuses && s.now.Sub(r.callStarted) >= refusedRetryDelay, r.storeUnreachable && !s.now.Before(r.callDeadline):
+		r.callDeadline = time.Time{}
+		r.failures++
+	case r.storeRefuses, r.storeUnreachable:
+	case r.watchVersion == 0 || s.version > r.watchVersion || s.now.Sub(r.callStarted) >= watchTimeout:
+		r.watchVersion, r.version = s.version, max(r.version, s.version)
+		r.storeAnsweredAt, r.callDeadline, r.failures = s.now, time.Time{}, 0
+		s.reportProgress(r)
 	}
 }
 
@@ -198,20 +198,20 @@
 	due := s.inFlight
 	s.inFlight = nil
 	for _, d := range due {
-		n := s.find(d.to)
-		if s.now.Before(d.at) || n.frozen {
+		r := s.find(d.to)
+		if s.now.Before(d.at) || r.frozen {
 			s.inFlight = append(s.inFlight, d) // a frozen router receives it when it resumes
 			continue
 		}
-		s.apply(n, n.state.Step(d.e(s.now)))
+		s.apply(r, r.state.Step(d.e(s.now)))
 	}
-	for _, n := range s.routers {
-		if n.frozen {
+	for _, r := range s.routers {
+		if r.frozen {
 			continue
 		}
-		s.callStore(n)
-		s.reportProgress(n)
-		s.apply(n, n.state.Step(Ticked{Now: s.now}))
+		s.callStore(r)
+		s.reportProgress(r)
+		s.apply(r, r.state.Step(Ticked{Now: s.now}))
 	}
 }
 
@@ -219,12 +219,12 @@
 // minQuiet, and has not applied a version accepted more than bound ago. It returns nil
 // if there is none.
 func (s *simulation) staleRouter(minQuiet time.Duration) *testRouter {
-	for _, n := range s.routers {
-		if n.frozen || n.storeUnreachable || n.storeRefuses || s.now.Sub(n.lastFault) < minQuiet {
+	for _, r := range s.routers {
+		if r.frozen || r.storeUnreachable || r.storeRefuses || s.now.Sub(r.lastFault) < minQuiet {
 			continue
 		}
-		if next := int(n.version) + 1; next < len(s.written) && s.now.Sub(s.written[next]) > bound {
-			return n
+		if next := int(r.version) + 1; next < len(s.written) && s.now.Sub(s.written[next]) > bound {
+			return r
 		}
 	}
 	return nil
@@ -263,9 +263,9 @@
 		}
 		s.write()
 		s.run(10 * hopDelay)
-		for _, n := range s.routers {
-			if n.version != s.version {
-				t.Errorf("%s of %d routers lacks the new version after %v", n.router.Name, size, 10*hopDelay)
+		for _, r := range s.routers {
+			if r.version != s.version {
+				t.Errorf("%s of %d routers lacks the new version after %v", r.router.Name, size, 10*hopDelay)
 			}
 		}
 	}
@@ -286,9 +286,9 @@
 			s.injectFault(t)
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
 				s.advance()
-				if n := s.staleRouter(3 * time.Second); n != nil {
+				if r := s.staleRouter(3 * time.Second); r != nil {
 					t.Fatalf("%s has version %d, %d was written %v ago (reads: %v, parent %q)",
-						n.router.Name, n.version, n.version+1, s.now.Sub(s.written[n.version+1]), n.reading, n.parent.Name)
+						r.router.Name, r.version, r.version+1, s.now.Sub(s.written[r.version+1]), r.reading, r.parent.Name)
 				}
 			}
 		}
@@ -297,20 +297,20 @@
 
 // injectFault starts or ends a random fault, or writes a new version.
 func (s *simulation) injectFault(t *rapid.T) {
-	n := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "router")]
+	r := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "router")]
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0:
-		n.frozen, n.lastFault = !n.frozen, s.now
+		r.frozen, r.lastFault = !r.frozen, s.now
 	case 1:
-		n.storeUnreachable, n.lastFault = !n.storeUnreachable, s.now
+		r.storeUnreachable, r.lastFault = !r.storeUnreachable, s.now
 	case 2:
 		other := s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(t, "other")]
-		p := linkKey(n.router.Name, other.router.Name)
+		p := linkKey(r.router.Name, other.router.Name)
 		s.cutLinks[p] = !s.cutLinks[p]
 	case 3: // pulls fail, messages arrive
-		n.pullsFail = !n.pullsFail
+		r.pullsFail = !r.pullsFail
 	case 4:
-		n.storeRefuses, n.lastFault = !n.storeRefuses, s.now
+		r.storeRefuses, r.lastFault = !r.storeRefuses, s.now
 	default:
 		s.write()
 	}
@@ -325,12 +325,12 @@
 	s.reportsSent, s.summariesReceived = make(map[string]int), make(map[string]int)
 	const intervals = 8
 	s.run(intervals * TimingFor(bound).ReportInterval)
-	for _, n := range s.routers {
-		if got := s.reportsSent[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
-			t.Errorf("%s sent %d reports in %d intervals (reads: %v)", n.router.Name, got, intervals, n.reading)
+	for _, r := range s.routers {
+		if got := s.reportsSent[r.router.Name]; r.reading && got > 0 || !r.reading && (got < intervals-1 || got > intervals) {
+			t.Errorf("%s sent %d reports in %d intervals (reads: %v)", r.router.Name, got, intervals, r.reading)
 		}
-		if got := s.summariesReceived[n.router.Name]; n.reading && got > 0 || !n.reading && (got < intervals-1 || got > intervals) {
-			t.Errorf("%s received %d summaries in %d intervals (reads: %v)", n.router.Name, got, intervals, n.reading)
+		if got := s.summariesReceived[r.router.Name]; r.reading && got > 0 || !r.reading && (got < intervals-1 || got > intervals) {
+			t.Errorf("%s received %d summaries in %d intervals (reads: %v)", r.router.Name, got, intervals, r.reading)
 		}
 	}
 }
@@ -354,14 +354,14 @@
 func TestReaderThatLosesTheStoreIsReplaced(t *testing.T) {
 	s := newSimulation(5, 1)
 	s.run(5 * time.Second)
-	reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+	reader := s.routers[slices.IndexFunc(s.routers, func(r *testRouter) bool { return r.reading })]
 	reader.storeUnreachable = true
 	s.run(5 * time.Second)
 	s.write()
 	s.run(time.Second)
-	for _, n := range s.routers {
-		if n.version != s.version {
-			t.Errorf("%s lacks the new version", n.router.Name)
+	for _, r := range s.routers {
+		if r.version != s.version {
+			t.Errorf("%s lacks the new version", r.router.Name)
 		}
 	}
 	if n := s.readers(); n != 2 {
@@ -391,10 +391,10 @@
 			s := newSimulation(size, 4)
 			rng := rand.New(rand.NewPCG(seed, 0))
 			s.run(5 * time.Second)
-			for _, n := range s.routers {
-				n.storeRefuses = n.reading || rng.IntN(3) == 0
+			for _, r := range s.routers {
+				r.storeRefuses = r.reading || rng.IntN(3) == 0
 			}
-			if !slices.ContainsFunc(s.routers, func(n *testRouter) bool { return !n.storeRefuses }) {
+			if !slices.ContainsFunc(s.routers, func(r *testRouter) bool { return !r.storeRefuses }) {
 				continue // the store answers no router
 			}
 			s.run(5 * hopDelay)
@@ -428,7 +428,7 @@
 func TestStaleReaderThatCannotBePulledFrom(t *testing.T) {
 	s := newSimulation(4, 1)
 	s.run(3040 * time.Millisecond)
-	reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+	reader := s.routers[slices.IndexFunc(s.routers, func(r *testRouter) bool { return r.reading })]
 	reader.pullsFail = true
 	s.routers[2].frozen, s.routers[2].lastFault = true, s.now
 	s.run(2 * tickInterval)
@@ -440,8 +440,8 @@
 	reader.frozen = false
 	for range 2 * bound / tickInterval {
 		s.advance()
-		if n := s.staleRouter(3 * time.Second); n != nil {
-			t.Fatalf("%s lacks a version written %v ago", n.router.Name, s.now.Sub(s.written[n.version+1]))
+		if r := s.staleRouter(3 * time.Second); r != nil {
+			t.Fatalf("%s lacks a version written %v ago", r.router.Name, s.now.Sub(s.written[r.version+1]))
 		}
 	}
 }
@@ -464,13 +464,13 @@
 	for phase := range 10 {
 		s := newSimulation(5, 1)
 		s.run(5*time.Second + time.Duration(phase)*watchTimeout/10)
-		reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+		reader := s.routers[slices.IndexFunc(s.routers, func(r *testRouter) bool { return r.reading })]
 		reader.frozen = true
 		s.write()
 		s.run(TimingFor(bound).HeartbeatTimeout + 5*hopDelay)
-		for _, n := range s.routers {
-			if n != reader && n.version != s.version {
-				t.Fatalf("%s lacks the new version after %v", n.router.Name, TimingFor(bound).HeartbeatTimeout+5*hopDelay)
+		for _, r := range s.routers {
+			if r != reader && r.version != s.version {
+				t.Fatalf("%s lacks the new version after %v", r.router.Name, TimingFor(bound).HeartbeatTimeout+5*hopDelay)
 			}
 		}
 	}
@@ -488,9 +488,9 @@
 	}
 }
 
-func (n *testRouter) subscribers(now time.Time) int {
+func (r *testRouter) subscribers(now time.Time) int {
 	count := 0
-	for _, p := range n.state.sorted {
+	for _, p := range r.state.sorted {
 		if now.Before(p.subscribedUntil) {
 			count++
 		}
@@ -506,14 +506,14 @@
 		for _, fault := range []string{"frozen", "without the store"} {
 			s := newSimulation(size, 4)
 			s.run(5 * time.Second)
-			reader := s.routers[slices.IndexFunc(s.routers, func(n *testRouter) bool { return n.reading })]
+			reader := s.routers[slices.IndexFunc(s.routers, func(r *testRouter) bool { return r.reading })]
 			reader.frozen, reader.storeUnreachable = fault == "frozen", fault == "without the store"
 			changesBefore := s.roleChanges
 			s.write()
 			s.run(bound)
-			for _, n := range s.routers {
-				if n != reader && n.version != s.version {
-					t.Errorf("%d routers, reader %s: %s lacks the new version after %v", size, fault, n.router.Name, bound)
+			for _, r := range s.routers {
+				if r != reader && r.version != s.version {
+					t.Errorf("%d routers, reader %s: %s lacks the new version after %v", size, fault, r.router.Name, bound)
 				}
 			}
 			s.run(3 * bound)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -39,9 +39,9 @@
 func (s *State) registered(e Registered) []Effect {
 	var out []Effect
 	s.registerRead = true
-	for _, n := range e.Routers {
-		if s.peers[n.Name] == nil && s.recordPeer(e.Now, n) != nil {
-			out = append(out, SendSubscribe{To: n, Subscribe: Subscribe{From: s.self}})
+	for _, router := range e.Routers {
+		if s.peers[router.Name] == nil && s.recordPeer(e.Now, router) != nil {
+			out = append(out, SendSubscribe{To: router, Subscribe: Subscribe{From: s.self}})
 		}
 	}
 	return append(out, s.tick(e.Now)...)
@@ -86,8 +86,8 @@
 	if p == nil {
 		return
 	}
-	for i, k := range p.heartbeat.Progress {
-		if s.own[i].Summary.CaughtUp(k.Summary) {
+	for i, progress := range p.heartbeat.Progress {
+		if s.own[i].Summary.CaughtUp(progress.Summary) {
 			continue
 		}
 		if p.unpulledSince.IsZero() {
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -151,8 +151,8 @@
 	if len(s) != encoding.EncodedLen(len(b)) {
 		return Token{}, ErrForged
 	}
-	signed, sum := b[:len(b)-macSize], b[len(b)-macSize:]
-	if !r.signedBy(signed, sum) {
+	signed, receivedMAC := b[:len(b)-macSize], b[len(b)-macSize:]
+	if !r.hasValidMAC(signed, receivedMAC) {
 		return Token{}, ErrForged
 	}
 	t, err := decode(signed)
@@ -165,11 +165,11 @@
 	return t, nil
 }
 
-func (r *Keyring) signedBy(signed, sum []byte) bool {
+func (r *Keyring) hasValidMAC(signed, receivedMAC []byte) bool {
 	id := signed[1]
 	for _, s := range *r.secrets.Load() {
 		if s.ID == id {
-			return hmac.Equal(mac(s.Value, signed), sum)
+			return hmac.Equal(mac(s.Value, signed), receivedMAC)
 		}
 	}
 	return false
