--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -20,8 +20,9 @@
 	// Reserve is the number of slots kept free, while several organisations are active,
 	// for those that use less than their share.
 	Reserve int
-	// Headroom is how many requests may run beyond Slots while at least as many of
-	// lower priority run. It is for upstreams that honour priorities themselves.
+	// Headroom limits how many requests may run beyond Slots. A request may start there
+	// if more requests of lower priority run than already run beyond Slots. It is for
+	// upstreams that honour priorities themselves.
 	Headroom int
 	// MaxWaiting is the greatest number of waiting requests.
 	MaxWaiting int
@@ -35,7 +36,7 @@
 	Org           string
 	Profile       string
 	Priority      int       // higher starts earlier
-	Size          int       // in bytes
+	Size          int       // of the body, in bytes
 	Weight        int       // of the organisation; values below one count as one
 	FirstByteBy   time.Time // zero: no deadline
 	Deadline      time.Time // zero: no deadline
@@ -44,8 +45,9 @@
 	OrgQueueBound int       // the same for the organisation within the profile; zero: no limit
 }
 
-// Expires returns when it is too late to start the request; zero: never. The owner of
-// the queue removes the request then and responds at once.
+// Expires returns the earlier of FirstByteBy and Deadline, from which on it is too late
+// to start the request; zero: never. The owner of the queue removes the request then and
+// responds at once.
 func (r *Request) Expires() time.Time {
 	if r.FirstByteBy.IsZero() || (!r.Deadline.IsZero() && r.Deadline.Before(r.FirstByteBy)) {
 		return r.Deadline
@@ -62,7 +64,7 @@
 	organisations map[string]*organisation
 	queueLengths  map[queueKey]int
 	bytes         int    // of the waiting requests
-	external      int    // requests on the upstream that this queue did not start
+	external      int    // requests on the upstream that neither Next nor Begin started
 	lastSeq       uint64 // sequence number of the last request admitted
 	sweptAt       time.Time
 	service       average            // running time on the upstream
@@ -187,7 +189,8 @@
 	return Request{}, false
 }
 
-// Begin records the start of a request that bypasses the queue.
+// Begin records the start of a request that bypasses the queue. Like a request that Next
+// has started, it counts as running until Done.
 func (q *Queue) Begin(now time.Time, r Request) {
 	r.Weight = max(1, r.Weight)
 	q.markActive(now, &r)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -232,7 +232,7 @@
 		c := Config{Slots: 3 * share, Reserve: rapid.IntRange(0, 1).Draw(t, "reserve"), MaxWaiting: 10000, MaxBytes: 1}
 		var arrivals []arrival
 		for i := range rapid.IntRange(1, 12).Draw(t, "steady") {
-			// share requests per service time
+			// share requests in every second service time
 			at := rapid.IntRange(0, serviceSeconds-1).Draw(t, "at") / share
 			arrivals = append(arrivals, arrival{"b", (i/share)*2*serviceSeconds + at})
 		}
--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -7,7 +7,8 @@
 	smoothing = 0.1
 	// defaultServiceTime is used as the service time until one has been observed.
 	defaultServiceTime = time.Second
-	// maxAverages limits the number of profiles whose first-byte times are kept.
+	// maxAverages limits the number of profiles whose first-byte times are kept. Those
+	// of further profiles are not recorded.
 	maxAverages = 256
 )
 
@@ -52,9 +53,11 @@
 }
 
 // lateness returns by how much a request that has to wait would miss its first-byte or
-// total deadline, based on the measured service time. It returns zero until a service
-// time has been measured. A request that can start at once is never refused for
-// lateness; otherwise an average that has become too long would never be corrected.
+// total deadline, based on the measured service time. It returns zero for a request
+// without a deadline, without a limit of slots, and until a service time has been
+// measured. check does not call it for a request that can start at once: if those were
+// refused too, none would run, and an average that has become too long would never be
+// corrected.
 func (q *Queue) lateness(now time.Time, r *Request) time.Duration {
 	expires := r.Expires()
 	if expires.IsZero() || !q.service.observed || q.config.Slots <= 0 {
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -10,12 +10,13 @@
 const minCostSeconds = 0.001
 
 // class holds the waiting requests of one priority and orders them by start-time fair
-// queueing: each organisation's flow has a tag that grows by the running time of its
-// requests divided by its weight, and the flow with the lowest tag starts next.
+// queueing: the flow with the lowest start tag starts its first request next. The start
+// tag of an organisation's flow grows by the running time of its requests divided by its
+// weight.
 type class struct {
 	priority    int
 	waiting     int
-	virtualTime float64 // tag of the flow that started last
+	virtualTime float64 // highest start tag from which a request has started
 	flows       map[string]*flow
 }
 
@@ -81,8 +82,8 @@
 	f.startTag += seconds / f.weight
 }
 
-// correctCharge adds seconds to the charge of a request that has ended, to make up for
-// a wrong estimate.
+// correctCharge adds seconds, which may be negative, to the charge of a request that has
+// ended. They are the difference between its running time and the estimate.
 func (c *class) correctCharge(r *Request, seconds float64) {
 	if f := c.flows[r.Org]; f != nil {
 		f.startTag += seconds / f.weight
@@ -90,8 +91,9 @@
 	c.prune()
 }
 
-// prune removes idle flows whose tags are not ahead of virtual time, or all idle flows
-// once no request waits and tags have no meaning.
+// prune removes the flows without waiting requests whose start tags are not ahead of
+// virtual time: push would create them again with the same tag. If no request of the
+// class waits, it removes all flows, because tags only order flows among each other.
 func (c *class) prune() {
 	for org, f := range c.flows {
 		if len(f.requests) == 0 && (c.waiting == 0 || f.startTag <= c.virtualTime) {
@@ -111,8 +113,7 @@
 }
 
 // ahead estimates how many waiting requests start before a new one: all of higher
-// priority, and from each other flow as many as its weight entitles it to before this
-// organisation's turn.
+// priority, and those of the same priority that countAhead returns.
 func (q *Queue) ahead(r *Request) int {
 	n := 0
 	for _, c := range q.classes {
@@ -126,6 +127,9 @@
 	return n
 }
 
+// countAhead estimates how many requests of the class start before a new one: all that
+// its organisation already has waiting, and from each other organisation as many as
+// start, in proportion to the weights, until its turn.
 func (c *class) countAhead(r *Request) int {
 	own := 0
 	if f := c.flows[r.Org]; f != nil {
--- a/internal/admission/slots.go
+++ b/internal/admission/slots.go
@@ -61,10 +61,12 @@
 	return c
 }
 
-// fits reports whether a request of org may start. The last free slots, the reserve,
-// are for organisations that use less than their share: a surge that fills all slots
-// makes other organisations wait until one of its requests ends. The share of a sole
-// active organisation is all slots, so none stays idle then.
+// fits reports whether a request of org may start. The last free slots, as many as
+// Config.Reserve, are kept for organisations that run fewer requests than their share of
+// the slots by weight. Without them, a surge that fills all slots would make other
+// organisations wait until one of its requests ends. The share of a sole active
+// organisation is all slots, so none stays idle then. Without a limit of slots, every
+// request fits.
 func (c capacity) fits(org string) bool {
 	config := &c.queue.config
 	if config.Slots <= 0 || c.freeSlots > config.Reserve {
--- a/internal/order/desk.go
+++ b/internal/order/desk.go
@@ -1,6 +1,7 @@
-// Package order handles the controller's orders in a sidecar. It rejects orders of
-// former lease holders, drains the upstream before a load, and gives the upstream one
-// order at a time.
+// Package order handles the controller's orders in a sidecar. An order makes the upstream
+// load a model. The controller first prepares it, which drains the upstream, and then
+// starts the load; the upstream serves again once the load has ended. The package
+// rejects orders of former lease holders and gives the upstream one order at a time.
 package order
 
 import (
@@ -56,7 +57,7 @@
 	phase      wire.OrderPhase
 	resume     func()
 	readyTimer *time.Timer
-	cancel     context.CancelFunc // stops draining
+	cancel     context.CancelFunc // ends the context of Config.Drain
 }
 
 // NewHandler returns a Handler that works until ctx ends.
@@ -64,8 +65,10 @@
 	return &Handler{config: c, ctx: ctx}
 }
 
-// Handle carries out an order and returns the status after it. A rejection is returned
-// in the status, together with the state that the controller needs.
+// Handle carries out an order and returns the status after it. For a rejected order, the
+// status holds the reason and the highest fencing token and, unless the order's token
+// was rejected, the current order and what the upstream serves. Handle returns an error
+// if the upstream does not report its status.
 func (h *Handler) Handle(ctx context.Context, o wire.Order) (wire.OrderStatus, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,9 +97,11 @@
 	return h.status(ctx)
 }
 
-// checkToken rejects fenced tokens. A sidecar that has just started has seen no token
-// and first reads the current one from the store; without that, it would accept an
-// order that a former lease holder sent before the restart.
+// checkToken returns nil if an order with token t is accepted, or why it is rejected:
+// a former lease holder has sent it. A sidecar that has just started has seen no token
+// and first reads the current one from the store; without that, it would accept an order
+// that a former lease holder sent before the restart. Until that succeeds, every order
+// is rejected.
 func (h *Handler) checkToken(ctx context.Context, t wire.FencingToken) *verdict.Error {
 	if !h.fence.Known() && h.config.Token != nil {
 		if current, err := h.config.Token(ctx); err == nil {
@@ -117,8 +122,9 @@
 	return status, err
 }
 
-// prepare starts to drain the upstream. If that has already started for another order,
-// it continues under the new ID.
+// prepare starts to drain the upstream. If that has already started or been completed
+// for an earlier order, or for this one, the state is kept under the ID of o, and an
+// upstream that waits for its load waits for another readyTimeout.
 func (h *Handler) prepare(o wire.Order) {
 	hasOrder := h.id != ""
 	h.id = o.ID
@@ -203,11 +209,14 @@
 	}
 }
 
+// finishLoad puts the upstream back into service and returns true if the load of order
+// id has ended. It returns false if the load still runs or the upstream does not answer.
 func (h *Handler) finishLoad(id string) bool {
 	ctx, cancel := context.WithTimeout(h.ctx, callTimeout)
 	defer cancel()
 	status, err := h.config.Upstream.OrderStatus(ctx)
-	// A restarted upstream no longer has the order, so the load has ended.
+	// A load has also ended if the upstream reports no order or another one: it has
+	// restarted.
 	if err != nil || (status.ID == id && status.Phase == wire.PhaseRunning) {
 		return false
 	}
--- a/internal/order/desk_test.go
+++ b/internal/order/desk_test.go
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// testVM is a sidecar's Handler with its upstream and store.
+// testVM is the Handler of a VM's sidecar with its upstream and the store's fencing
+// token.
 type testVM struct {
 	*Handler
 	upstream testUpstream
@@ -111,9 +112,9 @@
 	})
 }
 
-// A sidecar restarts while the store does not answer, and an order of a former lease
-// holder arrives. The sidecar has no token to compare with, so without a check it would
-// accept any.
+// A sidecar restarts while the store refuses calls, and an order of a former lease
+// holder arrives, and again after the store has recovered. The sidecar has seen no token
+// to compare with, so it would accept any order if it did not wait for the store's.
 func TestRestartedSidecarRejectsFencedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVM(t)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -60,13 +60,13 @@
 	Crashes int    // number of crashes during which the fingerprint was running
 }
 
-// Decide returns how a request with fingerprint p may run. permitted says that the
-// sidecar of its crash has permitted it to run alone on another VM.
+// Decide returns how a request with fingerprint p may run.
 //
-// A suspect runs alone on the VM whose crash made it a suspect. Every process that
-// knows of the suspicion knows that VM, whatever its list of VMs, so all copies of the
-// request reach the same sidecar and run one after another. That upstream has just lost
-// its cache and its work, so another crash costs least there.
+// A suspect runs alone on the VM of the earliest crash that made it a suspect. Every
+// process that knows of the suspicion knows that VM, whatever its list of VMs, so all
+// copies of the request reach the same sidecar and run one after another. That upstream
+// has just lost its cache and its work, so another crash costs least there. permitted is
+// set if that VM's sidecar has permitted the request to run alone on another VM.
 func (t *Table) Decide(now time.Time, p Fingerprint, permitted bool) Decision {
 	entries := t.byFingerprint[p]
 	if len(entries) == 0 && !permitted {
@@ -103,17 +103,17 @@
 	}
 }
 
-// Grant permits a copy of p to run alone until the given time, either here or on the VM
-// that p is sent to while this upstream is down. Until the outcome is known or the time
-// has passed, Decide returns Wait for other copies, so that no two of them crash an
-// upstream each.
+// Grant permits a copy of p to run alone until the given time, either on this VM or,
+// while its upstream is down, on another one that the copy is sent to. Until the outcome
+// is known or the time has passed, Decide returns Wait for other copies, so that no two
+// of them crash an upstream each.
 func (t *Table) Grant(p Fingerprint, until time.Time) {
 	t.grants[p] = until
 }
 
 // HasGrant reports whether any suspect has permission to run alone, here or on another
-// VM. A sidecar sends a suspect to one other VM at a time, so that one crash of a busy
-// upstream does not empty many others.
+// VM. A sidecar permits only one suspect at a time to run on another VM, so that one
+// crash of a busy upstream does not empty many others.
 func (t *Table) HasGrant(now time.Time) bool {
 	for p := range t.grants {
 		if t.isGranted(now, p) {
@@ -188,10 +188,11 @@
 	}
 }
 
-// ClearIfSurvived reports whether p has run alone since started for long enough to
-// count as finished, and if so records that. It must have run for twice the longest
-// time that it ran before a crash. Without this a harmless request with a long response
-// would block the upstream, and all other suspects, until its end.
+// ClearIfSurvived reports whether p, which has run alone since the time started, has run
+// for long enough to count as finished, and if so records that. It must have run for at
+// least minAloneTime and for twice the longest time that it ran before a crash. If only
+// its end counted, a harmless request with a long response would block the upstream, and
+// all other suspects, until then.
 func (t *Table) ClearIfSurvived(now time.Time, p Fingerprint, started time.Time) bool {
 	minRunTime := minAloneTime
 	for _, e := range t.byFingerprint[p] {
@@ -231,7 +232,7 @@
 	Fingerprint Fingerprint
 	Convicted   bool // false: suspect
 	Crashes     int
-	Until       time.Time
+	Until       time.Time // when its last entry expires
 }
 
 // Cases returns the suspected and convicted fingerprints in ascending order.
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -2,8 +2,10 @@
 // upstreams that run them.
 //
 // Each process keeps a Table. A sidecar records the crashes of its upstream with the
-// fingerprints that were running. Tables exchange entries in messages that are sent
-// anyway and in reports. A Table is pure: it does no I/O and reads no clock.
+// fingerprints that were running. Tables exchange entries: Gossip adds recent ones to
+// messages that are sent anyway, and EvidenceFor returns those about one request, which
+// are sent with the request, with its refusal, and in the reports of a crash that
+// routers send to sidecars. A Table is pure: it does no I/O and reads no clock.
 package quarantine
 
 import (
@@ -41,7 +43,7 @@
 	Crash       Crash
 	VM          string        // VM that crashed
 	At          time.Time     // time of the crash, in whole milliseconds
-	RunTime     time.Duration // how long it had run, in whole milliseconds
+	RunTime     time.Duration // how long it had run at the crash, in whole milliseconds
 	Alone       bool          // no other fingerprint was running
 	Status      Status
 }
@@ -89,6 +91,7 @@
 	evictDivisor = 8
 	// maxClockSkew is how far a crash may lie in the future by the clock of another VM.
 	maxClockSkew = time.Minute
-	// minAloneTime is the shortest time for which a suspect runs alone.
+	// minAloneTime is the shortest time after which a suspect that runs alone may count
+	// as finished before it ends.
 	minAloneTime = time.Second
 )
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -154,8 +154,9 @@
 	f.schedule(s)
 }
 
-// crash ends all runs at s with a crash. Each router reports the crash before it
-// responds to its caller.
+// crash ends all runs at s with a crash. Before it responds to its caller, each router
+// reports the crash to the sidecars that a retry may be sent to: the first ones with and
+// without a ticket, and those whose upstreams have crashed while they ran it.
 func (f *fleet) crash(s *process) {
 	running := s.running
 	waiting := s.suspects
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -18,8 +18,9 @@
 	// gossipBurstBytes is how many bytes a process may gossip at once.
 	gossipBurstBytes = 2048
 
-	// minGossipBytes is the least space for which Gossip encodes a message. Below it,
-	// for instance between the few messages that the rate allows, nothing is sorted.
+	// minGossipBytes is the smallest number of bytes for which Gossip encodes a
+	// message. For most messages the rate limit leaves less, and Gossip then returns
+	// without sorting the pending entries.
 	minGossipBytes = 128
 
 	// maxMessageBytes limits the messages that a Table accepts.
@@ -90,7 +91,7 @@
 }
 
 // pick returns the entries to send, in order: those sent least often first, then those
-// with the highest status. It removes entries that are older than gossipFor.
+// with the highest status. It removes entries that are older than gossipPeriod.
 func (t *outbox) pick(now time.Time) []*Entry {
 	current := make([]*pendingEntry, 0, len(t.pending))
 	for k, n := range t.pending {
@@ -123,8 +124,8 @@
 
 // EvidenceFor returns the entries that the decision on p depends on, whether they were
 // sent before or not: those of p, and those of the convicted fingerprints that explain
-// its crashes. They are sent with reports, and with the refusal or submission of p
-// itself, so that two processes that disagree about p agree after one exchange.
+// its crashes. They are sent with reports of a crash, and with the refusal or submission
+// of p itself, so that two processes that disagree about p agree after one exchange.
 func (t *Table) EvidenceFor(now time.Time, p Fingerprint) json.RawMessage {
 	entries := t.liveEntries(now, p)
 	for _, e := range entries {
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -30,9 +30,9 @@
 	})
 }
 
-// isConvictedByEvidence reports whether p ran alone at a crash after it had been
-// running at another, where no other convicted fingerprint explains either. This covers
-// two sidecars that saw one crash each and did not know of the other's.
+// isConvictedByEvidence reports whether p was running at one crash and ran alone at a
+// later one, and no other convicted fingerprint explains either of them. This convicts p
+// if two sidecars saw one crash each and did not know of the other's.
 func (t *Table) isConvictedByEvidence(now time.Time, p Fingerprint) bool {
 	var first, alone *Entry
 	for _, e := range t.byFingerprint[p] {
@@ -50,9 +50,12 @@
 }
 
 // isExplained reports whether another fingerprint that was running at e's crash is
-// guilty. A conviction thereby clears all other fingerprints of the crash at once. The
-// result is computed from the entries and not stored, so Tables with the same entries
-// agree in whatever order they received them.
+// convicted, as isConvicted reports it. A conviction thereby clears all other
+// fingerprints of the crash at once. The result is computed from the entries and not
+// stored, so Tables with the same entries agree in whatever order they received them.
+//
+// The parameter isConvicted is one of the methods of t: isConvictedByEvidence passes
+// isConvictedBySidecar, because Table.isConvicted calls it in turn.
 func (t *Table) isExplained(now time.Time, e *Entry, isConvicted func(time.Time, Fingerprint) bool) bool {
 	return slices.ContainsFunc(t.byCrash[e.Crash], func(o *Entry) bool {
 		return o.Fingerprint != e.Fingerprint && isConvicted(now, o.Fingerprint)
@@ -86,7 +89,8 @@
 	return x.Fingerprint < y.Fingerprint
 }
 
-// mergeEntry adds an entry, or raises the status of the one already known.
+// mergeEntry adds an entry, or raises the status of the one already known. It ignores an
+// entry that is not valid at now, and one that a full Table would evict first.
 func (t *Table) mergeEntry(now time.Time, e Entry) {
 	if !e.isLive(now) {
 		return
@@ -128,10 +132,12 @@
 	}
 }
 
-// evict makes room for e: it removes expired entries or, if that is not enough, the
-// first part in eviction order, and reports whether e may be added. Convictions are
-// evicted last, because losing one costs upstreams. Many entries are evicted at once,
-// because finding the oldest requires a scan of all.
+// evict makes room for e and reports whether e may be added. It removes expired entries
+// or, if that is not enough, one in evictDivisor of all, in the order of
+// isEvictedBefore. It removes none of those if e would itself be the first of them.
+// Convictions are evicted last, because a fingerprint whose conviction is lost crashes
+// upstreams again. Many entries are evicted at once, because finding the oldest requires
+// a scan of all.
 func (t *Table) evict(now time.Time, e *Entry) bool {
 	t.Expire(now)
 	if t.size < maxEntries {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -31,8 +31,9 @@
 }
 
 // Two routers receive entries of the same crashes on different paths: late, twice or in
-// another order. If their Tables differed, one router would send a retried request to
-// an upstream that the other keeps it away from.
+// another order. If their Tables then differed, one router would send a retried request
+// to an upstream that the other keeps it away from. Merge must form a semilattice: the
+// order and number of deliveries must not matter.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var messages [][]byte
@@ -74,8 +75,8 @@
 }
 
 // Dozens of upstreams crash with fifty running requests each. A Table without a limit
-// would take the memory that responses need; one that evicted convictions first would
-// lose two more upstreams to each convicted fingerprint.
+// would take the memory that responses need; with one that evicted convictions first,
+// each convicted fingerprint would crash two more upstreams.
 func TestFullTableKeepsConvictions(t *testing.T) {
 	table := New("a", 1)
 	for range 2 {
--- a/internal/relay/beat.go
+++ b/internal/relay/beat.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// subscribe subscribes to the candidates by rank, up to the first that is a usable
-// parent or has yet to answer. A candidate that does not answer is skipped for
-// SuspectTime. A router whose own reading lags subscribes to all peers.
+// subscribe subscribes to the candidates in order of rank. It stops after the first that
+// is a usable parent or that has yet to answer. A candidate that does not answer is
+// skipped for SuspectTime. For a router that reads the store and lags, all peers are
+// candidates.
 func (s *State) subscribe(now time.Time) []Effect {
 	candidates := s.candidates(now)
 	if s.reading && s.isLagging(now) {
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -23,9 +23,11 @@
 	return true
 }
 
-// gracePeriod returns how much longer than the next router in rank this one keeps a
-// parent. Routers that follow one of their own failure domain wait for that one to find
-// another parent, and of all others only the first replaces the reader at once.
+// gracePeriod returns by how much this router extends its time limits before it gives up
+// its parent: zero to three Staggers. The next router in rank has no grace period, so it
+// alone replaces the reader at once; the others wait for one Stagger. In a large region,
+// a router that follows one of its own failure domain waits for two more, so that the
+// router it follows can find another parent first.
 func (s *State) gracePeriod(now time.Time, candidates []*peer) time.Duration {
 	staggers, ahead := 0, 0
 	for _, p := range candidates {
@@ -56,12 +58,13 @@
 	return false
 }
 
-// chooseParent sets the parent, and whether this router reads the store: it does so
-// unless it follows a router that ranks before it. If the store does not answer the
-// reader, the next in rank read too, but a router whose own reading works does not
-// follow the failing reader. While its own reading lags, for instance because this
-// router alone cannot reach the store, it follows any fresh router and keeps trying the
-// store.
+// chooseParent sets the parent, and whether this router reads the store. It follows the
+// first fresh candidate, or keeps its parent within the grace period, and otherwise
+// reads the store. If the parent reports that the store does not answer it, this router
+// also reads the store if it is an immediate successor or if its own state does not lag,
+// and in the latter case no longer follows the parent. A router that reads the store and
+// whose own state lags, for instance because it alone cannot reach the store, keeps
+// trying and meanwhile follows any fresh router.
 func (s *State) chooseParent(now time.Time) []Effect {
 	candidates := s.candidates(now)
 	parent, reading := s.firstFresh(now, candidates), false
@@ -109,8 +112,9 @@
 	return failing
 }
 
-// isImmediateSuccessor reports whether this router is among the immediateSuccessors of
-// a failing reader.
+// isImmediateSuccessor reports whether this router starts to read the store at once when
+// the reader reports that the store does not answer it: fewer than immediateSuccessors
+// of candidates are neither suspect nor report the same.
 func (s *State) isImmediateSuccessor(now time.Time, candidates []*peer) bool {
 	ahead := 0
 	for _, p := range candidates {
--- a/internal/relay/event.go
+++ b/internal/relay/event.go
@@ -89,7 +89,8 @@
 // there is none.
 type SetParent struct{ Parent Router }
 
-// ParentProgress is the progress that the parent has published.
+// ParentProgress passes on the progress that the parent has published, so that the
+// caller can pull what this router lacks.
 type ParentProgress struct {
 	Parent   Router
 	Progress Sets[Progress]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -109,8 +109,9 @@
 	// it.
 	MaxAge time.Duration
 	// Stagger is added once, twice or three times to MaxAge, HeartbeatTimeout and
-	// PullTimeout on routers that are not the next to read. Without it all routers
-	// would give up a reader at the same moment, and each would list the whole store.
+	// PullTimeout on routers that are not the next in rank to read the store. Without
+	// it all routers would give up a reader at the same moment, and each would list the
+	// whole store.
 	Stagger time.Duration
 	// RenewInterval is how often a subscription is renewed. A subscription lasts three
 	// times as long.
@@ -126,13 +127,14 @@
 const maxReportInterval = 90 * time.Millisecond
 
 // TimingFor returns the Timing with which a change accepted by the store is in force
-// within bound. A parent that stops sending heartbeats is detected after a third of the
-// bound, and a parent whose state grows old after nearly three quarters; reading the
-// store then takes some hundredths of a second. If pulls from the next parent fail, a
-// fifth of the bound is left to detect that: a pull takes milliseconds, and a tenth of
-// a second on a small VM that applies a thousand routes. A reader gets an answer from
-// the store at least every half of the bound and passes it on an eighth of the bound
-// later.
+// within bound. A parent that stops sending heartbeats is given up after
+// HeartbeatTimeout, a third of the bound, and a parent whose state grows old after
+// MaxAge, nearly three quarters. Reading the store then takes some hundredths of a
+// second. If this router follows another parent instead and pulls from that one fail,
+// PullTimeout, a fifth of the bound, is added to MaxAge: a pull takes milliseconds, and
+// a tenth of a second on a small VM that applies a thousand routes. A reader gets an
+// answer from the store at least every half of the bound and sends it on within
+// HeartbeatInterval, an eighth of the bound.
 func TimingFor(bound time.Duration) Timing {
 	return Timing{
 		HeartbeatInterval: bound / 8,
@@ -152,8 +154,9 @@
 // domain and the first of each failure domain.
 const maxFlatRouters = 33
 
-// rank orders routers by who reads the store, the lowest first: by capacity, then by a
-// hash of the name. All routers compute the same order.
+// rank is a router's position in the order in which routers are to read the store: the
+// highest capacity first, then by a hash of the name. All routers compute the same
+// order.
 type rank struct {
 	capacity int
 	hash     uint64
@@ -197,12 +200,12 @@
 	peers  map[string]*peer // of the router's region, by name
 	sorted []*peer          // all peers, by rank
 
-	parent        *peer // the router that this one follows; nil: it relies on its own reading
-	registerRead  bool  // the register of routers was read
-	reading       bool  // this router reads the store
-	storeFailing  bool  // the store does not answer this router
-	own           Sets[Progress]
-	ownAsOf       time.Time // when own was current
+	parent        *peer          // the router that this one follows; nil: none
+	registerRead  bool           // the register of routers was read
+	reading       bool           // this router reads the store
+	storeFailing  bool           // the store does not answer this router
+	own           Sets[Progress] // of this router; the ages are those of its own reading of the store
+	ownAsOf       time.Time      // when own was last updated; its ages are relative to this time
 	nextHeartbeat time.Time
 	nextReport    time.Time
 	published     Sets[config.Summary] // in the last heartbeat
@@ -241,11 +244,11 @@
 	return len(s.peers) + 1
 }
 
-// immediateSuccessors is how many routers, the next in rank, take over as soon as a
-// reader says that the store does not answer it. If the store answers no router, only
-// these few have tried in vain; the others wait until their state has grown old. If the
-// store refuses a third of the routers, the reader and both successors are all refused
-// once in 27 times.
+// immediateSuccessors is how many routers, the next in rank, start to read the store as
+// soon as the reader reports that the store does not answer it. The others wait until
+// their state has grown old, so that only these few call a store that answers no router.
+// If the store refuses a third of the routers, the reader and both successors are all
+// refused once in 27 times.
 const immediateSuccessors = 2
 
 // forgetAfter is the time since a router was last seen after which it is removed.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -31,7 +31,7 @@
 	watchTimeout = time.Second
 	// refusedRetryDelay is the pause after a refused call.
 	refusedRetryDelay = 250 * time.Millisecond
-	// storeTimeout is when a call fails that the store does not answer.
+	// storeTimeout is how long a call takes to fail if the store does not answer it.
 	storeTimeout = 1300 * time.Millisecond
 )
 
@@ -317,8 +317,9 @@
 }
 
 // Routers report observed loads to their parent once per ReportInterval, and the parent
-// sends its summary to each subscriber at the same interval. A router that reads the
-// store itself has no parent to report to.
+// sends its summary to each subscriber at the same interval. If either were sent less
+// often, routers would choose upstreams by outdated loads. A router that reads the store
+// itself has no parent to report to.
 func TestReportsAreSentAtTheirInterval(t *testing.T) {
 	s := newSimulation(5, 1)
 	s.run(5 * time.Second)
@@ -422,9 +423,10 @@
 }
 
 // The reader freezes for a moment and has lost the store when it resumes. Its messages
-// still arrive, but pulls from it fail. A subscriber first waits until the reader's
-// state is too old, and then again until the failure of pulls is detected. Both delays
-// together must fit into the bound.
+// still arrive, but pulls from it fail; another router is frozen all the while. A
+// subscriber first waits until the reader's state is too old, and then again until the
+// failure of pulls is detected. If both delays together exceeded the bound, callers
+// would be served with outdated configuration.
 func TestStaleReaderThatCannotBePulledFrom(t *testing.T) {
 	s := newSimulation(4, 1)
 	s.run(3040 * time.Millisecond)
@@ -477,7 +479,8 @@
 }
 
 // In a large region with twelve failure domains, a router may send heartbeats to no
-// more than the routers of its own failure domain and the first router of each.
+// more than the routers of its own failure domain and the first router of each. If all
+// routers subscribed to the reader directly, its traffic would grow with the region.
 func TestFanOutIsBounded(t *testing.T) {
 	const size, domains = 240, 12
 	s := newSimulation(size, domains)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -30,7 +30,8 @@
 	return s.sendHeartbeats(e.Now, s.hasNews(e.Now) || failingChanged)
 }
 
-// HasParent reports whether this router follows another one, whose state is fresh.
+// HasParent reports whether this router follows another one. The state of a parent is
+// fresh, or has been so until less than the grace period ago.
 func (s *State) HasParent() bool {
 	return s.parent != nil
 }
--- a/internal/token/token.go
+++ b/internal/token/token.go
@@ -36,6 +36,11 @@
 	formatVersion = 1
 	macSize       = 16
 	nonceSize     = 8
+	// fixedSize is the length of an encoded token without its VM and MAC. The fields
+	// are, in this order, the format version, the ID of the secret and the purpose (1
+	// byte each), Org, Session and Incarnation (8 bytes each), the nonce, Expires in
+	// Unix seconds (4 bytes), and the length of VM (1 byte). VM and the MAC follow.
+	// Integers are big-endian.
 	fixedSize     = 1 + 1 + 1 + 8 + 8 + 8 + nonceSize + 4 + 1
 	maxEncodedLen = 256
 )
@@ -82,8 +87,8 @@
 type Token struct {
 	Purpose     Purpose
 	Org         uint64 // hash of the organisation's name
-	Session     uint64 // hash of the session
-	Incarnation uint64 // of the sidecar
+	Session     uint64 // hash of the session's name within the organisation; zero: no session
+	Incarnation uint64 // of the sidecar on VM
 	Nonce       Nonce
 	Expires     time.Time // whole seconds
 	VM          string    // at most MaxVMLen bytes
@@ -120,7 +125,8 @@
 	return nil
 }
 
-// Seal signs and encodes t.
+// Seal encodes t and signs it with the first secret. It does not check that t.VM is no
+// longer than MaxVMLen, nor that t.Expires fits into 32 bits as Unix seconds.
 func (r *Keyring) Seal(t Token) string {
 	s := (*r.secrets.Load())[0]
 	b := make([]byte, 0, fixedSize+len(t.VM)+macSize)
@@ -136,8 +142,9 @@
 	return encoding.EncodeToString(b)
 }
 
-// Open verifies and decodes s. It does not check the expiry, because an expired key
-// still names the sidecar that has the outcome of its request.
+// Open verifies and decodes s. It returns ErrForged if no known secret has signed s, and
+// ErrPurpose if s does not have purpose p. It does not check the expiry, because an
+// expired key still names the sidecar that has the outcome of its request.
 func (r *Keyring) Open(s string, p Purpose) (Token, error) {
 	if len(s) > maxEncodedLen {
 		return Token{}, ErrForged
@@ -165,6 +172,8 @@
 	return t, nil
 }
 
+// hasValidMAC reports whether receivedMAC is the MAC of signed under the secret that
+// signed names by its ID. It returns false for an unknown ID.
 func (r *Keyring) hasValidMAC(signed, receivedMAC []byte) bool {
 	id := signed[1]
 	for _, s := range *r.secrets.Load() {
--- a/internal/token/token_test.go
+++ b/internal/token/token_test.go
@@ -43,11 +43,12 @@
 	}
 }
 
-// After the signing secret was rotated, a caller sends a ticket or key from before the
-// rotation through routers that have or have not yet read the new file. Each router
-// must accept it; otherwise a session loses its cached prefix, or a retried request may
-// run twice. Anything else must be rejected: a changed byte, a ticket used as a key, a
-// token signed with a removed secret.
+// The signing secret is rotated: a new one has been added on all routers, and some have
+// not yet read the file that makes it the first. Each router must accept tickets and
+// keys that any router has signed, before or after the rotation; otherwise a session
+// loses its cached prefix, or a retried request may run twice. Anything else must be
+// rejected: a changed byte, a ticket used as a key or the reverse, a token signed with a
+// removed secret.
 func TestRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawToken(t)
@@ -64,6 +65,7 @@
 				}
 			}
 		}
+		// 'k'^'t'^want.Purpose is the purpose that the token does not have.
 		if _, err := r.Open(sealed, 'k'^'t'^want.Purpose); !errors.Is(err, ErrPurpose) {
 			t.Fatalf("opened as another kind of token: %v", err)
 		}
@@ -78,6 +80,8 @@
 	})
 }
 
+// A token has a single encoding. If a changed text were accepted as the same key, two
+// requests with that key would carry different texts.
 func FuzzOpen(f *testing.F) {
 	r := newTestKeyring(f, testSecret(2), testSecret(1))
 	sealed := r.Seal(Token{Purpose: PurposeKey, VM: "vm-12", Expires: time.Unix(1<<31, 0)})
@@ -95,6 +99,8 @@
 	})
 }
 
+// A secrets file with a mistake is rejected. The error must not contain a secret, because
+// errors are logged, and whatever is accepted must be valid for a Keyring.
 func FuzzParseSecrets(f *testing.F) {
 	f.Add("# made on Monday\n2:" + strings.Repeat("5e", 32) + "\n\n1:" + strings.Repeat("c4", 16) + "\r\n")
 	f.Add("2:" + strings.Repeat("5e", 16))
@@ -129,6 +135,9 @@
 	}
 }
 
+// A secret ends up in a log line or an error, through any verb of fmt, slog or JSON. The
+// value must not appear, neither as text, nor in hexadecimal (626f6f6b is "book"), nor
+// as decimal bytes (98 111 is "bo"); otherwise whoever reads it can sign tokens.
 func TestSecretsNeverPrint(t *testing.T) {
 	s := Secret{ID: 7, Value: []byte("the-booking-secret")}
 	holder := struct{ Secrets []Secret }{[]Secret{s}}
