--- a/internal/sidecar/action_test.go
+++ b/internal/sidecar/action_test.go
@@ -21,7 +21,7 @@
 // later route action then sends it again.
 func (f *fleet) send(t *rapid.T, c *requestCopy) {
 	n := f.vm(c.key.VM)
-	sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), HasPermit: c.mayRunAlone}
+	sub := wire.Submit{Key: c.key, Org: "org", Fingerprint: fingerprintOf(c.req), HasPermit: c.hasPermit}
 	sub.Policy = wire.RequestPolicy{
 		LoadMultiple: 1.25,
 		FirstByte:    time.Duration(rapid.IntRange(0, 20).Draw(t, "first byte")) * time.Second,
@@ -169,12 +169,12 @@
 	leaving := rapid.Bool().Draw(t, "leaving")
 	f.step(t, n, NoticeReceived{Now: f.now, Notice: wire.Notice{Leaving: leaving, Version: v}})
 	if v == 0 && leaving {
-		n.listedUntil = f.now.Add(listedTTL)
+		n.listNoticeUntil = f.now.Add(listNoticeTTL)
 	}
 	if v > n.version {
 		n.version, n.leaving = v, leaving
 	}
-	if n.state.draining(f.now) != (n.leaving || n.stopping || f.now.Before(n.listedUntil)) {
+	if n.state.draining(f.now) != (n.leaving || n.stopping || f.now.Before(n.listNoticeUntil)) {
 		t.Fatalf("%s: draining after notices up to version %d: %v", n.id, n.version, !n.leaving)
 	}
 }
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -18,17 +18,17 @@
 	store *responseStore
 	nonce token.Nonce
 
-	mu        sync.Mutex
-	changed   chan struct{} // closed and replaced at each change
-	head      *responseHead
-	base      int64 // offset in the response of the first byte in body
-	body      []byte
-	end       *Finish
-	discards  bool // overflow is discarded while there are no readers
-	readers   map[*sender]bool
-	readerSeq uint64        // number of changes of readers
-	endedElem *list.Element // in store.ended; guarded by store.mu
-	delivered bool          // a reader has received the complete response
+	mu            sync.Mutex
+	changed       chan struct{} // closed and replaced at each change
+	head          *responseHead
+	base          int64 // offset in the response of the first byte in body
+	body          []byte
+	end           *Finish
+	discardUnread bool // overflow is discarded while there are no readers
+	readers       map[*sender]bool
+	readerSeq     uint64        // number of changes of readers
+	endedElem     *list.Element // in store.ended; guarded by store.mu
+	delivered     bool          // a reader has received the complete response
 }
 
 type responseHead struct {
@@ -68,13 +68,13 @@
 
 // tryWrite appends as much of b as fits and returns its length.
 func (rb *responseBuffer) tryWrite(b []byte) (n int, changed <-chan struct{}) {
-	window := rb.store.window()
+	limit := rb.store.responseLimit()
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
-	if excess := len(rb.body) + len(b) - window; excess > 0 {
-		rb.discardDelivered(excess)
+	if excess := len(rb.body) + len(b) - limit; excess > 0 {
+		rb.discardOldest(excess)
 	}
-	n = min(len(b), max(0, window-len(rb.body)))
+	n = min(len(b), max(0, limit-len(rb.body)))
 	if n > 0 {
 		rb.body = append(rb.body, b[:n]...)
 		rb.store.used.Add(int64(n))
@@ -83,18 +83,18 @@
 	return n, rb.changed
 }
 
-// discardDelivered discards at least excess bytes from the front, as far as all
+// discardOldest discards at least excess bytes from the front, as far as all
 // readers have received them. It discards large chunks, since each call copies the
 // rest. A sender may still use the old array, so it is not overwritten.
-func (rb *responseBuffer) discardDelivered(excess int) {
-	delivered := len(rb.body)
+func (rb *responseBuffer) discardOldest(excess int) {
+	discardable := len(rb.body)
 	for r := range rb.readers {
-		delivered = min(delivered, int(r.deliveredUpTo()-rb.base))
+		discardable = min(discardable, int(r.acknowledgedUpTo()-rb.base))
 	}
-	if len(rb.readers) == 0 && !rb.discards {
-		delivered = 0
+	if len(rb.readers) == 0 && !rb.discardUnread {
+		discardable = 0
 	}
-	n := min(delivered, max(excess, len(rb.body)/4))
+	n := min(discardable, max(excess, len(rb.body)/4))
 	if n <= 0 {
 		return
 	}
@@ -103,10 +103,10 @@
 	rb.store.used.Add(int64(-n))
 }
 
-func (rb *responseBuffer) discardOverflow() {
+func (rb *responseBuffer) setDiscardUnread() {
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
-	rb.discards = true
+	rb.discardUnread = true
 	rb.notify()
 }
 
@@ -201,7 +201,7 @@
 
 // responseStore holds the response buffers of a sidecar within a memory limit.
 type responseStore struct {
-	buffer BufferLimits
+	limits BufferLimits
 	used   atomic.Int64
 
 	mu      sync.Mutex
@@ -215,12 +215,12 @@
 	Total       int // bytes of all responses
 }
 
-// minWindow is the window of each running response when the buffer is full, in
+// minResponseLimit is the window of each running response when the buffer is full, in
 // bytes. With no window, a response could not continue.
-const minWindow = 64 << 10
+const minResponseLimit = 64 << 10
 
 func newResponseStore(b BufferLimits) *responseStore {
-	return &responseStore{buffer: b, byNonce: make(map[token.Nonce]*responseBuffer)}
+	return &responseStore{limits: b, byNonce: make(map[token.Nonce]*responseBuffer)}
 }
 
 func (s *responseStore) open(n token.Nonce) {
@@ -260,16 +260,16 @@
 	}
 }
 
-// window returns how many bytes one running response may buffer now. While the
+// responseLimit returns how many bytes one running response may buffer now. While the
 // total is over its limit, it evicts ended responses, oldest first. A router that
 // asks for an evicted response gets ReasonAnswerGone.
-func (s *responseStore) window() int {
-	for s.used.Load() > int64(s.buffer.Total) {
+func (s *responseStore) responseLimit() int {
+	for s.used.Load() > int64(s.limits.Total) {
 		if !s.evict() {
-			return min(minWindow, s.buffer.PerResponse)
+			return min(minResponseLimit, s.limits.PerResponse)
 		}
 	}
-	return s.buffer.PerResponse
+	return s.limits.PerResponse
 }
 
 // evict drops the response that ended first among those without readers. It
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -27,11 +27,11 @@
 		whole[i] = byte(i ^ i>>8 ^ i>>16)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		window := rapid.IntRange(8, 256).Draw(t, "window") << 10
-		store := newResponseStore(BufferLimits{PerResponse: window, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
+		limit := rapid.IntRange(8, 256).Draw(t, "window") << 10
+		store := newResponseStore(BufferLimits{PerResponse: limit, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
 		for n := range byte(3) { // ended responses fill the buffer
 			store.open(token.Nonce{n})
-			store.get(token.Nonce{n}).tryWrite(whole[:window])
+			store.get(token.Nonce{n}).tryWrite(whole[:limit])
 			store.finish(Finish{Nonce: token.Nonce{n}})
 		}
 		pinned := store.get(token.Nonce{2})
@@ -45,8 +45,8 @@
 			"write": func(t *rapid.T) {
 				n, _ := rb.tryWrite(whole[written : written+rapid.IntRange(1, 16<<10).Draw(t, "bytes")])
 				written += n
-				if have, most := store.used.Load(), int64(store.buffer.Total+min(window, minWindow)+window); have > most {
-					t.Fatalf("%d bytes buffered, want at most %d", have, most)
+				if have, bound := store.used.Load(), int64(store.limits.Total+min(limit, minResponseLimit)+limit); have > bound {
+					t.Fatalf("%d bytes buffered, want at most %d", have, bound)
 				}
 			},
 			"join": func(t *rapid.T) {
@@ -74,7 +74,7 @@
 				if pinned.base > 0 {
 					t.Fatal("discarded a response that is being read")
 				}
-				if len(readers) == 0 && written < min(window, minWindow) && rb.base > 0 {
+				if len(readers) == 0 && written < min(limit, minResponseLimit) && rb.base > 0 {
 					t.Fatalf("discarded %d bytes though all fit", rb.base)
 				}
 			},
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -100,9 +100,9 @@
 	for i := range n {
 		nonce := benchSubmit(i).Key.Nonce
 		store.open(nonce)
-		a := store.get(nonce)
-		a.tryWrite(make([]byte, 1<<10))
-		a.addReader(newSender(nil, a, wire.Attach{Window: 16 << 10}), 0)
+		rb := store.get(nonce)
+		rb.tryWrite(make([]byte, 1<<10))
+		rb.addReader(newSender(nil, rb, wire.Attach{Window: 16 << 10}), 0)
 	}
 	return store
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -64,9 +64,9 @@
 // its failure domain.
 func (s *State) applyDrainOrders(objects []topo.Object) {
 	for _, o := range objects {
-		s.orders.Apply(o)
+		s.drainOrders.Apply(o)
 	}
-	if o, ok := s.orders.Lookup(s.settings.VM, s.settings.FailureDomain); ok {
-		s.applyOrder(wire.Notice{Leaving: o.Leave, Version: o.Version})
+	if o, ok := s.drainOrders.Lookup(s.settings.VM, s.settings.FailureDomain); ok {
+		s.applyNotice(wire.Notice{Leaving: o.Leave, Version: o.Version})
 	}
 }
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -33,8 +33,8 @@
 
 func (s *Sidecar) dropConn(conn *wire.Conn) {
 	s.mu.Lock()
-	for _, sender := range s.conns[conn].senders {
-		sender.stop()
+	for _, snd := range s.conns[conn].senders {
+		snd.stop()
 	}
 	delete(s.conns, conn)
 	s.mu.Unlock()
@@ -45,15 +45,15 @@
 func (s *Sidecar) isSending(conn *wire.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.conns[conn]
-	return r != nil && len(r.senders) > 0
+	pc := s.conns[conn]
+	return pc != nil && len(pc.senders) > 0
 }
 
 // isPermitted reports whether a peer with a role may call a method. A sidecar runs
 // beside an upstream, which executes code of others. An attacker that obtains a
 // sidecar's certificate there must not be able to run work on other upstreams.
-func isPermitted(r secure.Role, m wire.Method) bool {
-	switch r {
+func isPermitted(role secure.Role, m wire.Method) bool {
+	switch role {
 	case secure.RoleSidecar:
 		return m == wire.MethodHello || m == wire.MethodImport || m == wire.MethodJoined
 	case secure.RoleRouter:
@@ -68,13 +68,13 @@
 func (s *Sidecar) authorize(c *wire.Conn, m wire.Method) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.conns[c]
-	if r == nil {
+	pc := s.conns[c]
+	if pc == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonConnection, "the connection has ended")
 	}
-	if !isPermitted(r.role, m) {
+	if !isPermitted(pc.role, m) {
 		forbiddenCalls.Inc()
-		return verdict.New(verdict.NotRun, verdict.ReasonForbidden, "a %s may not call %s here", r.role, m)
+		return verdict.New(verdict.NotRun, verdict.ReasonForbidden, "a %s may not call %s here", pc.role, m)
 	}
 	return nil
 }
@@ -144,12 +144,12 @@
 func (s *Sidecar) HandleFrame(c *wire.Conn, f wire.Frame) {
 	switch f := f.(type) {
 	case wire.Credit:
-		if out := s.senderOf(c, f.Stream); out != nil {
-			out.grant(f.UpTo)
+		if snd := s.senderOf(c, f.Stream); snd != nil {
+			snd.grant(f.UpTo)
 		}
 	case wire.Detach:
-		if out := s.senderOf(c, f.Stream); out != nil {
-			out.stop()
+		if snd := s.senderOf(c, f.Stream); snd != nil {
+			snd.stop()
 		}
 	}
 }
@@ -157,8 +157,8 @@
 func (s *Sidecar) senderOf(c *wire.Conn, id wire.StreamID) *sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.conns[c]; r != nil {
-		return r.senders[id]
+	if pc := s.conns[c]; pc != nil {
+		return pc.senders[id]
 	}
 	return nil
 }
@@ -190,23 +190,23 @@
 // longer buffered.
 func (s *Sidecar) sendResponse(c *wire.Conn, p wire.Attach, adm *wire.Admission) {
 	n := p.Key.Nonce
-	resp := s.responses.get(n)
-	if resp == nil || p.Offset < 0 {
+	rb := s.responses.get(n)
+	if rb == nil || p.Offset < 0 {
 		adm.Error = errResponseGone()
 		return
 	}
-	out := newSender(connFrames{conn: c, attach: p}, resp, p)
-	change, ok := resp.addReader(out, p.Offset)
+	snd := newSender(connFrames{conn: c, attach: p}, rb, p)
+	change, ok := rb.addReader(snd, p.Offset)
 	if !ok {
 		adm.Error = errResponseGone()
 		return
 	}
 	s.postReaders(change)
-	s.addSender(c, p.Stream, out)
+	s.addSender(c, p.Stream, snd)
 	go func() {
-		delivered := out.send()
+		delivered := snd.send()
 		s.removeSender(c, p.Stream)
-		s.postReaders(resp.removeReader(out, delivered))
+		s.postReaders(rb.removeReader(snd, delivered))
 	}()
 }
 
@@ -222,21 +222,21 @@
 
 // addSender registers a sender, so that it receives credit for its stream. If the
 // connection has ended, it stops the sender.
-func (s *Sidecar) addSender(c *wire.Conn, id wire.StreamID, out *sender) {
+func (s *Sidecar) addSender(c *wire.Conn, id wire.StreamID, snd *sender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.conns[c]; r != nil {
-		r.senders[id] = out
+	if pc := s.conns[c]; pc != nil {
+		pc.senders[id] = snd
 		return
 	}
-	out.stop() // the connection has ended
+	snd.stop() // the connection has ended
 }
 
 func (s *Sidecar) removeSender(c *wire.Conn, id wire.StreamID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.conns[c]; r != nil {
-		delete(r.senders, id)
+	if pc := s.conns[c]; pc != nil {
+		delete(pc.senders, id)
 	}
 }
 
--- a/internal/sidecar/export.go
+++ b/internal/sidecar/export.go
@@ -37,8 +37,8 @@
 		exportFailures.Add(int64(len(sessions)))
 		return
 	}
-	pool := newSuccessors(list.Entries, s.config.Settings.VM)
-	s.exportSessions(ctx, sessions, pool.successorOf)
+	ranked := newSuccessors(list.Entries, s.config.Settings.VM)
+	s.exportSessions(ctx, sessions, ranked.successorOf)
 }
 
 // exportTo transfers cached prefixes to a VM that has joined: those of the given
@@ -54,9 +54,9 @@
 	if err != nil {
 		return
 	}
-	pool := newSuccessors(list.Entries, s.config.Settings.VM)
+	ranked := newSuccessors(list.Entries, s.config.Settings.VM)
 	s.exportSessions(ctx, e.Sessions, func(session uint64) (topo.VM, bool) {
-		home, ok := pool.home(session)
+		home, ok := ranked.home(session)
 		return home, ok && home.ID == e.VM
 	})
 }
@@ -71,31 +71,31 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, announceTimeout)
 	defer cancel()
-	pool, ok := s.waitUntilListed(ctx)
+	ranked, ok := s.waitUntilListed(ctx)
 	if !ok {
 		return
 	}
 	x := exporter{sidecar: s, peers: make(map[string]*wire.Peer)}
 	defer x.close()
-	forEachConcurrently(exportConcurrency, pool.others(), func(vm topo.VM) {
+	forEachConcurrently(exportConcurrency, ranked.others(), func(vm topo.VM) {
 		_ = x.peer(vm).Call(ctx, wire.MethodJoined, wire.Joined{VM: s.config.Settings.VM}, nil)
 	})
 }
 
 // waitUntilListed waits until the list of VMs contains this VM. It returns false if
 // ctx ends first.
-func (s *Sidecar) waitUntilListed(ctx context.Context) (pool successors, ok bool) {
+func (s *Sidecar) waitUntilListed(ctx context.Context) (ranked successors, ok bool) {
 	for {
 		list, _, err := s.config.VMs.VMs(ctx, "")
 		if err == nil {
-			if pool = newSuccessors(list.Entries, s.config.Settings.VM); pool.self != placement.None {
-				return pool, true
+			if ranked = newSuccessors(list.Entries, s.config.Settings.VM); ranked.self != placement.None {
+				return ranked, true
 			}
 		}
 		select {
 		case <-time.After(listPollInterval):
 		case <-ctx.Done():
-			return pool, false
+			return ranked, false
 		}
 	}
 }
@@ -112,11 +112,11 @@
 
 // exportSessions transfers the cached prefix of each session to the VM that to
 // returns for it, if any.
-func (s *Sidecar) exportSessions(ctx context.Context, sessions []uint64, to func(uint64) (topo.VM, bool)) {
+func (s *Sidecar) exportSessions(ctx context.Context, sessions []uint64, targetOf func(uint64) (topo.VM, bool)) {
 	x := exporter{sidecar: s, peers: make(map[string]*wire.Peer)}
 	defer x.close()
 	forEachConcurrently(exportConcurrency, sessions, func(session uint64) {
-		if vm, ok := to(session); ok {
+		if vm, ok := targetOf(session); ok {
 			x.exportSession(ctx, session, vm)
 		}
 	})
--- a/internal/sidecar/finish.go
+++ b/internal/sidecar/finish.go
@@ -115,7 +115,7 @@
 }
 
 func (s *State) probeInterval() time.Duration {
-	if s.probe.down || s.probe.external > 0 || s.probe.frozen > 0 {
+	if s.probe.down || s.probe.external > 0 || s.probe.timeouts > 0 {
 		return probeIntervalDown
 	}
 	return probeIntervalUp
@@ -143,16 +143,16 @@
 // whether the upstream crashed. If it crashed, all requests that were running are
 // recorded as suspects before any response ends.
 func (s *State) resolveInterrupted(now time.Time, crashed bool) []Effect {
-	requests := s.interrupted
-	if len(requests) == 0 {
+	failed := s.interrupted
+	if len(failed) == 0 {
 		return nil
 	}
 	s.interrupted = nil
 	var effects []Effect
 	if crashed {
-		effects = append(effects, ReportCrash{Running: s.recordCrash(now, requests)})
+		effects = append(effects, ReportCrash{Running: s.recordCrash(now, failed)})
 	}
-	for _, r := range requests {
+	for _, r := range failed {
 		effects = append(effects, s.finishFailed(now, r, r.failure)...)
 	}
 	return effects
@@ -160,9 +160,9 @@
 
 // recordCrash records all running and interrupted requests as suspects and returns
 // their number.
-func (s *State) recordCrash(now time.Time, requests []*request) int {
+func (s *State) recordCrash(now time.Time, failed []*request) int {
 	var entries []quarantine.RunningRequest
-	all := append(s.inPhase(running), requests...)
+	all := append(s.inPhase(running), failed...)
 	for _, r := range all {
 		r.crashRecorded = true
 		if r.fingerprint() != 0 {
@@ -179,11 +179,11 @@
 // withdrawn, since waiting here would only delay them.
 func (s *State) updateDown(now time.Time, state upstream.State) []Effect {
 	if state == upstream.Frozen {
-		s.probe.frozen++
+		s.probe.timeouts++
 	} else {
-		s.probe.frozen = 0
+		s.probe.timeouts = 0
 	}
-	s.probe.down = state == upstream.Gone || s.probe.frozen >= frozenThreshold
+	s.probe.down = state == upstream.Gone || s.probe.timeouts >= frozenThreshold
 	if !s.probe.down {
 		return nil
 	}
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -34,19 +34,19 @@
 
 // testVM is one upstream with its sidecar.
 type testVM struct {
-	id          string
-	state       *State
-	incarnation uint64
-	up          bool
-	instance    int
-	calls       map[token.Nonce]*call // at the upstream, of this incarnation of the sidecar
-	external    int                   // calls at the upstream, of earlier incarnations
-	probing     bool
-	leaving     bool
-	version     topo.Version
-	listedUntil time.Time // until when a notice from the list of VMs is valid
-	stopping    bool
-	exited      bool
+	id              string
+	state           *State
+	incarnation     uint64
+	up              bool
+	instance        int
+	calls           map[token.Nonce]*call // at the upstream, of this incarnation of the sidecar
+	external        int                   // calls at the upstream, of earlier incarnations
+	probing         bool
+	leaving         bool
+	version         topo.Version
+	listNoticeUntil time.Time // until when a notice from the list of VMs is valid
+	stopping        bool
+	exited          bool
 }
 
 type call struct {
@@ -58,13 +58,13 @@
 // requestCopy is one router's copy of a request, which follows the chain of
 // successor keys.
 type requestCopy struct {
-	req         int
-	key         wire.Key
-	hops        int
-	mayRunAlone bool
-	admitted    bool
-	finished    bool
-	verdict     verdict.Verdict
+	req       int
+	key       wire.Key
+	hops      int
+	hasPermit bool
+	admitted  bool
+	finished  bool
+	verdict   verdict.Verdict
 }
 
 // fleet simulates three upstreams with their sidecars, and routers that disagree
@@ -136,7 +136,7 @@
 		KeepAnswer:  testGrace,
 		StopTimeout: time.Hour,
 	})
-	n.leaving, n.version, n.listedUntil = false, 0, time.Time{}
+	n.leaving, n.version, n.listNoticeUntil = false, 0, time.Time{}
 	n.probing = true
 	n.state.probe.pending = true
 }
@@ -271,12 +271,12 @@
 
 // onRejected redirects a copy to its next key, or ends it with the verdict that its
 // caller gets.
-func (f *fleet) onRejected(t *rapid.T, c *requestCopy, err *verdict.Error, moved *wire.Key, mayRunAlone bool) {
+func (f *fleet) onRejected(t *rapid.T, c *requestCopy, err *verdict.Error, moved *wire.Key, hasPermit bool) {
 	switch {
 	case err == nil:
 		c.finished, c.verdict = true, verdict.Ran
 	case moved != nil:
-		c.key, c.mayRunAlone = *moved, mayRunAlone
+		c.key, c.hasPermit = *moved, hasPermit
 		c.hops++
 		return
 	default:
--- a/internal/sidecar/join.go
+++ b/internal/sidecar/join.go
@@ -6,14 +6,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// handoverInterval is the minimum time between two transfers of prefixes to the
+// joinExportInterval is the minimum time between two transfers of prefixes to the
 // same VM. It limits the work for a sidecar that restarts repeatedly.
-const handoverInterval = time.Minute
+const joinExportInterval = time.Minute
 
 // joinState records joins of this and other upstreams.
 type joinState struct {
-	announced bool                 // this upstream has been announced
-	handovers map[string]time.Time // start of the latest transfer by VM, within handoverInterval
+	announced   bool                 // this upstream has been announced
+	lastExports map[string]time.Time // start of the latest transfer by VM, within handoverInterval
 }
 
 // announceOnce announces this upstream when it is up for the first time.
@@ -29,17 +29,17 @@
 // joined.
 func (s *State) handleVMJoined(e VMJoined) []Effect {
 	j := &s.join
-	if j.handovers == nil {
-		j.handovers = make(map[string]time.Time)
+	if j.lastExports == nil {
+		j.lastExports = make(map[string]time.Time)
 	}
-	for vm, at := range j.handovers {
-		if e.Now.Sub(at) >= handoverInterval {
-			delete(j.handovers, vm)
+	for vm, at := range j.lastExports {
+		if e.Now.Sub(at) >= joinExportInterval {
+			delete(j.lastExports, vm)
 		}
 	}
-	if _, recent := j.handovers[e.VM]; recent || e.VM == s.settings.VM {
+	if _, recent := j.lastExports[e.VM]; recent || e.VM == s.settings.VM {
 		return nil
 	}
-	j.handovers[e.VM] = e.Now
+	j.lastExports[e.VM] = e.Now
 	return []Effect{ExportTo{VM: e.VM, Sessions: s.recent.mostRecent()}}
 }
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// listedTTL is how long a notice that stems from the list of VMs is valid. The
+	// listNoticeTTL is how long a notice that stems from the list of VMs is valid. The
 	// list has no versions, so an old reading cannot be distinguished from a new
 	// one. Routers repeat the notice while the VM is listed as leaving, and it
 	// expires when they stop.
-	listedTTL = 2 * time.Minute
+	listNoticeTTL = 2 * time.Minute
 	// exportTimeout limits the duration of an export of cached prefixes.
 	exportTimeout = 20 * time.Second
 	// maxRecentSessions limits the sessions whose prefixes are exported. It is twice
@@ -26,36 +26,36 @@
 
 // drainState is the state of draining the upstream.
 type drainState struct {
-	order       wire.Notice // the latest notice with a version
-	listedUntil time.Time   // until when a notice from the list of VMs is valid
-	begun       bool        // advanceDrain has withdrawn the queued requests
-	exported    bool
-	exportBy    time.Time // limit of the wait for the export
-	stopping    bool
-	stopBy      time.Time
-	exited      bool // Exit has been emitted
+	notice          wire.Notice // the latest notice with a version
+	listNoticeUntil time.Time   // until when a notice from the list of VMs is valid
+	begun           bool        // advanceDrain has withdrawn the queued requests
+	exportEnded     bool
+	exportBy        time.Time // limit of the wait for the export
+	stopping        bool
+	stopBy          time.Time
+	exited          bool // Exit has been emitted
 }
 
 // draining reports whether no new requests are admitted: because of a stop, an
 // order of the controller, or a notice that the VM leaves.
 func (s *State) draining(now time.Time) bool {
-	return s.drain.stopping || s.orderDrain.on || s.drain.order.Leaving || now.Before(s.drain.listedUntil)
+	return s.drain.stopping || s.orderDrain.on || s.drain.notice.Leaving || now.Before(s.drain.listNoticeUntil)
 }
 
 // handleNotice applies a notice. Operators' orders have versions, so an outdated
 // order that arrives late is ignored.
 func (s *State) handleNotice(e NoticeReceived) []Effect {
-	s.applyOrder(e.Notice)
+	s.applyNotice(e.Notice)
 	if e.Notice.Version == 0 && e.Notice.Leaving {
-		s.drain.listedUntil = e.Now.Add(listedTTL)
-		s.timers.add(s.drain.listedUntil, token.Nonce{})
+		s.drain.listNoticeUntil = e.Now.Add(listNoticeTTL)
+		s.timers.add(s.drain.listNoticeUntil, token.Nonce{})
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
 
-func (s *State) applyOrder(n wire.Notice) {
-	if n.Version > s.drain.order.Version {
-		s.drain.order = n
+func (s *State) applyNotice(n wire.Notice) {
+	if n.Version > s.drain.notice.Version {
+		s.drain.notice = n
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	var effects []Effect
 	if !d.begun {
-		d.begun, d.exported = true, false
+		d.begun, d.exportEnded = true, false
 		d.exportBy = now.Add(exportTimeout)
 		s.timers.add(d.exportBy, token.Nonce{})
 		effects = append(s.withdrawQueued(now, verdict.ReasonDraining, "the upstream is leaving"),
@@ -99,12 +99,12 @@
 	if !now.Before(s.drain.stopBy) {
 		return true
 	}
-	if !s.drain.exported && now.Before(s.drain.exportBy) {
+	if !s.drain.exportEnded && now.Before(s.drain.exportBy) {
 		return false
 	}
 	for _, r := range s.requests {
-		unclaimed := !r.delivered && now.Before(r.endedAt.Add(s.settings.DetachGrace))
-		if r.phase != ended || r.readers > 0 || unclaimed {
+		mayBeClaimed := !r.delivered && now.Before(r.endedAt.Add(s.settings.DetachGrace))
+		if r.phase != ended || r.readers > 0 || mayBeClaimed {
 			return false
 		}
 	}
--- a/internal/sidecar/order.go
+++ b/internal/sidecar/order.go
@@ -21,7 +21,7 @@
 // cached prefixes has finished or timed out.
 func (s *State) advanceOrderDrain(now time.Time) []Effect {
 	t := s.orderDrain.ticket
-	exported := s.drain.exported || !now.Before(s.drain.exportBy)
+	exported := s.drain.exportEnded || !now.Before(s.drain.exportBy)
 	if t == 0 || !s.drain.begun || !exported || s.queue.Running() > 0 || len(s.interrupted) > 0 {
 		return nil
 	}
@@ -39,10 +39,10 @@
 }
 
 func (s *Sidecar) order(ctx context.Context, o wire.Order) (any, error) {
-	if s.orders == nil {
+	if s.orderHandler == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoOrders, "the upstream takes no orders")
 	}
-	return s.orders.Handle(ctx, o)
+	return s.orderHandler.Handle(ctx, o)
 }
 
 // drainForOrder takes the upstream out of service and waits until no request runs.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -18,9 +18,9 @@
 	defer s.peersMu.Unlock()
 	s.mu.Lock()
 	var names []config.Peer
-	for _, r := range s.conns {
-		if r.role != secure.RoleSidecar { // sidecars are not asked for configuration
-			names = append(names, r.peer)
+	for _, pc := range s.conns {
+		if pc.role != secure.RoleSidecar { // sidecars are not asked for configuration
+			names = append(names, pc.peer)
 		}
 	}
 	s.mu.Unlock()
@@ -34,8 +34,8 @@
 func (s *Sidecar) peerOf(c *wire.Conn) config.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.conns[c]; r != nil {
-		return r.peer
+	if pc := s.conns[c]; pc != nil {
+		return pc.peer
 	}
 	return ""
 }
@@ -43,8 +43,8 @@
 func (s *Sidecar) connOf(p config.Peer) *wire.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, r := range s.conns {
-		if r.peer == p {
+	for c, pc := range s.conns {
+		if pc.peer == p {
 			return c
 		}
 	}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -54,7 +54,7 @@
 }
 
 // call calls the upstream and copies the response to out.
-func (s *Sidecar) call(ctx context.Context, e Start, out *responseBuffer) error {
+func (s *Sidecar) call(ctx context.Context, e Start, rb *responseBuffer) error {
 	span := telemetry.Start(telemetry.HopUpstream, telemetry.Traceparent(e.Submit.Trace))
 	defer span.End()
 	resp, err := s.config.Upstream.Do(ctx, upstream.Request{
@@ -70,24 +70,24 @@
 		return err
 	}
 	defer resp.Body.Close()
-	out.setHead(resp.Status, resp.Header)
-	err = s.copyBody(ctx, resp.Body, out)
+	rb.setHead(resp.Status, resp.Header)
+	err = s.copyBody(ctx, resp.Body, rb)
 	if err != nil {
 		span.Fail(string(verdict.From(err).Reason))
 	}
 	return err
 }
 
-func (s *Sidecar) copyBody(ctx context.Context, body io.Reader, out *responseBuffer) error {
+func (s *Sidecar) copyBody(ctx context.Context, body io.Reader, rb *responseBuffer) error {
 	buf := make([]byte, readBufferSize)
 	first := true
 	for {
 		n, err := body.Read(buf)
 		if n > 0 && first {
 			first = false
-			s.loop.Post(FirstByteReceived{Now: time.Now(), Nonce: out.nonce})
+			s.loop.Post(FirstByteReceived{Now: time.Now(), Nonce: rb.nonce})
 		}
-		if werr := out.write(ctx, buf[:n]); werr != nil {
+		if werr := rb.write(ctx, buf[:n]); werr != nil {
 			return upstream.ResponseInterrupted(werr)
 		}
 		if err == io.EOF {
--- a/internal/sidecar/schedule.go
+++ b/internal/sidecar/schedule.go
@@ -16,7 +16,7 @@
 // probe has returned, while a suspect runs alone, or while it is not known
 // whether the upstream has crashed.
 func (s *State) schedule(now time.Time) []Effect {
-	if !s.probe.known || len(s.interrupted) > 0 || s.isolatedBlocks(now) {
+	if !s.probe.known || len(s.interrupted) > 0 || s.checkIsolated(now) {
 		return nil
 	}
 	if len(s.lane) > 0 {
@@ -32,9 +32,9 @@
 	}
 }
 
-// isolatedBlocks reports whether a suspect runs alone and has not yet been
+// checkIsolated reports whether a suspect runs alone and has not yet been
 // cleared.
-func (s *State) isolatedBlocks(now time.Time) bool {
+func (s *State) checkIsolated(now time.Time) bool {
 	if s.isolated == nil {
 		return false
 	}
--- a/internal/sidecar/sender.go
+++ b/internal/sidecar/sender.go
@@ -12,7 +12,7 @@
 
 // sender sends one response to one router, within the router's credit.
 type sender struct {
-	out      frameWriter
+	frames   frameWriter
 	response *responseBuffer
 	offset   int64 // of the next byte to send
 	window   int64
@@ -31,9 +31,9 @@
 	end(length int64, f Finish) error
 }
 
-func newSender(out frameWriter, resp *responseBuffer, a wire.Attach) *sender {
+func newSender(frames frameWriter, rb *responseBuffer, a wire.Attach) *sender {
 	return &sender{
-		out: out, response: resp,
+		frames: frames, response: rb,
 		offset:  a.Offset,
 		window:  int64(a.Window),
 		upTo:    a.Offset + int64(a.Window),
@@ -57,9 +57,9 @@
 	}
 }
 
-// deliveredUpTo returns the offset up to which the router has passed the response
+// acknowledgedUpTo returns the offset up to which the router has passed the response
 // on. The router grants credit up to one window beyond it.
-func (s *sender) deliveredUpTo() int64 {
+func (s *sender) acknowledgedUpTo() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.upTo - s.window
@@ -85,24 +85,24 @@
 		v := s.response.viewAt(s.offset, min(upTo-s.offset, maxFrameBytes))
 		if v.discarded {
 			err := verdict.New(verdict.MayHaveRun, verdict.ReasonAnswerGone, "the answer is no longer held from offset %d", s.offset)
-			_ = s.out.end(v.length, Finish{Error: err})
+			_ = s.frames.end(v.length, Finish{Error: err})
 			return false
 		}
 		if v.head != nil && !headSent {
 			headSent = true
-			if s.out.head(v.head) != nil {
+			if s.frames.head(v.head) != nil {
 				return false
 			}
 		}
 		if len(v.bytes) > 0 {
-			if s.out.data(s.offset, v.bytes) != nil {
+			if s.frames.data(s.offset, v.bytes) != nil {
 				return false
 			}
 			s.offset += int64(len(v.bytes))
 			continue
 		}
 		if v.end != nil && s.offset >= v.length {
-			return s.out.end(v.length, *v.end) == nil
+			return s.frames.end(v.length, *v.end) == nil
 		}
 		select {
 		case <-v.changed:
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -40,17 +40,17 @@
 
 // Sidecar serves the requests of routers and forwards them to its upstream.
 type Sidecar struct {
-	config      Config
-	loop        *loop.Loop[Event, Effect]
-	ctx         context.Context
-	cancel      context.CancelFunc
-	tickets     atomic.Uint64
-	unavailable atomic.Bool // the upstream is down or draining; read by Ready
-	follower    follow.Runner
-	timer       *time.Timer // posts Ticked; owned by the loop's goroutine
-	responses   *responseStore
-	orders      *order.Handler // nil if the upstream does not support orders
-	spans       spans
+	config       Config
+	loop         *loop.Loop[Event, Effect]
+	ctx          context.Context
+	cancel       context.CancelFunc
+	tickets      atomic.Uint64
+	unavailable  atomic.Bool // the upstream is down or draining; read by Ready
+	follower     follow.Runner
+	timer        *time.Timer // posts Ticked; owned by the loop's goroutine
+	responses    *responseStore
+	orderHandler *order.Handler // nil if the upstream does not support orders
+	spans        spans
 
 	peersMu sync.Mutex // serializes postPeers
 
@@ -88,7 +88,7 @@
 	})
 	s.timer = time.AfterFunc(0, s.tick) // probe the upstream immediately
 	s.follower = follow.Runner{SendQuery: s.queryConfig, Post: func(e config.Event) { s.loop.Post(ConfigEvent{Now: time.Now(), Event: e}) }}
-	s.orders = s.newOrderHandler()
+	s.orderHandler = s.newOrderHandler()
 	go s.loop.Run(s.ctx)
 	go s.follower.Run(s.ctx)
 	return s
@@ -134,7 +134,7 @@
 		s.abortCall(e.Nonce)
 	case DiscardOverflow:
 		if rb := s.responses.get(e.Nonce); rb != nil {
-			rb.discardOverflow()
+			rb.setDiscardUnread()
 		}
 	case Finish:
 		countFinish(e)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -323,8 +323,8 @@
 			s.Close()
 			_, err = f.bodyWriter.Write(make([]byte, 200<<10))
 			_ = f.bodyWriter.Close()
-			if gaveUp := err != nil; gaveUp != idempotent {
-				t.Errorf("idempotent %v: aborted %v", idempotent, gaveUp)
+			if aborted := err != nil; aborted != idempotent {
+				t.Errorf("idempotent %v: aborted %v", idempotent, aborted)
 			}
 			time.Sleep(time.Second)
 			var status wire.Status
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -60,12 +60,12 @@
 	timers             timers
 	retained           []*request  // ended requests whose responses are retained, oldest first
 	lane               []*request  // isolation lane: suspects that wait to run alone
-	delegated          wire.Permit // the latest grant to run alone at another VM
+	delegatedPermit    wire.Permit // the latest grant to run alone at another VM
 	isolated           *request    // the suspect that is running alone
 	nextIsolationCheck time.Time   // when isolated is checked next
 	interrupted        []*request  // calls that broke off; the cause is not yet known
 	probe              probe
-	orders             drain.Orders
+	drainOrders        drain.Orders
 	drain              drainState
 	orderDrain         orderDrain
 	recent             recentSessionSet
@@ -170,7 +170,7 @@
 	case ReportReceived:
 		return s.handleReport(e)
 	case ExportFinished:
-		s.drain.exported = true
+		s.drain.exportEnded = true
 	case VMJoined:
 		return s.handleVMJoined(e)
 	case PrefixImported:
@@ -200,11 +200,11 @@
 
 func (s *State) handleReport(e ReportReceived) []Effect {
 	_ = s.quarantine.Merge(e.Now, e.Report.Suspects)
-	if u := e.Report.UnusedPermit; u != nil && s.delegated == *u {
+	if u := e.Report.UnusedPermit; u != nil && s.delegatedPermit == *u {
 		// No sidecar has started the delegated copy. Without this report, all
 		// other copies would have to wait until its deadline has passed.
 		s.quarantine.Revoke(quarantine.Fingerprint(u.Fingerprint))
-		s.delegated = wire.Permit{}
+		s.delegatedPermit = wire.Permit{}
 	}
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
@@ -260,7 +260,7 @@
 	known    bool // a probe has returned since the start
 	next     time.Time
 	down     bool
-	frozen   int // consecutive probes that timed out
+	timeouts int // consecutive probes that timed out
 	instance upstream.Instance
 	external int // requests at the upstream that an earlier incarnation of the sidecar started
 }
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -21,9 +21,9 @@
 
 // rejection is the reason why a request is not admitted.
 type rejection struct {
-	err         *verdict.Error
-	mayRunAlone bool            // the request may run alone at its successor's VM
-	suspects    json.RawMessage // evidence for the router, from which it learns which VM to ask
+	err       *verdict.Error
+	hasPermit bool            // the request may run alone at its successor's VM
+	suspects  json.RawMessage // evidence for the router, from which it learns which VM to ask
 }
 
 func reject(r verdict.Reason, format string, args ...any) *rejection {
@@ -55,7 +55,7 @@
 	isolated, rejected := s.tryAdmit(e.Now, &e.Submit)
 	if rejected != nil {
 		s.table.Reject(a, rejected.err.Reason)
-		adm := wire.Admission{Error: rejected.err, Moved: a.Successor, HasPermit: rejected.mayRunAlone}
+		adm := wire.Admission{Error: rejected.err, Moved: a.Successor, HasPermit: rejected.hasPermit}
 		adm.Control.Suspects = rejected.suspects
 		return s.reply(e.Now, e.Ticket, adm)
 	}
@@ -112,7 +112,7 @@
 	if len(s.lane) >= maxIsolationLane || s.load() >= bound {
 		return false, reject(verdict.ReasonSuspect, "too many suspects wait to run alone").withRetryAfter(quarantine.RetryAfter)
 	}
-	s.quarantine.Grant(quarantine.Fingerprint(sub.Fingerprint), s.grantExpiry(now, sub))
+	s.quarantine.Grant(quarantine.Fingerprint(sub.Fingerprint), s.permitExpiry(now, sub))
 	return true, nil
 }
 
@@ -123,21 +123,21 @@
 	if sub.Fingerprint == 0 {
 		return false, nil
 	}
-	p := quarantine.Fingerprint(sub.Fingerprint)
-	switch r := s.quarantine.Decide(now, p, sub.HasPermit); r.Action {
+	fp := quarantine.Fingerprint(sub.Fingerprint)
+	switch ruling := s.quarantine.Decide(now, fp, sub.HasPermit); ruling.Action {
 	case quarantine.Refuse:
-		return false, reject(verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", r.Crashes)
+		return false, reject(verdict.ReasonQuarantined, "%d upstreams crashed while they ran this request", ruling.Crashes)
 	case quarantine.Wait:
 		return false, reject(verdict.ReasonSuspect, "a copy of this request is running alone").withRetryAfter(quarantine.RetryAfter)
 	case quarantine.Redirect:
-		rejected := reject(verdict.ReasonSuspect, "the request may run alone at %s only", r.VM).withRetryAfter(quarantine.RetryAfter)
-		rejected.suspects = s.quarantine.EvidenceFor(now, p)
-		return false, rejected
+		rej := reject(verdict.ReasonSuspect, "the request may run alone at %s only", ruling.VM).withRetryAfter(quarantine.RetryAfter)
+		rej.suspects = s.quarantine.EvidenceFor(now, fp)
+		return false, rej
 	case quarantine.RunAlone:
-		if s.mayDelegate(now, sub) {
-			rejected := reject(verdict.ReasonMoved, "the request may run alone at %s", sub.Successor.VM)
-			rejected.mayRunAlone = true
-			return false, rejected
+		if s.tryDelegate(now, sub) {
+			rej := reject(verdict.ReasonMoved, "the request may run alone at %s", sub.Successor.VM)
+			rej.hasPermit = true
+			return false, rej
 		}
 		return true, nil
 	default:
@@ -145,8 +145,8 @@
 	}
 }
 
-// grantExpiry returns when the grant of a suspect to run alone expires.
-func (s *State) grantExpiry(now time.Time, sub *wire.Submit) time.Time {
+// permitExpiry returns when the grant of a suspect to run alone expires.
+func (s *State) permitExpiry(now time.Time, sub *wire.Submit) time.Time {
 	if d := sub.Policy.Deadline; d > 0 {
 		return now.Add(d)
 	}
@@ -180,11 +180,11 @@
 	}
 }
 
-// mayDelegate reports whether a suspect may run alone at its successor's VM because
+// tryDelegate reports whether a suspect may run alone at its successor's VM because
 // the upstream here is down or draining. The sidecar whose upstream crashed
 // delegates to one VM at a time and keeps other copies waiting meanwhile. A
 // sidecar that received the suspect with such a grant only passes it on.
-func (s *State) mayDelegate(now time.Time, sub *wire.Submit) bool {
+func (s *State) tryDelegate(now time.Time, sub *wire.Submit) bool {
 	if sub.Successor == nil || !s.probe.down && !s.draining(now) {
 		return false
 	}
@@ -194,8 +194,8 @@
 	if s.quarantine.HasGrant(now) {
 		return false
 	}
-	s.quarantine.Grant(quarantine.Fingerprint(sub.Fingerprint), s.grantExpiry(now, sub))
-	s.delegated = wire.Permit{Fingerprint: sub.Fingerprint, Nonce: sub.Key.Nonce}
+	s.quarantine.Grant(quarantine.Fingerprint(sub.Fingerprint), s.permitExpiry(now, sub))
+	s.delegatedPermit = wire.Permit{Fingerprint: sub.Fingerprint, Nonce: sub.Key.Nonce}
 	return true
 }
 
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -19,11 +19,11 @@
 	copies byte
 }
 
-const crasherPrint = 7 // fingerprint
+const crasherFingerprint = 7 // fingerprint
 
 func newCrashSite() *crashSite {
 	s := &crashSite{State: NewState(Settings{VM: "a", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	s.quarantine.RecordCrash(s.now, []quarantine.RunningRequest{{Fingerprint: crasherPrint, Started: s.now}, {Fingerprint: 8, Started: s.now}})
+	s.quarantine.RecordCrash(s.now, []quarantine.RunningRequest{{Fingerprint: crasherFingerprint, Started: s.now}, {Fingerprint: 8, Started: s.now}})
 	s.Step(Probed{Now: s.now, Health: upstream.Health{State: upstream.Gone}})
 	return s
 }
@@ -33,7 +33,7 @@
 	s.copies++
 	key := wire.Key{VM: "a", Incarnation: 1, Nonce: token.Nonce{s.copies}, Expires: s.now.Add(time.Hour).Unix()}
 	next := wire.Key{VM: "b", Incarnation: 2, Nonce: token.Nonce{100 + s.copies}, Expires: key.Expires}
-	sub := wire.Submit{Key: key, Successor: &next, Org: "org", Fingerprint: crasherPrint, Policy: wire.RequestPolicy{Deadline: time.Minute}}
+	sub := wire.Submit{Key: key, Successor: &next, Org: "org", Fingerprint: crasherFingerprint, Policy: wire.RequestPolicy{Deadline: time.Minute}}
 	for _, effect := range s.Step(Submitted{Now: s.now, Submit: sub}) {
 		if reply, ok := effect.(Reply); ok {
 			return key.Nonce, reply.Admission
@@ -45,7 +45,7 @@
 // A suspect gets a grant to run alone at another VM, but no sidecar there admits it.
 // Unless the unused grant is revoked, its sidecar makes all other copies wait for a
 // minute, the deadline of the copy that never runs.
-func TestUnusedGrantIsRevoked(t *testing.T) {
+func TestUnusedPermitIsRevoked(t *testing.T) {
 	s := newCrashSite()
 	first, a := s.submitCopy()
 	if !a.HasPermit {
@@ -55,11 +55,11 @@
 	if a.HasPermit || a.Error.Reason != verdict.ReasonSuspect {
 		t.Fatalf("the second copy did not have to wait: %+v", a)
 	}
-	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: second}}})
+	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherFingerprint, Nonce: second}}})
 	if _, a := s.submitCopy(); a.HasPermit {
 		t.Fatal("a copy got a grant while another copy has it")
 	}
-	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherPrint, Nonce: first}}})
+	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherFingerprint, Nonce: first}}})
 	if _, a := s.submitCopy(); !a.HasPermit {
 		t.Fatalf("no copy gets a grant any more: %+v", a)
 	}
@@ -71,7 +71,7 @@
 // that one would crash too.
 func TestDrainingHomeReportsSuspects(t *testing.T) {
 	home := &crashSite{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
-	home.Step(ReportReceived{Now: home.now, Report: wire.Report{Suspects: newCrashSite().quarantine.EvidenceFor(home.now, crasherPrint)}})
+	home.Step(ReportReceived{Now: home.now, Report: wire.Report{Suspects: newCrashSite().quarantine.EvidenceFor(home.now, crasherFingerprint)}})
 	home.Step(NoticeReceived{Now: home.now, Notice: wire.Notice{Leaving: true, Version: 1}})
 	_, a := home.submitCopy()
 	if a.Error == nil || a.Error.Reason != verdict.ReasonSuspect || len(a.Control.Suspects) == 0 {
