--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -11,9 +11,10 @@
 )
 
 // responseBuffer buffers the response to one request for the routers that read it:
-// the one that submitted the request, and any that resumes later. It holds as much
-// as its window allows. When the window is full, it discards what all its readers
-// have received, or else blocks the upstream.
+// the one that submitted the request, and any that resumes later. It holds up to
+// responseStore.responseLimit bytes. When it is full, it discards bytes from the
+// front that all its readers have acknowledged. If there are none, the call to the
+// upstream blocks.
 type responseBuffer struct {
 	store *responseStore
 	nonce token.Nonce
@@ -24,11 +25,11 @@
 	base          int64 // offset in the response of the first byte in body
 	body          []byte
 	end           *Finish
-	discardUnread bool // overflow is discarded while there are no readers
+	discardUnread bool // while there are no readers, all buffered bytes may be discarded
 	readers       map[*sender]bool
 	readerSeq     uint64        // number of changes of readers
 	endedElem     *list.Element // in store.ended; guarded by store.mu
-	delivered     bool          // a reader has received the complete response
+	delivered     bool          // a router has been sent the complete response
 }
 
 type responseHead struct {
@@ -36,7 +37,7 @@
 	header http.Header
 }
 
-// notify wakes all waiters on changed. a.mu must be held.
+// notify wakes all waiters on changed. rb.mu must be held.
 func (rb *responseBuffer) notify() {
 	close(rb.changed)
 	rb.changed = make(chan struct{})
@@ -83,9 +84,11 @@
 	return n, rb.changed
 }
 
-// discardOldest discards at least excess bytes from the front, as far as all
-// readers have received them. It discards large chunks, since each call copies the
-// rest. A sender may still use the old array, so it is not overwritten.
+// discardOldest discards bytes from the front, excess bytes or a quarter of the
+// buffer, whichever is more, but only bytes that all readers have acknowledged.
+// Without readers it discards nothing, or, if discardUnread is set, any bytes. It
+// discards large chunks, since each call copies the rest. A sender may still use the
+// old array, so it is not overwritten.
 func (rb *responseBuffer) discardOldest(excess int) {
 	discardable := len(rb.body)
 	for r := range rb.readers {
@@ -103,6 +106,7 @@
 	rb.store.used.Add(int64(-n))
 }
 
+// setDiscardUnread allows unread bytes to be discarded while there are no readers.
 func (rb *responseBuffer) setDiscardUnread() {
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
@@ -127,7 +131,7 @@
 	rb.notify()
 }
 
-// wake notifies the writer that a reader has received more bytes.
+// wake notifies the writer that a reader has acknowledged more bytes.
 func (rb *responseBuffer) wake() {
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
@@ -160,7 +164,7 @@
 }
 
 // removeReader removes a reader and returns the new count. delivered says whether
-// it has received the complete response.
+// the reader has been sent the complete response.
 func (rb *responseBuffer) removeReader(r *sender, delivered bool) ReadersChanged {
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
@@ -215,8 +219,8 @@
 	Total       int // bytes of all responses
 }
 
-// minResponseLimit is the window of each running response when the buffer is full, in
-// bytes. With no window, a response could not continue.
+// minResponseLimit is how many bytes each running response may buffer when the total
+// is over its limit. If it could buffer nothing, it could not continue.
 const minResponseLimit = 64 << 10
 
 func newResponseStore(b BufferLimits) *responseStore {
@@ -260,9 +264,9 @@
 	}
 }
 
-// responseLimit returns how many bytes one running response may buffer now. While the
-// total is over its limit, it evicts ended responses, oldest first. A router that
-// asks for an evicted response gets ReasonAnswerGone.
+// responseLimit returns how many bytes one running response may buffer now. It first
+// evicts ended responses without readers, oldest first, while the total is over its
+// limit. A router that asks for an evicted response gets ReasonAnswerGone.
 func (s *responseStore) responseLimit() int {
 	for s.used.Load() > int64(s.limits.Total) {
 		if !s.evict() {
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -17,10 +17,10 @@
 }
 
 // A response is longer than its buffer. Routers read it at different speeds, fail,
-// and resume at the offset up to which the caller has received it. Each reader
-// must get every byte at its offset, or the error that the bytes are no longer
-// buffered; the buffers must stay within the memory limit; and no bytes may be
-// discarded that a current reader has not received.
+// and resume at the offset up to which the caller has received it. Each reader must
+// get every byte at its offset, or the error that the bytes are no longer buffered.
+// The buffers must stay within the memory limit, also if the limit is used up by ended
+// responses. No bytes may be discarded that a current reader has not received.
 func TestReadersGetEveryByteOrAnError(t *testing.T) {
 	whole := make([]byte, 1<<20)
 	for i := range whole {
@@ -29,12 +29,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(8, 256).Draw(t, "window") << 10
 		store := newResponseStore(BufferLimits{PerResponse: limit, Total: rapid.IntRange(64, 256).Draw(t, "total") << 10})
-		for n := range byte(3) { // ended responses fill the buffer
+		for n := range byte(3) { // ended responses, which may use up the total limit
 			store.open(token.Nonce{n})
 			store.get(token.Nonce{n}).tryWrite(whole[:limit])
 			store.finish(Finish{Nonce: token.Nonce{n}})
 		}
-		pinned := store.get(token.Nonce{2})
+		pinned := store.get(token.Nonce{2}) // has a reader, so it must not be evicted
 		pinned.addReader(newSender(nil, pinned, wire.Attach{Window: 1}), 0)
 		live := token.Nonce{9}
 		store.open(live)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -40,13 +40,15 @@
 func (ConfigEffect) isEffect() {}
 func (ReplyConfig) isEffect()  {}
 
+// handleConfigRequest replies with the changes that the peer lacks. The summary in
+// its query shows whether the peer has newer objects than this copy.
 func (s *State) handleConfigRequest(e ConfigRequested) []Effect {
 	effects := s.handleConfig(ConfigEvent{Now: e.Now, Event: config.SummaryReceived{Now: e.Now, Peer: e.Peer, Summary: e.Query.Summary}})
 	return append(effects, ReplyConfig{Ticket: e.Ticket, Delta: s.config.Set().Answer(e.Query)})
 }
 
 // handleConfig applies an event to the copy of the configuration. The sidecar
-// itself acts only on orders to drain its VM or failure domain.
+// itself acts only on operators' orders to drain its VM or failure domain.
 func (s *State) handleConfig(e ConfigEvent) []Effect {
 	var effects []Effect
 	for _, effect := range s.config.Step(e.Event) {
@@ -60,8 +62,8 @@
 	return effects
 }
 
-// applyDrainOrders applies orders, and removals of orders, to drain this VM or
-// its failure domain.
+// applyDrainOrders applies the operators' orders to drain this VM or its failure
+// domain, and the deletion of such orders.
 func (s *State) applyDrainOrders(objects []topo.Object) {
 	for _, o := range objects {
 		s.drainOrders.Apply(o)
--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -50,8 +50,8 @@
 }
 
 // isPermitted reports whether a peer with a role may call a method. A sidecar runs
-// beside an upstream, which executes code of others. An attacker that obtains a
-// sidecar's certificate there must not be able to run work on other upstreams.
+// beside an upstream, which executes code of third parties. An attacker that obtains a
+// sidecar's certificate there must not be able to run requests on other upstreams.
 func isPermitted(role secure.Role, m wire.Method) bool {
 	switch role {
 	case secure.RoleSidecar:
--- a/internal/sidecar/event.go
+++ b/internal/sidecar/event.go
@@ -51,8 +51,9 @@
 	Status wire.StatusRequest
 }
 
-// ReadersChanged is the number of routers that read a response. Seq orders the
-// counts of one response, since they are posted by different goroutines.
+// ReadersChanged is posted when a router starts or stops reading a response. Count is
+// the number of routers that read it. Seq orders the events of one response, since
+// they are posted by different goroutines.
 type ReadersChanged struct {
 	Now       time.Time
 	Nonce     token.Nonce
@@ -75,20 +76,21 @@
 	Err   *verdict.Error
 }
 
-// Probed is the result of a health probe of the upstream.
+// Probed is posted with the result of a health probe of the upstream.
 type Probed struct {
 	Now    time.Time
 	Health upstream.Health
 }
 
-// NoticeReceived is a notice that the VM is to leave or to stay.
+// NoticeReceived is posted when a router sends a notice that the VM is to leave or to
+// stay.
 type NoticeReceived struct {
 	Now    time.Time
 	Ticket Ticket
 	Notice wire.Notice
 }
 
-// ReportReceived is a router's report on suspects or on an unused grant.
+// ReportReceived is a router's report on suspects or on an unused permit to run alone.
 type ReportReceived struct {
 	Now    time.Time
 	Ticket Ticket
--- a/internal/sidecar/finish.go
+++ b/internal/sidecar/finish.go
@@ -22,10 +22,11 @@
 	frozenThreshold = 2
 )
 
-// handleCallEnd finishes a request whose call has ended. If the call broke off, a
-// probe first determines whether the upstream has crashed. The caller may resend
-// the request immediately, so it gets no response before the request is recorded
-// as a suspect.
+// handleCallEnd finishes a request whose call has ended. A request that has not run is
+// withdrawn. If the connection to the upstream failed while the request ran, the
+// request stays interrupted until a probe has shown whether the upstream crashed: the
+// caller may resend the request as soon as its response ends, and by then it must be
+// recorded as a suspect.
 func (s *State) handleCallEnd(e CallEnded) []Effect {
 	r := s.requests[e.Nonce]
 	if r == nil || r.phase != running {
@@ -53,7 +54,8 @@
 	}
 }
 
-// finishFailed finishes a request that failed and may have run.
+// finishFailed finishes a request that failed and may have run. If it ran during a
+// crash of the upstream, the end of the response carries the evidence on it.
 func (s *State) finishFailed(now time.Time, r *request, err *verdict.Error) []Effect {
 	if !r.crashRecorded {
 		s.quarantine.Revoke(r.fingerprint())
@@ -121,11 +123,11 @@
 	return probeIntervalUp
 }
 
-// countExternal counts the requests that an earlier incarnation of the sidecar has
-// left running at the upstream. Without this, a restarted sidecar would load its
-// upstream beyond the bound. The count starts as the number that the first probe
-// returned and can only decrease: later probes lag behind and include requests of
-// this incarnation.
+// countExternal updates the number of external requests: those that an earlier
+// incarnation of the sidecar has left running at the upstream. Without this, a
+// restarted sidecar would load its upstream beyond the bound. The count starts as the
+// number that the first probe returned and can only decrease: later probes lag behind
+// and include requests of this incarnation.
 func (s *State) countExternal(h upstream.Health, restarted bool) {
 	switch {
 	case restarted || h.State == upstream.Gone:
@@ -139,9 +141,9 @@
 	s.queue.SetExternal(s.probe.external)
 }
 
-// resolveInterrupted finishes the calls that broke off, now that it is known
-// whether the upstream crashed. If it crashed, all requests that were running are
-// recorded as suspects before any response ends.
+// resolveInterrupted finishes the interrupted requests, now that it is known whether
+// the upstream crashed. If it crashed, all requests that were running are recorded as
+// suspects before any response ends.
 func (s *State) resolveInterrupted(now time.Time, crashed bool) []Effect {
 	failed := s.interrupted
 	if len(failed) == 0 {
@@ -158,8 +160,8 @@
 	return effects
 }
 
-// recordCrash records all running and interrupted requests as suspects and returns
-// their number.
+// recordCrash records the running requests and the given interrupted ones as suspects
+// and returns their number.
 func (s *State) recordCrash(now time.Time, failed []*request) int {
 	var entries []quarantine.RunningRequest
 	all := append(s.inPhase(running), failed...)
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -39,8 +39,8 @@
 	incarnation     uint64
 	up              bool
 	instance        int
-	calls           map[token.Nonce]*call // at the upstream, of this incarnation of the sidecar
-	external        int                   // calls at the upstream, of earlier incarnations
+	calls           map[token.Nonce]*call // at the upstream, started by this incarnation of the sidecar
+	external        int                   // calls at the upstream, started by earlier incarnations
 	probing         bool
 	leaving         bool
 	version         topo.Version
--- a/internal/sidecar/heirs.go
+++ b/internal/sidecar/heirs.go
@@ -8,14 +8,16 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// successors ranks the upstreams of a pool to which one of them transfers its
-// cached prefixes.
+// successors ranks the upstreams of a pool by session, so that one of them can choose
+// where to export its cached prefixes. It omits VMs that are leaving, except for that
+// upstream's own VM.
 type successors struct {
 	vms  []topo.VM
 	pool *placement.Pool
-	self int // index of the VM that transfers its prefixes, or placement.None
+	self int // index of the exporting upstream's VM; placement.None if it is not listed
 }
 
+// newSuccessors returns the successors in the pool of the VM self, from a list of VMs.
 func newSuccessors(list []topo.VM, self string) successors {
 	s := successors{self: placement.None}
 	var own topo.VM
--- a/internal/sidecar/join.go
+++ b/internal/sidecar/join.go
@@ -6,14 +6,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// joinExportInterval is the minimum time between two transfers of prefixes to the
-// same VM. It limits the work for a sidecar that restarts repeatedly.
+// joinExportInterval is the minimum time between two exports to the same VM that has
+// joined. It limits the exports that another sidecar causes by restarting repeatedly.
 const joinExportInterval = time.Minute
 
-// joinState records joins of this and other upstreams.
+// joinState records whether this upstream has announced that it has joined the pool,
+// and which others have.
 type joinState struct {
 	announced   bool                 // this upstream has been announced
-	lastExports map[string]time.Time // start of the latest transfer by VM, within handoverInterval
+	lastExports map[string]time.Time // start of the latest export by VM, within joinExportInterval
 }
 
 // announceOnce announces this upstream when it is up for the first time.
@@ -25,8 +26,8 @@
 	return []Effect{AnnounceJoin{}}
 }
 
-// handleVMJoined starts a transfer of cached prefixes to an upstream that has
-// joined.
+// handleVMJoined starts an export of cached prefixes to an upstream that has joined,
+// unless one has started within joinExportInterval.
 func (s *State) handleVMJoined(e VMJoined) []Effect {
 	j := &s.join
 	if j.lastExports == nil {
--- a/internal/sidecar/leave.go
+++ b/internal/sidecar/leave.go
@@ -13,9 +13,9 @@
 
 const (
 	// listNoticeTTL is how long a notice that stems from the list of VMs is valid. The
-	// list has no versions, so an old reading cannot be distinguished from a new
-	// one. Routers repeat the notice while the VM is listed as leaving, and it
-	// expires when they stop.
+	// list has no versions, so an old reading of it cannot be distinguished from a
+	// new one. Routers repeat the notice while the VM is listed as leaving. When they
+	// stop, it expires.
 	listNoticeTTL = 2 * time.Minute
 	// exportTimeout limits the duration of an export of cached prefixes.
 	exportTimeout = 20 * time.Second
@@ -24,11 +24,12 @@
 	maxRecentSessions = 4096
 )
 
-// drainState is the state of draining the upstream.
+// drainState is the state of draining the upstream, whichever reason State.draining
+// finds for it.
 type drainState struct {
-	notice          wire.Notice // the latest notice with a version
+	notice          wire.Notice // with the highest version so far; from an operators' order to drain
 	listNoticeUntil time.Time   // until when a notice from the list of VMs is valid
-	begun           bool        // advanceDrain has withdrawn the queued requests
+	begun           bool        // this drain has started: the queued requests have been withdrawn
 	exportEnded     bool
 	exportBy        time.Time // limit of the wait for the export
 	stopping        bool
@@ -42,8 +43,9 @@
 	return s.drain.stopping || s.orderDrain.on || s.drain.notice.Leaving || now.Before(s.drain.listNoticeUntil)
 }
 
-// handleNotice applies a notice. Operators' orders have versions, so an outdated
-// order that arrives late is ignored.
+// handleNotice applies a notice. A notice from an operators' order has a version, so
+// an outdated one that arrives late is ignored. A notice without a version is from the
+// list of VMs.
 func (s *State) handleNotice(e NoticeReceived) []Effect {
 	s.applyNotice(e.Notice)
 	if e.Notice.Version == 0 && e.Notice.Leaving {
@@ -53,6 +55,7 @@
 	return s.reply(e.Now, e.Ticket, wire.Admission{})
 }
 
+// applyNotice applies a notice with a version, unless a later one has been applied.
 func (s *State) applyNotice(n wire.Notice) {
 	if n.Version > s.drain.notice.Version {
 		s.drain.notice = n
@@ -91,10 +94,10 @@
 	return effects
 }
 
-// mayExit reports whether the process can exit without interrupting a response: the
-// export of prefixes is over, and each response has ended, has no reader, and was
-// delivered or has not been claimed within DetachGrace. After stopBy it always
-// reports true.
+// mayExit reports whether the process can exit without interrupting a response. The
+// export of prefixes must have ended or timed out. Each response must have ended and
+// have no reader, and must have been sent completely to a router, unless DetachGrace
+// has passed since its end. From stopBy on, mayExit always reports true.
 func (s *State) mayExit(now time.Time) bool {
 	if !now.Before(s.drain.stopBy) {
 		return true
--- a/internal/sidecar/order.go
+++ b/internal/sidecar/order.go
@@ -9,11 +9,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// orderDrain is the state of draining the upstream for an order of the controller.
-// Until the order has finished, the sidecar drains as when its VM leaves; then it
-// admits requests again.
+// orderDrain is the state of draining the upstream for an order of the controller, as
+// opposed to the operators' orders to drain a VM. Until the order has finished, the
+// sidecar drains as when its VM leaves; then it admits requests again.
 type orderDrain struct {
-	on     bool
+	on     bool   // between OrderDrainStarted and OrderDrainEnded
 	ticket Ticket // of the call that waits until no request runs; zero: none
 }
 
@@ -45,8 +45,8 @@
 	return s.orderHandler.Handle(ctx, o)
 }
 
-// drainForOrder takes the upstream out of service and waits until no request runs.
-// resume puts it back into service.
+// drainForOrder stops the admission of requests and waits until none runs. resume
+// starts the admission again; after an error it has already been called.
 func (s *Sidecar) drainForOrder(ctx context.Context) (resume func(), err error) {
 	resume = func() { s.loop.Post(OrderDrainEnded{Now: time.Now()}) }
 	_, err = s.admission(ctx, func(t Ticket) Event { return OrderDrainStarted{Now: time.Now(), Ticket: t} })
--- a/internal/sidecar/schedule.go
+++ b/internal/sidecar/schedule.go
@@ -9,7 +9,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// isolationCheckInterval is how often a suspect that runs alone is checked.
+// isolationCheckInterval is how often the sidecar checks whether a suspect that runs
+// alone has run for long enough to be cleared.
 const isolationCheckInterval = time.Second
 
 // schedule starts the requests that may start. None may start before the first
@@ -32,8 +33,9 @@
 	}
 }
 
-// checkIsolated reports whether a suspect runs alone and has not yet been
-// cleared.
+// checkIsolated returns whether a suspect that runs alone blocks other requests. It
+// clears a suspect that has run for long enough; other requests may then run beside
+// it. Otherwise it sets a timer for the next check.
 func (s *State) checkIsolated(now time.Time) bool {
 	if s.isolated == nil {
 		return false
@@ -49,8 +51,9 @@
 	return true
 }
 
-// scheduleIsolated starts the most likely cause of a crash in the isolation lane
-// when no other request runs.
+// scheduleIsolated starts a suspect from the isolation lane if no other request runs:
+// the one that is the most likely cause of the crashes. If that one has been convicted
+// while it waited, it is withdrawn instead and scheduling continues.
 func (s *State) scheduleIsolated(now time.Time) []Effect {
 	if s.queue.Running() > 0 {
 		return nil
@@ -91,8 +94,8 @@
 	return s.withdraw(now, r, err.WithRetryAfter(s.queue.Backoff()))
 }
 
-// withdraw ends a request that has not run and will not run here. Its readers are
-// redirected to its successor, if it has one and was not cancelled.
+// withdraw ends a request that has not run and will not run here. Unless it was
+// cancelled, its readers are redirected to its successor key, if it has one.
 func (s *State) withdraw(now time.Time, r *request, err *verdict.Error) []Effect {
 	s.queue.Remove(r.nonce())
 	if r.isolated {
--- a/internal/sidecar/sender.go
+++ b/internal/sidecar/sender.go
@@ -15,7 +15,7 @@
 	frames   frameWriter
 	response *responseBuffer
 	offset   int64 // of the next byte to send
-	window   int64
+	window   int64 // in bytes; how far the credit extends beyond acknowledgedUpTo
 
 	mu      sync.Mutex
 	upTo    int64         // offset up to which the router has granted credit
@@ -42,7 +42,8 @@
 	}
 }
 
-// grant records credit from the router.
+// grant records that the router accepts the response up to the offset upTo. An offset
+// below an earlier one has no effect.
 func (s *sender) grant(upTo int64) {
 	s.mu.Lock()
 	grown := upTo > s.upTo
@@ -58,7 +59,7 @@
 }
 
 // acknowledgedUpTo returns the offset up to which the router has passed the response
-// on. The router grants credit up to one window beyond it.
+// on. It is derived from the router's credit, which ends one window beyond it.
 func (s *sender) acknowledgedUpTo() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -1,7 +1,6 @@
 // Package sidecar implements the process that runs beside each upstream. All
-// requests to the upstream pass through it. It decides in one sequence of events
-// which requests run and how many at a time, and ensures that each runs at most
-// once.
+// requests to the upstream pass through it. A single event loop decides which requests
+// run and how many at a time, and ensures that each runs at most once.
 package sidecar
 
 import (
@@ -20,10 +19,11 @@
 )
 
 const (
-	// maxSamples is the number of other upstreams' loads that a rejection or the
-	// end of a response carries.
+	// maxSamples is the maximum number of other upstreams' loads in a message. The
+	// reply to an admitted request has none.
 	maxSamples = 5
-	// maxSuspectBytes limits the evidence on suspects in one reply, in bytes.
+	// maxSuspectBytes limits the evidence on suspects in a message, in bytes, unless
+	// the evidence concerns the message's own request; see quarantine.Table.EvidenceFor.
 	maxSuspectBytes = 256
 )
 
@@ -60,10 +60,10 @@
 	timers             timers
 	retained           []*request  // ended requests whose responses are retained, oldest first
 	lane               []*request  // isolation lane: suspects that wait to run alone
-	delegatedPermit    wire.Permit // the latest grant to run alone at another VM
+	delegatedPermit    wire.Permit // the latest permit to run alone at another VM
 	isolated           *request    // the suspect that is running alone
 	nextIsolationCheck time.Time   // when isolated is checked next
-	interrupted        []*request  // calls that broke off; the cause is not yet known
+	interrupted        []*request  // requests whose call failed; a probe determines the cause
 	probe              probe
 	drainOrders        drain.Orders
 	drain              drainState
@@ -79,7 +79,7 @@
 const (
 	queued phase = iota
 	running
-	interrupted // the call broke off; whether the upstream crashed is not yet known
+	interrupted // the call failed; whether the upstream crashed is not yet known
 	ended
 )
 
@@ -90,7 +90,7 @@
 	phase         phase
 	isolated      bool      // it must run alone
 	cancelled     bool      // by the caller
-	crashRecorded bool      // its crash is recorded, though its call may not have ended yet
+	crashRecorded bool      // a crash of the upstream while it ran is recorded; its call may not have ended yet
 	expires       time.Time // latest time to start; zero: none
 	deadline      time.Time // zero: none
 	started       time.Time
@@ -243,8 +243,8 @@
 	return c
 }
 
-// reply returns a Reply with the current control data. If a has evidence on
-// suspects, it is kept.
+// reply returns a Reply with the current control data. If a already contains evidence
+// on suspects, this evidence is sent instead of the current one.
 func (s *State) reply(now time.Time, t Ticket, a wire.Admission) []Effect {
 	suspects := a.Control.Suspects
 	a.Control = s.control(now)
@@ -262,5 +262,5 @@
 	down     bool
 	timeouts int // consecutive probes that timed out
 	instance upstream.Instance
-	external int // requests at the upstream that an earlier incarnation of the sidecar started
+	external int // as counted by countExternal
 }
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -23,7 +23,7 @@
 type rejection struct {
 	err       *verdict.Error
 	hasPermit bool            // the request may run alone at its successor's VM
-	suspects  json.RawMessage // evidence for the router, from which it learns which VM to ask
+	suspects  json.RawMessage // evidence on the request, which names the VM where it may run alone
 }
 
 func reject(r verdict.Reason, format string, args ...any) *rejection {
@@ -64,10 +64,11 @@
 	return []Effect{Open{Nonce: e.Submit.Key.Nonce, Org: e.Submit.Org}, s.admittedReply(e.Now, e.Ticket)}
 }
 
-// admittedReply returns the reply to an admitted request. It reports the load
-// without this request: busy upstreams receive more requests, so if each request
-// were counted in its own report, the estimated mean of the pool would be too
-// high. Load samples of other upstreams are sent with the end of the response.
+// admittedReply returns the reply to an admitted request. It reports the load without
+// this request. Otherwise the estimated mean of the pool would be too high, because
+// upstreams that receive more requests also send more reports, and each of these would
+// include its own request. Load samples of other upstreams are sent with the end of
+// the response.
 func (s *State) admittedReply(now time.Time, t Ticket) Effect {
 	c := s.control(now)
 	c.Load--
@@ -90,8 +91,8 @@
 // tryAdmit adds a request to the queue, or decides that it is to run in the
 // isolation lane, or returns the reason for its rejection.
 func (s *State) tryAdmit(now time.Time, sub *wire.Submit) (isolated bool, rejected *rejection) {
-	// The quarantine is applied first: a suspect that is rejected for another
-	// reason goes on to a sidecar that may have no evidence against it.
+	// The quarantine is applied first: if a suspect were rejected for another reason,
+	// the router would send it to a sidecar that may have no evidence against it.
 	isolated, rejected = s.applyQuarantine(now, sub)
 	if rejected != nil {
 		return false, rejected
@@ -116,9 +117,9 @@
 	return true, nil
 }
 
-// applyQuarantine returns whether a request must run alone, or a rejection. If the
-// upstream that a suspect crashed is down, the suspect may run alone at another
-// VM, one such VM at a time.
+// applyQuarantine returns whether a request must run alone, or a rejection. If it must
+// run alone but cannot do so here, the rejection may permit it to run alone at another
+// VM; see tryDelegate.
 func (s *State) applyQuarantine(now time.Time, sub *wire.Submit) (isolated bool, rejected *rejection) {
 	if sub.Fingerprint == 0 {
 		return false, nil
@@ -145,7 +146,7 @@
 	}
 }
 
-// permitExpiry returns when the grant of a suspect to run alone expires.
+// permitExpiry returns when a suspect's permit to run alone expires.
 func (s *State) permitExpiry(now time.Time, sub *wire.Submit) time.Time {
 	if d := sub.Policy.Deadline; d > 0 {
 		return now.Add(d)
@@ -180,10 +181,12 @@
 	}
 }
 
-// tryDelegate reports whether a suspect may run alone at its successor's VM because
-// the upstream here is down or draining. The sidecar whose upstream crashed
-// delegates to one VM at a time and keeps other copies waiting meanwhile. A
-// sidecar that received the suspect with such a grant only passes it on.
+// tryDelegate permits a suspect to run alone at its successor's VM if the upstream
+// here is down or draining, and returns whether it does. The sidecar whose upstream
+// crashed issues the permit. It delegates suspects to one VM at a time and rejects
+// other copies of the suspect until the permit has expired or is revoked. If the
+// suspect arrived here with a permit, that permit stays valid for the successor's VM
+// and no new one is issued.
 func (s *State) tryDelegate(now time.Time, sub *wire.Submit) bool {
 	if sub.Successor == nil || !s.probe.down && !s.draining(now) {
 		return false
@@ -208,10 +211,10 @@
 	return now.Add(d)
 }
 
-// startTimeout returns how long a request with the timeout d may wait for its
-// start. The router started the same timeout earlier, and when it expires can
-// only answer that the request may have run. The reply that it has not run must
-// arrive before.
+// startTimeout returns how long a request with the timeout d may wait for its start:
+// d less deliveryMargin, or less a tenth of d if that is shorter. The router started
+// the same timeout earlier. If the reply that the request has not run arrives after
+// the router's timeout, the router has already replied that it may have run.
 func startTimeout(d time.Duration) time.Duration {
 	return d - min(deliveryMargin, d/10)
 }
--- a/internal/sidecar/suspect_test.go
+++ b/internal/sidecar/suspect_test.go
@@ -19,7 +19,7 @@
 	copies byte
 }
 
-const crasherFingerprint = 7 // fingerprint
+const crasherFingerprint = 7
 
 func newCrashSite() *crashSite {
 	s := &crashSite{State: NewState(Settings{VM: "a", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
@@ -42,14 +42,15 @@
 	return key.Nonce, wire.Admission{}
 }
 
-// A suspect gets a grant to run alone at another VM, but no sidecar there admits it.
-// Unless the unused grant is revoked, its sidecar makes all other copies wait for a
-// minute, the deadline of the copy that never runs.
+// The sidecar of a crashed upstream permits a suspect to run alone at another VM, but
+// no sidecar admits the suspect. Unless the router's report of the unused permit
+// revokes it, the first sidecar rejects all other copies for a minute, the deadline of
+// the copy that never runs.
 func TestUnusedPermitIsRevoked(t *testing.T) {
 	s := newCrashSite()
 	first, a := s.submitCopy()
 	if !a.HasPermit {
-		t.Fatalf("the first copy got no grant: %+v", a)
+		t.Fatalf("the first copy got no permit: %+v", a)
 	}
 	second, a := s.submitCopy()
 	if a.HasPermit || a.Error.Reason != verdict.ReasonSuspect {
@@ -57,18 +58,18 @@
 	}
 	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherFingerprint, Nonce: second}}})
 	if _, a := s.submitCopy(); a.HasPermit {
-		t.Fatal("a copy got a grant while another copy has it")
+		t.Fatal("a copy got a permit while another copy has it")
 	}
 	s.Step(ReportReceived{Now: s.now, Report: wire.Report{UnusedPermit: &wire.Permit{Fingerprint: crasherFingerprint, Nonce: first}}})
 	if _, a := s.submitCopy(); !a.HasPermit {
-		t.Fatalf("no copy gets a grant any more: %+v", a)
+		t.Fatalf("no copy gets a permit any more: %+v", a)
 	}
 }
 
-// The home upstream of a session receives evidence that a request crashed another
-// engine, and is then drained. If it rejected the resent request only because it is
-// draining, the router would offer the request to an upstream without evidence, and
-// that one would crash too.
+// The sidecar of a session's home upstream receives evidence that a request crashed
+// another upstream, and is then drained. The caller resends the request. If the sidecar
+// rejected it as draining and without the evidence, the router would send it to an
+// upstream whose sidecar has no evidence, and that upstream would crash, too.
 func TestDrainingHomeReportsSuspects(t *testing.T) {
 	home := &crashSite{State: NewState(Settings{VM: "home", Incarnation: 1, Keys: 100}), now: time.Unix(1_800_000_000, 0)}
 	home.Step(ReportReceived{Now: home.now, Report: wire.Report{Suspects: newCrashSite().quarantine.EvidenceFor(home.now, crasherFingerprint)}})
--- a/internal/sidecar/timer.go
+++ b/internal/sidecar/timer.go
@@ -114,9 +114,9 @@
 	return []Effect{Drop{Nonce: r.nonce()}}
 }
 
-// trimRetained limits the number of retained responses to the size of the key
-// table, whatever retention time their profiles set. A response with readers
-// stays until it has none.
+// trimRetained limits the number of retained responses to the maximum size of the key
+// table, whatever retention time their profiles set. It drops the oldest. One that has
+// readers is no longer counted and is dropped when its last reader leaves.
 func (s *State) trimRetained() []Effect {
 	var effects []Effect
 	for len(s.retained) > s.settings.Keys {
