--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -84,14 +84,14 @@
 	// it reads the store by itself.
 	Packets net.PacketConn
 	Calls   net.Listener
-	// Slept returns for how long the machine has been suspended in all.
-	Slept func() time.Duration
+	// SuspendedTime returns for how long the machine has been suspended in all.
+	SuspendedTime func() time.Duration
 }
 
 // systemNetwork is the network of the machine.
 func systemNetwork(p platform.Settings) (Network, error) {
 	d := net.Dialer{Timeout: storeDial}
-	n := Network{Store: d.DialContext, Upstreams: exchange.Dialer(), Routers: d.DialContext, Slept: suspended}
+	n := Network{Store: d.DialContext, Upstreams: exchange.Dialer(), Routers: d.DialContext, SuspendedTime: suspended}
 	if p.PeerAddr == "" {
 		slog.Warn("the platform names no port for messages between routers: this one reads the store by itself")
 		return n, nil
@@ -214,7 +214,7 @@
 			Packets:       n.Packets,
 			Calls:         n.Calls,
 			Dial:          n.Routers,
-			SuspendedTime: n.Slept,
+			SuspendedTime: n.SuspendedTime,
 			MemberDecoder: platform.Runners{Regions: p.Regions},
 			MemberTiming:  memberTiming(p, on),
 		},
@@ -277,15 +277,15 @@
 	return serveOn(ctx, net.JoinHostPort(e.platform.IP, strconv.Itoa(e.settings.MetricsPort.N)), metrics)
 }
 
-// Account returns what this router holds against each upstream.
-func (e *Entry) Account() []admin.UpstreamConditions {
+// UpstreamConditions returns what this router holds against each upstream.
+func (e *Entry) UpstreamConditions() []admin.UpstreamConditions {
 	return e.router.DirectUpstreams(time.Now())
 }
 
 // upstreams serves what this router holds against each upstream.
 func (e *Entry) upstreams(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(e.Account()); err != nil {
+	if err := json.NewEncoder(w).Encode(e.UpstreamConditions()); err != nil {
 		slog.Warn("what is held against upstreams could not be told", "error", err)
 	}
 }
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -21,7 +21,7 @@
 
 // logRefusal logs why a request gets no response from an upstream.
 func (x *platformExchange) logRefusal(log *telemetry.RequestLog, e *verdict.Error) {
-	log.Line(telemetry.LineFailure, "request refused", x.headers.ID,
+	log.Log(telemetry.LineFailure, "request refused", x.headers.ID,
 		slog.Int("status", platformStatus(e)),
 		slog.String("reason", string(e.Reason)),
 		slog.String("verdict", e.Verdict.String()),
--- a/internal/router/log.go
+++ b/internal/router/log.go
@@ -140,7 +140,7 @@
 }
 
 func (resp *Response) log(class telemetry.LineClass, msg string, attrs ...slog.Attr) {
-	resp.router.config.RequestLog.Line(class, msg, resp.req.ID, attrs...)
+	resp.router.config.RequestLog.Log(class, msg, resp.req.ID, attrs...)
 }
 
 // logFollowed logs configuration that has come into force or was rejected.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -32,37 +32,37 @@
 	maxBufferBytes = 1 << 40
 )
 
-// Mistakes is all that is wrong with a command line and environment.
-type Mistakes []string
+// ValidationErrors is all that is wrong with a command line and environment.
+type ValidationErrors []string
 
 // Error implements error, one mistake a line.
-func (m Mistakes) Error() string {
+func (m ValidationErrors) Error() string {
 	return "mistakes in the settings:\n  " + strings.Join(m, "\n  ")
 }
 
-func (m *Mistakes) add(flag, format string, args ...any) {
+func (m *ValidationErrors) add(flag, format string, args ...any) {
 	*m = append(*m, "--"+flag+": "+fmt.Sprintf(format, args...))
 }
 
-func (m *Mistakes) required(flag, value string) {
+func (m *ValidationErrors) required(flag, value string) {
 	if value == "" {
 		m.add(flag, "is required")
 	}
 }
 
-func (m *Mistakes) address(flag, value string) {
+func (m *ValidationErrors) address(flag, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		m.add(flag, "want an address such as 10.0.0.2:8080, have %q", value)
 	}
 }
 
-func (m *Mistakes) optionalAddress(flag, value string) {
+func (m *ValidationErrors) optionalAddress(flag, value string) {
 	if value != "" {
 		m.address(flag, value)
 	}
 }
 
-func (m *Mistakes) oneOf(flag, value string, allowed ...string) {
+func (m *ValidationErrors) oneOf(flag, value string, allowed ...string) {
 	for _, a := range allowed {
 		if value == a {
 			return
@@ -71,20 +71,20 @@
 	m.add(flag, "want one of %s, have %q", strings.Join(allowed, ", "), value)
 }
 
-func (m *Mistakes) duration(flag string, v Duration, low, high time.Duration) {
+func (m *ValidationErrors) duration(flag string, v Duration, low, high time.Duration) {
 	if v.err == nil && (v.D < low || v.D > high) {
 		m.add(flag, "want from %s to %s, have %s", low, high, v.D)
 	}
 }
 
-func (m *Mistakes) count(flag string, v Count, low, high int) {
+func (m *ValidationErrors) count(flag string, v Count, low, high int) {
 	if v.err == nil && (v.N < low || v.N > high) {
 		m.add(flag, "want from %d to %d, have %d", low, high, v.N)
 	}
 }
 
 // file checks that a file can be read; an empty name is none.
-func (m *Mistakes) file(flag, path string) {
+func (m *ValidationErrors) file(flag, path string) {
 	if path == "" {
 		return
 	}
@@ -97,9 +97,9 @@
 }
 
 // checkable is the settings of a role.
-type checkable interface{ check(m *Mistakes) }
+type checkable interface{ check(m *ValidationErrors) }
 
-func (c Common) check(m *Mistakes) {
+func (c Common) check(m *ValidationErrors) {
 	m.oneOf("log-format", c.LogFormat, string(telemetry.LogText), string(telemetry.LogJSON))
 	if _, err := c.Level(); err != nil {
 		m.add("log-level", "want debug, info, warn or error, have %q", c.LogLevel)
@@ -114,7 +114,7 @@
 	return l, err
 }
 
-func (n Node) check(m *Mistakes) {
+func (n Node) check(m *ValidationErrors) {
 	m.required("vm", n.VM)
 	if len(n.VM) > token.MaxVMLen {
 		m.add("vm", "is over %d bytes, more than a request key can carry", token.MaxVMLen)
@@ -123,7 +123,7 @@
 	m.duration("reload-interval", n.ReloadInterval, minReload, maxReload)
 }
 
-func (f Fleet) check(m *Mistakes) {
+func (f Fleet) check(m *ValidationErrors) {
 	given := 0
 	for _, path := range []string{f.Cert, f.Key, f.CA} {
 		if path != "" {
@@ -142,7 +142,7 @@
 	m.required("trust-domain", f.TrustDomain)
 }
 
-func (r Router) check(m *Mistakes) {
+func (r Router) check(m *ValidationErrors) {
 	r.Common.check(m)
 	r.Node.check(m)
 	r.Fleet.check(m)
@@ -163,7 +163,7 @@
 	m.duration("weight-load-interval", r.WeightLoadInterval, 0, maxDelay)
 }
 
-func (s Sidecar) check(m *Mistakes) {
+func (s Sidecar) check(m *ValidationErrors) {
 	s.Common.check(m)
 	s.Node.check(m)
 	s.Fleet.check(m)
@@ -179,7 +179,7 @@
 	}
 }
 
-func (a Admission) check(m *Mistakes) {
+func (a Admission) check(m *ValidationErrors) {
 	m.count("weight", a.Weight, 1, maxWeight)
 	m.count("slots", a.Slots, 1, maxSlots)
 	m.count("reserve", a.Reserve, 0, a.Slots.N-1)
@@ -189,20 +189,20 @@
 	m.count("keys", a.Keys, minKeys, maxKeys)
 }
 
-func (a Answers) check(m *Mistakes) {
+func (a Answers) check(m *ValidationErrors) {
 	m.duration("detach-grace", a.DetachGrace, time.Second, maxDelay)
 	m.duration("keep-answer", a.KeepAnswer, time.Second, maxDelay)
 	m.count("answer-bytes", a.AnswerBytes, minAnswerBytes, maxAnswerBytes)
 	m.count("buffer-bytes", a.BufferBytes, a.AnswerBytes.N, maxBufferBytes)
 }
 
-func (e Entry) check(m *Mistakes) {
+func (e Entry) check(m *ValidationErrors) {
 	e.Common.check(m)
 	m.count("metrics-port", e.MetricsPort, 0, maxPort)
 	m.duration("drain-delay", e.DrainDelay, 0, maxDelay)
 }
 
-func (d Dev) check(m *Mistakes) {
+func (d Dev) check(m *ValidationErrors) {
 	d.Common.check(m)
 	m.address("listen", d.Listen)
 	m.address("admin-listen", d.AdminListen)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -45,7 +45,7 @@
 // The error is Help or Mistakes; with Mistakes, what could be read is returned too.
 func Parse(args []string) (*Parsed, error) {
 	p := &Parsed{}
-	var m Mistakes
+	var m ValidationErrors
 	parser := flags.NewParser(&p.Daemon, flags.HelpFlag|flags.PassDoubleDash)
 	parser.UnknownOptionHandler = func(name string, _ flags.SplitArgument, rest []string) ([]string, error) {
 		m.add(name, "no such setting") // the value stays unsaid: it may be a secret
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -128,9 +128,9 @@
 	}}
 }
 
-// Line writes a line about the request id, unless too many of its class came
+// Log writes a line about the request id, unless too many of its class came
 // before.
-func (r *RequestLog) Line(class LineClass, msg, id string, attrs ...slog.Attr) {
+func (r *RequestLog) Log(class LineClass, msg, id string, attrs ...slog.Attr) {
 	if r == nil {
 		return
 	}
