--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -128,7 +128,7 @@
 			fmt.Fprintf(w, "\nrejected by %s: %s\n", r.VM, p)
 		}
 		for _, u := range r.Status.UnknownWords {
-			fmt.Fprintf(w, "\nnot read by %s: %s, %s (%d times, first in %s)\n", r.VM, u.Place, u.Word, u.Count, u.Message)
+			fmt.Fprintf(w, "\nnot read by %s: %s, %s (%d times, first in %s)\n", r.VM, u.Place, u.Word, u.Count, u.Source)
 		}
 	}
 	if len(s.Quarantined) > 0 {
--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -142,11 +142,11 @@
 // UnknownWord is a word that has occurred and is not in the Table of its place, or has a malformed
 // value.
 type UnknownWord struct {
-	Place   string    `json:"place"`
-	Word    string    `json:"word"`
-	Message string    `json:"of"` // the message of its first occurrence
-	First   time.Time `json:"first"`
-	Count   int       `json:"count"`
+	Place  string    `json:"place"`
+	Word   string    `json:"word"`
+	Source string    `json:"of"` // the message of its first occurrence
+	First  time.Time `json:"first"`
+	Count  int       `json:"count"`
 }
 
 // unknown holds the unknown words that the process has received.
@@ -178,6 +178,6 @@
 	if len(unknown.words) >= maxUnknownWords {
 		return
 	}
-	unknown.words = append(unknown.words, UnknownWord{Place: t.place, Word: word, Message: message, First: time.Now(), Count: 1})
+	unknown.words = append(unknown.words, UnknownWord{Place: t.place, Word: word, Source: message, First: time.Now(), Count: 1})
 	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", message)
 }
