--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -24,14 +24,14 @@
 		for chat := range 5 {
 			turns := fmt.Sprintf(`{"role":"system","content":"coach"},{"role":"user","content":"match %d"}`, chat)
 			before := make([]int, testVMs)
-			for i, v := range f.vm {
+			for i, v := range f.upstreamVMs {
 				before[i] = len(v.upstream.runs)
 			}
 			for turn := range 4 {
 				f.chat(turn%testRouters, turns).expect(t, http.StatusOK, "ran", "")
 				turns += fmt.Sprintf(`,{"role":"assistant","content":"a%d"},{"role":"user","content":"q%d"}`, turn, turn)
 			}
-			for i, v := range f.vm {
+			for i, v := range f.upstreamVMs {
 				if n := len(v.upstream.runs) - before[i]; n != 0 && n != 4 {
 					t.Fatalf("chat %d: %d of 4 turns at %s", chat, n, v.id)
 				}
@@ -50,7 +50,7 @@
 			defer disconnect()
 			f.send(ctx, 0, method, "/services/"+profile+"/x", method+profile, nil)
 			time.Sleep(2 * responseInterval)
-			for _, v := range f.vm {
+			for _, v := range f.upstreamVMs {
 				v.upstream.mu.Lock()
 				n += v.upstream.cancelled
 				v.upstream.mu.Unlock()
@@ -76,7 +76,7 @@
 			gateway.HeaderIdempotencyKey: {f.mint(0, booking)}, gateway.HeaderSession: {"s"},
 		}
 		r := f.send(context.Background(), 0, http.MethodPost, "/services/"+booking+"/x", "book", header)
-		for _, v := range f.vm {
+		for _, v := range f.upstreamVMs {
 			if v.upstream.ran("book") {
 				if got := v.upstream.header; len(got) != 1 || got.Get("Accept") != "text/plain" {
 					t.Errorf("the upstream got headers %v", got)
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -168,9 +168,9 @@
 	return path
 }
 
-// profileByName returns the profile with the given name that a request for keys
+// allowedProfile returns the profile with the given name that a request for keys
 // is about, or nil if the organisation may not use it.
-func (x *exchange) profileByName(name string) *profile.Profile {
+func (x *exchange) allowedProfile(name string) *profile.Profile {
 	for _, allowed := range x.org.Profiles {
 		if allowed == name {
 			return x.view.Profiles[name]
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -38,10 +38,10 @@
 type fleet struct {
 	net         *network
 	store       *store
-	vms         *vmList
+	vmList      *vmList
 	gateways    []*gateway.Gateway
 	stopRouters []context.CancelFunc
-	vm          []*vm
+	upstreamVMs []*vm
 	stop        context.CancelFunc
 	ctx         context.Context
 	ring        *token.Keyring
@@ -62,7 +62,7 @@
 // queue as many.
 func newFleet(vms, routers, slots int) *fleet {
 	ring, _ := token.NewKeyring(token.Secret{ID: 1, Value: bytes.Repeat([]byte{7}, 16)})
-	f := &fleet{net: newNetwork(), slots: slots, store: newStore(), vms: &vmList{}, ring: ring}
+	f := &fleet{net: newNetwork(), slots: slots, store: newStore(), vmList: &vmList{}, ring: ring}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	for _, name := range []string{booking, clips} {
 		p := profile.New(topo.KindProfile).(*profile.Profile)
@@ -79,14 +79,14 @@
 	})
 	for i := range vms {
 		v := &vm{id: fmt.Sprintf("vm-%d", i), upstream: &fakeUpstream{unfreeze: make(chan struct{}), crashed: make(chan struct{})}}
-		f.vm = append(f.vm, v)
+		f.upstreamVMs = append(f.upstreamVMs, v)
 		f.startSidecar(v)
-		f.vms.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p"})
+		f.vmList.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p"})
 	}
 	for i := range routers {
 		name := fmt.Sprintf("router-%d", i)
-		f.vms.set(topo.VM{ID: name, Role: topo.RoleRouter})
-		f.startRouter(name, f.store, f.vms)
+		f.vmList.set(topo.VM{ID: name, Role: topo.RoleRouter})
+		f.startRouter(name, f.store, f.vmList)
 	}
 	time.Sleep(time.Second) // of the bubble's clock, until configuration and list of VMs have been read
 	return f
@@ -141,7 +141,7 @@
 
 func (f *fleet) close() {
 	f.stop()
-	for _, v := range f.vm {
+	for _, v := range f.upstreamVMs {
 		close(v.upstream.unfreeze)
 		v.kill()
 	}
@@ -151,7 +151,7 @@
 // runs returns how often each request has run, by body.
 func (f *fleet) runs() map[string]int {
 	out := make(map[string]int)
-	for _, v := range f.vm {
+	for _, v := range f.upstreamVMs {
 		v.upstream.mu.Lock()
 		for _, body := range v.upstream.runs {
 			out[body]++
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -62,9 +62,9 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	handler, pattern := g.mux.Handler(r)
+	fallback, pattern := g.mux.Handler(r)
 	if pattern == "" {
-		noRoute(w, r, handler)
+		noRoute(w, r, fallback)
 		return
 	}
 	g.mux.ServeHTTP(w, r)
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -42,7 +42,7 @@
 	if req.Count < 0 || count > router.MaxMintedKeys {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "count is out of range: ask for 1 to %d keys", router.MaxMintedKeys)
 	}
-	p := x.profileByName(req.Profile)
+	p := x.allowedProfile(req.Profile)
 	if p == nil {
 		return verdict.New(verdict.NotRun, verdict.ReasonUnknownProfile, "you have no profile of this name")
 	}
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -120,9 +120,9 @@
 
 // noRoute responds to a request for which there is no route. mux is the fallback
 // handler of the ServeMux, which shows whether the path exists with another method.
-func noRoute(w http.ResponseWriter, r *http.Request, mux http.Handler) {
+func noRoute(w http.ResponseWriter, r *http.Request, fallback http.Handler) {
 	probe := &statusProbe{header: make(http.Header)}
-	mux.ServeHTTP(probe, r)
+	fallback.ServeHTTP(probe, r)
 	if probe.status == http.StatusMethodNotAllowed {
 		w.Header().Set("Allow", probe.header.Get("Allow"))
 		writeProblem(w, verdict.New(verdict.NotRun, reasonMethod, "%s is not allowed here", r.Method))
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -44,7 +44,7 @@
 // the caller would wait indefinitely.
 func TestDeadlineEndsCallToFrozenService(t *testing.T) {
 	withFleet(t, func(t *testing.T, f *fleet) {
-		for _, v := range f.vm {
+		for _, v := range f.upstreamVMs {
 			v.upstream.frozen = true
 		}
 		began := time.Now()
@@ -92,7 +92,7 @@
 					attempts++
 					return verdict.New(v, verdict.ReasonUpstreamFailed, "")
 				}
-				for _, v := range f.vm {
+				for _, v := range f.upstreamVMs {
 					v.upstream.beforeRun = fail
 				}
 				for requests := 1; requests <= 200; requests++ {
@@ -178,10 +178,10 @@
 		defer disconnect()
 		first := f.send(ctx, 0, http.MethodPost, "/services/"+booking+"/x", "book", nil)
 		id := first.header.Get(gateway.HeaderRequestID)
-		a := copyResult{body: "book", first: first, received: first.body}
-		a.resume(f, 1)
-		if id == "" || len(first.body) == 0 || !a.complete || string(a.received) != string(expectedBody("book")) {
-			t.Fatalf("%d bytes at first, %d in total, complete: %v", len(first.body), len(a.received), a.complete)
+		result := copyResult{body: "book", first: first, received: first.body}
+		result.resume(f, 1)
+		if id == "" || len(first.body) == 0 || !result.complete || string(result.received) != string(expectedBody("book")) {
+			t.Fatalf("%d bytes at first, %d in total, complete: %v", len(first.body), len(result.received), result.complete)
 		}
 		if n := f.runs()["book"]; n != 1 {
 			t.Fatalf("booked %d times", n)
@@ -234,7 +234,7 @@
 		}
 		send(0, "who is home")
 		var home *vm
-		for _, v := range f.vm {
+		for _, v := range f.upstreamVMs {
 			if v.upstream.ran("who is home") {
 				home = v
 			}
@@ -259,16 +259,16 @@
 	sources := map[string]func(*fleet, *vm){
 		"drain order": func(f *fleet, v *vm) { f.store.put(topo.KindDrain, v.id, profile.Drain{Name: v.id}) },
 		"list of VMs": func(f *fleet, v *vm) {
-			f.vms.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p", Leaving: true})
+			f.vmList.set(topo.VM{ID: v.id, Role: topo.RoleUpstream, Addr: v.id, Pool: "p", Leaving: true})
 		},
 	}
 	for name, startDrain := range sources {
 		t.Run(name, func(t *testing.T) {
 			withFleet(t, func(t *testing.T, f *fleet) {
 				staleRouter := len(f.gateways)
-				f.startRouter("stale", f.store.clone(), f.vms.clone())
+				f.startRouter("stale", f.store.clone(), f.vmList.clone())
 				time.Sleep(3 * time.Second)
-				v := f.vm[0]
+				v := f.upstreamVMs[0]
 				var inFlight sync.WaitGroup
 				for i := range 9 {
 					inFlight.Go(func() { f.call(staleRouter, booking, fmt.Sprint("before ", i), "").expect(t, http.StatusOK, "ran", "") })
@@ -300,7 +300,7 @@
 		time.Sleep(10 * time.Second)
 		f.store.update(func(s *store) { s.down = true })
 		lateRouter := len(f.gateways)
-		f.startRouter("late", f.store, f.vms)
+		f.startRouter("late", f.store, f.vmList)
 		time.Sleep(5 * time.Second)
 		f.call(lateRouter, booking, "first", "").expect(t, http.StatusOK, "ran", "")
 		time.Sleep(20 * time.Minute) // longer than request keys are valid
@@ -328,11 +328,11 @@
 		for _, stop := range f.stopRouters {
 			stop()
 		}
-		for _, v := range f.vm {
+		for _, v := range f.upstreamVMs {
 			f.restart(v)
 		}
 		lateRouter := len(f.gateways)
-		f.startRouter("late", f.store, f.vms)
+		f.startRouter("late", f.store, f.vmList)
 		time.Sleep(5 * time.Second)
 		f.call(lateRouter, booking, poison, "").expect(t, http.StatusUnprocessableEntity, "not-run", "quarantined")
 		if n := f.runs()[poison]; n != before || n > 2 {
@@ -345,17 +345,17 @@
 // change, just as a request is written. Nothing was sent and a new connection works,
 // but the caller got an error.
 func TestRequestSurvivesConnectionClosedDuringSend(t *testing.T) {
-	for up := range 400 {
+	for sentBytes := range 400 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(1, 1, 64)
 			defer f.close()
 			f.net.cut(func(*faultyConn) bool { return true })
 			f.net.mu.Lock()
-			f.net.faults = []fault{{toSidecar: up, toRouter: -1}}
+			f.net.faults = []fault{{toSidecar: sentBytes, toRouter: -1}}
 			f.net.mu.Unlock()
 			r := f.call(0, booking, "book", "")
 			if strings.Contains(string(r.body), `"detail":"not sent`) {
-				t.Fatalf("cut after %d bytes: %s", up, r.body)
+				t.Fatalf("cut after %d bytes: %s", sentBytes, r.body)
 			}
 		})
 	}
--- a/internal/gateway/truth_test.go
+++ b/internal/gateway/truth_test.go
@@ -110,34 +110,34 @@
 	f.net.mu.Unlock()
 	f.net.cut(func(*faultyConn) bool { return true })
 	var wg sync.WaitGroup
-	for _, m := range s.restarts {
+	for _, event := range s.restarts {
 		wg.Go(func() {
-			time.Sleep(m.at)
-			f.restart(f.vm[m.target])
+			time.Sleep(event.at)
+			f.restart(f.upstreamVMs[event.target])
 		})
 	}
-	for _, m := range s.shutdowns {
+	for _, event := range s.shutdowns {
 		wg.Go(func() {
-			time.Sleep(m.at)
-			f.replace(f.vm[m.target])
+			time.Sleep(event.at)
+			f.replace(f.upstreamVMs[event.target])
 		})
 	}
-	for _, m := range s.disconnects {
+	for _, event := range s.disconnects {
 		wg.Go(func() {
-			time.Sleep(m.at)
-			f.net.cut(func(c *faultyConn) bool { return c.router == fmt.Sprintf("router-%d", m.target) })
+			time.Sleep(event.at)
+			f.net.cut(func(c *faultyConn) bool { return c.router == fmt.Sprintf("router-%d", event.target) })
 		})
 	}
 	var mu sync.Mutex
 	var history []copyResult
 	for i, c := range s.callers {
-		for _, m := range c.copies {
+		for _, event := range c.copies {
 			wg.Go(func() {
-				time.Sleep(m.at)
-				a := f.sendCopy(c.profile, fmt.Sprintf("request %d", i), keys[i], m.target)
+				time.Sleep(event.at)
+				result := f.sendCopy(c.profile, fmt.Sprintf("request %d", i), keys[i], event.target)
 				mu.Lock()
 				defer mu.Unlock()
-				history = append(history, a)
+				history = append(history, result)
 			})
 		}
 	}
@@ -153,23 +153,23 @@
 	if key != "" {
 		header.Set(gateway.HeaderIdempotencyKey, key)
 	}
-	a := copyResult{body: body, profile: profile, sent: time.Now()}
-	a.first = f.send(context.Background(), via, http.MethodPost, "/services/"+profile+"/x", body, header)
-	a.done = time.Now()
-	a.received, a.complete = a.first.body, a.first.complete()
-	if a.first.status == http.StatusOK && a.first.aborted {
-		a.resume(f, 1-via)
+	result := copyResult{body: body, profile: profile, sent: time.Now()}
+	result.first = f.send(context.Background(), via, http.MethodPost, "/services/"+profile+"/x", body, header)
+	result.done = time.Now()
+	result.received, result.complete = result.first.body, result.first.complete()
+	if result.first.status == http.StatusOK && result.first.aborted {
+		result.resume(f, 1-via)
 	}
-	return a
+	return result
 }
 
-func (a *copyResult) resume(f *fleet, via int) {
-	a.received = trimErrorEvent(a.received, 0)
-	path := "/v1/requests/" + a.first.header.Get(gateway.HeaderRequestID) + "?offset=" + strconv.Itoa(len(a.received))
+func (r *copyResult) resume(f *fleet, via int) {
+	r.received = trimErrorEvent(r.received, 0)
+	path := "/v1/requests/" + r.first.header.Get(gateway.HeaderRequestID) + "?offset=" + strconv.Itoa(len(r.received))
 	rest := f.send(context.Background(), via, http.MethodGet, path, "", nil)
 	if rest.status == http.StatusOK {
-		a.received = append(a.received, trimErrorEvent(rest.body, len(a.received))...)
-		a.complete = rest.complete()
+		r.received = append(r.received, trimErrorEvent(rest.body, len(r.received))...)
+		r.complete = rest.complete()
 	}
 }
 
@@ -230,10 +230,10 @@
 		var runs map[string]int
 		synctest.Test(t, func(*testing.T) { history, runs = runScenario(s) })
 		byBody := make(map[string][]copyResult)
-		for _, a := range history {
-			verdictCounts[a.first.verdict]++
-			byBody[a.body] = append(byBody[a.body], a)
-			checkResponse(rt, a)
+		for _, result := range history {
+			verdictCounts[result.first.verdict]++
+			byBody[result.body] = append(byBody[result.body], result)
+			checkResponse(rt, result)
 		}
 		for body, copies := range byBody {
 			if copies[0].profile == booking {
@@ -250,16 +250,16 @@
 	t.Log(verdictCounts)
 }
 
-func checkResponse(t *rapid.T, a copyResult) {
-	want := expectedBody(a.body)
-	if a.first.status != http.StatusOK {
+func checkResponse(t *rapid.T, result copyResult) {
+	want := expectedBody(result.body)
+	if result.first.status != http.StatusOK {
 		return
 	}
-	if a.complete && !bytes.Equal(a.received, want) {
-		t.Fatalf("%s: complete response of %d bytes differs from the expected one of %d", a.body, len(a.received), len(want))
+	if result.complete && !bytes.Equal(result.received, want) {
+		t.Fatalf("%s: complete response of %d bytes differs from the expected one of %d", result.body, len(result.received), len(want))
 	}
-	if !bytes.HasPrefix(want, a.received) {
-		t.Fatalf("%s: the %d bytes received are not a prefix of the expected response of %d", a.body, len(a.received), len(want))
+	if !bytes.HasPrefix(want, result.received) {
+		t.Fatalf("%s: the %d bytes received are not a prefix of the expected response of %d", result.body, len(result.received), len(want))
 	}
 }
 
@@ -270,13 +270,13 @@
 	}
 	var ops []porcupine.Operation
 	last := int64(0)
-	for i, a := range copies {
-		out := a.first.verdict
-		if a.first.header.Get(gateway.HeaderEarlierAttempts) != "" {
+	for i, result := range copies {
+		out := result.first.verdict
+		if result.first.header.Get(gateway.HeaderEarlierAttempts) != "" {
 			out = "unknown"
 		}
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: "send", Output: out, Call: a.sent.UnixNano(), Return: a.done.UnixNano()})
-		last = max(last, a.done.UnixNano())
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: "send", Output: out, Call: result.sent.UnixNano(), Return: result.done.UnixNano()})
+		last = max(last, result.done.UnixNano())
 	}
 	ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: audit{runs}, Output: "", Call: last + 1, Return: last + 2})
 	if !porcupine.CheckOperations(keyModel, ops) {
@@ -286,8 +286,8 @@
 
 func verdicts(copies []copyResult) []string {
 	var out []string
-	for _, a := range copies {
-		out = append(out, fmt.Sprintf("%v-%v %s/%s", a.sent.UnixMilli(), a.done.UnixMilli(), a.first.verdict, a.first.header.Get(gateway.HeaderReason)))
+	for _, result := range copies {
+		out = append(out, fmt.Sprintf("%v-%v %s/%s", result.sent.UnixMilli(), result.done.UnixMilli(), result.first.verdict, result.first.header.Get(gateway.HeaderReason)))
 	}
 	return out
 }
@@ -295,8 +295,8 @@
 // checkNotRun checks that nothing has run if every copy of a request got not-run.
 // It applies to idempotent requests as well.
 func checkNotRun(t *rapid.T, copies []copyResult, runs int) {
-	for _, a := range copies {
-		if a.first.verdict != "not-run" || a.first.header.Get(gateway.HeaderEarlierAttempts) != "" {
+	for _, result := range copies {
+		if result.first.verdict != "not-run" || result.first.header.Get(gateway.HeaderEarlierAttempts) != "" {
 			return
 		}
 	}
--- a/internal/profile/check.go
+++ b/internal/profile/check.go
@@ -64,8 +64,8 @@
 	c.problems = append(c.problems, Problem{Ref: c.object.Ref(), Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// label checks a name that is used in paths, metrics and command lines.
-func (c *checker) label(field, value string) {
+// checkLabel checks a name that is used in paths, metrics and command lines.
+func (c *checker) checkLabel(field, value string) {
 	switch {
 	case value == "":
 		c.add(field, "is missing: write a name such as halftime-notes")
@@ -74,8 +74,8 @@
 	}
 }
 
-// regions checks names of regions, as they appear before the slash of failure domains.
-func (c *checker) regions(names []string) {
+// checkRegions checks names of checkRegions, as they appear before the slash of failure domains.
+func (c *checker) checkRegions(names []string) {
 	for i, name := range names {
 		field := fmt.Sprintf("regions[%d]", i)
 		if len(name) > MaxDomainName || !vmNamePattern.MatchString(name) {
@@ -93,15 +93,15 @@
 	}
 }
 
-func (c *checker) duration(field string, value, least, most Duration) {
+func (c *checker) checkDuration(field string, value, least, most Duration) {
 	if value < least || value > most {
 		c.add(field, "%s is out of range: write %s to %s", value, least, most)
 	}
 }
 
 func (p *Profile) check(c *checker) {
-	c.label("name", p.Name)
-	c.label("pool", p.Pool)
+	c.checkLabel("name", p.Name)
+	c.checkLabel("pool", p.Pool)
 	p.checkTraffic(c)
 	p.checkTimes(c)
 	checkRange(c, "priority", p.Priority, -MaxPriority, MaxPriority)
@@ -111,12 +111,12 @@
 	p.Queue.check(c)
 	checkRange(c, "retry_budget", p.RetryBudget, 0, 1)
 	checkRange(c, "attempts", p.Attempts, 0, MaxAttempts)
-	c.regions(p.Regions)
-	c.duration("objective", p.Objective, 0, MaxDeadline)
-	c.duration("max_pause", p.MaxPause, 0, MaxDeadline)
+	c.checkRegions(p.Regions)
+	c.checkDuration("objective", p.Objective, 0, MaxDeadline)
+	c.checkDuration("max_pause", p.MaxPause, 0, MaxDeadline)
 	for i, s := range p.Split {
 		field := fmt.Sprintf("split[%d]", i)
-		c.label(field+".pool", s.Pool)
+		c.checkLabel(field+".pool", s.Pool)
 		checkRange(c, field+".weight", s.Weight, 0, MaxWeight)
 	}
 	if p.MaxBody < Byte || p.MaxBody > MaxMaxBody {
@@ -133,9 +133,9 @@
 	case p.Model != "" && p.Service != "":
 		c.add("service", "stands beside model: a profile is for chats or for a plain service, so remove one of them")
 	case p.Model != "":
-		c.model("model", p.Model)
+		c.checkModel("model", p.Model)
 	default:
-		c.label("service", p.Service)
+		c.checkLabel("service", p.Service)
 	}
 	if len(p.Routes) > 0 && p.Service == "" && !p.isChosenByHost() {
 		c.add("routes", "are for a plain service: write service, or remove routes")
@@ -150,7 +150,7 @@
 	return len(p.Routes) > 0 && p.Routes[0].Host != ""
 }
 
-func (c *checker) model(field, value string) {
+func (c *checker) checkModel(field, value string) {
 	if len(value) > MaxModelName || !modelNamePattern.MatchString(value) {
 		c.add(field, "%q is not a name: write up to %d printable characters without spaces", value, MaxModelName)
 	}
@@ -174,10 +174,10 @@
 	if p.Deadline == 0 {
 		c.add("deadline", "is missing: write how long a whole answer may take, such as 30s")
 	} else {
-		c.duration("deadline", p.Deadline, MinDeadline, MaxDeadline)
-		c.duration("first_token", p.FirstToken, 0, p.Deadline)
+		c.checkDuration("deadline", p.Deadline, MinDeadline, MaxDeadline)
+		c.checkDuration("first_token", p.FirstToken, 0, p.Deadline)
 	}
-	c.duration("keep_answer", p.KeepAnswer, MinKeepAnswer, MaxKeepAnswer)
+	c.checkDuration("keep_answer", p.KeepAnswer, MinKeepAnswer, MaxKeepAnswer)
 	if p.HedgeAfter != 0 {
 		p.checkHedge(c)
 	}
@@ -210,17 +210,17 @@
 }
 
 func (o *Organisation) check(c *checker) {
-	c.label("name", o.Name)
+	c.checkLabel("name", o.Name)
 	checkRange(c, "weight", o.Weight, 1, MaxWeight)
 	checkRange(c, "concurrency", o.Concurrency, 0, MaxConcurrency)
-	c.regions(o.Regions)
+	c.checkRegions(o.Regions)
 	if len(o.Profiles) == 0 {
 		c.add("profiles", "is missing: write the profiles that the organisation may use")
 	}
 	for i, name := range o.Profiles {
 		field := fmt.Sprintf("profiles[%d]", i)
 		if name != AllProfiles {
-			c.label(field, name)
+			c.checkLabel(field, name)
 		}
 		if slices.Contains(o.Profiles[:i], name) {
 			c.add(field, "%q is there twice: remove one", name)
@@ -232,7 +232,7 @@
 func (o *Organisation) checkKeys(c *checker) {
 	for i, k := range o.Keys {
 		field := fmt.Sprintf("keys[%d]", i)
-		c.label(field+".id", k.ID)
+		c.checkLabel(field+".id", k.ID)
 		if !sha256Pattern.MatchString(k.SHA256) {
 			// The value may be the key itself, so the message does not contain it.
 			c.add(field+".sha256", "is not a hash: write the 64 hexadecimal digits that parsleyctl key prints, not the key")
@@ -249,7 +249,7 @@
 }
 
 func (p *Pool) check(c *checker) {
-	c.label("name", p.Name)
+	c.checkLabel("name", p.Name)
 	switch p.Role {
 	case EngineMixed, EnginePrefill, EngineDecode:
 	default:
@@ -261,19 +261,19 @@
 	checkRange(c, "connections", p.Connections, 0, MaxSlots)
 	checkRange(c, "slots", p.Slots, 0, MaxSlots)
 	checkRange(c, "cache_tokens", p.CacheTokens, 0, MaxCacheTokens)
-	c.duration("warmup", p.Warmup, 0, MaxDeadline)
+	c.checkDuration("warmup", p.Warmup, 0, MaxDeadline)
 	checkRange(c, "warmup_rate", p.WarmupRate, 0, MaxWarmupRate)
 	if p.Model == "" {
 		p.checkPlainService(c)
 		return
 	}
-	c.model("model", p.Model)
+	c.checkModel("model", p.Model)
 	if p.Version == "" {
 		c.add("version", "is missing: write the version of model %q to load", p.Model)
 	}
 	for i, a := range p.Adapters {
 		field := fmt.Sprintf("adapters[%d]", i)
-		c.model(field, a)
+		c.checkModel(field, a)
 		if slices.Contains(p.Adapters[:i], a) {
 			c.add(field, "%q is there twice: remove one", a)
 		}
@@ -300,8 +300,8 @@
 	if l.BodyBytes < Byte || l.BodyBytes > MaxMaxBody {
 		c.add("body_bytes", "%s is out of range: write %s to %s", l.BodyBytes, Byte, MaxMaxBody)
 	}
-	c.duration("header_time", l.HeaderTime, MinDeadline, MaxIdleTime)
-	c.duration("idle_time", l.IdleTime, MinDeadline, MaxIdleTime)
+	c.checkDuration("header_time", l.HeaderTime, MinDeadline, MaxIdleTime)
+	c.checkDuration("idle_time", l.IdleTime, MinDeadline, MaxIdleTime)
 }
 
 func (d *DomainDrain) check(c *checker) {
--- a/internal/profile/decode.go
+++ b/internal/profile/decode.go
@@ -47,8 +47,8 @@
 	d.unreadable[field] = true
 }
 
-// mapping returns the fields of a mapping.
-func mapping(n ast.Node) ([]*ast.MappingValueNode, bool) {
+// mappingFields returns the fields of a mappingFields.
+func mappingFields(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		return m.Values, true
@@ -58,16 +58,16 @@
 	return nil, false
 }
 
-// kind returns the document's kind, or "" if it has none. It records a problem if
-// the kind is missing or unknown.
-func (d *decoder) kind(fields []*ast.MappingValueNode) topo.Kind {
+// decodeKind returns the document's decodeKind, or "" if it has none. It records a problem if
+// the decodeKind is missing or unknown.
+func (d *decoder) decodeKind(fields []*ast.MappingValueNode) topo.Kind {
 	for _, f := range fields {
 		if keyName(f) != kindField {
 			continue
 		}
 		d.recordPosition(kindField, f.Value)
 		var kind string
-		d.value(f.Value, reflect.ValueOf(&kind).Elem(), kindField)
+		d.decodeValue(f.Value, reflect.ValueOf(&kind).Elem(), kindField)
 		if New(topo.Kind(kind)) == nil && !d.unreadable[kindField] {
 			d.add(kindField, "%q does not exist: write %s", kind, kindNames())
 		}
@@ -84,37 +84,37 @@
 	return f.Key.String()
 }
 
-// object reads the fields of a document into o.
-func (d *decoder) object(fields []*ast.MappingValueNode, o Object) {
+// decodeObject reads the fields of a document into o.
+func (d *decoder) decodeObject(fields []*ast.MappingValueNode, o Object) {
 	objectFields := make([]*ast.MappingValueNode, 0, len(fields))
 	for _, f := range fields {
 		switch keyName(f) {
 		case kindField:
 		case changeField:
-			d.value(f.Value, reflect.ValueOf(&d.change).Elem(), changeField)
+			d.decodeValue(f.Value, reflect.ValueOf(&d.change).Elem(), changeField)
 		default:
 			objectFields = append(objectFields, f)
 		}
 	}
-	d.fields(objectFields, reflect.ValueOf(o).Elem(), "")
+	d.decodeFields(objectFields, reflect.ValueOf(o).Elem(), "")
 }
 
-func (d *decoder) fields(fields []*ast.MappingValueNode, into reflect.Value, parent string) {
+func (d *decoder) decodeFields(fields []*ast.MappingValueNode, into reflect.Value, parent string) {
 	index := fieldIndex(into.Type())
 	for _, f := range fields {
 		name := keyName(f)
-		path := join(parent, name)
+		path := joinPath(parent, name)
 		i, ok := index[name]
 		if !ok {
 			d.recordPosition(path, f.Key)
 			d.add(path, "unknown field: %s", suggestField(name, into.Type()))
 			continue
 		}
-		d.value(f.Value, into.Field(i), path)
+		d.decodeValue(f.Value, into.Field(i), path)
 	}
 }
 
-func (d *decoder) value(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeValue(n ast.Node, v reflect.Value, path string) {
 	d.recordPosition(path, n)
 	switch n.(type) {
 	case *ast.NullNode:
@@ -126,20 +126,20 @@
 		return
 	}
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(n, u, path)
+		d.decodeText(n, u, path)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(n, v, path)
+		d.decodeStruct(n, v, path)
 	case reflect.Slice:
-		d.slice(n, v, path)
+		d.decodeSlice(n, v, path)
 	default:
-		d.scalar(n, v, path)
+		d.decodeScalar(n, v, path)
 	}
 }
 
-func (d *decoder) text(n ast.Node, u encoding.TextUnmarshaler, path string) {
+func (d *decoder) decodeText(n ast.Node, u encoding.TextUnmarshaler, path string) {
 	s, ok := n.(ast.ScalarNode)
 	if !ok {
 		d.add(path, "is not a single value: write one with a unit")
@@ -150,16 +150,16 @@
 	}
 }
 
-func (d *decoder) structure(n ast.Node, v reflect.Value, path string) {
-	fields, ok := mapping(n)
+func (d *decoder) decodeStruct(n ast.Node, v reflect.Value, path string) {
+	fields, ok := mappingFields(n)
 	if !ok {
 		d.add(path, "is not an object: write its fields, which are %s", fieldNames(v.Type()))
 		return
 	}
-	d.fields(fields, v, path)
+	d.decodeFields(fields, v, path)
 }
 
-func (d *decoder) slice(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeSlice(n ast.Node, v reflect.Value, path string) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
 		d.add(path, "is not a list: write each element on a line of its own, after a dash")
@@ -167,11 +167,11 @@
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(s.Values), len(s.Values)))
 	for i, element := range s.Values {
-		d.value(element, v.Index(i), path+"["+strconv.Itoa(i)+"]")
+		d.decodeValue(element, v.Index(i), path+"["+strconv.Itoa(i)+"]")
 	}
 }
 
-func (d *decoder) scalar(n ast.Node, v reflect.Value, path string) {
+func (d *decoder) decodeScalar(n ast.Node, v reflect.Value, path string) {
 	s, ok := n.(ast.ScalarNode)
 	if !ok {
 		d.add(path, "is not a single value: write one")
@@ -213,7 +213,7 @@
 	}
 }
 
-func join(parent, name string) string {
+func joinPath(parent, name string) string {
 	if parent == "" {
 		return name
 	}
--- a/internal/profile/genschema/main.go
+++ b/internal/profile/genschema/main.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	packagePath = "github.com/parsleyfront/parsleyfront/internal/profile"
-	schemaBase  = "urn:parsleyfront:schema:"
-	fileSuffix  = ".schema.json"
+	packagePath    = "github.com/parsleyfront/parsleyfront/internal/profile"
+	schemaIDPrefix = "urn:parsleyfront:schema:"
+	fileSuffix     = ".schema.json"
 )
 
 func main() {
@@ -26,7 +26,7 @@
 		log.Fatal("usage: genschema DIRECTORY")
 	}
 	for _, kind := range profile.Kinds {
-		text, err := schema(kind, ".")
+		text, err := generateSchema(kind, ".")
 		if err != nil {
 			log.Fatal(err)
 		}
@@ -36,15 +36,15 @@
 	}
 }
 
-// schema returns the JSON Schema of kind. Its descriptions are the doc comments
+// generateSchema returns the JSON Schema of kind. Its descriptions are the doc comments
 // of package profile, whose source is in dir.
-func schema(kind topo.Kind, dir string) ([]byte, error) {
+func generateSchema(kind topo.Kind, dir string) ([]byte, error) {
 	r := jsonschema.Reflector{ExpandedStruct: true, FieldNameTag: "json", Mapper: textTypeSchema}
 	if err := r.AddGoComments(packagePath, dir); err != nil {
 		return nil, err
 	}
 	s := r.Reflect(profile.New(kind))
-	s.ID = jsonschema.ID(schemaBase + string(kind))
+	s.ID = jsonschema.ID(schemaIDPrefix + string(kind))
 	s.Properties.Set("kind", &jsonschema.Schema{Const: string(kind)})
 	s.Required = append([]string{"kind"}, requiredFields(kind)...)
 	if err := setDefaults(s, kind); err != nil {
--- a/internal/profile/genschema/main_test.go
+++ b/internal/profile/genschema/main_test.go
@@ -12,7 +12,7 @@
 func TestSchemaIsCurrent(t *testing.T) {
 	t.Chdir("..")
 	for _, kind := range profile.Kinds {
-		want, err := schema(kind, ".")
+		want, err := generateSchema(kind, ".")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/profile/read.go
+++ b/internal/profile/read.go
@@ -135,16 +135,16 @@
 func readDocument(file string, body ast.Node) (Document, Problems) {
 	d := decoder{file: file, positions: make(map[string]position)}
 	d.recordPosition("", body)
-	fields, ok := mapping(body)
+	fields, ok := mappingFields(body)
 	if !ok {
 		d.add("", "is not an object: write fields, beginning with kind: %s", kindNames())
 		return Document{}, d.problems
 	}
-	object := New(d.kind(fields))
+	object := New(d.decodeKind(fields))
 	if object == nil {
 		return Document{}, d.problems
 	}
-	d.object(fields, object)
+	d.decodeObject(fields, object)
 	problems := d.problems
 	for i := range problems {
 		problems[i].Ref = object.Ref()
--- a/internal/profile/refs.go
+++ b/internal/profile/refs.go
@@ -18,18 +18,18 @@
 	for ref, o := range stored {
 		c.all[ref] = o
 	}
-	first := make(map[topo.Ref]Document, len(docs))
+	docsByRef := make(map[topo.Ref]Document, len(docs))
 	for _, d := range docs {
 		ref := d.Object.Ref()
-		if earlier, duplicate := first[ref]; duplicate {
+		if earlier, duplicate := docsByRef[ref]; duplicate {
 			c.add(d, "name", "is there twice, first in %s line %d: remove one or rename it", earlier.File, earlier.positions["name"].line)
 			continue
 		}
-		first[ref] = d
+		docsByRef[ref] = d
 		c.all[ref] = d.Object
 	}
 	for ref, o := range stored {
-		if _, replaced := first[ref]; !replaced {
+		if _, replaced := docsByRef[ref]; !replaced {
 			c.checkKeyOwners(Document{Object: o})
 		}
 	}
@@ -38,8 +38,8 @@
 	}
 	for ref, o := range stored {
 		p, ok := o.(*Profile)
-		_, replaced := first[ref]
-		if _, poolChanges := first[poolRef(p)]; ok && !replaced && poolChanges {
+		_, replaced := docsByRef[ref]
+		if _, poolInDocs := docsByRef[poolRef(p)]; ok && !replaced && poolInDocs {
 			c.checkPool(Document{Object: p}, p)
 		}
 	}
