--- a/internal/gateway/callerconn.go
+++ b/internal/gateway/callerconn.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// headerTimeoutSentinel and idleTimeoutSentinel are the timeouts of the
-	// http.Server, which are fixed for its lifetime, while operators change theirs
-	// when connections are open. A callerConn recognises by them which timeout the
-	// server sets and replaces it by the operators' one. Both are far longer than
-	// any timeout that operators set.
+	// headerTimeoutSentinel and idleTimeoutSentinel are the timeouts that the
+	// http.Server is configured with. A server's timeouts are fixed for its lifetime,
+	// but operators may change their limits while connections are open. So when the
+	// server sets a deadline, callerConn derives from the sentinel which timeout is
+	// meant and sets the deadline of the operators' limit instead. Both sentinels are
+	// far longer than any timeout that operators set.
 	headerTimeoutSentinel = 24 * time.Hour
 	idleTimeoutSentinel   = 48 * time.Hour
 	// sentinelSlack is the time that may pass between the computation of a deadline
@@ -26,9 +27,11 @@
 	serverMaxHeaderBytes = 1 << 20
 )
 
-// Server returns a server for callers that keeps at most the given number of
-// connections open. Its timeouts are those of the operators' limits in force plus
-// grace, as callers may not have received a shorter one yet, nor this router a longer one.
+// Server returns a server for callers that serves h on at most the given number of
+// connections at a time. Its timeouts are those of the operators' limits in force plus
+// grace, as a change of the limits takes time to arrive: when they become shorter, callers
+// may still rely on the longer ones, and when they become longer, this router may not have
+// received them yet.
 func (g *PlatformGateway) Server(h http.Handler, connections int, grace time.Duration) *CallerServer {
 	return &CallerServer{
 		Server: &http.Server{
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -168,8 +168,8 @@
 	return path
 }
 
-// allowedProfile returns the profile with the given name that a request for keys
-// is about, or nil if the organisation may not use it.
+// allowedProfile returns the profile with the given name, or nil if the organisation's
+// list does not contain it.
 func (x *exchange) allowedProfile(name string) *profile.Profile {
 	for _, allowed := range x.org.Profiles {
 		if allowed == name {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -45,7 +45,7 @@
 	stop        context.CancelFunc
 	ctx         context.Context
 	ring        *token.Keyring
-	slots       int
+	slots       int // of each upstream
 }
 
 // vm is an upstream VM whose sidecar can be replaced by a new incarnation.
@@ -284,7 +284,7 @@
 	verdict string
 }
 
-// complete reports whether the caller can take the response for whole.
+// complete reports whether the caller received the whole response.
 func (r reply) complete() bool { return r.status == http.StatusOK && !r.aborted }
 
 // send serves a request by a router's handler, as an HTTP server would.
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -58,8 +58,9 @@
 	lastBytes []byte // last bytes sent, which show whether an event is complete
 }
 
-// copyResponse copies a response to the caller and closes it. The caller has
-// already been informed of the error that it returns.
+// copyResponse copies a response to the caller, from the given offset on, and closes it.
+// If the response breaks off, it panics as abort does. If a write to the caller fails, it
+// returns an error, for which no problem document can be written any more.
 func (x *exchange) copyResponse(response *router.Response, offset int64) *verdict.Error {
 	defer response.Close()
 	c := &copier{w: x.w, ctl: http.NewResponseController(x.w), id: response.ID(), offset: offset}
@@ -110,11 +111,11 @@
 
 var eventEnd = []byte("\n\n")
 
-// abort tells the caller that the response is incomplete. Part of the body has been
-// sent, so the status can't change any more. If the response is a stream of events,
-// abort appends an event that chat clients read as an error. Then it breaks the
-// connection, as after a regular end the caller would take what was sent for a
-// whole response.
+// abort ends an incomplete response. Part of the body has been sent, so the status
+// can't change any more. If the response is a stream of events, abort appends an event
+// that chat clients read as an error. It then breaks the connection by a panic with
+// http.ErrAbortHandler. After a regular end, the caller would take the incomplete
+// response for a complete one.
 func (c *copier) abort(e *verdict.Error) *verdict.Error {
 	if c.events {
 		if !bytes.HasSuffix(c.lastBytes, eventEnd) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,8 +82,9 @@
 	r    *http.Request
 	view *router.View
 	org  *profile.Organisation
-	// dispatched is set once the request goes to the sidecar that decides on its
-	// key. Before that, a not-run verdict holds for this copy of the request only.
+	// dispatched is set before the request is passed to the router, which sends it to
+	// the sidecar that decides on its key. Until then, a not-run verdict is valid only
+	// for this copy of the request, not for others with the same key.
 	dispatched bool
 }
 
@@ -136,8 +137,8 @@
 }
 
 // authenticate finds the organisation by the hash of the caller's API key. The
-// duration of the look-up depends only on the hash, parts of which a caller can't
-// choose, so its timing reveals nothing about existing keys.
+// duration of the look-up depends on the hash only. As a caller can't choose any part
+// of the hash, the timing reveals nothing about existing keys.
 func (x *exchange) authenticate() error {
 	key, ok := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if ok {
--- a/internal/gateway/header.go
+++ b/internal/gateway/header.go
@@ -13,8 +13,9 @@
 }
 
 // privateHeaders are the headers of a request that are meant for the fleet and
-// not for the upstream. Anyone who has the API key or a request key can act as the
-// caller. Cookies would be mixed between services, all of which share one origin.
+// not for the upstream. An upstream that received the API key or a request key could
+// act as the caller. Cookies of different services would be mixed, because all services
+// share one origin.
 var privateHeaders = []string{
 	"Authorization", "Cookie", "Host", "Content-Length", "Expect", HeaderIdempotencyKey,
 	"Traceparent", "Tracestate", "X-Request-Id", "X-Priority",
--- a/internal/gateway/hosted.go
+++ b/internal/gateway/hosted.go
@@ -30,8 +30,8 @@
 
 // PlatformGateway serves the callers of a platform that has its own protocol. The
 // profile is chosen by host and path, and the upstream's response is forwarded
-// unchanged. Otherwise the status alone informs callers: 503 and 429 guarantee that
-// the request has not run and never will.
+// unchanged. If there is no response, callers rely on the status alone: 503 and 429
+// guarantee that the request has not run and never will.
 type PlatformGateway struct {
 	router   *router.Router
 	dialect  Dialect
@@ -59,10 +59,11 @@
 }
 
 // startWait is how long after its start a router lets requests wait for its first
-// configuration. It equals the Retry-After of the requests that are rejected until
-// then. The configuration arrives after 25 to 90 ms if the store answers, and after
-// up to 800 ms if the store resets the first calls or a small router has two
-// thousand routes to read. After a power failure all callers return at the same moment.
+// configuration. It equals the Retry-After of the requests that are rejected because
+// there is no configuration yet. The configuration arrives after 25 to 90 ms if the
+// store answers, and after up to 800 ms if the store resets the first calls or a small
+// router has two thousand routes to read. After a power failure all callers return at
+// the same moment, and a router that has just started would reject them all.
 const startWait = time.Second
 
 // awaitFirstConfig waits until the router is ready if it started less than startWait ago.
@@ -129,7 +130,8 @@
 
 const (
 	// writeSlack is how long after the timeout of its request a response may still
-	// be written. Data in flight then needs a few round trips of a slow link.
+	// be written. Data in flight at the timeout may need a few round trips of a slow
+	// link to arrive.
 	writeSlack = 5 * time.Second
 )
 
--- a/internal/gateway/hostedanswer.go
+++ b/internal/gateway/hostedanswer.go
@@ -11,8 +11,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// copyResponse copies a response to the caller and closes it. If the response breaks
-// off, it breaks the connection, so that the caller does not take the response for whole.
+// copyResponse copies a response to the caller and closes it. If the response is
+// incomplete, it breaks the connection by a panic with http.ErrAbortHandler, so that
+// the caller does not take the response for a complete one.
 func (x *platformExchange) copyResponse(response *router.Response) {
 	defer response.Close()
 	ctl := http.NewResponseController(x.w)
--- a/internal/gateway/hostedrequest.go
+++ b/internal/gateway/hostedrequest.go
@@ -19,7 +19,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// logRefusal logs why a request gets no response from an upstream.
+// logRefusal logs that a request gets a problem document instead of an upstream's
+// response, and why.
 func (x *platformExchange) logRefusal(log *telemetry.RequestLog, e *verdict.Error) {
 	log.Log(telemetry.LineFailure, "request refused", x.headers.ID,
 		slog.Int("status", platformStatus(e)),
@@ -43,8 +44,8 @@
 	org     *profile.Organisation
 }
 
-// checkHeaders rejects a request without an attempt id, which upstreams could not
-// distinguish from others, and one whose headers are over the operators' limit.
+// checkHeaders rejects a request that has no attempt id or whose headers are over the
+// operators' limit. Without the id, upstreams could not distinguish the request from others.
 func (x *platformExchange) checkHeaders() error {
 	if x.headers.ID == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the request names no attempt")
@@ -55,11 +56,12 @@
 	return nil
 }
 
-// closeAfterChunked closes the connection after a chunked request. A request may have
-// a Content-Length beside its chunks. The server reads it by its chunks, as it should,
-// but a proxy that reads it by its length takes what follows the last chunk for a part
-// of the body, while the server would read that as a request of its own. Such requests
-// can't be recognised here, as the server removes the Content-Length.
+// closeAfterChunked closes the connection after a chunked request, which prevents
+// request smuggling. If a request has both chunks and a Content-Length, the server
+// reads its body by the chunks, as it should. A proxy in front that goes by the length
+// may forward bytes after the last chunk as part of the body, and the server would read
+// them as the next request. Such requests can't be recognised here, as the server
+// removes the Content-Length.
 func (x *platformExchange) closeAfterChunked() {
 	if len(x.r.TransferEncoding) > 0 {
 		x.w.Header().Set("Connection", "close")
@@ -179,8 +181,10 @@
 	return ok && netpeek.Peek(c) == netpeek.Closed
 }
 
-// urgency returns the rank of a request in the queue, from 0 (first) to 9: the
-// negative of the organisation's priority, or else of the profile's.
+// urgency returns the rank of a request in the queue, from 0 (first) to 9. It is the
+// organisation's priority, or the profile's if the organisation has none, with the sign
+// reversed: a priority of -3 has rank 3. Priorities of 0 and above have rank 0, those
+// below -9 have rank 9.
 func urgency(p *profile.Profile, o *profile.Organisation) int {
 	const lowest = 9
 	priority := p.Priority
--- a/internal/gateway/promise_test.go
+++ b/internal/gateway/promise_test.go
@@ -341,9 +341,10 @@
 	})
 }
 
-// The only upstream of a pool closes its idle connections, as when certificates
-// change, just as a request is written. Nothing was sent and a new connection works,
-// but the caller got an error.
+// The only upstream of a pool closes its idle connections, as it does when certificates
+// change, while a request is being written to one of them. If nothing of the request has
+// been sent, the router must use a new connection, which works, instead of returning an
+// error to the caller.
 func TestRequestSurvivesConnectionClosedDuringSend(t *testing.T) {
 	for sentBytes := range 400 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/truth_test.go
+++ b/internal/gateway/truth_test.go
@@ -40,11 +40,11 @@
 	target int
 }
 
-// caller sends one request, in up to three copies if it has a key for it.
+// caller sends one request: in up to three copies if it has a request key, otherwise once.
 type caller struct {
 	profile string
 	hasKey  bool
-	copies  []timedEvent // time and router of each
+	copies  []timedEvent // when and through which router each copy is sent
 }
 
 const (
@@ -197,8 +197,8 @@
 // audit is an operation that reads the number of runs at the end.
 type audit struct{ runs int }
 
-// keyModel models a request key: it either runs once or never runs, however copies
-// of the request overlap.
+// keyModel models a request key: the requests with the key run once in total or never,
+// even if copies overlap.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyFresh },
 	Step: func(state, in, out any) (bool, any) {
@@ -280,7 +280,7 @@
 	}
 	ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: audit{runs}, Output: "", Call: last + 1, Return: last + 2})
 	if !porcupine.CheckOperations(keyModel, ops) {
-		t.Fatalf("%s: the verdicts contradict each other or the log: %v with %d runs", copies[0].body, verdicts(copies), runs)
+		t.Fatalf("%s: the verdicts contradict each other or the number of runs: %v with %d runs", copies[0].body, verdicts(copies), runs)
 	}
 }
 
--- a/internal/netpeek/netpeek.go
+++ b/internal/netpeek/netpeek.go
@@ -8,21 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// State states whether a connection is open and has bytes to read.
+// State is the state of a connection as its reading end sees it.
 type State uint8
 
 const (
-	// Unknown is a connection that can't be inspected.
+	// Unknown is the state of a connection that can't be inspected.
 	Unknown State = iota
-	// Idle is an open connection with nothing to read.
+	// Idle is the state of an open connection with nothing to read.
 	Idle
-	// Readable is a connection with bytes that have not been read.
+	// Readable is the state of a connection with bytes that have not been read. The
+	// other side may have closed it after sending them.
 	Readable
-	// Closed is a connection that the other side has closed or reset.
+	// Closed is the state of a connection that this process has closed, or that the
+	// other side has closed or reset with nothing left to read.
 	Closed
 )
 
-// Peek returns the state of c. Other goroutines may use c at the same time.
+// Peek returns the state of c without blocking. It reads nothing from c, so other
+// goroutines may use c at the same time.
 func Peek(c net.Conn) State {
 	s, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/netpeek/netpeek_test.go
+++ b/internal/netpeek/netpeek_test.go
@@ -25,8 +25,8 @@
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
-// waitForState waits for up to 10 s until c is in a state, as the kernel takes a
-// moment to deliver what the other side does.
+// waitForState waits for up to 10 s until c is in state want. The kernel takes a moment
+// to deliver what the other side sends, and its close or reset.
 func waitForState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); Peek(c) != want; time.Sleep(time.Millisecond) {
@@ -37,8 +37,8 @@
 }
 
 // A client closes its connection while its request waits in the router. The request
-// must not be sent to an upstream, so the close must be detected before anything
-// reads from the connection.
+// must not be sent to an upstream, so Peek must detect the close although no goroutine
+// is reading from the connection.
 func TestPeekReportsClose(t *testing.T) {
 	near, far := tcpPair(t)
 	waitForState(t, near, Idle)
@@ -55,6 +55,8 @@
 	waitForState(t, near, Closed)
 }
 
+// A client's connection is reset instead of closed. Reading from it then returns an
+// error instead of the end of the stream, and Peek must report it as closed, too.
 func TestPeekReportsReset(t *testing.T) {
 	near, far := tcpPair(t)
 	if err := far.SetLinger(0); err != nil {
--- a/internal/profile/bench_test.go
+++ b/internal/profile/bench_test.go
@@ -15,7 +15,7 @@
 	return []byte(b.String())
 }
 
-// BenchmarkRead measures the reading of a file by the command line.
+// BenchmarkRead measures how long the command line takes to read a file.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{140, 1400, 14000} {
 		text := organisations(n)
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkDecode measures the decoding of one object by a router.
+// BenchmarkDecode measures how long a router takes to decode one object.
 func BenchmarkDecode(b *testing.B) {
 	docs, _ := Read("f", organisations(1))
 	ref := docs[0].Object.Ref()
--- a/internal/profile/check.go
+++ b/internal/profile/check.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Bounds of field values.
+// Bounds of field values. MaxMaxBody and MaxMaxUnavailable are those of the fields
+// MaxBody and MaxUnavailable. The lengths of names are in bytes.
 const (
-	MaxPriority       = 100 // priorities are at least -MaxPriority
+	MaxPriority       = 100 // the lower bound is -MaxPriority
 	MinDeadline       = Duration(10 * time.Millisecond)
 	MaxDeadline       = Duration(24 * time.Hour)
 	MaxLoadMultiple   = 10.0
@@ -22,7 +23,7 @@
 	MaxWeight         = 1000
 	MaxConcurrency    = 1_000_000
 	MaxMaxUnavailable = 0.5
-	MaxVMName         = 64 // bytes, as in a request key
+	MaxVMName         = 64 // request keys contain the name and have the same bound
 	MaxDomainName     = 128
 	MaxModelName      = 128
 	MaxAttempts       = 100
@@ -87,6 +88,8 @@
 	}
 }
 
+// checkRange checks that value is between least and most. The negated condition makes
+// the check fail for NaN, too.
 func checkRange[T int | float64](c *checker, field string, value, least, most T) {
 	if !(value >= least && value <= most) {
 		c.add(field, "%v is out of range: write %v to %v", value, least, most)
--- a/internal/profile/decode.go
+++ b/internal/profile/decode.go
@@ -28,7 +28,7 @@
 
 func (d *decoder) recordPosition(field string, n ast.Node) {
 	if m, ok := n.(*ast.MappingNode); ok && !m.IsFlowStyle && len(m.Values) > 0 {
-		n = m.Values[0].Key // the node's own token is the colon
+		n = m.Values[0].Key // the mapping's own token is a colon
 	}
 	if t := n.GetToken(); t != nil && t.Position != nil {
 		d.positions[field] = position{t.Position.Line, t.Position.Column}
@@ -181,7 +181,8 @@
 	case reflect.String:
 		switch n.(type) {
 		case *ast.InfinityNode, *ast.NanNode:
-			// The YAML library writes strings such as .inf without quotes.
+			// The YAML library parses .inf and .nan without quotes as numbers, but
+			// also writes strings with these values without quotes.
 			v.SetString(n.GetToken().Value)
 			return
 		}
--- a/internal/profile/genschema/main.go
+++ b/internal/profile/genschema/main.go
@@ -1,6 +1,8 @@
 // Command genschema writes the JSON Schema of each kind of configuration
 // object, generated from the types of package profile. Editors use the schemas to
-// complete and check YAML files; package profile still decides what is valid.
+// complete and check YAML files. The schemas do not contain all rules; a file is valid
+// if package profile accepts it. The command must run in the folder of package
+// profile, as it does under go generate.
 package main
 
 import (
@@ -54,7 +56,8 @@
 	return append(text, '\n'), err
 }
 
-// setDefaults adds the default values of fields to the schema.
+// setDefaults adds the default values of fields to the schema. Required fields and keys
+// have none: their zero values, which the encoded object contains, are not defaults.
 func setDefaults(s *jsonschema.Schema, kind topo.Kind) error {
 	text, err := profile.Encode(profile.New(kind))
 	if err != nil {
@@ -75,7 +78,7 @@
 	return nil
 }
 
-// requiredFields returns the fields of a kind that have no default.
+// requiredFields returns the fields, other than kind, that an object of a kind must set.
 func requiredFields(kind topo.Kind) []string {
 	switch kind {
 	case topo.KindProfile:
--- a/internal/profile/genschema/main_test.go
+++ b/internal/profile/genschema/main_test.go
@@ -8,7 +8,7 @@
 )
 
 // If a type is changed and the published schemas are not generated again, editors
-// mark what the command line accepts as wrong.
+// report errors in files that the command line accepts.
 func TestSchemaIsCurrent(t *testing.T) {
 	t.Chdir("..")
 	for _, kind := range profile.Kinds {
--- a/internal/profile/hosts.go
+++ b/internal/profile/hosts.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Hosts holds profiles by the host of a call, in lower case, and by the prefix of
-// its path.
+// Hosts maps the host of a call, in lower case, and then the prefix of its path to the
+// profile.
 type Hosts map[string]map[string]*Profile
 
 // ByHost returns the profiles that are chosen by host.
@@ -24,9 +24,9 @@
 	return out
 }
 
-// Find returns the profile for calls of a path of a host: the one with the longest
-// matching prefix, which ends with a slash, or else the one without a prefix. It
-// returns nil if there is none. A port in host is ignored.
+// Find returns the profile for a call to a host and path: the one with the longest
+// matching prefix, or else the one without a prefix. It returns nil if there is none.
+// Only prefixes that end with a slash are found. A port in host is ignored.
 func (h Hosts) Find(host, path string) *Profile {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -125,7 +125,7 @@
 	SHA256 string `json:"sha256"`
 }
 
-// HashKey returns the hash under which an API key is stored.
+// HashKey returns the hash under which an API key is stored: its SHA-256 in hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/profile/read.go
+++ b/internal/profile/read.go
@@ -18,8 +18,8 @@
 // MaxFileBytes is the size of the largest file that Load reads.
 const MaxFileBytes = 16 << 20
 
-// Fields of a document beside those of its object. The store does not hold them in
-// the object.
+// Fields that a document in a file has in addition to those of its object. They are
+// not part of the object in the store.
 const (
 	kindField   = "kind"
 	changeField = "change"
@@ -29,9 +29,9 @@
 type Document struct {
 	Object Object
 	File   string
-	// Change is the id of the change that the file was made from; empty if the file
-	// has none. A writer of the object must refuse to write it if the stored object
-	// has been changed since.
+	// Change is the id of the change after which the object was copied from the store
+	// to the file; empty if the file has none. If the stored object has been changed
+	// since, the document must not be written to the store.
 	Change    string
 	positions map[string]position // of each field in the file
 }
--- a/internal/profile/read_test.go
+++ b/internal/profile/read_test.go
@@ -21,8 +21,9 @@
 }
 
 // A file with several mistakes must be rejected with all of them and their
-// positions. If only the first one were reported, the operator would have to come
-// back for each. A misspelt field that were ignored would leave a default in force.
+// positions. If only the first one were reported, the operator would have to correct
+// and submit the file once for each. If a misspelt field were ignored, the default of
+// the intended field would apply unnoticed.
 func TestReadReportsEveryMistakeWithPosition(t *testing.T) {
 	text, err := os.ReadFile("testdata/mistakes.yaml")
 	if err != nil {
@@ -43,8 +44,8 @@
 
 // Each object is valid by itself, but an organisation names a profile that does not
 // exist, a copied file keeps the other organisation's key, and a profile refers to a
-// pool that loads another model. Callers would get errors or, with the shared key, be
-// billed to the other organisation.
+// pool that loads another model. If these were accepted, callers would get errors, and
+// calls with the shared key would be billed to the other organisation.
 func TestReferences(t *testing.T) {
 	const text = `{kind: pool, name: notes, model: notes-7b, version: "1"}
 ---
--- a/internal/profile/refs.go
+++ b/internal/profile/refs.go
@@ -12,7 +12,8 @@
 
 // CheckReferences returns the problems of references from docs to other objects,
 // which are looked up in docs first and then in stored, which may be nil. It also
-// checks the stored profiles whose pool is among docs.
+// checks the pool of stored profiles if it is among docs, as the new version of the
+// pool may load another model.
 func CheckReferences(docs []Document, stored Set) Problems {
 	c := referenceChecker{all: make(Set, len(docs)+len(stored)), owners: make(map[string]topo.Ref)}
 	for ref, o := range stored {
