--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -49,7 +49,7 @@
 		return err
 	})
 	run("full", func() error {
-		r.material.Load().sessions = tls.NewLRUClientSessionCache(1)
+		r.credentials.Load().sessions = tls.NewLRUClientSessionCache(1)
 		_, err := dialAndEcho(r, addr)
 		return err
 	})
--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -16,11 +16,11 @@
 // peers at the target fleet size.
 const maxVerified = 8192
 
-// material holds the contents of one version of the files, with the sessions and
+// credentials holds the contents of one version of the files, with the sessions and
 // verified chains that depend on it. They are discarded with it: a session that was
 // started under other authorities, or with a certificate that has been replaced, is
 // useless afterwards, since its resumption would be refused.
-type material struct {
+type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
 	sessions tls.ClientSessionCache // with the sidecars that this process dials
@@ -35,7 +35,7 @@
 	notAfter time.Time // earliest expiry of its certificates
 }
 
-func parseMaterial(contents [][]byte) (*material, error) {
+func parseCredentials(contents [][]byte) (*credentials, error) {
 	cert, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &material{
+	return &credentials{
 		cert:     cert,
 		roots:    roots,
 		sessions: tls.NewLRUClientSessionCache(maxSessions),
@@ -80,35 +80,35 @@
 // a usage, and returns the identity that it names. Results are cached until a
 // certificate expires: a peer sends the same chain each time, and TLS proves that it
 // holds the key.
-func (m *material) verify(chain []*x509.Certificate, trustDomain string, usage x509.ExtKeyUsage) (Identity, error) {
+func (c *credentials) verify(chain []*x509.Certificate, trustDomain string, usage x509.ExtKeyUsage) (Identity, error) {
 	now := time.Now()
 	key := fingerprintOfChain(chain, usage)
-	m.mu.Lock()
-	cached, ok := m.verified[key]
-	m.mu.Unlock()
+	c.mu.Lock()
+	cached, ok := c.verified[key]
+	c.mu.Unlock()
 	if ok && now.Before(cached.notAfter) {
 		return cached.peer, nil
 	}
-	verified, err := verifyChain(chain, m.roots, trustDomain, usage, now)
+	verified, err := verifyChain(chain, c.roots, trustDomain, usage, now)
 	if err != nil {
 		return Identity{}, err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.verified) >= maxVerified {
-		clear(m.verified)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.verified) >= maxVerified {
+		clear(c.verified)
 	}
-	m.verified[key] = verified
+	c.verified[key] = verified
 	return verified.peer, nil
 }
 
 // ownIdentity returns the identity that peers read from this process's certificate.
-func (m *material) ownIdentity(trustDomain string) (Identity, error) {
-	chain, err := parseChain(m.cert)
+func (c *credentials) ownIdentity(trustDomain string) (Identity, error) {
+	chain, err := parseChain(c.cert)
 	if err != nil {
 		return Identity{}, err
 	}
-	v, err := verifyChain(chain, m.roots, trustDomain, x509.ExtKeyUsageAny, time.Now())
+	v, err := verifyChain(chain, c.roots, trustDomain, x509.ExtKeyUsageAny, time.Now())
 	return v.peer, err
 }
 
--- a/internal/secure/mutual.go
+++ b/internal/secure/mutual.go
@@ -28,7 +28,7 @@
 	self        Identity
 	trustDomain string
 	watcher     *FileWatcher
-	material    atomic.Pointer[material]
+	credentials atomic.Pointer[credentials]
 	tickets     *ticketStore // sessions of the peers that dial this process
 
 	lastRefusalLog atomic.Int64 // Unix nanoseconds
@@ -54,7 +54,7 @@
 		trustDomain: trustDomain,
 		conns:       make(map[*Conn]struct{}),
 	}
-	m.tickets = newTicketStore(maxSessions, m.material.Load)
+	m.tickets = newTicketStore(maxSessions, m.credentials.Load)
 	var err error
 	m.watcher, err = WatchFiles([]string{p.Cert, p.Key, p.CA}, m.load)
 	return m, errors.Wrap(err, "secure: certificates of the fleet")
@@ -66,7 +66,7 @@
 }
 
 func (m *MutualTLS) load(contents [][]byte) error {
-	loaded, err := parseMaterial(contents)
+	loaded, err := parseCredentials(contents)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	if own != m.self {
 		return errors.Wrapf(ErrIdentity, "%s of VM %q, want %s of VM %q", own.Role, own.VM, m.self.Role, m.self.VM)
 	}
-	m.material.Store(loaded)
+	m.credentials.Store(loaded)
 	certificateExpiry.Set(loaded.cert.Leaf.NotAfter.Unix())
 	m.closeDistrusted()
 	return nil
@@ -121,7 +121,7 @@
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, errors.Wrap(ErrIdentity, "no certificate")
 	}
-	return m.material.Load().verify(cs.PeerCertificates, m.trustDomain, usage)
+	return m.credentials.Load().verify(cs.PeerCertificates, m.trustDomain, usage)
 }
 
 // ServerConfig returns the TLS configuration with which a sidecar serves routers and
@@ -131,7 +131,7 @@
 		MinVersion:       tls.VersionTLS13,
 		CurvePreferences: fleetCurves,
 		ClientAuth:       tls.RequireAnyClientCert, // verified by VerifyConnection
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.material.Load().cert, nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.credentials.Load().cert, nil },
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			id, err := m.verifyPeer(cs, x509.ExtKeyUsageClientAuth)
 			if err == nil && id.Role != RoleRouter && id.Role != RoleSidecar {
@@ -147,15 +147,15 @@
 // ClientConfig returns the TLS configuration for dialing the sidecar of a VM.
 func (m *MutualTLS) ClientConfig(vm string) *tls.Config {
 	want := Identity{Role: RoleSidecar, VM: vm}
-	mat := m.material.Load()
+	creds := m.credentials.Load()
 	return &tls.Config{
 		MinVersion:       tls.VersionTLS13,
 		CurvePreferences: fleetCurves,
 		// Sidecars have SPIFFE ids instead of host names. VerifyConnection verifies the
 		// chain and the id and, unlike the default verification, also on resumption.
 		InsecureSkipVerify:   true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &mat.cert, nil },
-		ClientSessionCache:   mat.sessions,
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &creds.cert, nil },
+		ClientSessionCache:   creds.sessions,
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			id, err := m.verifyPeer(cs, x509.ExtKeyUsageServerAuth)
 			if err == nil && id != want {
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -22,8 +22,8 @@
 
 const (
 	domain = "fleet.test"
-	// countedWithin is how long a test waits for an event that must occur.
-	countedWithin = 20 * time.Second
+	// eventTimeout is how long a test waits for an event that must occur.
+	eventTimeout = 20 * time.Second
 )
 
 var (
@@ -165,7 +165,7 @@
 			t.Errorf("%s was accepted", name)
 		}
 		// The sidecar counts the refusal after it has sent the alert.
-		gomega.NewWithT(t).Eventually(refusedPeers.Value, countedWithin).Should(gomega.BeNumerically(">", before), name)
+		gomega.NewWithT(t).Eventually(refusedPeers.Value, eventTimeout).Should(gomega.BeNumerically(">", before), name)
 	}
 	impostor, _ := newTestMutualTLS(t, ours, Identity{Role: RoleSidecar, VM: "vm-8"})
 	if _, err := dialAndEcho(client, serve(t, impostor)); !errors.Is(err, ErrIdentity) {
@@ -211,7 +211,7 @@
 	writeFile(t, server.watcher.paths[2], next.PEM)
 	server.watcher.poll()
 	server.watcher.poll()
-	_ = openConn.SetReadDeadline(time.Now().Add(countedWithin))
+	_ = openConn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if _, err := openConn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a connection opened before the removal is still open: %v", err)
 	}
@@ -272,7 +272,7 @@
 // one router and returns through another that has not reloaded yet, which would
 // reject the ticket as forged: the chat would lose its cached prefix and a retry its
 // key.
-func TestNewSecretSignsOnlyOnceAllAcceptIt(t *testing.T) {
+func TestNewSecretSignsOnlyAfterAllAcceptIt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secrets")
 	one, two := "1:"+strings.Repeat("11", 32)+"\n", "2:"+strings.Repeat("22", 32)+"\n"
 	now := time.Unix(1e9, 0)
--- a/internal/secure/securetest/securetest.go
+++ b/internal/secure/securetest/securetest.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &CA{cert: cert, key: key, PEM: encode("CERTIFICATE", der)}, nil
+	return &CA{cert: cert, key: key, PEM: encodePEM("CERTIFICATE", der)}, nil
 }
 
 // Issue returns a certificate and its key, both PEM-encoded. The certificate names
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return encode("CERTIFICATE", der), encode("PRIVATE KEY", keyDER), nil
+	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", keyDER), nil
 }
 
 func sign(template, parent *x509.Certificate, subjectKey, signerKey *ecdsa.PrivateKey) ([]byte, error) {
@@ -85,6 +85,6 @@
 	return x509.CreateCertificate(rand.Reader, template, parent, &subjectKey.PublicKey, signerKey)
 }
 
-func encode(blockType string, der []byte) []byte {
+func encodePEM(blockType string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
--- a/internal/secure/ticket.go
+++ b/internal/secure/ticket.go
@@ -19,21 +19,21 @@
 // Sessions are lost when the process exits and become unusable when the files
 // change; the next connection then starts with a full handshake.
 type ticketStore struct {
-	currentMaterial func() *material
-	mu              sync.Mutex
-	limit           int
-	byTicket        map[[ticketSize]byte]*list.Element
-	order           *list.List // of *storedSession, oldest first
+	currentCredentials func() *credentials
+	mu                 sync.Mutex
+	limit              int
+	byTicket           map[[ticketSize]byte]*list.Element
+	order              *list.List // of *storedSession, oldest first
 }
 
 type storedSession struct {
-	ticket   [ticketSize]byte
-	material *material
-	state    *tls.SessionState
+	ticket      [ticketSize]byte
+	credentials *credentials
+	state       *tls.SessionState
 }
 
-func newTicketStore(limit int, currentMaterial func() *material) *ticketStore {
-	return &ticketStore{currentMaterial: currentMaterial, limit: limit, byTicket: make(map[[ticketSize]byte]*list.Element), order: list.New()}
+func newTicketStore(limit int, currentCredentials func() *credentials) *ticketStore {
+	return &ticketStore{currentCredentials: currentCredentials, limit: limit, byTicket: make(map[[ticketSize]byte]*list.Element), order: list.New()}
 }
 
 func (s *ticketStore) install(c *tls.Config) {
@@ -42,7 +42,7 @@
 }
 
 func (s *ticketStore) wrap(_ tls.ConnectionState, state *tls.SessionState) ([]byte, error) {
-	stored := &storedSession{material: s.currentMaterial(), state: state}
+	stored := &storedSession{credentials: s.currentCredentials(), state: state}
 	rand.Read(stored.ticket[:]) // never fails, as crypto/rand documents
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 	s.remove(elem)
 	stored := elem.Value.(*storedSession)
-	if stored.material != s.currentMaterial() {
+	if stored.credentials != s.currentCredentials() {
 		return nil, nil
 	}
 	return stored.state, nil
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -109,7 +109,7 @@
 func (m *MutualTLS) handshake(ctx context.Context, raw net.Conn, usage x509.ExtKeyUsage, wrap func(net.Conn) *tls.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	initial := m.material.Load()
+	initial := m.credentials.Load()
 	counted := &countingConn{Conn: raw}
 	conn := wrap(counted)
 	err := conn.HandshakeContext(ctx)
@@ -132,7 +132,7 @@
 	m.addConn(c)
 	// A reload during the handshake did not check this connection, which was not yet
 	// registered.
-	if m.material.Load() != initial {
+	if m.credentials.Load() != initial {
 		m.closeDistrusted()
 	}
 	return c, nil
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *Stream) signal() {
+func (s *Stream) notifyReader() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -155,7 +155,7 @@
 	if !s.skipHead {
 		s.head = &h
 	}
-	s.signal()
+	s.notifyReader()
 }
 
 // onData appends the new part of a frame's bytes and drops bytes that were received
@@ -171,12 +171,12 @@
 	received := s.nextOffset - d.Offset
 	switch {
 	case !s.headReceived:
-		s.breakOff("bytes ahead of the head")
+		s.failInconsistent("bytes ahead of the head")
 	case received < 0:
-		s.breakOff("a gap")
+		s.failInconsistent("a gap")
 	case received >= int64(len(d.Bytes)):
 	case d.Offset+int64(len(d.Bytes)) > s.creditLimit:
-		s.breakOff("bytes beyond the credit")
+		s.failInconsistent("bytes beyond the credit")
 	default:
 		s.push(d.Bytes[received:])
 	}
@@ -190,7 +190,7 @@
 	} else {
 		s.buf = append(s.buf, b...)
 	}
-	s.signal()
+	s.notifyReader()
 }
 
 // onEnd ends the stream, or breaks it if the Head or bytes are missing.
@@ -200,12 +200,12 @@
 	switch {
 	case !accepted:
 	case e.Length != s.nextOffset:
-		s.breakOff("an end with bytes missing")
+		s.failInconsistent("an end with bytes missing")
 	case !s.headReceived && e.Error == nil:
-		s.breakOff("an end without a head")
+		s.failInconsistent("an end without a head")
 	default:
 		s.end = &e
-		s.signal()
+		s.notifyReader()
 	}
 	s.mu.Unlock()
 	if accepted {
@@ -213,11 +213,11 @@
 	}
 }
 
-// breakOff fails the stream because of inconsistent frames. The caller holds s.mu.
-func (s *Stream) breakOff(reason string) {
+// failInconsistent fails the stream because of inconsistent frames. The caller holds s.mu.
+func (s *Stream) failInconsistent(reason string) {
 	brokenStreams.Inc()
 	s.err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s at offset %d", reason, s.nextOffset)
-	s.signal()
+	s.notifyReader()
 }
 
 func (s *Stream) fail(err *verdict.Error) {
@@ -225,6 +225,6 @@
 	defer s.mu.Unlock()
 	if s.end == nil && s.err == nil {
 		s.err = err
-		s.signal()
+		s.notifyReader()
 	}
 }
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -153,25 +153,25 @@
 func (l *link) HandleFrame(_ *Conn, f Frame) {
 	switch f := f.(type) {
 	case Head:
-		if s := l.findStream(f.Stream); s != nil {
+		if s := l.streamOrDetach(f.Stream); s != nil {
 			s.onHead(f)
 		}
 	case Data:
-		if s := l.findStream(f.Stream); s != nil {
+		if s := l.streamOrDetach(f.Stream); s != nil {
 			s.onData(f)
 		}
 	case End:
 		countControl(f.Control)
-		if s := l.findStream(f.Stream); s != nil {
+		if s := l.streamOrDetach(f.Stream); s != nil {
 			s.onEnd(f)
 		}
 	}
 }
 
-// findStream returns the stream that a frame belongs to, or nil if it is closed. In
+// streamOrDetach returns the stream that a frame belongs to, or nil if it is closed. In
 // that case it sends another Detach, since the sidecar may have started to send
 // after it received the first one.
-func (l *link) findStream(id StreamID) *Stream {
+func (l *link) streamOrDetach(id StreamID) *Stream {
 	l.mu.Lock()
 	s := l.streams[id]
 	l.mu.Unlock()
