--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -40,6 +40,7 @@
 			}
 			n := float64(b.N)
 			b.ReportMetric(float64(cpuTime(b)-cpu)/n/1e3, "cpu-µs/op")
+			// Both sides run in this process and count the same bytes.
 			b.ReportMetric(float64(telemetry.ControlBytes.Value(telemetry.ControlHandshake)-bytes)/2/n, "handshake-B/op")
 		})
 	}
--- a/internal/secure/files.go
+++ b/internal/secure/files.go
@@ -57,7 +57,7 @@
 	return f, nil
 }
 
-// Run polls for changes at an interval until ctx ends.
+// Run checks the files for changes once per interval until ctx ends.
 func (f *FileWatcher) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -131,6 +131,9 @@
 	return b, nil
 }
 
+// fingerprintOf returns the fingerprint of contents or, if reading them failed with
+// err, of the error's text. poll thus handles a failure to read like contents that
+// fail to load: only a lasting one counts, and it is reported once.
 func fingerprintOf(contents [][]byte, err error) fingerprint {
 	if err != nil {
 		return sha256.Sum256([]byte(err.Error()))
--- a/internal/secure/material.go
+++ b/internal/secure/material.go
@@ -16,10 +16,10 @@
 // peers at the target fleet size.
 const maxVerified = 8192
 
-// credentials holds the contents of one version of the files, with the sessions and
-// verified chains that depend on it. They are discarded with it: a session that was
-// started under other authorities, or with a certificate that has been replaced, is
-// useless afterwards, since its resumption would be refused.
+// credentials holds the certificate, key and authorities of one version of the files,
+// with the TLS sessions and verified chains that depend on them. A reload replaces all
+// of it: a session that was started under other authorities, or with a certificate
+// that has been replaced, is useless afterwards, since its resumption would be refused.
 type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
@@ -76,10 +76,10 @@
 	return pool, nil
 }
 
-// verify checks that a certificate chain, leaf first, was signed by an authority for
-// a usage, and returns the identity that it names. Results are cached until a
-// certificate expires: a peer sends the same chain each time, and TLS proves that it
-// holds the key.
+// verify checks that a certificate chain, leaf first, leads to a trusted authority and
+// allows a usage, and returns the identity that the leaf names. Results are cached
+// until a certificate of the chain expires: a peer sends the same chain each time, and
+// TLS proves that it holds the key.
 func (c *credentials) verify(chain []*x509.Certificate, trustDomain string, usage x509.ExtKeyUsage) (Identity, error) {
 	now := time.Now()
 	key := fingerprintOfChain(chain, usage)
--- a/internal/secure/mutual.go
+++ b/internal/secure/mutual.go
@@ -37,13 +37,14 @@
 	conns map[*Conn]struct{} // open
 }
 
-// fleetCurves excludes the hybrid key exchange that crypto/tls prefers: it grows a
-// handshake from 650 to 2,970 bytes, which counts for routers that reconnect to
-// thousands of sidecars. It stays enabled for callers.
+// fleetCurves are the key exchanges between routers and sidecars. They exclude the
+// hybrid post-quantum one that crypto/tls prefers, which grows a handshake from 650 to
+// 2,970 bytes; this counts for routers that reconnect to thousands of sidecars. The
+// hybrid one stays enabled for callers.
 var fleetCurves = []tls.CurveID{tls.X25519}
 
-// maxSessions limits the sessions that either side keeps for resumption: one per
-// peer at the target fleet size.
+// maxSessions limits the TLS sessions that a process keeps for resumption, separately
+// as a client and as a server: one for each peer at the target fleet size.
 const maxSessions = 4096
 
 // NewMutualTLS loads the files. It returns an error if they are invalid or if the
@@ -60,7 +61,8 @@
 	return m, errors.Wrap(err, "secure: certificates of the fleet")
 }
 
-// Watcher returns the watcher that reloads the files while its Run is active.
+// Watcher returns the watcher of the files. The caller must run it, otherwise changes
+// are not loaded.
 func (m *MutualTLS) Watcher() *FileWatcher {
 	return m.watcher
 }
@@ -70,8 +72,8 @@
 	if err != nil {
 		return err
 	}
-	// A certificate of its own that peers would refuse must be rejected here,
-	// where the previous one can stay in use.
+	// Peers would refuse this process's certificate if it were invalid. Rejecting it
+	// here keeps the previous one in use.
 	own, err := loaded.ownIdentity(m.trustDomain)
 	if err != nil {
 		return err
--- a/internal/secure/public.go
+++ b/internal/secure/public.go
@@ -22,7 +22,8 @@
 	return s, errors.Wrap(err, "secure: certificate for callers")
 }
 
-// Watcher returns the watcher that reloads the files while its Run is active.
+// Watcher returns the watcher of the files. The caller must run it, otherwise changes
+// are not loaded.
 func (s *CallerTLS) Watcher() *FileWatcher {
 	return s.watcher
 }
@@ -58,7 +59,8 @@
 	return c, errors.Wrap(err, "secure: authorities of the platform")
 }
 
-// Watcher returns the watcher that reloads the files while its Run is active.
+// Watcher returns the watcher of the files. The caller must run it, otherwise changes
+// are not loaded.
 func (c *PlatformTLS) Watcher() *FileWatcher {
 	return c.watcher
 }
--- a/internal/secure/secrets.go
+++ b/internal/secure/secrets.go
@@ -9,19 +9,22 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// signDelay is how long a new secret is only accepted before this process signs with
-// it. Processes reload their files at different times; if the first one signed at
-// once, the others would reject its tokens as forged until they had reloaded.
+// signDelay is how long this process accepts tokens signed with a new secret before
+// it signs with that secret itself. Processes reload their files at different times;
+// if the first one signed at once, the others would reject its tokens as forged until
+// they had reloaded.
 const signDelay = time.Minute
 
-// Secrets holds the token secrets of a file. The secret in its first line signs.
+// Secrets holds the token secrets of a file. All are accepted; the one in the file's
+// first line signs. If a reload brings a new first secret, it signs only after
+// signDelay, unless the secret that signed until then was removed from the file.
 type Secrets struct {
 	Keyring *token.Keyring
 	watcher *FileWatcher
 	now     func() time.Time
 
-	inUse    []token.Secret // as passed to Keyring
-	desired  []token.Secret // in the order of the file
+	inUse    []token.Secret // as passed to Keyring; the first one signs
+	desired  []token.Secret // all secrets of the file, in its order
 	switchAt time.Time      // when desired replaces inUse; zero: no replacement is pending
 }
 
@@ -41,7 +44,8 @@
 	return s, nil
 }
 
-// Watcher returns the watcher that reloads the file while its Run is active.
+// Watcher returns the watcher of the file. The caller must run it, otherwise changes
+// are not loaded.
 func (s *Secrets) Watcher() *FileWatcher {
 	return s.watcher
 }
@@ -65,9 +69,10 @@
 	return s.Keyring.Set(s.inUse...)
 }
 
-// retainedSigner returns the index of the current signer if the secret that is to
-// sign next is new, so that the current one keeps signing for signDelay; otherwise
-// -1. A signer that was removed from the file is not retained: it may have leaked.
+// retainedSigner returns the index in secrets of the secret that signs now, if it must
+// keep signing for signDelay because the first of secrets is new. It returns -1 if the
+// first one can sign at once: it is already known, or the secret that signs now was
+// removed from the file, so it may have leaked.
 func (s *Secrets) retainedSigner(secrets []token.Secret) int {
 	known := slices.ContainsFunc(s.inUse, secrets[0].Equal)
 	if known {
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -124,8 +124,8 @@
 }
 
 // A router's VM disappears without closing an idle connection to a sidecar. Package
-// wire makes the kernel probe idle connections, for which it needs the TCP
-// connection under the wrappers; otherwise the sidecar keeps such connections for
+// wire makes the kernel probe idle connections, for which it must reach the TCP
+// connection under the wrappers. If it can't, the sidecar keeps such connections for
 // ever.
 func TestTCPConnectionIsAccessible(t *testing.T) {
 	server, _ := newTestMutualTLS(t, newCA(t), sidecar)
@@ -269,9 +269,9 @@
 }
 
 // Routers reload a rotated file up to some seconds apart. A caller gets a ticket from
-// one router and returns through another that has not reloaded yet, which would
-// reject the ticket as forged: the chat would lose its cached prefix and a retry its
-// key.
+// one router and returns through another that has not reloaded yet. If the first
+// router signed with the new secret at once, the second one would reject the ticket as
+// forged: the chat would lose its cached prefix, and a retry its request key.
 func TestNewSecretSignsOnlyAfterAllAcceptIt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secrets")
 	one, two := "1:"+strings.Repeat("11", 32)+"\n", "2:"+strings.Repeat("22", 32)+"\n"
--- a/internal/secure/securetest/securetest.go
+++ b/internal/secure/securetest/securetest.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// validity is how long certificates are valid from their issue.
+// validity is how long certificates are valid after they are issued.
 const validity = time.Hour
 
 // CA is a certificate authority.
 type CA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	PEM  []byte // its certificate, PEM-encoded
+	PEM  []byte // the authority's own certificate
 }
 
 // NewCA returns a new authority with a self-signed certificate.
@@ -46,8 +46,9 @@
 	return &CA{cert: cert, key: key, PEM: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// Issue returns a certificate and its key, both PEM-encoded. The certificate names
-// uri, or the loopback address if uri is nil.
+// Issue returns a new certificate, signed by ca, and its key, both PEM-encoded. The
+// certificate names uri, or the loopback address 127.0.0.1 if uri is nil, and can be
+// used by TLS clients and servers.
 func (ca *CA) Issue(uri *url.URL) (cert, key []byte, err error) {
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "parsley"},
@@ -74,6 +75,8 @@
 	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", keyDER), nil
 }
 
+// sign sets the serial number and the validity of template and returns the DER-encoded
+// certificate, signed with the parent's key.
 func sign(template, parent *x509.Certificate, subjectKey, signerKey *ecdsa.PrivateKey) ([]byte, error) {
 	serial, err := rand.Int(rand.Reader, big.NewInt(1<<62))
 	if err != nil {
@@ -85,6 +88,7 @@
 	return x509.CreateCertificate(rand.Reader, template, parent, &subjectKey.PublicKey, signerKey)
 }
 
+// encodePEM encodes der as a PEM block.
 func encodePEM(blockType string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
--- a/internal/secure/ticket.go
+++ b/internal/secure/ticket.go
@@ -36,11 +36,14 @@
 	return &ticketStore{currentCredentials: currentCredentials, limit: limit, byTicket: make(map[[ticketSize]byte]*list.Element), order: list.New()}
 }
 
+// install makes c store its sessions in s instead of in the tickets.
 func (s *ticketStore) install(c *tls.Config) {
 	c.WrapSession = s.wrap
 	c.UnwrapSession = s.unwrap
 }
 
+// wrap implements tls.Config.WrapSession: it stores a session and returns its ticket.
+// If the store is full, the oldest session is dropped.
 func (s *ticketStore) wrap(_ tls.ConnectionState, state *tls.SessionState) ([]byte, error) {
 	stored := &storedSession{credentials: s.currentCredentials(), state: state}
 	rand.Read(stored.ticket[:]) // never fails, as crypto/rand documents
@@ -53,8 +56,10 @@
 	return stored.ticket[:], nil
 }
 
-// unwrap returns the session of a ticket and removes it. A client that resumes gets a
-// new ticket, so a used one cannot be replayed.
+// unwrap implements tls.Config.UnwrapSession: it returns the session of a ticket and
+// removes it. A client that resumes gets a new ticket, so a used one cannot be
+// replayed. Without a session that matches the current files it returns nil, and
+// crypto/tls runs a full handshake.
 func (s *ticketStore) unwrap(identity []byte, _ tls.ConnectionState) (*tls.SessionState, error) {
 	if len(identity) != ticketSize {
 		return nil, nil
--- a/internal/secure/transport.go
+++ b/internal/secure/transport.go
@@ -138,8 +138,9 @@
 	return c, nil
 }
 
-// recordFailure counts a failed handshake: either the connection failed, or one side
-// refused the other's certificate, which is also logged.
+// recordFailure counts a failed handshake. A failed connection is only counted. Any
+// other failure counts as a refusal of one side's certificate by the other and is also
+// logged, at most once per refusalLogInterval.
 func (m *MutualTLS) recordFailure(from net.Addr, err error) {
 	if isConnectionFailure(err) {
 		brokenHandshakes.Inc()
@@ -157,6 +158,9 @@
 // sent by the peer.
 const remoteAlertOp = "remote error"
 
+// isConnectionFailure reports whether a handshake failed because the connection broke,
+// or because the handshake took too long or was cancelled. An alert from the peer is a
+// refusal instead.
 func isConnectionFailure(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) {
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -13,10 +13,10 @@
 	link   *link
 	id     StreamID
 	nonce  token.Nonce
-	window int64
+	window int64 // bytes that the sidecar may send ahead of the reader
 
 	mu            sync.Mutex
-	wake          chan struct{} // holds one token when there is something new to read
+	wake          chan struct{} // buffer of one; filled when there is something new to read
 	headReceived  bool          // the Head has arrived
 	skipHead      bool          // the reader has already received the Head from an earlier Stream
 	head          *Head         // not yet returned by Next
@@ -126,6 +126,7 @@
 	}
 }
 
+// notifyReader wakes Next if it waits.
 func (s *Stream) notifyReader() {
 	select {
 	case s.wake <- struct{}{}:
@@ -134,7 +135,8 @@
 }
 
 // accepts reports whether a frame with nonce belongs to this stream and the stream
-// is still open. A frame of another request must never reach this reader.
+// is still open. It counts frames of another request, which must never reach this
+// reader. The caller holds s.mu.
 func (s *Stream) accepts(nonce token.Nonce) bool {
 	if nonce == s.nonce {
 		return s.end == nil && s.err == nil
@@ -213,13 +215,16 @@
 	}
 }
 
-// failInconsistent fails the stream because of inconsistent frames. The caller holds s.mu.
+// failInconsistent counts the stream as broken by inconsistent frames and makes Next
+// return an error with the reason and the offset. The caller holds s.mu.
 func (s *Stream) failInconsistent(reason string) {
 	brokenStreams.Inc()
 	s.err = verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "%s at offset %d", reason, s.nextOffset)
 	s.notifyReader()
 }
 
+// fail makes Next return err once it has returned what arrived before, unless the
+// stream has already ended or failed.
 func (s *Stream) fail(err *verdict.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -135,7 +135,8 @@
 	c.transport.nextMethod = c.transport.replyMethod
 }
 
-// onReceive counts the bytes of the call that was read last.
+// onReceive counts the bytes of the call or reply that was read last, under the
+// call's method. For a reply, jsonrpc2 passes the call that it belongs to as req.
 func (c *Conn) onReceive(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 	if req != nil {
 		countFrame(Method(req.Method), c.transport.lastSize)
@@ -248,8 +249,8 @@
 	_ = c.transport.writeFrame(reply)
 }
 
-// Send sends a frame. After an error other than ErrTooLarge the connection has
-// ended.
+// Send sends a frame. A frame that exceeds its size limit fails with ErrTooLarge and
+// is not sent; after a failed write the connection has ended.
 func (c *Conn) Send(f Frame) error {
 	if end, ok := f.(End); ok {
 		countControl(end.Control)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -24,7 +24,7 @@
 	kindDetach
 	kindPing
 	kindPong
-	kindCount
+	kindCount // one more than the highest kind
 )
 
 // Limits of the content of a frame, in bytes. Longer content indicates a peer that
@@ -37,11 +37,11 @@
 	// MaxData is the size limit of the response bytes in one Data frame.
 	MaxData = 64 << 10
 
-	maxHead      = 1 << 20
-	maxEnd       = 64 << 10
-	maxSmall     = 64
-	maxUnknown   = 64 << 10
-	cborOverhead = 64 // upper bound of the bytes that CBOR adds to a byte string
+	maxHead      = 1 << 20  // also of a Submit without its body
+	maxEnd       = 64 << 10 // also of a submitReply
+	maxSmall     = 64       // of frames with a few numbers or nothing
+	maxUnknown   = 64 << 10 // of kinds that this version does not know
+	cborOverhead = 64       // upper bound of the bytes that CBOR adds to a byte string
 )
 
 var maxContentSize = [kindCount]int{
@@ -75,10 +75,11 @@
 // from those of the current one.
 type StreamID uint32
 
-// Frame is a Head, Data, End, Credit or Detach; within this package also a Submit,
-// its reply, a ping or a pong. Submits are not JSON-RPC calls because jsonrpc2
-// decodes and encodes a message several times, which was a quarter of the cost of
-// a request at a router.
+// Frame is a message that is encoded as CBOR instead of JSON-RPC. A Handler receives
+// Head, Data, End, Credit and Detach frames; Submit, submitReply, ping and pong are
+// handled by this package. Submits are not JSON-RPC calls because jsonrpc2 decodes
+// and encodes a message several times, which was a quarter of the cost of a request
+// at a router.
 type Frame interface {
 	kind() frameKind
 }
@@ -120,7 +121,8 @@
 	Stream StreamID `cbor:"1,keyasint"`
 }
 
-// submitReply is the reply to the Submit of a stream.
+// submitReply is the reply to the Submit of a stream: the sidecar's decision, or the
+// error that kept it from deciding.
 type submitReply struct {
 	Stream    StreamID       `cbor:"1,keyasint"`
 	Admission Admission      `cbor:"2,keyasint"`
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -66,6 +66,7 @@
 	l.lastUsed = time.Now()
 }
 
+// idle reports whether l has had no calls and streams for IdleTimeout.
 func (l *link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// streamOrDetach returns the stream that a frame belongs to, or nil if it is closed. In
-// that case it sends another Detach, since the sidecar may have started to send
+// streamOrDetach returns the stream that a frame belongs to. If the stream is closed,
+// it returns nil and sends another Detach, since the sidecar may have started to send
 // after it received the first one.
 func (l *link) streamOrDetach(id StreamID) *Stream {
 	l.mu.Lock()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,6 @@
 // Package wire implements the protocol between routers and sidecars, over one TCP
-// connection per pair. Calls are JSON-RPC 2.0; responses and their flow control are
-// CBOR frames on the same connection.
+// connection per pair. Calls are JSON-RPC 2.0, except for submits; submits, responses
+// and their flow control are CBOR frames on the same connection.
 //
 // Either side can make calls. A sidecar sends the frames of the streams that a
 // router has open. A frame carries its stream id, the nonce of the request key and
@@ -37,8 +37,10 @@
 
 // Calls that either side can make.
 const (
+	// MethodConfigSince asks for the configuration objects newer than a version.
 	MethodConfigSince Method = "config.since"
-	// MethodMembersSince is the same for upstream entries. Only routers call it, on each other.
+	// MethodMembersSince asks for the upstream entries newer than a version. Only
+	// routers call it, on other routers.
 	MethodMembersSince Method = "members.since"
 )
 
@@ -64,13 +66,13 @@
 // configuration of its own.
 type RequestPolicy struct {
 	Profile       string        `json:"profile"`
-	Priority      int           `json:"prio,omitempty"`  // higher runs earlier
-	LoadMultiple  float64       `json:"mult,omitempty"`  // load bound as a multiple of the pool's mean load; zero: unbounded
-	QueueBound    int           `json:"queue,omitempty"` // maximum number of waiting requests of this profile
-	OrgWeight     int           `json:"weight,omitempty"`
-	OrgQueueBound int           `json:"org_queue,omitempty"`
+	Priority      int           `json:"prio,omitempty"`      // higher runs earlier
+	LoadMultiple  float64       `json:"mult,omitempty"`      // load bound as a multiple of the pool's mean load; zero: unbounded
+	QueueBound    int           `json:"queue,omitempty"`     // maximum number of waiting requests of this profile; zero: no limit
+	OrgWeight     int           `json:"weight,omitempty"`    // share of the upstream relative to other organisations; below one: one
+	OrgQueueBound int           `json:"org_queue,omitempty"` // the same for the organisation within the profile; zero: no limit
 	Idempotent    bool          `json:"idem,omitempty"`
-	KeepAnswer    time.Duration `json:"keep,omitempty"`
+	KeepAnswer    time.Duration `json:"keep,omitempty"`     // minimum time for which the finished response is retained
 	FirstByte     time.Duration `json:"first,omitempty"`    // time left until the first byte is due
 	Deadline      time.Duration `json:"deadline,omitempty"` // time left for the whole response
 }
@@ -95,7 +97,9 @@
 	HasPermit bool `json:"leave,omitempty"`
 }
 
-// Control is the state that nodes exchange with requests and replies.
+// Control is the state that routers and sidecars attach to requests and replies.
+// Each sender sets the fields that it has: Load, Running, Draining and Down are set
+// only by sidecars.
 type Control struct {
 	// Load is the number of requests that a sidecar has admitted and not yet
 	// finished. The reply to an admitted Submit reports the count without that
@@ -104,14 +108,15 @@
 	Running      int             `json:"running,omitempty"`       // those of Load that run at the upstream
 	Draining     bool            `json:"drain,omitempty"`         // the sidecar accepts no new requests
 	Down         bool            `json:"down,omitempty"`          // the upstream does not respond to its sidecar
-	Samples      []byte          `json:"samples,omitempty"`       // loads of other upstreams, encoded by package load
-	Config       topo.Version    `json:"config,omitempty"`        // version of the newest configuration object known; only between nodes that keep a copy
+	Samples      []byte          `json:"samples,omitempty"`       // load samples of other upstreams, encoded by package load
+	Config       topo.Version    `json:"config,omitempty"`        // version of the newest configuration object known; only between processes that keep a copy
 	ConfigDigest uint64          `json:"config_digest,omitempty"` // digest of the whole configuration at that version
-	Suspects     json.RawMessage `json:"suspects,omitempty"`
+	Suspects     json.RawMessage `json:"suspects,omitempty"`      // requests that may crash upstreams, encoded by package quarantine
 }
 
-// Admission is the reply to a Submit or Attach. Without an Error the response
-// follows as frames.
+// Admission is the sidecar's decision on a Submit or Attach. With an Error the
+// sidecar refuses it; otherwise the response follows as frames. A sidecar that fails
+// to decide returns an error instead of an Admission.
 type Admission struct {
 	Joined    bool           `json:"joined,omitempty"` // the key was known; its response is joined or replayed
 	Error     *verdict.Error `json:"err,omitempty"`
@@ -169,8 +174,10 @@
 // Notice tells a sidecar whether its VM is to leave or to stay. Notices for one VM
 // are ordered by Version; a sidecar ignores one older than the newest it has seen.
 type Notice struct {
-	Leaving bool         `json:"leaving"`
-	Version topo.Version `json:"version"` // zero: from the list of VMs, which has no versions
+	Leaving bool `json:"leaving"`
+	// Version is that of the operators' order. It is zero if the notice follows from
+	// the platform's list of VMs, which has no versions.
+	Version topo.Version `json:"version"`
 }
 
 // ConfigSince asks for the configuration objects newer than a version.
@@ -192,11 +199,12 @@
 	VM string `json:"vm"`
 }
 
-// Report sends a sidecar the suspects for which it is the home, since a resend of
-// such a request is offered to the home first. It also returns unused permits.
+// Report informs a sidecar about a request that may have crashed an upstream, or
+// returns a permit. The suspects go to the sidecars to which a resend of the request
+// is offered first, such as that of the session's home upstream.
 type Report struct {
-	Suspects     json.RawMessage `json:"suspects,omitempty"`
-	UnusedPermit *Permit         `json:"unused,omitempty"`
+	Suspects     json.RawMessage `json:"suspects,omitempty"` // as in Control
+	UnusedPermit *Permit         `json:"unused,omitempty"`   // permit of the receiving sidecar that will not be used
 }
 
 // Permit identifies a sidecar's permission for a submission to run alone at another VM.
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -63,9 +63,10 @@
 	return l.hello, nil
 }
 
-// Submit asks the sidecar to run a request. The Stream carries its response. A
-// refusal returns an error together with the Admission that explains it. An error
-// with NotRun and ReasonNoUpstream means that the request was not sent.
+// Submit asks the sidecar to run a request. The Stream carries its response. If the
+// sidecar refuses the request, the error is that of the returned Admission. After any
+// other error the Admission is zero; NotRun with ReasonNoUpstream then means that the
+// request was not sent.
 func (p *Peer) Submit(ctx context.Context, s Submit) (*Stream, Admission, error) {
 	o := streamOptions{nonce: s.Key.Nonce, window: s.Window}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (Admission, error) {
@@ -74,7 +75,8 @@
 	})
 }
 
-// Attach requests the response to a submitted request, starting at an offset.
+// Attach requests the response to a submitted request, starting at an offset. It
+// returns the same as Submit.
 func (p *Peer) Attach(ctx context.Context, a Attach) (*Stream, Admission, error) {
 	o := streamOptions{nonce: a.Key.Nonce, offset: a.Offset, window: a.Window, headSeen: a.HeadSeen}
 	return p.open(ctx, o, func(c *Conn, id StreamID) (adm Admission, err error) {
@@ -114,7 +116,9 @@
 	return s, adm, nil
 }
 
-// Call makes a call to the sidecar, connecting first when there is no connection.
+// Call makes a call to the sidecar, connecting first when there is no connection. If
+// connecting fails, the error has the verdict NotRun; other errors are those of
+// Conn.Call.
 func (p *Peer) Call(ctx context.Context, m Method, params, result any) error {
 	l, err := p.acquire(ctx)
 	if err != nil {
--- a/internal/wire/peer_test.go
+++ b/internal/wire/peer_test.go
@@ -258,9 +258,9 @@
 	}
 }
 
-// The process is stopped for a minute and continues. That nothing was read meanwhile
-// says nothing about the sidecars: no connection may be closed for it before the
-// sidecar has been pinged again.
+// The router's process is stopped for a minute and continues. It has read nothing in
+// the meantime, although the sidecars may be healthy: no connection may be closed
+// before its sidecar has been pinged again and has not answered in time.
 func TestOwnPauseDoesNotMarkPeerLost(t *testing.T) {
 	timing := DefaultTiming()
 	start := time.Unix(1000, 0)
--- a/internal/wire/pulse.go
+++ b/internal/wire/pulse.go
@@ -94,15 +94,16 @@
 }
 
 // check returns what to do with a connection that has calls or streams. lastRead is
-// when the last frame arrived. replyDue says that a reply is awaited as well: then
-// frames of other streams show that only one direction works, so the sidecar is
-// pinged even if they keep arriving.
+// when the last frame arrived. replyDue reports whether a call waits for its reply. In
+// that case the peer is pinged even while frames keep arriving: those frames belong to
+// streams, and show only that the direction from the peer works, not that the peer
+// has received the call.
 func (p *liveness) check(t Timing, now, lastRead time.Time, replyDue bool) livenessAction {
 	wasPaused := now.Sub(p.lastCheck) > t.checkInterval()+t.PingAfter
 	p.lastCheck = now
 	if wasPaused {
-		// This process was paused and has not yet read what the sidecar sent
-		// meanwhile, so the time without frames says nothing about the sidecar.
+		// This process was paused and has not yet read what the peer sent
+		// meanwhile, so the time without frames says nothing about the peer.
 		p.pingSent = time.Time{}
 		return actionPing
 	}
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -83,9 +83,9 @@
 	return t.write(kindRPC, func(b *bytes.Buffer) error { return json.NewEncoder(b).Encode(obj) })
 }
 
-// write sends one frame. After an error other than ErrTooLarge the peer has
-// received at most an unusable part of the frame. If the write itself failed, the
-// connection is closed.
+// write sends one frame. If it can't be encoded or exceeds its size limit, nothing
+// is sent and the connection remains usable. If writing fails, the peer has received
+// at most an unusable part of the frame, and the connection is closed.
 func (t *transport) write(k frameKind, encode func(*bytes.Buffer) error) error {
 	b := buffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(b)
