--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -251,8 +251,8 @@
 	return r.Error != "" || len(r.Behind) > 0
 }
 
-// reply says what of r is not in force at n now.
-func (r WaitRequest) reply(vm string, n Node) WaitReply {
+// evaluate says what of r is not in force at n now.
+func (r WaitRequest) evaluate(vm string, n Node) WaitReply {
 	out := WaitReply{VM: vm}
 	for _, o := range r.Objects {
 		if in := n.InForce(o.Ref); in.Version < o.Version {
@@ -273,15 +273,15 @@
 // await returns what is not in force at n, as soon as that is nothing or when
 // ctx ends.
 func (r WaitRequest) await(ctx context.Context, vm string, n Node) WaitReply {
-	hinted := false
+	refreshed := false
 	for {
 		changed := n.Changed()
-		reply := r.reply(vm, n)
+		reply := r.evaluate(vm, n)
 		if len(reply.Behind) == 0 {
 			return reply
 		}
-		if !hinted {
-			hinted = true
+		if !refreshed {
+			refreshed = true
 			n.Refresh()
 		}
 		select {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,12 +19,12 @@
 
 // fakeNode is a router that follows one object.
 type fakeNode struct {
-	mu      sync.Mutex
-	version topo.Version
-	changed chan struct{}
-	stuck   bool // hints do not help it
-	store   topo.Version
-	vms     []topo.VM
+	mu             sync.Mutex
+	version        topo.Version
+	changed        chan struct{}
+	ignoresRefresh bool // hints do not help it
+	store          topo.Version
+	vms            []topo.VM
 }
 
 func (n *fakeNode) Status(bool) Status                 { return Status{} }
@@ -49,7 +49,7 @@
 func (n *fakeNode) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.stuck {
+	if !n.ignoresRefresh {
 		n.version = n.store
 		close(n.changed)
 		n.changed = make(chan struct{})
@@ -170,7 +170,7 @@
 // silent, one does not follow at all, one is stopped and one hangs. Were the
 // silent watch waited out, each change would cost seconds; were the others
 // passed over, the operator would be told something untrue.
-func TestFleetWaitNamesTheRoutersThatDoNotFollow(t *testing.T) {
+func TestFleetWaitReportsLaggingRouters(t *testing.T) {
 	for _, req := range []WaitRequest{{Objects: []ObjectVersion{{Ref: chat, Version: 5}}}, {Complete: 5}} {
 		synctest.Test(t, func(t *testing.T) { checkFleetWait(t, req) })
 	}
@@ -178,8 +178,8 @@
 
 func checkFleetWait(t *testing.T, req WaitRequest) {
 	f, client := newFleet(t, 4, 5)
-	silent, stuck := f.nodes[1], f.nodes[2]
-	silent.version, stuck.version, stuck.stuck = 4, 4, true
+	lagging, stuck := f.nodes[1], f.nodes[2]
+	lagging.version, stuck.version, stuck.ignoresRefresh = 4, 4, true
 	f.network.listen("hanging")
 	f.nodes[0].vms = append(f.nodes[0].vms,
 		topo.VM{ID: "stopped", Role: topo.RoleRouter, AdminAddr: "stopped"},
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestTokenIsAskedFor(t *testing.T) {
+func TestWrongTokenIsRejected(t *testing.T) {
 	_, client := newFleet(t, 1, 5)
 	client.token = "wrong"
 	if _, err := client.Fleet(context.Background()); err == nil || !strings.Contains(err.Error(), "401") {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -14,8 +14,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// maxAnswer is the most that an answer may hold, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the most that an answer may hold, in bytes.
+const maxResponseBytes = 64 << 20
 
 // fleetTimeout bounds the calls that ask every router, beyond their wait.
 const fleetTimeout = 10 * time.Second
@@ -25,10 +25,10 @@
 
 // Client calls the API of one router.
 type Client struct {
-	base    string
-	token   string
-	http    *http.Client
-	missing bool // the address is not known
+	base      string
+	token     string
+	http      *http.Client
+	noAddress bool // the address is not known
 }
 
 // NewClient returns a Client of the router whose API is at addr, host:port.
@@ -87,7 +87,7 @@
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	if c.missing {
+	if c.noAddress {
 		return errNoAddress
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
@@ -102,7 +102,7 @@
 		return errors.WithStack(err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.WithStack(err)
 	}
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -22,9 +22,9 @@
 	roundWait = 500 * time.Millisecond
 	// roundPause is the pause between rounds, for peers that fail at once.
 	roundPause = 100 * time.Millisecond
-	// keepConnection is how long a connection to a peer is kept. A command asks
+	// idleConnTimeout is how long a connection to a peer is kept. A command asks
 	// every half second or so while it waits; nobody asks otherwise.
-	keepConnection = 3 * time.Second
+	idleConnTimeout = 3 * time.Second
 )
 
 // peer is a router that is asked.
@@ -38,7 +38,7 @@
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     keepConnection,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 }
 
@@ -61,20 +61,20 @@
 	return peers
 }
 
-// askAll asks peers, some at a time, and returns the answers in their order.
-func askAll[T any](s *Server, peers []peer, ask func(peer) T) []T {
-	answers := make([]T, len(peers))
+// queryAll asks peers, some at a time, and returns the answers in their order.
+func queryAll[T any](s *Server, peers []peer, query func(peer) T) []T {
+	responses := make([]T, len(peers))
 	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
 	for i, p := range peers {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			answers[i] = ask(p)
+			responses[i] = query(p)
 		})
 	}
 	wg.Wait()
-	return answers
+	return responses
 }
 
 // awaitAll asks every router until what req names is in force at all of them or
@@ -82,35 +82,35 @@
 // that leaves the list of VMs is no longer waited for.
 func (s *Server) awaitAll(ctx context.Context, req WaitRequest) []RouterWait {
 	req.WaitMillis = int(roundWait.Milliseconds())
-	done := make(map[string]RouterWait)
+	latest := make(map[string]RouterWait)
 	for {
 		peers := s.routers(s.config.Node.VMs())
 		pending := slices.DeleteFunc(slices.Clone(peers), func(p peer) bool {
-			last, asked := done[p.vm.ID]
-			return asked && !last.Pending()
+			previous, asked := latest[p.vm.ID]
+			return asked && !previous.Pending()
 		})
-		answers := askAll(s, pending, func(p peer) RouterWait { return s.askWait(ctx, p, req) })
-		for _, a := range answers {
-			done[a.VM] = a
+		responses := queryAll(s, pending, func(p peer) RouterWait { return s.queryWait(ctx, p, req) })
+		for _, a := range responses {
+			latest[a.VM] = a
 		}
-		if whole := !slices.ContainsFunc(answers, RouterWait.Pending); whole || !pause(ctx, roundPause) {
-			return inOrder(peers, done)
+		if complete := !slices.ContainsFunc(responses, RouterWait.Pending); complete || !sleep(ctx, roundPause) {
+			return inOrder(peers, latest)
 		}
 	}
 }
 
 // inOrder returns each router's last answer.
-func inOrder(peers []peer, answers map[string]RouterWait) []RouterWait {
+func inOrder(peers []peer, responses map[string]RouterWait) []RouterWait {
 	out := make([]RouterWait, len(peers))
 	for i, p := range peers {
-		out[i] = answers[p.vm.ID]
+		out[i] = responses[p.vm.ID]
 	}
 	return out
 }
 
-// askWait asks one router. The wait is that of a round, so that a router that
+// queryWait asks one router. The wait is that of a round, so that a router that
 // is far behind does not hold a slot that another one needs.
-func (s *Server) askWait(ctx context.Context, p peer, req WaitRequest) RouterWait {
+func (s *Server) queryWait(ctx context.Context, p peer, req WaitRequest) RouterWait {
 	if p.self {
 		ctx, cancel := context.WithTimeout(ctx, roundWait)
 		defer cancel()
@@ -128,7 +128,7 @@
 	return reply
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return ctx.Err() == nil
@@ -138,5 +138,5 @@
 }
 
 func (s *Server) peerClient(p peer) *Client {
-	return &Client{base: "http://" + p.vm.AdminAddr, token: s.config.Token, http: s.client, missing: p.vm.AdminAddr == ""}
+	return &Client{base: "http://" + p.vm.AdminAddr, token: s.config.Token, http: s.client, noAddress: p.vm.AdminAddr == ""}
 }
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -27,14 +27,14 @@
 // Ledger is which version of each object is in force, for operators. The
 // control loop writes it, and publishes after the View that goes with it.
 type Ledger struct {
-	mu       sync.Mutex
-	versions map[topo.Ref]topo.Version
-	rejected map[topo.Ref]profile.Problem
-	complete topo.Version
-	newest   topo.Version
-	dirty    bool
-	heard    time.Time     // of the store
-	changed  chan struct{} // closed and replaced at each publication
+	mu                sync.Mutex
+	versions          map[topo.Ref]topo.Version
+	rejected          map[topo.Ref]profile.Problem
+	complete          topo.Version
+	newest            topo.Version
+	dirty             bool
+	lastStoreResponse time.Time     // of the store
+	changed           chan struct{} // closed and replaced at each publication
 }
 
 // New returns a Ledger of nothing.
@@ -60,7 +60,7 @@
 	}
 	l.dirty = l.dirty || len(f.Objects)+len(f.Rejected) > 0 || f.Complete > l.complete
 	l.complete = max(l.complete, f.Complete)
-	l.heard = f.LastStoreResponse
+	l.lastStoreResponse = f.LastStoreResponse
 }
 
 // Publish tells those who wait for Next of what was taken in.
@@ -101,7 +101,7 @@
 func (l *Ledger) Status() admin.ConfigStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := admin.ConfigStatus{Version: l.newest, LastStoreResponse: l.heard}
+	s := admin.ConfigStatus{Version: l.newest, LastStoreResponse: l.lastStoreResponse}
 	for _, p := range l.rejected {
 		s.Rejected = append(s.Rejected, p)
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,8 +17,8 @@
 	// maxWait bounds a WaitRequest, so that a command that is gone does not
 	// leave work behind.
 	maxWait = 5 * time.Second
-	// maxBody bounds the body of a request, in bytes.
-	maxBody = 4 << 20
+	// maxBodyBytes bounds the body of a request, in bytes.
+	maxBodyBytes = 4 << 20
 )
 
 // Config is what a Server is told.
@@ -63,8 +63,8 @@
 	if s.config.Token == "" {
 		return true
 	}
-	given, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	return subtle.ConstantTimeCompare([]byte(given), []byte(s.config.Token)) == 1
+	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	return subtle.ConstantTimeCompare([]byte(token), []byte(s.config.Token)) == 1
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
@@ -122,11 +122,11 @@
 
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) {
 	vms := s.config.Node.VMs()
-	routers := askAll(s, s.routers(vms), func(p peer) RouterStatus { return s.askStatus(r.Context(), p) })
+	routers := queryAll(s, s.routers(vms), func(p peer) RouterStatus { return s.queryStatus(r.Context(), p) })
 	writeJSON(w, FleetStatus{VM: s.config.VM, Routers: routers, VMs: vms})
 }
 
-func (s *Server) askStatus(ctx context.Context, p peer) RouterStatus {
+func (s *Server) queryStatus(ctx context.Context, p peer) RouterStatus {
 	if p.self {
 		own := s.ownStatus(true)
 		return RouterStatus{VM: p.vm.ID, Status: &own}
@@ -168,7 +168,7 @@
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(into); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, "the body is not what is expected: "+err.Error())
 		return false
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// settled returns a State that has asked n upstreams, all with what is wanted.
-func settled(n int) (*State, time.Time) {
+// newSettledState returns a State that has asked n upstreams, all with what is wanted.
+func newSettledState(n int) (*State, time.Time) {
 	s, now := NewState(time.Second), time.Unix(1_800_000_000, 0)
 	s.Step(LeaseChanged{Now: now, Token: 1})
-	s.Step(fleetOf(n))
+	s.Step(newDesired(n))
 	for !s.fenced {
 		for _, send := range s.Step(Tick{Now: now}) {
 			have := wire.ModelSpec{Model: "m", Version: "1"}
@@ -24,7 +24,7 @@
 	return s, now
 }
 
-func fleetOf(n int) Desired {
+func newDesired(n int) Desired {
 	var d Desired
 	for i := range 22 {
 		d.Pools = append(d.Pools, profile.Pool{Name: fmt.Sprint("pool-", i), Model: "m", Version: "1", MaxUnavailable: 0.1})
@@ -41,7 +41,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
-			s, now := settled(n)
+			s, now := newSettledState(n)
 			now = now.Add(time.Minute)
 			for b.Loop() {
 				s.Step(Tick{Now: now})
@@ -54,8 +54,8 @@
 func BenchmarkDesired(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
-			s, _ := settled(n)
-			d := fleetOf(n)
+			s, _ := newSettledState(n)
+			d := newDesired(n)
 			for b.Loop() {
 				s.Step(d)
 			}
@@ -68,7 +68,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
 			for b.Loop() {
-				settled(n)
+				newSettledState(n)
 			}
 		})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,10 +16,10 @@
 	// LeaseName names the lease object of the controller.
 	LeaseName = "controller"
 
-	// tickEvery is how often the controller looks for what is due.
-	tickEvery = 250 * time.Millisecond
-	// desiredEvery is how often it looks at the pools and their upstreams.
-	desiredEvery = time.Second
+	// tickInterval is how often the controller looks for what is due.
+	tickInterval = 250 * time.Millisecond
+	// desiredInterval is how often it looks at the pools and their upstreams.
+	desiredInterval = time.Second
 	// orderTimeout bounds one call of a sidecar.
 	orderTimeout = 5 * time.Second
 )
@@ -51,19 +51,19 @@
 
 // Controller holds the lease when it is this router's turn, and acts under it.
 type Controller struct {
-	config Config
-	lease  *lease.Runner
-	loop   *loop.Loop[Event, Send]
-	ctx    context.Context
-	looked time.Time         // at the pools; owned by Run
-	acting wire.FencingToken // under which it looked; owned by Run
+	config      Config
+	lease       *lease.Runner
+	loop        *loop.Loop[Event, Send]
+	ctx         context.Context
+	lastDesired time.Time         // at the pools; owned by Run
+	lastToken   wire.FencingToken // under which it looked; owned by Run
 }
 
 // New returns a Controller.
 func New(c Config) *Controller {
-	stands := func() bool { return lease.IsCandidate(LeaseName, c.Self, c.Routers()) }
-	ctl := &Controller{config: c, lease: lease.NewRunner(c.Store, LeaseName, c.Self+"/"+c.Process, c.LeaseTTL, stands)}
-	ctl.loop = loop.New(NewState(c.LoadInterval), ctl.act, func() {})
+	isCandidate := func() bool { return lease.IsCandidate(LeaseName, c.Self, c.Routers()) }
+	ctl := &Controller{config: c, lease: lease.NewRunner(c.Store, LeaseName, c.Self+"/"+c.Process, c.LeaseTTL, isCandidate)}
+	ctl.loop = loop.New(NewState(c.LoadInterval), ctl.execute, func() {})
 	return ctl
 }
 
@@ -82,20 +82,20 @@
 	}()
 	go c.loop.Run(ctx)
 	go c.sweep(ctx)
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
-		case <-tick.C:
-			c.turn()
+		case <-ticker.C:
+			c.postState()
 		case <-ctx.Done():
 		}
 	}
 	<-resigned
 }
 
-// turn tells the reducer how things stand.
-func (c *Controller) turn() {
+// postState tells the reducer how things stand.
+func (c *Controller) postState() {
 	now := time.Now()
 	grant := c.lease.Grant()
 	if !grant.Valid(now) {
@@ -105,14 +105,14 @@
 	if grant.Token == 0 {
 		return
 	}
-	if now.Sub(c.looked) >= desiredEvery || grant.Token != c.acting {
-		c.looked, c.acting = now, grant.Token
+	if now.Sub(c.lastDesired) >= desiredInterval || grant.Token != c.lastToken {
+		c.lastDesired, c.lastToken = now, grant.Token
 		c.loop.Post(c.config.Desired())
 	}
 	c.loop.Post(Tick{Now: now})
 }
 
-func (c *Controller) act(s Send) {
+func (c *Controller) execute(s Send) {
 	go func() { c.loop.Post(c.send(s)) }()
 }
 
@@ -127,8 +127,8 @@
 		return r
 	}
 	ordersSent.Inc(s.Order.Action)
-	ctx, done := context.WithTimeout(c.ctx, orderTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
+	defer cancel()
 	status, err := c.config.Order(ctx, s.VM, s.Order)
 	r.Now, r.Status, r.Err = time.Now(), status, status.Error
 	if err != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	loadEvery = 10 * time.Second
-	maxOut    = 2
+	loadInterval  = 10 * time.Second
+	maxEnginesOut = 2
 )
 
 // engine is an upstream with its sidecar.
@@ -35,8 +35,8 @@
 	status wire.OrderStatus
 }
 
-// take is what a sidecar does with an order.
-func (e *engine) take(o wire.Order, loads func()) (wire.OrderStatus, *verdict.Error) {
+// handleOrder is what a sidecar does with an order.
+func (e *engine) handleOrder(o wire.Order, onLoad func()) (wire.OrderStatus, *verdict.Error) {
 	if err := e.fence.Check(o.Token); err != nil {
 		return e.status, err
 	}
@@ -48,27 +48,27 @@
 		e.status.ID, e.status.Phase = o.ID, wire.PhaseDraining
 	case e.status.ID == o.ID && e.status.Phase == wire.PhaseReady:
 		e.status.Phase, e.status.Loaded = wire.PhaseRunning, o.Want
-		loads()
+		onLoad()
 	}
 	return e.status, nil
 }
 
-func (e *engine) out() bool {
+func (e *engine) isOut() bool {
 	return e.status.Phase != wire.PhaseNone && e.status.Phase != wire.PhaseDone
 }
 
 // rollout is two routers that hold the lease in turn, before six engines that
 // are to load another version, in virtual time.
 type rollout struct {
-	now     time.Time
-	engines []*engine
-	holder  *State
-	token   wire.FencingToken
-	sent    []Send // by the present holder
-	late    []Send // by former holders
-	loaded  map[string]int
-	last    time.Time // of a load
-	tooSoon int
+	now        time.Time
+	engines    []*engine
+	holder     *State
+	token      wire.FencingToken
+	sent       []Send // by the present holder
+	late       []Send // by former holders
+	loaded     map[string]int
+	lastLoad   time.Time // of a load
+	earlyLoads int
 }
 
 func newRollout() *rollout {
@@ -88,8 +88,8 @@
 	r.late = append(r.late, r.sent...)
 	r.sent = nil
 	r.token++
-	r.holder = NewState(loadEvery)
-	d := Desired{Pools: []profile.Pool{{Name: "notes", Model: "notes-7b", Version: "2", MaxUnavailable: float64(maxOut) / 6}}}
+	r.holder = NewState(loadInterval)
+	d := Desired{Pools: []profile.Pool{{Name: "notes", Model: "notes-7b", Version: "2", MaxUnavailable: float64(maxEnginesOut) / 6}}}
 	for _, e := range r.engines {
 		d.VMs = append(d.VMs, e.vm)
 	}
@@ -97,33 +97,33 @@
 	r.holder.Step(d)
 }
 
-// arrive brings an order to its engine.
-func (r *rollout) arrive(s Send) (wire.OrderStatus, *verdict.Error) {
+// deliverOrder brings an order to its engine.
+func (r *rollout) deliverOrder(s Send) (wire.OrderStatus, *verdict.Error) {
 	i := slices.IndexFunc(r.engines, func(e *engine) bool { return e.vm.ID == s.VM.ID })
-	return r.engines[i].take(s.Order, func() {
-		if !r.last.IsZero() && r.now.Sub(r.last) < loadEvery {
-			r.tooSoon++
+	return r.engines[i].handleOrder(s.Order, func() {
+		if !r.lastLoad.IsZero() && r.now.Sub(r.lastLoad) < loadInterval {
+			r.earlyLoads++
 		}
-		r.last = r.now
+		r.lastLoad = r.now
 		r.loaded[s.VM.ID]++
 	})
 }
 
-// deliver ends the calls that are out. lost says what is lost of each.
-func (r *rollout) deliver(lost func() int) {
+// completeCalls ends the calls that are out. lost says what is lost of each.
+func (r *rollout) completeCalls(lost func() int) {
 	sent := r.sent
 	r.sent = nil
 	for _, s := range sent {
 		reply := Replied{Now: r.now, VM: s.VM.ID, Order: s.Order}
-		gone := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
+		lostErr := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
 		switch lost() {
 		case 0:
-			reply.Err = gone // the order
+			reply.Err = lostErr // the order
 		case 1:
-			_, _ = r.arrive(s)
-			reply.Err = gone // the reply
+			_, _ = r.deliverOrder(s)
+			reply.Err = lostErr // the reply
 		default:
-			reply.Status, reply.Err = r.arrive(s)
+			reply.Status, reply.Err = r.deliverOrder(s)
 		}
 		r.holder.Step(reply)
 	}
@@ -137,7 +137,7 @@
 func (r *rollout) progress(which func() bool) {
 	for _, e := range r.engines {
 		switch {
-		case !e.out() || !which():
+		case !e.isOut() || !which():
 		case e.status.Phase == wire.PhaseDraining:
 			e.status.Phase = wire.PhaseReady
 		case e.status.Phase == wire.PhaseRunning:
@@ -149,17 +149,17 @@
 func (r *rollout) check(t *rapid.T) {
 	out := 0
 	for _, e := range r.engines {
-		if e.out() {
+		if e.isOut() {
 			out++
 		}
 		if n := r.loaded[e.vm.ID]; n > 1 {
 			t.Fatalf("%s has loaded the version %d times", e.vm.ID, n)
 		}
 	}
-	if out > maxOut {
-		t.Fatalf("%d engines are out, and %d may be", out, maxOut)
+	if out > maxEnginesOut {
+		t.Fatalf("%d engines are out, and %d may be", out, maxEnginesOut)
 	}
-	if r.tooSoon > 0 {
+	if r.earlyLoads > 0 {
 		t.Fatal("the weight store was asked too soon")
 	}
 }
@@ -167,7 +167,7 @@
 func (r *rollout) actions() map[string]func(*rapid.T) {
 	step := func(t *rapid.T) {
 		r.tick()
-		r.deliver(func() int { return rapid.IntRange(0, 7).Draw(t, "lost") })
+		r.completeCalls(func() int { return rapid.IntRange(0, 7).Draw(t, "lost") })
 		r.now = r.now.Add(time.Duration(rapid.IntRange(100, 4000).Draw(t, "ms")) * time.Millisecond)
 	}
 	return map[string]func(*rapid.T){
@@ -184,7 +184,7 @@
 		"late order": func(t *rapid.T) {
 			if len(r.late) > 0 {
 				i := rapid.IntRange(0, len(r.late)-1).Draw(t, "order")
-				_, _ = r.arrive(r.late[i])
+				_, _ = r.deliverOrder(r.late[i])
 				r.late = append(r.late[:i], r.late[i+1:]...)
 			}
 		},
@@ -197,14 +197,14 @@
 // new holder loaded at once, or took "no answer" for "no order", the weight
 // store would be asked too often, a pool would lose more engines than it may,
 // or an engine would load the same version twice.
-func TestRolloutSurvivesItsHolders(t *testing.T) {
+func TestRolloutAcrossLeaseHolders(t *testing.T) {
 	loads := 0
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRollout()
 		t.Repeat(r.actions())
 		for range 300 {
 			r.tick()
-			r.deliver(func() int { return 7 })
+			r.completeCalls(func() int { return 7 })
 			r.progress(func() bool { return true })
 			r.check(t)
 			r.now = r.now.Add(time.Second)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -18,81 +18,81 @@
 
 // rollOut gives the orders that the weight store and the pools allow now.
 func (s *State) rollOut(now time.Time) []Send {
-	return append(s.prepare(now), s.load(now)...)
+	return append(s.prepare(now), s.startLoad(now)...)
 }
 
 // prepare orders upstreams to be emptied, no more of a pool at a time than it
 // allows to be out.
 func (s *State) prepare(now time.Time) []Send {
 	var sends []Send
-	out, total, prepared := s.count()
-	for _, u := range s.order {
+	unavailable, total, prepared := s.countUpstreams()
+	for _, u := range s.sorted {
 		p := s.pools[u.vm.Pool]
 		if prepared >= maxPrepared {
 			break
 		}
-		if !s.due(now, u, p) || (u.serves() && out[p.Name] >= allowed(p, total[p.Name])) {
+		if !s.needsPrepare(now, u, p) || (u.isServing() && unavailable[p.Name] >= maxUnavailable(p, total[p.Name])) {
 			continue
 		}
-		if u.serves() {
-			out[p.Name]++
+		if u.isServing() {
+			unavailable[p.Name]++
 		}
 		prepared++
-		sends = append(sends, s.send(u, s.orderTo(u, p, wire.OrderPrepare)))
+		sends = append(sends, s.send(u, s.newOrder(u, p, wire.OrderPrepare)))
 	}
 	return sends
 }
 
-// load orders one prepared upstream to load, at the weight store's rate. The
+// startLoad orders one prepared upstream to startLoad, at the weight store's rate. The
 // order is counted when it is sent, whatever becomes of it.
-func (s *State) load(now time.Time) []Send {
+func (s *State) startLoad(now time.Time) []Send {
 	if now.Before(s.nextLoad) {
 		return nil
 	}
-	for _, u := range s.order {
-		if !u.reached || u.calling || u.pending || u.status.Phase != wire.PhaseReady {
+	for _, u := range s.sorted {
+		if !u.reachable || u.inFlight || u.pending || u.status.Phase != wire.PhaseReady {
 			continue
 		}
-		o := s.orderTo(u, s.pools[u.vm.Pool], wire.OrderLoad)
+		o := s.newOrder(u, s.pools[u.vm.Pool], wire.OrderLoad)
 		if u.status.ID != o.ID {
 			continue
 		}
-		s.nextLoad = now.Add(s.loadEvery)
+		s.nextLoad = now.Add(s.loadInterval)
 		return []Send{s.send(u, o)}
 	}
 	return nil
 }
 
-// due reports whether an upstream is to be prepared now: it is known to have
+// needsPrepare reports whether an upstream is to be prepared now: it is known to have
 // something else loaded than is wanted, and to work on no order, or to be
 // prepared for one that is no longer wanted.
-func (s *State) due(now time.Time, u *upstream, p profile.Pool) bool {
-	if !u.reached || !u.managed || u.calling || u.pending || p.Model == "" || matches(want(p), u.status.Loaded) {
+func (s *State) needsPrepare(now time.Time, u *upstream, p profile.Pool) bool {
+	if !u.reachable || !u.managed || u.inFlight || u.pending || p.Model == "" || matches(desiredSpec(p), u.status.Loaded) {
 		return false
 	}
 	switch u.status.Phase {
 	case wire.PhaseRunning:
 		return false
 	case wire.PhaseDraining, wire.PhaseReady:
-		return u.status.ID != s.orderTo(u, p, wire.OrderPrepare).ID
+		return u.status.ID != s.newOrder(u, p, wire.OrderPrepare).ID
 	case wire.PhaseFailed:
-		return now.Sub(u.failedAt) >= retryFailed
+		return now.Sub(u.failedAt) >= orderRetryDelay
 	default:
 		return true
 	}
 }
 
-func (s *State) orderTo(u *upstream, p profile.Pool, a wire.OrderAction) wire.Order {
-	return wire.Order{ID: orderID(u, want(p)), Token: s.token, Action: a, Want: want(p)}
+func (s *State) newOrder(u *upstream, p profile.Pool, a wire.OrderAction) wire.Order {
+	return wire.Order{ID: orderID(u, desiredSpec(p)), Token: s.token, Action: a, Want: desiredSpec(p)}
 }
 
-// serves reports whether an order would take the upstream out of its pool.
-func (u *upstream) serves() bool {
-	return u.reached && !u.pending && u.idle() && u.status.Loaded.Model != ""
+// isServing reports whether an order would take the upstream out of its pool.
+func (u *upstream) isServing() bool {
+	return u.reachable && !u.pending && u.isIdle() && u.status.Loaded.Model != ""
 }
 
-// idle reports whether the upstream works on no order.
-func (u *upstream) idle() bool {
+// isIdle reports whether the upstream works on no order.
+func (u *upstream) isIdle() bool {
 	switch u.status.Phase {
 	case wire.PhaseDraining, wire.PhaseReady, wire.PhaseRunning:
 		return false
@@ -101,38 +101,38 @@
 	}
 }
 
-// count returns, for each pool, the upstreams that do not serve and all, and
+// countUpstreams returns, for each pool, the upstreams that do not serve and all, and
 // how many of the fleet wait for the weight store. One that can't be reached
 // counts as out, whatever the reason.
-func (s *State) count() (out, total map[string]int, prepared int) {
-	out, total = make(map[string]int), make(map[string]int)
-	for _, u := range s.order {
+func (s *State) countUpstreams() (unavailable, total map[string]int, prepared int) {
+	unavailable, total = make(map[string]int), make(map[string]int)
+	for _, u := range s.sorted {
 		total[u.vm.Pool]++
-		if !u.asked || (u.managed && !u.serves()) {
-			out[u.vm.Pool]++
+		if !u.queried || (u.managed && !u.isServing()) {
+			unavailable[u.vm.Pool]++
 		}
-		if u.pending || !u.idle() && u.status.Phase != wire.PhaseRunning {
+		if u.pending || !u.isIdle() && u.status.Phase != wire.PhaseRunning {
 			prepared++
 		}
 	}
-	return out, total, prepared
+	return unavailable, total, prepared
 }
 
-// allowed is how many upstreams of a pool may be out at a time. One may always
+// maxUnavailable is how many upstreams of a pool may be out at a time. One may always
 // be, or a small pool would never change.
-func allowed(p profile.Pool, total int) int {
+func maxUnavailable(p profile.Pool, total int) int {
 	return max(1, int(p.MaxUnavailable*float64(total)))
 }
 
-func want(p profile.Pool) wire.ModelSpec {
+func desiredSpec(p profile.Pool) wire.ModelSpec {
 	return wire.ModelSpec{Model: p.Model, Version: p.Version, Adapters: p.Adapters, Role: string(p.Role)}
 }
 
 // matches reports whether an upstream has what is wanted. What the pool leaves
 // open may be anything.
 func matches(want, have wire.ModelSpec) bool {
-	open := func(w, h string) bool { return w == "" || w == h }
-	return open(want.Model, have.Model) && open(want.Version, have.Version) && open(want.Role, have.Role) &&
+	unsetOrEqual := func(w, h string) bool { return w == "" || w == h }
+	return unsetOrEqual(want.Model, have.Model) && unsetOrEqual(want.Version, have.Version) && unsetOrEqual(want.Role, have.Role) &&
 		sameAdapters(want.Adapters, have.Adapters)
 }
 
@@ -149,13 +149,13 @@
 func orderID(u *upstream, w wire.ModelSpec) string {
 	sum := xxh3.HashString(strings.Join(append([]string{u.vm.ID, w.Model, w.Version, w.Role}, w.Adapters...), "\x00"))
 	base := fmt.Sprintf("%016x", sum)
-	last, failures, _ := strings.Cut(u.status.ID, ".")
-	n := 0
-	if last == base {
-		_, _ = fmt.Sscan(failures, &n)
+	lastBase, lastAttempt, _ := strings.Cut(u.status.ID, ".")
+	attempt := 0
+	if lastBase == base {
+		_, _ = fmt.Sscan(lastAttempt, &attempt)
 	}
-	if last == base && u.idle() && u.status.Phase != wire.PhaseNone {
-		n++ // it has failed, or was done and undone since
+	if lastBase == base && u.isIdle() && u.status.Phase != wire.PhaseNone {
+		attempt++ // it has failed, or was done and undone since
 	}
-	return fmt.Sprintf("%s.%d", base, n)
+	return fmt.Sprintf("%s.%d", base, attempt)
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// asksAtOnce bounds the queries that are out, so that a new holder does not
+	// maxQueriesInFlight bounds the queries that are out, so that a new holder does not
 	// ask thousands of sidecars at once.
-	asksAtOnce = 32
-	// askRunning is how often an upstream is asked that works on an order.
-	askRunning = time.Second
-	// askFailed is how long after a failed call an upstream is asked again.
-	askFailed = 5 * time.Second
-	// askIdle is how often any other upstream is asked.
-	askIdle = 10 * time.Minute
-	// retryFailed is how long after it an order that failed is given anew.
-	retryFailed = 30 * time.Second
+	maxQueriesInFlight = 32
+	// busyQueryInterval is how often an upstream is asked that works on an order.
+	busyQueryInterval = time.Second
+	// queryRetryDelay is how long after a failed call an upstream is asked again.
+	queryRetryDelay = 5 * time.Second
+	// idleQueryInterval is how often any other upstream is asked.
+	idleQueryInterval = 10 * time.Minute
+	// orderRetryDelay is how long after it an order that failed is given anew.
+	orderRetryDelay = 30 * time.Second
 )
 
 // Event is something that has happened to a controller.
@@ -72,36 +72,36 @@
 
 // State is the controller's control state.
 type State struct {
-	loadEvery time.Duration // by the weight store's rate
-	token     wire.FencingToken
-	pools     map[string]profile.Pool
-	upstreams map[string]*upstream
-	order     []*upstream // by id, so that all holders go the same way
-	out       int         // calls that are out
-	fenced    bool        // every upstream has been asked under the token
-	nextLoad  time.Time   // when the weight store allows the next load
+	loadInterval time.Duration // by the weight store's rate
+	token        wire.FencingToken
+	pools        map[string]profile.Pool
+	upstreams    map[string]*upstream
+	sorted       []*upstream // by id, so that all holders go the same way
+	inFlight     int         // calls that are out
+	fenced       bool        // every upstream has been asked under the token
+	nextLoad     time.Time   // when the weight store allows the next load
 }
 
 // upstream is what is known of one under the present token.
 type upstream struct {
-	vm       topo.VM
-	asked    bool // has answered, or could not
-	reached  bool // answered the last time
-	managed  bool // takes orders
-	calling  bool
-	pending  bool // an order was sent, and its answer was lost or is awaited
-	status   wire.OrderStatus
-	failedAt time.Time
-	next     time.Time // of the next query
+	vm        topo.VM
+	queried   bool // has answered, or could not
+	reachable bool // answered the last time
+	managed   bool // takes orders
+	inFlight  bool
+	pending   bool // an order was sent, and its answer was lost or is awaited
+	status    wire.OrderStatus
+	failedAt  time.Time
+	nextQuery time.Time // of the next query
 }
 
 // NewState returns the State of a controller that starts at most one load in
 // loadEvery.
-func NewState(loadEvery time.Duration) *State {
+func NewState(loadInterval time.Duration) *State {
 	return &State{
-		loadEvery: loadEvery,
-		pools:     make(map[string]profile.Pool),
-		upstreams: make(map[string]*upstream),
+		loadInterval: loadInterval,
+		pools:        make(map[string]profile.Pool),
+		upstreams:    make(map[string]*upstream),
 	}
 }
 
@@ -109,30 +109,30 @@
 func (s *State) Step(event Event) []Send {
 	switch e := event.(type) {
 	case LeaseChanged:
-		s.held(e)
+		s.applyLease(e)
 	case Desired:
-		s.desired(e)
+		s.applyDesired(e)
 	case Replied:
-		s.replied(e)
+		s.applyReply(e)
 	case Tick:
 		return s.tick(e.Now)
 	}
 	return nil
 }
 
-// held begins or ends a holding. Whatever was known before is forgotten: the
+// applyLease begins or ends a holding. Whatever was known before is forgotten: the
 // holder in between may have changed it.
-func (s *State) held(e LeaseChanged) {
+func (s *State) applyLease(e LeaseChanged) {
 	if e.Token == s.token {
 		return
 	}
 	s.token, s.fenced = e.Token, false
 	for _, u := range s.upstreams {
-		*u = upstream{vm: u.vm, calling: u.calling}
+		*u = upstream{vm: u.vm, inFlight: u.inFlight}
 	}
 }
 
-func (s *State) desired(e Desired) {
+func (s *State) applyDesired(e Desired) {
 	clear(s.pools)
 	for _, p := range e.Pools {
 		if p.Model != "" {
@@ -141,7 +141,7 @@
 	}
 	seen := make(map[string]bool, len(e.VMs))
 	for _, vm := range e.VMs {
-		if _, ours := s.pools[vm.Pool]; !ours || vm.Leaving {
+		if _, managed := s.pools[vm.Pool]; !managed || vm.Leaving {
 			continue
 		}
 		seen[vm.ID] = true
@@ -151,49 +151,49 @@
 			s.upstreams[vm.ID] = &upstream{vm: vm}
 		}
 	}
-	s.order = s.order[:0]
+	s.sorted = s.sorted[:0]
 	for id, u := range s.upstreams {
-		if !seen[id] && !u.calling {
+		if !seen[id] && !u.inFlight {
 			delete(s.upstreams, id)
 			continue
 		}
-		s.order = append(s.order, u)
+		s.sorted = append(s.sorted, u)
 	}
-	slices.SortFunc(s.order, func(x, y *upstream) int { return strings.Compare(x.vm.ID, y.vm.ID) })
+	slices.SortFunc(s.sorted, func(x, y *upstream) int { return strings.Compare(x.vm.ID, y.vm.ID) })
 }
 
-func (s *State) replied(e Replied) {
-	s.out--
+func (s *State) applyReply(e Replied) {
+	s.inFlight--
 	u := s.upstreams[e.VM]
 	if u == nil {
 		return
 	}
-	u.calling = false
+	u.inFlight = false
 	if e.Order.Token != s.token {
 		return // of a former holding
 	}
-	u.asked = true
+	u.queried = true
 	if e.Err != nil && e.Err.Reason == verdict.ReasonFenced {
 		s.token = 0 // another holds the lease
 		return
 	}
-	u.reached = e.Err == nil
+	u.reachable = e.Err == nil
 	if e.Err != nil {
 		// An order whose answer was lost may have been taken: it stays pending
 		// until the upstream has been asked.
 		u.managed = e.Err.Reason != verdict.ReasonNoOrders
-		u.next = e.Now.Add(askFailed)
+		u.nextQuery = e.Now.Add(queryRetryDelay)
 		return
 	}
 	u.managed, u.pending, u.status = true, false, e.Status
 	switch e.Status.Phase {
 	case wire.PhaseDraining, wire.PhaseReady, wire.PhaseRunning:
-		u.next = e.Now.Add(askRunning)
+		u.nextQuery = e.Now.Add(busyQueryInterval)
 	case wire.PhaseFailed:
 		u.failedAt = e.Now
-		u.next = e.Now.Add(retryFailed)
+		u.nextQuery = e.Now.Add(orderRetryDelay)
 	default:
-		u.next = e.Now.Add(askIdle)
+		u.nextQuery = e.Now.Add(idleQueryInterval)
 	}
 }
 
@@ -201,39 +201,39 @@
 	if s.token == 0 {
 		return nil
 	}
-	s.fence(now)
+	s.updateFenced(now)
 	if !s.fenced {
-		return s.ask(now)
+		return s.query(now)
 	}
 	// Orders go first: an upstream that is being asked is given none.
 	orders := s.rollOut(now)
-	return append(orders, s.ask(now)...)
+	return append(orders, s.query(now)...)
 }
 
-// fence waits until every upstream has been asked under the token. From then
+// updateFenced waits until every upstream has been asked under the token. From then
 // on no order of a former holder is taken any more, and what one has ordered
 // just before is known to be running. Only then does the time run until the
 // weight store allows a load: a former holder may have used what it allows.
-func (s *State) fence(now time.Time) {
+func (s *State) updateFenced(now time.Time) {
 	if s.fenced {
 		return
 	}
 	for _, u := range s.upstreams {
-		if !u.asked {
+		if !u.queried {
 			return
 		}
 	}
 	s.fenced = true
-	s.nextLoad = now.Add(s.loadEvery)
+	s.nextLoad = now.Add(s.loadInterval)
 }
 
-func (s *State) ask(now time.Time) []Send {
+func (s *State) query(now time.Time) []Send {
 	var sends []Send
-	for _, u := range s.order {
-		if s.out >= asksAtOnce {
+	for _, u := range s.sorted {
+		if s.inFlight >= maxQueriesInFlight {
 			break
 		}
-		if u.calling || now.Before(u.next) {
+		if u.inFlight || now.Before(u.nextQuery) {
 			continue
 		}
 		sends = append(sends, s.send(u, wire.Order{Token: s.token, Action: wire.OrderQuery}))
@@ -242,8 +242,8 @@
 }
 
 func (s *State) send(u *upstream, o wire.Order) Send {
-	u.calling = true
+	u.inFlight = true
 	u.pending = o.Action != wire.OrderQuery
-	s.out++
+	s.inFlight++
 	return Send{VM: u.vm, Order: o}
 }
--- a/internal/controller/sweep_test.go
+++ b/internal/controller/sweep_test.go
@@ -13,7 +13,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-const claimsHeld = 600 // more than a page
+const claimCount = 600 // more than a page
 
 func claimRef(i int) topo.Ref {
 	return topo.Ref{Kind: topo.KindClaim, Name: fmt.Sprintf("%03d", i)}
@@ -21,15 +21,15 @@
 
 // A caller's idempotency key from yesterday is never swept and the store fills
 // up; or one of today is swept, and the booking that it stands for runs twice.
-func TestSweepTakesOnlyWhatIsOld(t *testing.T) {
+func TestSweepDeletesOnlyExpiredObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewObjectAPI()
-		for i := range claimsHeld {
+		for i := range claimCount {
 			keep := 24 * time.Hour
 			if i%2 == 0 {
 				keep = -time.Hour
 			}
-			value, _ := json.Marshal(dated{KeepUntil: time.Now().Add(keep).Unix()})
+			value, _ := json.Marshal(expiring{KeepUntil: time.Now().Add(keep).Unix()})
 			if _, err := s.Put(t.Context(), claimRef(i), value, 0); err != nil {
 				t.Fatal(err)
 			}
@@ -41,11 +41,11 @@
 			Desired: func() Desired { return Desired{} },
 		})
 		go c.Run(ctx)
-		time.Sleep(passEvery + 5*time.Minute)
-		for i := range claimsHeld {
+		time.Sleep(passInterval + 5*time.Minute)
+		for i := range claimCount {
 			_, err := s.Get(t.Context(), claimRef(i))
-			if there := err == nil; there != (i%2 == 1) {
-				t.Errorf("claim %d is there: %v", i, there)
+			if exists := err == nil; exists != (i%2 == 1) {
+				t.Errorf("claim %d is there: %v", i, exists)
 			}
 		}
 		stop()
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -12,13 +12,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// validated is what validate found.
-type validated struct {
+// validationResult is what validate found.
+type validationResult struct {
 	Objects  []topo.Ref        `json:"objects"`
 	Problems []profile.Problem `json:"problems"`
 }
 
-func (v validated) table(w io.Writer) {
+func (v validationResult) table(w io.Writer) {
 	if len(v.Problems) == 0 {
 		fmt.Fprintf(w, "%d objects are valid\n", len(v.Objects))
 	}
@@ -26,7 +26,7 @@
 
 // validate checks files by themselves: what they refer to must be among them.
 func (a *app) validate(context.Context) error {
-	docs, problems, err := read(a.options.Validate.paths())
+	docs, problems, err := readFiles(a.options.Validate.paths())
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 		// With an object missing, those that refer to it would be blamed.
 		problems = profile.CheckReferences(docs, nil)
 	}
-	v := validated{Objects: profile.Refs(docs), Problems: problems}
+	v := validationResult{Objects: profile.Refs(docs), Problems: problems}
 	if err := a.print(v); err != nil {
 		return err
 	}
@@ -44,20 +44,20 @@
 	return nil
 }
 
-// read reads files. None with an object in it is a mistake: a file that a
+// readFiles reads files. None with an object in it is a mistake: a file that a
 // failed command has left empty would otherwise be applied with success.
-func read(paths []string) ([]profile.Document, profile.Problems, error) {
+func readFiles(paths []string) ([]profile.Document, profile.Problems, error) {
 	docs, problems, err := profile.Load(paths...)
 	if err == nil && len(docs)+len(problems) == 0 {
-		err = fail(ExitInvalid, "name files, or directories with .yaml or .yml files", "there is no object in %s", strings.Join(paths, ", "))
+		err = newExitError(ExitInvalid, "name files, or directories with .yaml or .yml files", "there is no object in %s", strings.Join(paths, ", "))
 	}
 	return docs, problems, err
 }
 
-// load reads files and checks them together with the store. It returns the
+// loadEdits reads files and checks them together with the store. It returns the
 // changes that they ask for.
-func (a *app) load(ctx context.Context, paths []string) ([]edit, error) {
-	docs, problems, err := read(paths)
+func (a *app) loadEdits(ctx context.Context, paths []string) ([]edit, error) {
+	docs, problems, err := readFiles(paths)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 		return nil, problems
 	}
 	store := a.newSnapshot()
-	if err := store.expect(ctx, docs); err != nil {
+	if err := store.prefetch(ctx, docs); err != nil {
 		return nil, err
 	}
 	if err := store.checkReferences(ctx, docs); err != nil {
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		edits[i] = edit{base: base, spec: spec, to: d.File}
+		edits[i] = edit{base: base, spec: spec, label: d.File}
 		if err := a.checkBase(ctx, d, edits[i]); err != nil {
 			return nil, err
 		}
@@ -92,8 +92,8 @@
 // checkBase refuses a file that was made from a revision that has been replaced
 // since: applying it would undo another operator's change without a word.
 func (a *app) checkBase(ctx context.Context, d profile.Document, e edit) error {
-	now := e.base.Revision.Change.ID
-	if d.Change == "" || config.ChangeID(d.Change) == now || e.same() {
+	current := e.base.Revision.Change.ID
+	if d.Change == "" || config.ChangeID(d.Change) == current || e.isUnchanged() {
 		return nil
 	}
 	c := change.Conflict{Base: change.StoredObject{Ref: e.base.Ref}, Mine: config.Revision{Spec: e.spec}, Theirs: e.base}
@@ -106,16 +106,16 @@
 			c.Base.Revision = r
 		}
 	}
-	return a.conflict(c, e.to)
+	return a.conflictError(c, e.label)
 }
 
 func (a *app) apply(ctx context.Context) error {
 	o := a.options.Apply
-	edits, err := a.load(ctx, o.paths())
+	edits, err := a.loadEdits(ctx, o.paths())
 	if err != nil {
 		return err
 	}
-	return a.make(ctx, o.changeOptions, edits)
+	return a.applyEdits(ctx, o.changeOptions, edits)
 }
 
 // difference is what an apply would do to one object.
@@ -136,29 +136,29 @@
 }
 
 func (a *app) diff(ctx context.Context) error {
-	edits, err := a.load(ctx, a.options.Diff.paths())
+	edits, err := a.loadEdits(ctx, a.options.Diff.paths())
 	if err != nil {
 		return err
 	}
 	r := differences{Objects: []difference{}}
-	differ := false
+	differs := false
 	for _, e := range edits {
-		one := difference{Ref: e.base.Ref, State: stateUnchanged}
-		if !e.same() {
-			differ = true
-			one.State = appliedState(e)
-			one.Diff, err = diffSpecs(e.base.Ref, e.base.Revision.Spec, e.spec, "in the store", "in "+e.to)
+		d := difference{Ref: e.base.Ref, State: stateUnchanged}
+		if !e.isUnchanged() {
+			differs = true
+			d.State = appliedState(e)
+			d.Diff, err = diffSpecs(e.base.Ref, e.base.Revision.Spec, e.spec, "in the store", "in "+e.label)
 			if err != nil {
 				return err
 			}
 		}
-		r.Objects = append(r.Objects, one)
+		r.Objects = append(r.Objects, d)
 	}
 	if err := a.print(r); err != nil {
 		return err
 	}
-	if differ {
-		return fail(ExitDiffers, "", "the files differ from the store")
+	if differs {
+		return newExitError(ExitDiffers, "", "the files differ from the store")
 	}
 	return nil
 }
@@ -167,22 +167,22 @@
 func (a *app) delete(ctx context.Context) error {
 	o := a.options.Delete
 	ref := topo.Ref(o.Args.Object)
-	base, err := a.existing(ctx, ref)
+	base, err := a.readExisting(ctx, ref)
 	if err != nil {
 		return err
 	}
-	users, err := a.users(ctx, ref)
+	referrers, err := a.referrers(ctx, ref)
 	if err != nil {
 		return err
 	}
-	if len(users) > 0 {
-		return fail(ExitInvalid, "change or delete those first", "%s is used by %s", ref, users)
+	if len(referrers) > 0 {
+		return newExitError(ExitInvalid, "change or delete those first", "%s is used by %s", ref, referrers)
 	}
-	return a.make(ctx, o.changeOptions, []edit{{base: base}})
+	return a.applyEdits(ctx, o.changeOptions, []edit{{base: base}})
 }
 
-// users returns the stored objects that refer to one.
-func (a *app) users(ctx context.Context, ref topo.Ref) ([]topo.Ref, error) {
+// referrers returns the stored objects that refer to one.
+func (a *app) referrers(ctx context.Context, ref topo.Ref) ([]topo.Ref, error) {
 	var kind topo.Kind
 	switch ref.Kind {
 	case topo.KindPool:
@@ -196,20 +196,20 @@
 	if err != nil {
 		return nil, err
 	}
-	var users []topo.Ref
+	var referrers []topo.Ref
 	for _, c := range objects {
 		if o, err := profile.Decode(c.Ref, c.Revision.Spec); err == nil && profile.RefersTo(o, ref) {
-			users = append(users, c.Ref)
+			referrers = append(referrers, c.Ref)
 		}
 	}
-	return users, nil
+	return referrers, nil
 }
 
-// existing reads an object that has to exist.
-func (a *app) existing(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
-	now, err := a.editor.Read(ctx, ref)
-	if err == nil && !now.Exists() {
-		err = fail(ExitNotFound, fmt.Sprintf("see 'parsleyctl list %s'", ref.Kind), "%s does not exist", ref)
+// readExisting reads an object that has to exist.
+func (a *app) readExisting(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
+	current, err := a.editor.Read(ctx, ref)
+	if err == nil && !current.Exists() {
+		err = newExitError(ExitNotFound, fmt.Sprintf("see 'parsleyctl list %s'", ref.Kind), "%s does not exist", ref)
 	}
-	return now, err
+	return current, err
 }
--- a/internal/ctl/bench_test.go
+++ b/internal/ctl/bench_test.go
@@ -18,17 +18,17 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// promptNode is a router that has every change in force at once.
-type promptNode struct{ vms func() []topo.VM }
+// upToDateNode is a router that has every change in force at once.
+type upToDateNode struct{ vms func() []topo.VM }
 
-func (promptNode) Status(bool) admin.Status                             { return admin.Status{} }
-func (promptNode) Changed() <-chan struct{}                             { return nil }
-func (promptNode) Complete() topo.Version                               { return 1 << 60 }
-func (promptNode) Rejected() []topo.Ref                                 { return nil }
-func (promptNode) Refresh()                                             {}
-func (n promptNode) VMs() []topo.VM                                     { return n.vms() }
-func (promptNode) InForce(topo.Ref) admin.InForce                       { return admin.InForce{Version: 1 << 60} }
-func (promptNode) Explain(admin.Query) (e admin.Explanation, err error) { return e, err }
+func (upToDateNode) Status(bool) admin.Status                             { return admin.Status{} }
+func (upToDateNode) Changed() <-chan struct{}                             { return nil }
+func (upToDateNode) Complete() topo.Version                               { return 1 << 60 }
+func (upToDateNode) Rejected() []topo.Ref                                 { return nil }
+func (upToDateNode) Refresh()                                             {}
+func (n upToDateNode) VMs() []topo.VM                                     { return n.vms() }
+func (upToDateNode) InForce(topo.Ref) admin.InForce                       { return admin.InForce{Version: 1 << 60} }
+func (upToDateNode) Explain(admin.Query) (e admin.Explanation, err error) { return e, err }
 
 // counts wraps a handler and counts its calls and the bytes of bodies.
 type counts struct{ calls, bytes atomic.Int64 }
@@ -73,7 +73,7 @@
 					b.Fatal(code, errOut.String())
 				}
 			}
-			for i := range historyFull {
+			for i := range historyLimit {
 				run(100 + i) // until the history is as long as it gets
 			}
 			store, routers = counts{}, counts{}
@@ -89,8 +89,8 @@
 	}
 }
 
-// historyFull is more changes than an object's history keeps.
-const historyFull = 25
+// historyLimit is more changes than an object's history keeps.
+const historyLimit = 25
 
 // startPlatform starts a platform with n listed routers. It returns its URL and
 // the address of one router.
@@ -100,7 +100,7 @@
 	standin.NewObjectAPI().Register(mux)
 	list.Register(mux)
 	var vms []topo.VM
-	node := promptNode{vms: func() []topo.VM { return vms }}
+	node := upToDateNode{vms: func() []topo.VM { return vms }}
 	for i := range n {
 		vm := topo.VM{ID: fmt.Sprintf("entry-%d", i), Role: topo.RoleRouter}
 		server := httptest.NewServer(routers.wrap(admin.NewServer(admin.Config{VM: vm.ID, Node: node})))
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -16,13 +16,13 @@
 
 // edit is a change to be made, with what the store has now.
 type edit struct {
-	base change.StoredObject
-	spec json.RawMessage // nil deletes
-	to   string          // what the new content is called in a diff
+	base  change.StoredObject
+	spec  json.RawMessage // nil deletes
+	label string          // what the new content is called in a diff
 }
 
-// same reports whether the store has that content already.
-func (e edit) same() bool {
+// isUnchanged reports whether the store has that content already.
+func (e edit) isUnchanged() bool {
 	if e.spec == nil || !e.base.Exists() {
 		return e.spec == nil && !e.base.Exists()
 	}
@@ -54,8 +54,8 @@
 	stateSkipped   state = "skipped" // not tried, because one before it ended badly
 )
 
-// applied is what became of one object.
-type applied struct {
+// objectResult is what became of one object.
+type objectResult struct {
 	topo.Ref
 	State   state           `json:"state"`
 	Version topo.Version    `json:"version,omitempty"`
@@ -63,15 +63,15 @@
 	Error   string          `json:"error,omitempty"`
 }
 
-func (a applied) changed() bool {
+func (a objectResult) changed() bool {
 	return a.State == stateCreated || a.State == stateUpdated || a.State == stateDeleted
 }
 
 // applyResult is what became of an apply.
 type applyResult struct {
-	Objects []applied `json:"objects"`
-	Key     *newKey   `json:"key,omitempty"`      // of key add
-	InForce *inForce  `json:"in_force,omitempty"` // with --wait
+	Objects []objectResult `json:"objects"`
+	Key     *newKey        `json:"key,omitempty"`      // of key add
+	InForce *inForceStatus `json:"in_force,omitempty"` // with --wait
 }
 
 func (r applyResult) table(w io.Writer) {
@@ -96,81 +96,81 @@
 	return fmt.Sprint(n)
 }
 
-// rank orders writes so that no object refers to one that is not there yet;
+// writeOrder orders writes so that no object refers to one that is not there yet;
 // deletions go the other way round.
-func rank(k topo.Kind) int {
+func writeOrder(k topo.Kind) int {
 	return slices.Index([]topo.Kind{topo.KindPool, topo.KindProfile, topo.KindOrganisation, topo.KindDrain, topo.KindDomainDrain}, k)
 }
 
-// make makes edits, prints what became of each and waits if asked to.
-func (a *app) make(ctx context.Context, o changeOptions, edits []edit) error {
-	r, failed := a.change(ctx, o, edits)
+// applyEdits makes edits, prints what became of each and waits if asked to.
+func (a *app) applyEdits(ctx context.Context, o changeOptions, edits []edit) error {
+	r, failed := a.commitEdits(ctx, o, edits)
 	if err := a.print(r); err != nil {
 		return err
 	}
 	return failed
 }
 
-// change makes edits one after the other and stops at the first that ends badly.
-func (a *app) change(ctx context.Context, o changeOptions, edits []edit) (applyResult, error) {
-	slices.SortStableFunc(edits, func(x, y edit) int { return cmp.Compare(rank(x.base.Ref.Kind), rank(y.base.Ref.Kind)) })
+// commitEdits makes edits one after the other and stops at the first that ends badly.
+func (a *app) commitEdits(ctx context.Context, o changeOptions, edits []edit) (applyResult, error) {
+	slices.SortStableFunc(edits, func(x, y edit) int { return cmp.Compare(writeOrder(x.base.Ref.Kind), writeOrder(y.base.Ref.Kind)) })
 	var r applyResult
 	var failed error
 	for _, e := range edits {
 		if failed != nil {
-			r.Objects = append(r.Objects, applied{Ref: e.base.Ref, State: stateSkipped})
+			r.Objects = append(r.Objects, objectResult{Ref: e.base.Ref, State: stateSkipped})
 			continue
 		}
-		var one applied
-		one, failed = a.makeOne(ctx, o, e)
-		r.Objects = append(r.Objects, one)
+		var obj objectResult
+		obj, failed = a.commitEdit(ctx, o, e)
+		r.Objects = append(r.Objects, obj)
 	}
 	if failed == nil && o.Wait {
-		r.InForce, failed = a.await(ctx, o.WaitTimeout, r.Objects)
+		r.InForce, failed = a.awaitInForce(ctx, o.WaitTimeout, r.Objects)
 	}
-	return r, partial(r, failed)
+	return r, partialFailure(r, failed)
 }
 
-// partial turns the failure of one object into that of the whole when others
+// partialFailure turns the failure of one object into that of the whole when others
 // have been changed already.
-func partial(r applyResult, failed error) error {
-	if failed == nil || !slices.ContainsFunc(r.Objects, applied.changed) {
+func partialFailure(r applyResult, failed error) error {
+	if failed == nil || !slices.ContainsFunc(r.Objects, objectResult.changed) {
 		return failed
 	}
 	if code, _ := classify(failed); code == ExitUnknown || code == ExitNotInForce {
 		return failed
 	}
-	return fail(ExitPartial, "what is listed as created, updated or deleted is in the store; mend the rest and apply again", "%s", failed)
+	return newExitError(ExitPartial, "what is listed as created, updated or deleted is in the store; mend the rest and apply again", "%s", failed)
 }
 
-func (a *app) makeOne(ctx context.Context, o changeOptions, e edit) (applied, error) {
-	one := applied{Ref: e.base.Ref, Version: e.base.Version, Change: e.base.Revision.Change.ID, State: stateUnchanged}
-	if e.same() {
-		return one, nil
+func (a *app) commitEdit(ctx context.Context, o changeOptions, e edit) (objectResult, error) {
+	obj := objectResult{Ref: e.base.Ref, Version: e.base.Version, Change: e.base.Revision.Change.ID, State: stateUnchanged}
+	if e.isUnchanged() {
+		return obj, nil
 	}
-	bounded, cancel := context.WithTimeout(ctx, a.options.Timeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, a.options.Timeout)
 	defer cancel()
-	result := a.editor.Commit(bounded, change.Edit{Base: e.base, Spec: e.spec, Author: a.author(), Reason: o.Reason})
-	one.Version, one.Change = result.Version, result.Change.ID
+	result := a.editor.Commit(timeoutCtx, change.Edit{Base: e.base, Spec: e.spec, Author: a.author(), Reason: o.Reason})
+	obj.Version, obj.Change = result.Version, result.Change.ID
 	switch {
 	case result.Outcome == change.Applied:
-		one.State = appliedState(e)
+		obj.State = appliedState(e)
 		if result.Superseded {
-			a.note("warning: %s has been changed again by another operator since", e.base.Ref)
+			a.notef("warning: %s has been changed again by another operator since", e.base.Ref)
 		}
-		return one, nil
+		return obj, nil
 	case result.Outcome == change.Unknown:
-		one.State, one.Error = stateUnknown, fmt.Sprint(result.Cause)
-		return one, fail(ExitUnknown,
-			fmt.Sprintf("look for change %s in 'parsleyctl history %s'; applying the same content again is safe", one.Change, e.base.Ref),
-			"%s: it is unknown whether the change took effect: %s", e.base.Ref, one.Error)
+		obj.State, obj.Error = stateUnknown, fmt.Sprint(result.Cause)
+		return obj, newExitError(ExitUnknown,
+			fmt.Sprintf("look for change %s in 'parsleyctl history %s'; applying the same content again is safe", obj.Change, e.base.Ref),
+			"%s: it is unknown whether the change took effect: %s", e.base.Ref, obj.Error)
 	case result.Conflict != nil:
-		one.State = stateConflict
-		return one, a.conflict(*result.Conflict, e.to)
+		obj.State = stateConflict
+		return obj, a.conflictError(*result.Conflict, e.label)
 	default:
-		one.State, one.Error = stateFailed, fmt.Sprint(result.Cause)
+		obj.State, obj.Error = stateFailed, fmt.Sprint(result.Cause)
 		code, advice := classify(result.Cause)
-		return one, fail(code, advice, "%s was not changed: %s", e.base.Ref, one.Error)
+		return obj, newExitError(code, advice, "%s was not changed: %s", e.base.Ref, obj.Error)
 	}
 }
 
@@ -185,10 +185,10 @@
 	}
 }
 
-// conflict shows what both operators did to what they had in common.
-func (a *app) conflict(c change.Conflict, mine string) error {
+// conflictError shows what both operators did to what they had in common.
+func (a *app) conflictError(c change.Conflict, mine string) error {
 	ref, base := c.Base.Ref, c.Base.Revision.Spec
-	theirs, err := diffSpecs(ref, base, c.Theirs.Revision.Spec, "before", "as changed by "+by(c.Theirs.Revision.Change))
+	theirs, err := diffSpecs(ref, base, c.Theirs.Revision.Spec, "before", "as changed by "+authorLabel(c.Theirs.Revision.Change))
 	if err != nil {
 		return err
 	}
@@ -197,13 +197,13 @@
 		return err
 	}
 	fmt.Fprintf(a.errOut, "%s%s", theirs, own)
-	return fail(ExitConflict,
+	return newExitError(ExitConflict,
 		fmt.Sprintf("see 'parsleyctl get %s', bring both changes together and apply again", ref),
 		"%s was changed by another operator at the same time; your change was not made", ref)
 }
 
-// by names who made a change.
-func by(c config.Change) string {
+// authorLabel names who made a change.
+func authorLabel(c config.Change) string {
 	if c.Author == "" {
 		return "change " + string(c.ID)
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -80,7 +80,7 @@
 	}
 	if err := a.dispatch(ctx, commandName(parser.Command)); err != nil {
 		code, advice := classify(err)
-		a.complain(err, advice)
+		a.printError(err, advice)
 		return code
 	}
 	return ExitOK
@@ -100,23 +100,23 @@
 		if h.name != name {
 			continue
 		}
-		if err := a.connect(); err != nil {
+		if err := a.configureClients(); err != nil {
 			return err
 		}
 		if h.platform && a.http == nil {
-			return fail(ExitUsage, "set --platform or PARSLEYCTL_PLATFORM", "%s needs the platform's URL", name)
+			return newExitError(ExitUsage, "set --platform or PARSLEYCTL_PLATFORM", "%s needs the platform's URL", name)
 		}
 		return h.run(a, ctx)
 	}
-	return fail(ExitUsage, "", "no command %q", name)
+	return newExitError(ExitUsage, "", "no command %q", name)
 }
 
-// connect prepares the calls of the platform and of routers.
-func (a *app) connect() error {
+// configureClients prepares the calls of the platform and of routers.
+func (a *app) configureClients() error {
 	if file := a.options.AdminToken; file != "" {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			return fail(ExitUsage, "", "--admin-token-file: %s", err)
+			return newExitError(ExitUsage, "", "--admin-token-file: %s", err)
 		}
 		a.token = strings.TrimSpace(string(text))
 	}
@@ -127,23 +127,23 @@
 	if file := a.options.PlatformCA; file != "" {
 		client, err := secure.NewPlatformTLS(file)
 		if err != nil {
-			return fail(ExitUsage, "", "--platform-ca: %s", err)
+			return newExitError(ExitUsage, "", "--platform-ca: %s", err)
 		}
 		a.http.WithTLS(client.Config)
 	}
-	a.editor = change.NewEditor(patientStore{a.http})
+	a.editor = change.NewEditor(retryingStore{a.http})
 	return nil
 }
 
-func (a *app) complain(err error, advice string) {
+func (a *app) printError(err error, advice string) {
 	fmt.Fprintf(a.errOut, "%s: %s\n", program, err)
 	if advice != "" {
 		fmt.Fprintf(a.errOut, "advice: %s\n", advice)
 	}
 }
 
-// note tells the operator something that is not part of the result.
-func (a *app) note(format string, args ...any) {
+// notef tells the operator something that is not part of the result.
+func (a *app) notef(format string, args ...any) {
 	fmt.Fprintf(a.errOut, format+"\n", args...)
 }
 
--- a/internal/ctl/docs_test.go
+++ b/internal/ctl/docs_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/profile"
 )
 
-func page(t *testing.T, name string) string {
+func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../docs/operators/" + name)
 	if err != nil {
@@ -22,7 +22,7 @@
 // An operator looks up a command or an exit code at night and the page does not
 // know it.
 func TestPageNamesEachCommandAndExitCode(t *testing.T) {
-	text := page(t, "parsleyctl.md")
+	text := readPage(t, "parsleyctl.md")
 	for _, h := range handlers {
 		if !strings.Contains(text, "`"+h.name) {
 			t.Errorf("parsleyctl.md does not name the command %q", h.name)
@@ -37,7 +37,7 @@
 
 // The same for a field of a file.
 func TestPageNamesEachField(t *testing.T) {
-	text := page(t, "profiles.md")
+	text := readPage(t, "profiles.md")
 	for _, kind := range profile.Kinds {
 		checkFields(t, text, "", reflect.TypeOf(profile.New(kind)).Elem())
 	}
--- a/internal/ctl/document_test.go
+++ b/internal/ctl/document_test.go
@@ -10,7 +10,7 @@
 // An operator edits what get has printed and applies it. A version such as 1.10
 // or a model named null must come back as the text that it is, not as a number
 // or as nothing: the upstreams would load another version.
-func TestDocumentComesBackAsItWas(t *testing.T) {
+func TestDocumentRoundTrip(t *testing.T) {
 	for _, text := range []string{"1", "1.10", "0x1f", "1e5", "true", "null", "~", "2026-03-01", "a:b", "#x", "-", "*a", "&a", "!t", "[", "{", "'", `"`, "%x", "@x", "|", ">", "?", "no", "=", ".inf", ".nan", "-.Inf", "1_000", "0o7", "+1", "1:30"} {
 		pool := profile.New(topo.KindPool).(*profile.Pool)
 		pool.Name, pool.Model, pool.Version, pool.Adapters = "p", text, text, []string{text}
--- a/internal/ctl/drain.go
+++ b/internal/ctl/drain.go
@@ -12,17 +12,17 @@
 func (c drainCommand) order() (profile.Object, error) {
 	switch {
 	case c.Domain != "" && c.Args.VM != "":
-		return nil, fail(ExitUsage, "name one of the two", "both a VM and a failure domain are named")
+		return nil, newExitError(ExitUsage, "name one of the two", "both a VM and a failure domain are named")
 	case c.Domain != "":
 		return &profile.DomainDrain{Name: c.Domain, Reason: c.Reason}, nil
 	case c.Args.VM != "":
 		return &profile.Drain{Name: c.Args.VM, Reason: c.Reason}, nil
 	}
-	return nil, fail(ExitUsage, "name a VM, or a failure domain with --failure-domain", "nothing is named")
+	return nil, newExitError(ExitUsage, "name a VM, or a failure domain with --failure-domain", "nothing is named")
 }
 
-// concerns reports whether the command is about a VM of the platform's list.
-func (c drainCommand) concerns(vm topo.VM) bool {
+// matches reports whether the command is about a VM of the platform's list.
+func (c drainCommand) matches(vm topo.VM) bool {
 	if c.Domain != "" {
 		return vm.FailureDomain == c.Domain
 	}
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(vms.Entries, o.concerns) {
-		return fail(ExitNotFound, "see 'parsleyctl status --upstreams'; the list of VMs lags by some seconds", "the platform lists no VM for %s", order.Ref())
+	if !slices.ContainsFunc(vms.Entries, o.matches) {
+		return newExitError(ExitNotFound, "see 'parsleyctl status --upstreams'; the list of VMs lags by some seconds", "the platform lists no VM for %s", order.Ref())
 	}
 	if problems := profile.Check(order); len(problems) > 0 {
 		return problems
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	return a.make(ctx, o.changeOptions, []edit{{base: base, spec: spec, to: "as ordered"}})
+	return a.applyEdits(ctx, o.changeOptions, []edit{{base: base, spec: spec, label: "as ordered"}})
 }
 
 // undrain takes a drain order back.
@@ -64,9 +64,9 @@
 	if err != nil {
 		return err
 	}
-	base, err := a.existing(ctx, order.Ref())
+	base, err := a.readExisting(ctx, order.Ref())
 	if err != nil {
 		return err
 	}
-	return a.make(ctx, o.changeOptions, []edit{{base: base}})
+	return a.applyEdits(ctx, o.changeOptions, []edit{{base: base}})
 }
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -46,7 +46,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-func fail(code Code, advice, format string, args ...any) error {
+func newExitError(code Code, advice, format string, args ...any) error {
 	return &exitError{code: code, err: errors.Errorf(format, args...), advice: advice}
 }
 
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -25,7 +25,7 @@
 func (a *app) explain(ctx context.Context) error {
 	o := a.options.Explain
 	if (o.Model == "") == (o.Service == "") {
-		return fail(ExitUsage, "", "write --model for a chat or --service for a plain service")
+		return newExitError(ExitUsage, "", "write --model for a chat or --service for a plain service")
 	}
 	routers, err := a.routers(ctx)
 	if err != nil {
@@ -35,7 +35,7 @@
 		Organisation: o.Organisation, Profile: o.Profile, Model: o.Model, Service: o.Service,
 		Method: o.Method, Path: o.Path, Session: o.Session, Ticket: o.Ticket,
 	}
-	e, err := askAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.Explanation, error) {
+	e, err := queryAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.Explanation, error) {
 		return c.Explain(ctx, q)
 	})
 	if err != nil {
--- a/internal/ctl/get.go
+++ b/internal/ctl/get.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-func view(c change.StoredObject) object {
+func newObject(c change.StoredObject) object {
 	return object{Kind: c.Ref.Kind, Name: c.Ref.Name, Version: c.Version, Change: &c.Revision.Change, Spec: c.Revision.Spec}
 }
 
@@ -26,15 +26,15 @@
 
 // get prints an object; as YAML and as a table it is a file for apply.
 func (a *app) get(ctx context.Context) error {
-	now, err := a.existing(ctx, topo.Ref(a.options.Get.Args.Object))
+	current, err := a.readExisting(ctx, topo.Ref(a.options.Get.Args.Object))
 	if err != nil {
 		return err
 	}
 	if a.options.Output == formatYAML {
-		view(now).table(a.out)
+		newObject(current).table(a.out)
 		return nil
 	}
-	return a.print(view(now))
+	return a.print(newObject(current))
 }
 
 // listing is the objects of a kind.
@@ -56,32 +56,32 @@
 	}
 	l := listing{Objects: make([]object, len(objects))}
 	for i, o := range objects {
-		l.Objects[i] = view(o)
+		l.Objects[i] = newObject(o)
 	}
 	return a.print(l)
 }
 
-// changes is the history of an object, the newest first.
-type changes struct {
+// historyResult is the history of an object, the newest first.
+type historyResult struct {
 	topo.Ref
-	Changes []changeLine `json:"changes"`
+	Changes []historyEntry `json:"changes"`
 }
 
-// changeLine is one revision of an object.
-type changeLine struct {
+// historyEntry is one revision of an object.
+type historyEntry struct {
 	config.Change
 	Deleted bool   `json:"deleted,omitempty"`
 	Diff    string `json:"diff,omitempty"` // from the one before
 }
 
-func (c changes) table(w io.Writer) {
+func (c historyResult) table(w io.Writer) {
 	fmt.Fprintln(w, "CHANGE\tTIME\tBY\tREASON")
-	for _, line := range c.Changes {
-		reason := line.Reason
-		if line.Deleted {
+	for _, entry := range c.Changes {
+		reason := entry.Reason
+		if entry.Deleted {
 			reason = "(deleted) " + reason
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", line.ID, line.Time.Format(time.RFC3339), line.Author, reason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", entry.ID, entry.Time.Format(time.RFC3339), entry.Author, reason)
 	}
 }
 
@@ -91,31 +91,31 @@
 	if err != nil {
 		return err
 	}
-	r := changes{Ref: ref}
+	r := historyResult{Ref: ref}
 	for i, rev := range revisions {
-		line := changeLine{Change: rev.Change, Deleted: rev.Deleted()}
+		entry := historyEntry{Change: rev.Change, Deleted: rev.Deleted()}
 		if i+1 < len(revisions) {
-			line.Diff, err = diffSpecs(ref, revisions[i+1].Spec, rev.Spec, "before", "after")
+			entry.Diff, err = diffSpecs(ref, revisions[i+1].Spec, rev.Spec, "before", "after")
 			if err != nil {
 				return err
 			}
 		}
-		r.Changes = append(r.Changes, line)
+		r.Changes = append(r.Changes, entry)
 	}
 	return a.print(r)
 }
 
 // revisions reads an object with its history. A deleted object has one too.
 func (a *app) revisions(ctx context.Context, ref topo.Ref) (change.StoredObject, []config.Revision, error) {
-	now, err := a.editor.Read(ctx, ref)
+	current, err := a.editor.Read(ctx, ref)
 	if err != nil {
-		return now, nil, err
+		return current, nil, err
 	}
-	if now.Version == 0 {
-		return now, nil, fail(ExitNotFound, fmt.Sprintf("see 'parsleyctl list %s'", ref.Kind), "%s has never existed", ref)
+	if current.Version == 0 {
+		return current, nil, newExitError(ExitNotFound, fmt.Sprintf("see 'parsleyctl list %s'", ref.Kind), "%s has never existed", ref)
 	}
-	revisions, err := a.editor.History(ctx, now)
-	return now, revisions, err
+	revisions, err := a.editor.History(ctx, current)
+	return current, revisions, err
 }
 
 // rollback makes a new revision with the content of a former one. It is checked
@@ -123,24 +123,24 @@
 func (a *app) rollback(ctx context.Context) error {
 	o := a.options.Rollback
 	ref := topo.Ref(o.Args.Object)
-	now, revisions, err := a.revisions(ctx, ref)
+	current, revisions, err := a.revisions(ctx, ref)
 	if err != nil {
 		return err
 	}
-	former, err := pick(ref, revisions, config.ChangeID(o.To))
+	former, err := findRevision(ref, revisions, config.ChangeID(o.To))
 	if err != nil {
 		return err
 	}
 	if o.Reason == "" {
 		o.Reason = "rollback to " + string(former.Change.ID)
 	}
-	if err := a.checkFormer(ctx, ref, former); err != nil {
+	if err := a.checkRevision(ctx, ref, former); err != nil {
 		return err
 	}
-	return a.make(ctx, o.changeOptions, []edit{{base: now, spec: former.Spec, to: "as in change " + string(former.Change.ID)}})
+	return a.applyEdits(ctx, o.changeOptions, []edit{{base: current, spec: former.Spec, label: "as in change " + string(former.Change.ID)}})
 }
 
-func (a *app) checkFormer(ctx context.Context, ref topo.Ref, former config.Revision) error {
+func (a *app) checkRevision(ctx context.Context, ref topo.Ref, former config.Revision) error {
 	o, err := profile.Decode(ref, former.Spec)
 	if err != nil {
 		return err
@@ -148,16 +148,16 @@
 	return a.newSnapshot().checkReferences(ctx, []profile.Document{{Object: o}})
 }
 
-// pick returns the revision with an id, or the last one before the present one
+// findRevision returns the revision with an id, or the last one before the present one
 // that is not a deletion.
-func pick(ref topo.Ref, revisions []config.Revision, id config.ChangeID) (config.Revision, error) {
+func findRevision(ref topo.Ref, revisions []config.Revision, id config.ChangeID) (config.Revision, error) {
 	for i, r := range revisions {
 		if r.Change.ID == id || id == "" && i > 0 && !r.Deleted() {
 			if r.Deleted() {
-				return r, fail(ExitInvalid, fmt.Sprintf("use 'parsleyctl delete %s'", ref), "change %s deleted %s", id, ref)
+				return r, newExitError(ExitInvalid, fmt.Sprintf("use 'parsleyctl delete %s'", ref), "change %s deleted %s", id, ref)
 			}
 			return r, nil
 		}
 	}
-	return config.Revision{}, fail(ExitNotFound, fmt.Sprintf("see 'parsleyctl history %s'", ref), "%s has no such former revision", ref)
+	return config.Revision{}, newExitError(ExitNotFound, fmt.Sprintf("see 'parsleyctl history %s'", ref), "%s has no such former revision", ref)
 }
--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -25,14 +25,14 @@
 	fmt.Fprintf(w, "key\t%s\nsha256\t%s\n", k.Key, k.SHA256)
 }
 
-// drawKey makes a key of at least 128 random bits.
-func drawKey() newKey {
+// generateKey makes a key of at least 128 random bits.
+func generateKey() newKey {
 	key := keyPrefix + rand.Text()
 	return newKey{Key: key, SHA256: profile.HashKey(key)}
 }
 
 func (a *app) keyNew(context.Context) error {
-	return a.print(drawKey())
+	return a.print(generateKey())
 }
 
 // keyAdd stores the hash of a new key and prints the key, unless it is certain
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	key := drawKey()
+	key := generateKey()
 	org.Keys = append(org.Keys, profile.APIKey{ID: o.Args.ID, SHA256: key.SHA256})
 	if problems := profile.Check(org); len(problems) > 0 {
 		return problems
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	r, failed := a.change(ctx, o.changeOptions, []edit{e})
+	r, failed := a.commitEdits(ctx, o.changeOptions, []edit{e})
 	if r.Objects[0].changed() || r.Objects[0].State == stateUnknown {
 		r.Key = &key
 	}
@@ -69,25 +69,25 @@
 	if err != nil {
 		return err
 	}
-	left := slices.DeleteFunc(slices.Clone(org.Keys), func(k profile.APIKey) bool { return k.ID == o.Args.ID })
-	if len(left) == len(org.Keys) {
-		return fail(ExitNotFound, fmt.Sprintf("see 'parsleyctl get %s'", org.Ref()), "%s has no key %q", org.Ref(), o.Args.ID)
+	remaining := slices.DeleteFunc(slices.Clone(org.Keys), func(k profile.APIKey) bool { return k.ID == o.Args.ID })
+	if len(remaining) == len(org.Keys) {
+		return newExitError(ExitNotFound, fmt.Sprintf("see 'parsleyctl get %s'", org.Ref()), "%s has no key %q", org.Ref(), o.Args.ID)
 	}
-	org.Keys = left
+	org.Keys = remaining
 	e, err := keysEdit(base, org)
 	if err != nil {
 		return err
 	}
-	return a.make(ctx, o.changeOptions, []edit{e})
+	return a.applyEdits(ctx, o.changeOptions, []edit{e})
 }
 
 func keysEdit(base change.StoredObject, org *profile.Organisation) (edit, error) {
 	spec, err := profile.Encode(org)
-	return edit{base: base, spec: spec, to: "with its keys changed"}, err
+	return edit{base: base, spec: spec, label: "with its keys changed"}, err
 }
 
 func (a *app) organisation(ctx context.Context, name string) (change.StoredObject, *profile.Organisation, error) {
-	base, err := a.existing(ctx, topo.Ref{Kind: topo.KindOrganisation, Name: name})
+	base, err := a.readExisting(ctx, topo.Ref{Kind: topo.KindOrganisation, Name: name})
 	if err != nil {
 		return base, nil, err
 	}
--- a/internal/ctl/neighbours.go
+++ b/internal/ctl/neighbours.go
@@ -8,9 +8,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// listOver is how many objects of a kind are read one by one. For more a
+// listThreshold is how many objects of a kind are read one by one. For more a
 // listing, of some hundred objects a page, costs fewer calls.
-const listOver = 20
+const listThreshold = 20
 
 // snapshot is objects as the store had them, each read once.
 type snapshot struct {
@@ -23,12 +23,12 @@
 	return &snapshot{app: a, objects: make(map[topo.Ref]change.StoredObject), listed: make(map[topo.Kind]bool)}
 }
 
-// expect lists the kinds of which very many objects will be read.
-func (s *snapshot) expect(ctx context.Context, docs []profile.Document) error {
+// prefetch lists the kinds of which very many objects will be read.
+func (s *snapshot) prefetch(ctx context.Context, docs []profile.Document) error {
 	count := make(map[topo.Kind]int)
 	for _, d := range docs {
 		kind := d.Object.Ref().Kind
-		if count[kind]++; count[kind] == listOver+1 {
+		if count[kind]++; count[kind] == listThreshold+1 {
 			if err := s.list(ctx, kind); err != nil {
 				return err
 			}
@@ -39,15 +39,15 @@
 
 // read returns an object; one that does not exist is no error.
 func (s *snapshot) read(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
-	if now, ok := s.objects[ref]; ok {
-		return now, nil
+	if current, ok := s.objects[ref]; ok {
+		return current, nil
 	}
 	// A listing leaves out deleted objects, whose versions are needed.
-	now, err := s.app.editor.Read(ctx, ref)
+	current, err := s.app.editor.Read(ctx, ref)
 	if err == nil {
-		s.objects[ref] = now
+		s.objects[ref] = current
 	}
-	return now, err
+	return current, err
 }
 
 // list reads all objects of a kind. What has been read before stays.
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// around reads what a check of docs needs of the store: the objects that docs
+// readRelated reads what a check of docs needs of the store: the objects that docs
 // refer to, and those that could be broken by docs. A store holds very many
 // organisations, and most changes concern few.
-func (s *snapshot) around(ctx context.Context, docs []profile.Document) error {
+func (s *snapshot) readRelated(ctx context.Context, docs []profile.Document) error {
 	for _, d := range docs {
 		var err error
 		switch o := d.Object.(type) {
@@ -80,7 +80,7 @@
 		case *profile.Pool:
 			err = s.list(ctx, topo.KindProfile)
 		case *profile.Organisation:
-			err = s.aroundOrganisation(ctx, o)
+			err = s.readRelatedToOrganisation(ctx, o)
 		}
 		if err != nil {
 			return err
@@ -89,14 +89,14 @@
 	return nil
 }
 
-func (s *snapshot) aroundOrganisation(ctx context.Context, o *profile.Organisation) error {
+func (s *snapshot) readRelatedToOrganisation(ctx context.Context, o *profile.Organisation) error {
 	for _, name := range o.Profiles {
 		if _, err := s.read(ctx, topo.Ref{Kind: topo.KindProfile, Name: name}); err != nil {
 			return err
 		}
 	}
-	now, err := s.read(ctx, o.Ref())
-	if err != nil || !hasNewKey(o, now) {
+	current, err := s.read(ctx, o.Ref())
+	if err != nil || !hasNewKey(o, current) {
 		return err
 	}
 	// Only a new key can be another organisation's.
@@ -104,9 +104,9 @@
 }
 
 // hasNewKey reports whether o has a key that the stored object has not.
-func hasNewKey(o *profile.Organisation, now change.StoredObject) bool {
+func hasNewKey(o *profile.Organisation, current change.StoredObject) bool {
 	known := make(map[string]bool)
-	if stored, err := profile.Decode(now.Ref, now.Revision.Spec); err == nil {
+	if stored, err := profile.Decode(current.Ref, current.Revision.Spec); err == nil {
 		for _, k := range stored.(*profile.Organisation).Keys {
 			known[k.SHA256] = true
 		}
@@ -119,16 +119,16 @@
 	return false
 }
 
-// set returns the objects that exist and are valid. Routers refuse the others.
-func (s *snapshot) set() profile.Set {
+// validObjects returns the objects that exist and are valid. Routers refuse the others.
+func (s *snapshot) validObjects() profile.Set {
 	set := make(profile.Set, len(s.objects))
-	for ref, now := range s.objects {
-		if !now.Exists() {
+	for ref, current := range s.objects {
+		if !current.Exists() {
 			continue
 		}
-		o, err := profile.Decode(ref, now.Revision.Spec)
+		o, err := profile.Decode(ref, current.Revision.Spec)
 		if err != nil {
-			s.app.note("warning: the stored %s is invalid: %s", ref, err)
+			s.app.notef("warning: the stored %s is invalid: %s", ref, err)
 			continue
 		}
 		set[ref] = o
@@ -138,10 +138,10 @@
 
 // checkReferences checks docs together with the store.
 func (s *snapshot) checkReferences(ctx context.Context, docs []profile.Document) error {
-	if err := s.around(ctx, docs); err != nil {
+	if err := s.readRelated(ctx, docs); err != nil {
 		return err
 	}
-	if problems := profile.CheckReferences(docs, s.set()); len(problems) > 0 {
+	if problems := profile.CheckReferences(docs, s.validObjects()); len(problems) > 0 {
 		return problems
 	}
 	return nil
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -16,14 +16,14 @@
 type fleetStatus struct {
 	Version     topo.Version         `json:"version"` // newest configuration that any router has in force
 	Routers     []admin.RouterStatus `json:"routers"`
-	Pools       []poolLine           `json:"pools"`
+	Pools       []poolSummary        `json:"pools"`
 	Quarantined []admin.Quarantined  `json:"quarantined"`
 	Upstreams   *admin.Status        `json:"seen_by,omitempty"` // with --upstreams
 }
 
-// poolLine is a pool as the routers see it. Each sees a sliver of the traffic,
+// poolSummary is a pool as the routers see it. Each sees a sliver of the traffic,
 // so the worst view is shown.
-type poolLine struct {
+type poolSummary struct {
 	admin.PoolStatus
 	SeenBy string `json:"seen_by"` // router with the highest skew
 }
@@ -33,16 +33,16 @@
 	if err != nil {
 		return err
 	}
-	fleet, err := askAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.FleetStatus, error) {
+	fleet, err := queryAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.FleetStatus, error) {
 		return c.Fleet(ctx)
 	})
 	if err != nil {
 		return err
 	}
-	fleet.Routers = append(fleet.Routers, unseen(routers, fleet)...)
+	fleet.Routers = append(fleet.Routers, unqueriedStatuses(routers, fleet)...)
 	s := summarize(fleet)
 	if a.options.Status.Upstreams {
-		own, err := askAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.Status, error) {
+		own, err := queryAny(ctx, a, routers, func(ctx context.Context, c *admin.Client) (admin.Status, error) {
 			return c.Status(ctx)
 		})
 		if err != nil {
@@ -53,9 +53,9 @@
 	return a.print(s)
 }
 
-// unseen returns the routers of the list that the asked one does not know:
+// unqueriedStatuses returns the routers of the list that the asked one does not know:
 // lists of VMs lag, and differ while they do.
-func unseen(listed []topo.VM, f admin.FleetStatus) []admin.RouterStatus {
+func unqueriedStatuses(listed []topo.VM, f admin.FleetStatus) []admin.RouterStatus {
 	var out []admin.RouterStatus
 	for _, vm := range listed {
 		known := func(r admin.RouterStatus) bool { return r.VM == vm.ID }
@@ -67,14 +67,14 @@
 }
 
 func summarize(f admin.FleetStatus) fleetStatus {
-	s := fleetStatus{Routers: f.Routers, Pools: []poolLine{}, Quarantined: []admin.Quarantined{}}
+	s := fleetStatus{Routers: f.Routers, Pools: []poolSummary{}, Quarantined: []admin.Quarantined{}}
 	slices.SortFunc(s.Routers, func(x, y admin.RouterStatus) int { return cmp.Compare(x.VM, y.VM) })
 	for _, r := range s.Routers {
 		if r.Status == nil {
 			continue
 		}
 		s.Version = max(s.Version, r.Status.Config.Version)
-		s.addPools(r)
+		s.mergePools(r)
 		for _, q := range r.Status.Quarantined {
 			same := func(other admin.Quarantined) bool { return other.Fingerprint == q.Fingerprint }
 			if !slices.ContainsFunc(s.Quarantined, same) {
@@ -82,21 +82,21 @@
 			}
 		}
 	}
-	slices.SortFunc(s.Pools, func(x, y poolLine) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(s.Pools, func(x, y poolSummary) int { return cmp.Compare(x.Name, y.Name) })
 	slices.SortFunc(s.Quarantined, func(x, y admin.Quarantined) int { return cmp.Compare(x.Fingerprint, y.Fingerprint) })
 	return s
 }
 
-// addPools keeps the view of each pool with the highest skew.
-func (s *fleetStatus) addPools(r admin.RouterStatus) {
+// mergePools keeps the view of each pool with the highest skew.
+func (s *fleetStatus) mergePools(r admin.RouterStatus) {
 	for _, p := range r.Status.Pools {
-		i := slices.IndexFunc(s.Pools, func(l poolLine) bool { return l.Name == p.Name })
-		line := poolLine{PoolStatus: p, SeenBy: r.VM}
+		i := slices.IndexFunc(s.Pools, func(l poolSummary) bool { return l.Name == p.Name })
+		summary := poolSummary{PoolStatus: p, SeenBy: r.VM}
 		switch {
 		case i < 0:
-			s.Pools = append(s.Pools, line)
+			s.Pools = append(s.Pools, summary)
 		case p.Skew > s.Pools[i].Skew:
-			s.Pools[i] = line
+			s.Pools[i] = summary
 		}
 	}
 }
@@ -109,7 +109,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0f\n", r.VM, r.Status.FailureDomain, routerState(*r.Status),
-			s.versionOf(*r.Status), ago(r.Status.Config.LastStoreResponse), controlRate(*r.Status))
+			s.versionOf(*r.Status), formatAge(r.Status.Config.LastStoreResponse), controlRate(*r.Status))
 	}
 	fmt.Fprintln(w, "\nPOOL\tUPSTREAMS\tSERVING\tDRAINING\tDOWN\tMEAN LOAD\tMAX LOAD\tSKEW\tBUSIEST\tSEEN BY")
 	for _, p := range s.Pools {
@@ -175,7 +175,7 @@
 	return sum
 }
 
-func ago(t time.Time) string {
+func formatAge(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -25,23 +25,23 @@
 	routerTimeout = 5 * time.Second
 )
 
-// inForce says how far the routers are with a change.
-type inForce struct {
+// inForceStatus says how far the routers are with a change.
+type inForceStatus struct {
 	Everywhere bool               `json:"everywhere"`
 	Routers    int                `json:"routers"`
 	Seconds    float64            `json:"seconds"` // how long it was waited
 	Pending    []admin.RouterWait `json:"pending,omitempty"`
 }
 
-func (f inForce) table(w io.Writer) {
+func (f inForceStatus) table(w io.Writer) {
 	fmt.Fprintf(w, "\nin force at %d of %d routers after %.1f s\n", f.Routers-len(f.Pending), f.Routers, f.Seconds)
 	for _, p := range f.Pending {
-		fmt.Fprintf(w, "pending: %s\n", describe(p))
+		fmt.Fprintf(w, "pending: %s\n", describePending(p))
 	}
 }
 
-// describe says why a router is waited for.
-func describe(p admin.RouterWait) string {
+// describePending says why a router is waited for.
+func describePending(p admin.RouterWait) string {
 	if p.Error != "" {
 		return fmt.Sprintf("%s did not answer: %s", p.VM, p.Error)
 	}
@@ -63,26 +63,26 @@
 	return p.VM + " has " + strings.Join(parts, "; ")
 }
 
-// await waits until what was applied is in force at every live router.
-func (a *app) await(ctx context.Context, timeout time.Duration, objects []applied) (*inForce, error) {
+// awaitInForce waits until what was applied is in force at every live router.
+func (a *app) awaitInForce(ctx context.Context, timeout time.Duration, objects []objectResult) (*inForceStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
-	var r inForce
-	what, err := a.wanted(ctx, objects)
+	start := time.Now()
+	var r inForceStatus
+	target, err := a.newWaitTarget(ctx, objects)
 	for err == nil {
-		var round inForce
-		round, err = a.awaitRound(ctx, what)
+		var round inForceStatus
+		round, err = a.awaitRound(ctx, target)
 		if err == nil || r.Routers == 0 {
 			// A round that is cut off at the end says less than the one before.
 			r = round
 		}
-		r.Seconds = time.Since(began).Seconds()
+		r.Seconds = time.Since(start).Seconds()
 		if r.Everywhere || !sleep(ctx, waitPause) {
 			break
 		}
 		if err != nil {
-			a.note("waiting: %s", err)
+			a.notef("waiting: %s", err)
 			err = nil
 		}
 	}
@@ -93,37 +93,37 @@
 	if err != nil {
 		reason = err.Error()
 	}
-	return &r, fail(ExitNotInForce,
+	return &r, newExitError(ExitNotInForce,
 		"the change is accepted and stays; see 'parsleyctl status', and wait again by applying the same files with --wait",
 		"the change is accepted but not known to be in force everywhere after %s: %s", timeout, reason)
 }
 
-// wanted is what to wait for.
-type wanted struct {
+// waitTarget is what to wait for.
+type waitTarget struct {
 	request admin.WaitRequest
 	refs    []topo.Ref
 }
 
-// wanted returns what to wait for. An object that was changed again before its
+// newWaitTarget returns what to wait for. An object that was changed again before its
 // version could be read is waited for at its present version. Many objects are
 // waited for by their newest version, because each router is told the list.
-func (a *app) wanted(ctx context.Context, objects []applied) (wanted, error) {
-	var w wanted
+func (a *app) newWaitTarget(ctx context.Context, objects []objectResult) (waitTarget, error) {
+	var w waitTarget
 	newest := topo.Version(0)
 	for _, o := range objects {
 		version := o.Version
 		if version == 0 && o.State != stateUnchanged {
-			now, err := a.editor.Read(ctx, o.Ref)
+			current, err := a.editor.Read(ctx, o.Ref)
 			if err != nil {
 				return w, err
 			}
-			version = now.Version
+			version = current.Version
 		}
 		newest = max(newest, version)
 		w.refs = append(w.refs, o.Ref)
 		w.request.Objects = append(w.request.Objects, admin.ObjectVersion{Ref: o.Ref, Version: version})
 	}
-	if len(objects) > listOver {
+	if len(objects) > listThreshold {
 		w.request = admin.WaitRequest{Complete: newest}
 	}
 	return w, nil
@@ -131,7 +131,7 @@
 
 // pending returns the routers at which not all is in force. Of the objects that
 // a router rejects only those that are waited for count.
-func (w wanted) pending(f admin.FleetWait) []admin.RouterWait {
+func (w waitTarget) pending(f admin.FleetWait) []admin.RouterWait {
 	var out []admin.RouterWait
 	for _, r := range f.Routers {
 		r.Rejected = slices.DeleteFunc(r.Rejected, func(ref topo.Ref) bool { return !slices.Contains(w.refs, ref) })
@@ -144,22 +144,22 @@
 
 // awaitRound asks one router for all. A router that the list of VMs shows here
 // but not there is pending too: lists lag, and differ while they do.
-func (a *app) awaitRound(ctx context.Context, w wanted) (inForce, error) {
+func (a *app) awaitRound(ctx context.Context, w waitTarget) (inForceStatus, error) {
 	listed, err := a.routers(ctx)
 	if err != nil {
-		return inForce{}, err
+		return inForceStatus{}, err
 	}
 	req := w.request
 	req.WaitMillis = int(roundTime(ctx).Milliseconds())
-	wait, err := askAny(ctx, a, listed, func(ctx context.Context, c *admin.Client) (admin.FleetWait, error) {
+	wait, err := queryAny(ctx, a, listed, func(ctx context.Context, c *admin.Client) (admin.FleetWait, error) {
 		return c.FleetWait(ctx, req)
 	})
 	if err != nil {
-		return inForce{Routers: len(listed), Pending: unasked(listed, nil)}, err
+		return inForceStatus{Routers: len(listed), Pending: unqueried(listed, nil)}, err
 	}
-	pending := append(w.pending(wait), unasked(listed, wait.Routers)...)
-	total := len(wait.Routers) + len(unasked(listed, wait.Routers))
-	return inForce{Everywhere: len(pending) == 0, Routers: total, Pending: pending}, nil
+	pending := append(w.pending(wait), unqueried(listed, wait.Routers)...)
+	total := len(wait.Routers) + len(unqueried(listed, wait.Routers))
+	return inForceStatus{Everywhere: len(pending) == 0, Routers: total, Pending: pending}, nil
 }
 
 // roundTime returns how long a round may last, so that its answer comes before
@@ -172,10 +172,10 @@
 	return max(0, min(waitRound, time.Until(deadline)-roundMargin))
 }
 
-// unasked returns the routers of the list that are not among the asked ones.
-func unasked(listed []topo.VM, asked []admin.RouterWait) []admin.RouterWait {
-	known := make(map[string]bool, len(asked))
-	for _, r := range asked {
+// unqueried returns the routers of the list that are not among the asked ones.
+func unqueried(listed []topo.VM, queried []admin.RouterWait) []admin.RouterWait {
+	known := make(map[string]bool, len(queried))
+	for _, r := range queried {
 		known[r.VM] = true
 	}
 	var out []admin.RouterWait
@@ -195,7 +195,7 @@
 		return []topo.VM{{AdminAddr: a.options.Router}}, nil
 	}
 	if a.http == nil {
-		return nil, fail(ExitUsage, "set --platform or --router", "it is not known where the routers are")
+		return nil, newExitError(ExitUsage, "set --platform or --router", "it is not known where the routers are")
 	}
 	vms, _, err := a.http.VMs(ctx, "")
 	if err != nil {
@@ -211,25 +211,25 @@
 	return routers, nil
 }
 
-// askAny asks one router after the other until one answers.
-func askAny[T any](ctx context.Context, a *app, routers []topo.VM, ask func(context.Context, *admin.Client) (T, error)) (T, error) {
-	var none T
-	last := fail(ExitFailed, "see that the list of VMs shows routers with admin_addr, or name one with --router", "no router can be asked")
+// queryAny asks one router after the other until one answers.
+func queryAny[T any](ctx context.Context, a *app, routers []topo.VM, query func(context.Context, *admin.Client) (T, error)) (T, error) {
+	var zero T
+	lastErr := newExitError(ExitFailed, "see that the list of VMs shows routers with admin_addr, or name one with --router", "no router can be asked")
 	for _, vm := range routers {
 		if vm.AdminAddr == "" || ctx.Err() != nil {
 			continue
 		}
 		client := admin.NewClient(vm.AdminAddr, a.token)
-		bounded, cancel := context.WithTimeout(ctx, routerTimeout)
-		answer, err := ask(bounded, client)
+		timeoutCtx, cancel := context.WithTimeout(ctx, routerTimeout)
+		response, err := query(timeoutCtx, client)
 		cancel()
 		client.CloseIdle()
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return none, last
+	return zero, lastErr
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
