--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,8 +1,10 @@
-// Package admin is the HTTP API that routers serve to operators, on a listener
-// of its own. It only reads, but for the hint to look at the store.
+// Package admin implements the HTTP API that routers serve to operators on a
+// separate listener. The API is read-only, except that a wait makes the router
+// refresh its configuration from the store.
 //
-// An operator's command asks any one router, which asks its peers: the command
-// needs to reach one router, and no node keeps a picture of the whole fleet.
+// A client calls any one router, which queries its peers. A client therefore
+// needs to reach only one router, and no router keeps the state of the whole
+// fleet.
 package admin
 
 import (
@@ -14,7 +16,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/vocabulary"
 )
 
-// Paths of the API. Those under fleet ask every live router.
+// Paths of the API. Those under fleet query every live router.
 const (
 	PathStatus    = "/admin/status"
 	PathVersions  = "/admin/config/versions"
@@ -25,37 +27,40 @@
 	PathVars      = "/debug/vars"
 )
 
-// Node is what the API needs of the router that serves it. Its methods may be
-// called from many goroutines and return what is known now, without I/O.
+// Node is the router that a Server reports on. Its methods are safe for
+// concurrent use and return the current state without I/O.
 type Node interface {
-	// Status returns the router's state. Upstreams are left out when brief.
+	// Status returns the router's state, without the upstreams if brief.
 	Status(brief bool) Status
-	// InForce says how far the router follows an object.
+	// InForce returns which version of an object is in force at the router.
 	InForce(ref topo.Ref) InForce
-	// Complete is the version of the store up to which the router has taken every
-	// change, or rejected it as invalid.
+	// Complete returns the version of the store up to which the router has
+	// applied every change, or rejected it as invalid.
 	Complete() topo.Version
-	// Rejected names the objects of which a version is held to be invalid.
+	// Rejected returns the objects of which the router has rejected a version as
+	// invalid.
 	Rejected() []topo.Ref
-	// Changed is closed when the configuration in force changes next.
+	// Changed returns a channel that is closed at the next change of the
+	// configuration in force.
 	Changed() <-chan struct{}
-	// Refresh hints that the store has news, and returns at once. A watch that
-	// has gone silent costs seconds; a hint from those who know of a change
-	// does not wait for it.
+	// Refresh makes the router read the store's changes soon, and returns at
+	// once. Without it, a router whose watch has stalled would learn of a change
+	// only seconds later.
 	Refresh()
-	// Explain tells where a request would go now and why.
+	// Explain returns where a request would go now and why.
 	Explain(Query) (Explanation, error)
-	// VMs returns the list of VMs as the router knows it.
+	// VMs returns the list of VMs as the router has it.
 	VMs() []topo.VM
 }
 
-// InForce is how far a router follows one object.
+// InForce is the state of one object at a router.
 type InForce struct {
-	// Version of the object by which the router treats traffic. For one that it
-	// does not hold, the version of the store up to which it is complete.
+	// Version is the version of the object that is in force. For an object that
+	// the router does not have, it is the version of the store up to which the
+	// router is complete.
 	Version topo.Version `json:"version"`
-	// Problem is why a newer version, of which the router knows, is not in
-	// force: it is invalid for the router's release.
+	// Problem is the reason why a newer version that the router has received is
+	// not in force: it is invalid for the router's release.
 	Problem string `json:"problem,omitempty"`
 }
 
@@ -70,71 +75,75 @@
 	Pools         []PoolStatus  `json:"pools"`
 	Control       []ControlRate `json:"control"`
 	Quarantined   []Quarantined `json:"quarantined,omitempty"`
-	// UnknownWords are words of other systems that came and that the router does not read.
+	// UnknownWords are the words received from other systems that the router
+	// does not recognize.
 	UnknownWords []vocabulary.UnknownWord `json:"unread,omitempty"`
 }
 
-// ConfigStatus is how far a router follows the configuration.
+// ConfigStatus is the state of a router's configuration.
 type ConfigStatus struct {
 	Version topo.Version `json:"version"` // of the newest object in force
-	// Rejected are the objects that the router holds to be invalid. It goes on
-	// with the version before.
+	// Rejected are the objects that the router has rejected as invalid. For
+	// those it keeps the previous version in force.
 	Rejected []profile.Problem `json:"rejected,omitempty"`
-	// LastStoreResponse is when the store answered last; zero is never.
+	// LastStoreResponse is when the store last responded; zero means never.
 	LastStoreResponse time.Time `json:"store_heard,omitzero"`
 }
 
-// PoolStatus is a pool as one router sees it, by samples of other nodes.
+// PoolStatus is the state of a pool as one router sees it, partly from reports
+// of other VMs.
 type PoolStatus struct {
 	Name     string  `json:"name"`
-	Known    int     `json:"known"`    // upstreams of the list of VMs
-	Serving  int     `json:"serving"`  // as far as is known, also those unheard of lately
-	Draining int     `json:"draining"` // told to leave, or say so themselves
+	Known    int     `json:"known"`    // upstreams in the list of VMs
+	Serving  int     `json:"serving"`  // also those without a recent report
+	Draining int     `json:"draining"` // ordered to drain, or reporting that they leave
 	Down     int     `json:"down"`
 	Mean     float64 `json:"mean_load"`
 	Max      int     `json:"max_load"`
-	// Skew is the busiest upstream's load over the mean; zero without load.
+	// Skew is the highest load of an upstream divided by the mean; zero without
+	// load.
 	Skew      float64          `json:"skew"`
 	Busiest   string           `json:"busiest,omitempty"`
 	Upstreams []UpstreamStatus `json:"upstreams,omitempty"`
 }
 
-// UpstreamStatus is an upstream as one router sees it.
+// UpstreamStatus is the state of an upstream as one router sees it.
 type UpstreamStatus struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain,omitempty"`
 	State         string `json:"state"` // serving, draining, down or unheard
-	Load          int    `json:"load"`  // requests admitted and not ended
+	Load          int    `json:"load"`  // requests in progress
 }
 
-// UpstreamConditions is what a router holds against an upstream that has no sidecar.
+// UpstreamConditions is an upstream without a sidecar as a router sees it, with
+// the conditions that restrict its use.
 type UpstreamConditions struct {
 	VM            string      `json:"vm"`
 	Addr          string      `json:"addr"`
 	Pool          string      `json:"pool"`
 	FailureDomain string      `json:"failure_domain,omitempty"`
-	Load          float64     `json:"load"`          // requests, as believed
+	Load          float64     `json:"load"`          // estimated number of requests
 	Permission    string      `json:"work"`          // whether it gets requests: never, last or freely
-	Reason        string      `json:"why,omitempty"` // the kind of condition that says so
+	Reason        string      `json:"why,omitempty"` // kind of the condition that decides Permission
 	Conditions    []Condition `json:"conditions,omitempty"`
 }
 
-// Condition is something that speaks against an upstream.
+// Condition is a reason to use an upstream less or not at all.
 type Condition struct {
 	Kind   string    `json:"kind"`
-	Source string    `json:"by"` // who says so
+	Source string    `json:"by"` // where the condition was observed
 	Since  time.Time `json:"since,omitzero"`
 	Until  time.Time `json:"until,omitzero"`
 }
 
-// ControlRate is what a router spends on control traffic of one kind.
+// ControlRate is the control traffic of one kind at a router.
 type ControlRate struct {
 	Kind           string  `json:"kind"`
 	Bytes          int64   `json:"bytes"`            // since its start
 	BytesPerSecond float64 `json:"bytes_per_second"` // mean since its start
 }
 
-// Quarantined is a request that crashes upstreams, or may.
+// Quarantined is a request that is known or suspected to crash upstreams.
 type Quarantined struct {
 	Fingerprint string    `json:"fingerprint"`
 	State       string    `json:"state"`   // suspect or convicted
@@ -142,10 +151,11 @@
 	Until       time.Time `json:"until,omitzero"`
 }
 
-// Query asks where a request would go. Model or Service is set.
+// Query describes a request whose routing is to be explained. Either Model or
+// Service is set.
 type Query struct {
 	Organisation string `json:"organisation"`
-	Profile      string `json:"profile,omitempty"` // as the caller would ask for; empty: the one that fits
+	Profile      string `json:"profile,omitempty"` // requested by the caller; empty: the one that matches the request
 	Model        string `json:"model,omitempty"`
 	Service      string `json:"service,omitempty"`
 	Method       string `json:"method,omitempty"` // of a call of a service
@@ -156,86 +166,86 @@
 
 // Explanation is where a request would go and why.
 type Explanation struct {
-	VM         string      `json:"vm"` // router that answers
+	VM         string      `json:"vm"` // router that explains
 	Profile    string      `json:"profile"`
 	Pool       string      `json:"pool"`
 	Mean       float64     `json:"mean_load"`
 	Multiple   float64     `json:"load_multiple"`
-	TicketNote string      `json:"ticket"` // what became of the ticket
+	TicketNote string      `json:"ticket"` // how the ticket was treated
 	Candidates []Candidate `json:"candidates"`
 }
 
-// Candidate is an upstream to which a request would be offered, in order.
+// Candidate is an upstream that a request would be offered to. Candidates are
+// listed in order of preference.
 type Candidate struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain,omitempty"`
 	State         string `json:"state"`
 	Load          int    `json:"load"`
-	Bound         int    `json:"bound"` // as the router estimates it; zero: none
+	Bound         int    `json:"bound"` // load bound as estimated by the router; zero: none
 	Reason        string `json:"why"`
 }
 
-// ObjectVersion is an object at a version.
+// ObjectVersion is a version of an object.
 type ObjectVersion struct {
 	topo.Ref
 	Version topo.Version `json:"version"`
 }
 
-// WaitRequest asks whether objects are in force.
+// WaitRequest asks a router to wait until objects are in force.
 type WaitRequest struct {
 	Objects []ObjectVersion `json:"objects,omitempty"`
-	// Complete is a version of the store up to which every change is to be in
-	// force. It stands for a long list of objects.
+	// Complete is a version of the store up to which every change must be in
+	// force. It replaces a long list of objects.
 	Complete topo.Version `json:"complete,omitempty"`
-	// WaitMillis is how long the answer may take while some are not, at most
-	// maxWait.
+	// WaitMillis is the longest wait in milliseconds, at most maxWait.
 	WaitMillis int `json:"wait_ms"`
 }
 
-// WaitReply names the objects that are not in force at a router.
+// WaitReply lists the objects that are not in force at a router.
 type WaitReply struct {
 	VM     string   `json:"vm"`
 	Behind []Behind `json:"behind,omitempty"`
-	// Rejected are the objects that the router holds to be invalid, in answer to
-	// a request with Complete.
+	// Rejected are the objects that the router has rejected as invalid. It is
+	// set only if the request has Complete.
 	Rejected []topo.Ref `json:"rejected,omitempty"`
 }
 
-// Behind is an object that is not in force; one without a kind stands for all
-// changes up to the version.
+// Behind is an object that is not in force at the requested version. One
+// without a kind stands for all changes up to the version.
 type Behind struct {
 	ObjectVersion
 	InForce InForce `json:"in_force"`
 }
 
-// FleetStatus is what the routers say of themselves.
+// FleetStatus is the state of all routers, with the list of VMs.
 type FleetStatus struct {
 	VM      string         `json:"vm"` // router that asked the others
 	Routers []RouterStatus `json:"routers"`
 	VMs     []topo.VM      `json:"vms"` // the list, as that router knows it
 }
 
-// RouterStatus is one router's Status, or why there is none.
+// RouterStatus is one router's Status, or the error that occurred instead.
 type RouterStatus struct {
 	VM     string  `json:"vm"`
 	Status *Status `json:"status,omitempty"`
 	Error  string  `json:"error,omitempty"`
 }
 
-// FleetWait is what the routers say about objects.
+// FleetWait is the result of a WaitRequest at every router.
 type FleetWait struct {
 	VM      string       `json:"vm"` // router that asked the others
 	Routers []RouterWait `json:"routers"`
 }
 
-// RouterWait is one router's WaitReply, or why there is none.
+// RouterWait is one router's WaitReply, or the error that occurred instead.
 type RouterWait struct {
 	WaitReply
 	Error string `json:"error,omitempty"`
 }
 
-// Pending returns the routers at which not all is in force, or of which it is
-// not known.
+// Pending returns the routers at which some object is not in force, or whose
+// state is unknown.
 func (w FleetWait) Pending() []RouterWait {
 	var out []RouterWait
 	for _, r := range w.Routers {
@@ -246,12 +256,13 @@
 	return out
 }
 
-// Pending reports whether not all is in force at the router, or not known.
+// Pending reports whether some object is not in force at the router, or its
+// state is unknown.
 func (r RouterWait) Pending() bool {
 	return r.Error != "" || len(r.Behind) > 0
 }
 
-// evaluate says what of r is not in force at n now.
+// evaluate returns which objects of r are not in force at n now.
 func (r WaitRequest) evaluate(vm string, n Node) WaitReply {
 	out := WaitReply{VM: vm}
 	for _, o := range r.Objects {
@@ -270,8 +281,8 @@
 	return out
 }
 
-// await returns what is not in force at n, as soon as that is nothing or when
-// ctx ends.
+// await waits until all objects of r are in force at n or ctx ends, and returns
+// those that are not.
 func (r WaitRequest) await(ctx context.Context, vm string, n Node) WaitReply {
 	refreshed := false
 	for {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,12 +17,12 @@
 
 var chat = topo.Ref{Kind: topo.KindProfile, Name: "chat"}
 
-// fakeNode is a router that follows one object.
+// fakeNode is a router with one object.
 type fakeNode struct {
 	mu             sync.Mutex
 	version        topo.Version
 	changed        chan struct{}
-	ignoresRefresh bool // hints do not help it
+	ignoresRefresh bool // Refresh has no effect
 	store          topo.Version
 	vms            []topo.VM
 }
@@ -56,11 +56,11 @@
 	}
 }
 
-// network is in-memory connections to the routers, by address.
+// network holds in-memory connections to the routers, by address.
 type network struct {
 	mu       sync.Mutex
 	accepted map[string]chan net.Conn
-	bytes    atomic.Int64 // both ways
+	bytes    atomic.Int64 // in both directions
 }
 
 type countingConn struct {
@@ -132,7 +132,7 @@
 
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{} }
 
-// fleet is routers with a list of VMs that shows them all.
+// fleet is a set of routers whose lists of VMs contain all of them.
 type fleet struct {
 	network network
 	nodes   []*fakeNode
@@ -166,10 +166,10 @@
 	return f, client
 }
 
-// An operator waits until a change is in force. One router's watch has gone
-// silent, one does not follow at all, one is stopped and one hangs. Were the
-// silent watch waited out, each change would cost seconds; were the others
-// passed over, the operator would be told something untrue.
+// Guards against a wait that relies on a router's stalled watch, which would
+// cost seconds for each change, and against one that omits the routers that are
+// lagging, stopped, hanging or without an address, which would report a false
+// success.
 func TestFleetWaitReportsLaggingRouters(t *testing.T) {
 	for _, req := range []WaitRequest{{Objects: []ObjectVersion{{Ref: chat, Version: 5}}}, {Complete: 5}} {
 		synctest.Test(t, func(t *testing.T) { checkFleetWait(t, req) })
@@ -205,12 +205,13 @@
 	_, client := newFleet(t, 1, 5)
 	client.token = "wrong"
 	if _, err := client.Fleet(context.Background()); err == nil || !strings.Contains(err.Error(), "401") {
-		t.Errorf("a wrong token is answered by %v", err)
+		t.Errorf("with a wrong token: got error %v, want status 401", err)
 	}
 }
 
-// BenchmarkFleetWait measures one wait of a fleet that is up to date: calls
-// that all routers serve, and bytes with headers on all connections, both ways.
+// BenchmarkFleetWait measures one wait of a fleet that is up to date: the calls
+// that all routers serve, and the bytes including headers on all connections,
+// in both directions.
 func BenchmarkFleetWait(b *testing.B) {
 	for _, n := range []int{10, 100, 330} {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -14,13 +14,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// maxResponseBytes is the most that an answer may hold, in bytes.
+// maxResponseBytes limits the body of a response.
 const maxResponseBytes = 64 << 20
 
-// fleetTimeout bounds the calls that ask every router, beyond their wait.
+// fleetTimeout bounds calls that query every router, in addition to their wait.
 const fleetTimeout = 10 * time.Second
 
-// errNoAddress is a router that the list of VMs shows without admin_addr.
+// errNoAddress is returned for a router that has no admin_addr in the list of
+// VMs.
 var errNoAddress = errors.New("the list of VMs gives no admin_addr")
 
 // Client calls the API of one router.
@@ -28,15 +29,16 @@
 	base      string
 	token     string
 	http      *http.Client
-	noAddress bool // the address is not known
+	noAddress bool // the router's address is unknown
 }
 
-// NewClient returns a Client of the router whose API is at addr, host:port.
+// NewClient returns a Client of the router whose API listens at addr, as
+// host:port.
 func NewClient(addr, token string) *Client {
 	return &Client{base: "http://" + addr, token: token, http: &http.Client{Transport: newTransport()}}
 }
 
-// CloseIdle closes the connection that is kept for the next call.
+// CloseIdle closes the idle connection to the router.
 func (c *Client) CloseIdle() {
 	c.http.CloseIdleConnections()
 }
@@ -48,7 +50,8 @@
 	return s, err
 }
 
-// Fleet returns the state of every router that the asked one knows.
+// Fleet returns the state of every router that the called router has in its
+// list of VMs.
 func (c *Client) Fleet(ctx context.Context) (FleetStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
@@ -57,8 +60,9 @@
 	return s, err
 }
 
-// FleetWait asks every router that the asked one knows whether objects are in
-// force, and returns when they are or r.WaitMillis have passed.
+// FleetWait queries every router that the called router has in its list of VMs,
+// and returns when the objects in r are in force at all of them or r.WaitMillis
+// have passed.
 func (c *Client) FleetWait(ctx context.Context, r WaitRequest) (FleetWait, error) {
 	ctx, cancel := context.WithTimeout(ctx, waitTime(r)+fleetTimeout)
 	defer cancel()
@@ -67,7 +71,7 @@
 	return w, err
 }
 
-// Explain tells where a request would go and why.
+// Explain returns where a request would go and why.
 func (c *Client) Explain(ctx context.Context, q Query) (Explanation, error) {
 	var e Explanation
 	err := c.post(ctx, PathExplain, q, &e)
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// maxConcurrent bounds the peers that are asked at a time.
+	// maxConcurrent limits the peers that are queried at a time.
 	maxConcurrent = 64
-	// peerTimeout bounds what a peer's answer may take beyond its wait. A router
-	// that hangs is named as one that did not answer, and holds up nobody.
+	// peerTimeout bounds how long a peer's response may take beyond its wait. A
+	// router that hangs is reported as not responding and does not delay the
+	// others.
 	peerTimeout = 1500 * time.Millisecond
 	// roundWait is how long a peer that is behind may take to catch up before it
-	// is asked again.
+	// is queried again.
 	roundWait = 500 * time.Millisecond
 	// roundPause is the pause between rounds, for peers that fail at once.
 	roundPause = 100 * time.Millisecond
-	// idleConnTimeout is how long a connection to a peer is kept. A command asks
-	// every half second or so while it waits; nobody asks otherwise.
+	// idleConnTimeout is how long an idle connection to a peer is kept. A
+	// waiting command sends a query about every half second, and there are no
+	// others.
 	idleConnTimeout = 3 * time.Second
 )
 
-// peer is a router that is asked.
+// peer is a router that is queried.
 type peer struct {
 	vm   topo.VM
 	self bool
 }
 
-// newTransport returns a transport for calls of the routers' API.
+// newTransport returns a transport for calls to the routers' API.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
@@ -42,8 +44,8 @@
 	}
 }
 
-// routers returns the routers among vms. The one that asks is always among
-// them, also when the list does not show it yet or any more.
+// routers returns the routers among vms. This router is always among them, even
+// if the list does not contain it.
 func (s *Server) routers(vms []topo.VM) []peer {
 	var peers []peer
 	listed := false
@@ -61,7 +63,8 @@
 	return peers
 }
 
-// queryAll asks peers, some at a time, and returns the answers in their order.
+// queryAll queries peers, at most maxConcurrent at a time, and returns the
+// responses in the order of peers.
 func queryAll[T any](s *Server, peers []peer, query func(peer) T) []T {
 	responses := make([]T, len(peers))
 	slots := make(chan struct{}, maxConcurrent)
@@ -77,9 +80,9 @@
 	return responses
 }
 
-// awaitAll asks every router until what req names is in force at all of them or
-// ctx ends. After the first round it asks only those that were behind. A router
-// that leaves the list of VMs is no longer waited for.
+// awaitAll queries every router until the objects in req are in force at all of
+// them or ctx ends. After the first round it queries only those that were
+// pending. It stops waiting for a router that is removed from the list of VMs.
 func (s *Server) awaitAll(ctx context.Context, req WaitRequest) []RouterWait {
 	req.WaitMillis = int(roundWait.Milliseconds())
 	latest := make(map[string]RouterWait)
@@ -99,7 +102,7 @@
 	}
 }
 
-// inOrder returns each router's last answer.
+// inOrder returns each router's latest response, in the order of peers.
 func inOrder(peers []peer, responses map[string]RouterWait) []RouterWait {
 	out := make([]RouterWait, len(peers))
 	for i, p := range peers {
@@ -108,16 +111,16 @@
 	return out
 }
 
-// queryWait asks one router. The wait is that of a round, so that a router that
-// is far behind does not hold a slot that another one needs.
+// queryWait queries one router. It waits at most roundWait, so that a router
+// that is far behind does not occupy a slot that another one needs.
 func (s *Server) queryWait(ctx context.Context, p peer, req WaitRequest) RouterWait {
 	if p.self {
 		ctx, cancel := context.WithTimeout(ctx, roundWait)
 		defer cancel()
 		return RouterWait{WaitReply: req.await(ctx, p.vm.ID, s.config.Node)}
 	}
-	// The answer may come after the whole wait has ended: what is known late is
-	// better than a router that is named although it is up to date.
+	// The response may arrive after the whole wait has ended. Accepting it late
+	// is better than reporting a router as pending although it is up to date.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), roundWait+peerTimeout)
 	defer cancel()
 	var reply RouterWait
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger keeps which version of each object is in force, for operators.
+// Package ledger records which version of each object is in force, for
+// operators.
 //
-// A router's control loop writes a Ledger, and publishes after the view of the configuration
-// that goes with it. A Ledger is safe for concurrent use.
+// A router's control loop writes a Ledger, and publishes after the view of the
+// configuration that goes with it. A Ledger is safe for concurrent use.
 package ledger
 
 import (
@@ -15,17 +16,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Update is what has come into force, or was rejected.
+// Update lists the objects that have come into force or were rejected.
 type Update struct {
 	Objects  []admin.ObjectVersion
 	Rejected []profile.Problem // each object's first problem
-	Complete topo.Version      // of the store, up to which all is known
-	// LastStoreResponse is when the store last answered with what was not stale.
+	Complete topo.Version      // version of the store up to which all changes are known
+	// LastStoreResponse is when the store last responded with data that was not
+	// stale.
 	LastStoreResponse time.Time
 }
 
-// Ledger is which version of each object is in force, for operators. The
-// control loop writes it, and publishes after the View that goes with it.
+// Ledger holds the version in force of each object. The control loop writes it,
+// and publishes after the View that goes with it.
 type Ledger struct {
 	mu                sync.Mutex
 	versions          map[topo.Ref]topo.Version
@@ -33,11 +35,11 @@
 	complete          topo.Version
 	newest            topo.Version
 	dirty             bool
-	lastStoreResponse time.Time     // of the store
-	changed           chan struct{} // closed and replaced at each publication
+	lastStoreResponse time.Time     // time of the last response from the store
+	changed           chan struct{} // closed and replaced when a change is published
 }
 
-// New returns a Ledger of nothing.
+// New returns an empty Ledger.
 func New() *Ledger {
 	return &Ledger{
 		versions: make(map[topo.Ref]topo.Version),
@@ -46,7 +48,7 @@
 	}
 }
 
-// Apply takes in what has come into force.
+// Apply records an Update. Publish makes it known.
 func (l *Ledger) Apply(f Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,7 +65,8 @@
 	l.lastStoreResponse = f.LastStoreResponse
 }
 
-// Publish tells those who wait for Next of what was taken in.
+// Publish closes the channel returned by Changed if anything was recorded since
+// the last call.
 func (l *Ledger) Publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +77,7 @@
 	}
 }
 
-// InForce says how far an object is followed.
+// InForce returns the state of an object.
 func (l *Ledger) InForce(ref topo.Ref) admin.InForce {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,20 +87,21 @@
 		return in
 	}
 	if in.Version == 0 {
-		// Not held, so deleted or never there, up to where all is known.
+		// The object was deleted or never existed, up to the version to which all
+		// changes are known.
 		in.Version = l.complete
 	}
 	return in
 }
 
-// Complete returns up to which version of the store all is known.
+// Complete returns the version of the store up to which all changes are known.
 func (l *Ledger) Complete() topo.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.complete
 }
 
-// Status returns how far the configuration is followed.
+// Status returns the state of the configuration.
 func (l *Ledger) Status() admin.ConfigStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +113,8 @@
 	return s
 }
 
-// Changed is closed when the configuration in force changes next.
+// Changed returns a channel that is closed at the next change of the
+// configuration in force.
 func (l *Ledger) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// maxWait bounds a WaitRequest, so that a command that is gone does not
-	// leave work behind.
+	// maxWait bounds the wait of a WaitRequest, so that a client that has
+	// disconnected leaves no work behind.
 	maxWait = 5 * time.Second
-	// maxBodyBytes bounds the body of a request, in bytes.
+	// maxBodyBytes limits the body of a request.
 	maxBodyBytes = 4 << 20
 )
 
-// Config is what a Server is told.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
-	VM    string // of this router
+	VM    string // id of this router's VM
 	Node  Node
-	Token string // that requests carry as a bearer token; empty: none is asked for
-	// Leaving reports whether the router is in its planned stop; nil: never.
+	Token string // bearer token that requests must carry; empty: none
+	// Leaving reports whether the router is shutting down as planned; nil means
+	// never.
 	Leaving func() bool
 }
 
@@ -34,10 +35,10 @@
 type Server struct {
 	config Config
 	mux    *http.ServeMux
-	client *http.Client // to the peers
+	client *http.Client // calls the peers
 }
 
-// NewServer returns the API of the router in c.
+// NewServer returns a Server for the router in c.
 func NewServer(c Config) *Server {
 	s := &Server{config: c, mux: http.NewServeMux(), client: &http.Client{Transport: newTransport()}}
 	s.mux.HandleFunc("GET "+PathStatus, s.status)
@@ -77,7 +78,7 @@
 	return own
 }
 
-// versions answers for the objects named by ref=kind/name.
+// versions returns the versions in force of the objects named by ref=kind/name.
 func (s *Server) versions(w http.ResponseWriter, r *http.Request) {
 	out := []ObjectVersion{}
 	for _, text := range r.URL.Query()["ref"] {
@@ -151,7 +152,7 @@
 	writeJSON(w, FleetWait{VM: s.config.VM, Routers: s.awaitAll(ctx, req)})
 }
 
-// problem is the body of an answer that is an error.
+// problem is the body of an error response.
 type problem struct {
 	Detail string `json:"detail"`
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -10,7 +10,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// newSettledState returns a State that has asked n upstreams, all with what is wanted.
+// newSettledState returns a State that has queried n upstreams, all of which
+// have the desired model loaded.
 func newSettledState(n int) (*State, time.Time) {
 	s, now := NewState(time.Second), time.Unix(1_800_000_000, 0)
 	s.Step(LeaseChanged{Now: now, Token: 1})
@@ -37,7 +38,8 @@
 
 var benchSizes = []int{20, 300, 2900}
 
-// What the holder does four times a second when nothing is to be loaded.
+// Measures the tick that runs four times a second when there is nothing to
+// load.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
@@ -50,7 +52,8 @@
 	}
 }
 
-// What the holder does every second: to look at the pools and their upstreams.
+// Measures the update of the pools and their upstreams, which runs every
+// second.
 func BenchmarkDesired(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
@@ -63,7 +66,7 @@
 	}
 }
 
-// The first round of queries by a new holder.
+// Measures the first round of queries by a new holder.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint("upstreams=", n), func(b *testing.B) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,11 +16,12 @@
 	// LeaseName names the lease object of the controller.
 	LeaseName = "controller"
 
-	// tickInterval is how often the controller looks for what is due.
+	// tickInterval is the time between two ticks of the control loop.
 	tickInterval = 250 * time.Millisecond
-	// desiredInterval is how often it looks at the pools and their upstreams.
+	// desiredInterval is the time between two reads of the pools and their
+	// upstreams.
 	desiredInterval = time.Second
-	// orderTimeout bounds one call of a sidecar.
+	// orderTimeout bounds one call to a sidecar.
 	orderTimeout = 5 * time.Second
 )
 
@@ -31,35 +32,38 @@
 		"Orders that were refused or whose outcome is not known, by reason.")
 )
 
-// Config is what a Controller works with.
+// Config holds the settings and dependencies of a Controller.
 type Config struct {
 	Store topo.Store
 	Self  string // this router's VM
-	// Process is unique to this process: a restarted one is another candidate.
+	// Process is unique to this process, so that a restarted one is another
+	// candidate.
 	Process string
 	// LeaseTTL is how long the lease lasts without renewal.
 	LeaseTTL time.Duration
-	// LoadInterval is the time between two loads that the weight store allows.
+	// LoadInterval is the shortest time between two loads that the weight store
+	// allows.
 	LoadInterval time.Duration
-	// Routers returns the VMs of routers that the platform lists.
+	// Routers returns the VMs of the routers that the platform lists.
 	Routers func() []string
 	// Desired returns the pools and the VMs of their upstreams.
 	Desired func() Desired
-	// Order gives an order to the sidecar of a VM.
+	// Order sends an order to the sidecar of a VM and returns its status.
 	Order func(ctx context.Context, vm topo.VM, o wire.Order) (wire.OrderStatus, error)
 }
 
-// Controller holds the lease when it is this router's turn, and acts under it.
+// Controller competes for the lease and, while it holds the lease, orders
+// upstreams to load models and deletes expired objects.
 type Controller struct {
 	config      Config
 	lease       *lease.Runner
 	loop        *loop.Loop[Event, Send]
 	ctx         context.Context
-	lastDesired time.Time         // at the pools; owned by Run
-	lastToken   wire.FencingToken // under which it looked; owned by Run
+	lastDesired time.Time         // last time the pools were read; owned by Run
+	lastToken   wire.FencingToken // lease token at that time; owned by Run
 }
 
-// New returns a Controller.
+// New returns a Controller. Run starts it.
 func New(c Config) *Controller {
 	isCandidate := func() bool { return lease.IsCandidate(LeaseName, c.Self, c.Routers()) }
 	ctl := &Controller{config: c, lease: lease.NewRunner(c.Store, LeaseName, c.Self+"/"+c.Process, c.LeaseTTL, isCandidate)}
@@ -67,12 +71,12 @@
 	return ctl
 }
 
-// HoldsLease reports whether this router is the controller.
+// HoldsLease reports whether this router holds the controller's lease.
 func (c *Controller) HoldsLease() bool {
 	return c.lease.Grant().Valid(time.Now())
 }
 
-// Run works until ctx ends, and then gives the lease up.
+// Run runs the controller until ctx ends, and then releases the lease.
 func (c *Controller) Run(ctx context.Context) {
 	c.ctx = ctx
 	resigned := make(chan struct{})
@@ -94,7 +98,8 @@
 	<-resigned
 }
 
-// postState tells the reducer how things stand.
+// postState posts the state of the lease to the reducer and, while the lease is
+// held, the desired state and a tick.
 func (c *Controller) postState() {
 	now := time.Now()
 	grant := c.lease.Grant()
@@ -116,9 +121,10 @@
 	go func() { c.loop.Post(c.send(s)) }()
 }
 
-// send gives one order. The lease is checked right before: a process that was
-// paused since the order was decided on wakes up here with an old belief. If
-// it is paused between the check and the sending, the sidecar's fence refuses.
+// send sends one order and returns its outcome. The lease is checked
+// immediately before: a process that was paused after the order was decided may
+// no longer hold it. If the pause falls between the check and the sending, the
+// sidecar rejects the outdated fencing token.
 func (c *Controller) send(s Send) Replied {
 	r := Replied{VM: s.VM.ID, Order: s.Order}
 	grant := c.lease.Grant()
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -28,14 +28,14 @@
 	maxEnginesOut = 2
 )
 
-// engine is an upstream with its sidecar.
+// engine is a model engine with its sidecar.
 type engine struct {
 	vm     topo.VM
 	fence  lease.Fence
 	status wire.OrderStatus
 }
 
-// handleOrder is what a sidecar does with an order.
+// handleOrder applies an order as a sidecar does.
 func (e *engine) handleOrder(o wire.Order, onLoad func()) (wire.OrderStatus, *verdict.Error) {
 	if err := e.fence.Check(o.Token); err != nil {
 		return e.status, err
@@ -57,17 +57,17 @@
 	return e.status.Phase != wire.PhaseNone && e.status.Phase != wire.PhaseDone
 }
 
-// rollout is two routers that hold the lease in turn, before six engines that
-// are to load another version, in virtual time.
+// rollout simulates, in virtual time, routers that hold the lease in turn and
+// six engines that are to load another version.
 type rollout struct {
 	now        time.Time
 	engines    []*engine
 	holder     *State
 	token      wire.FencingToken
-	sent       []Send // by the present holder
+	sent       []Send // by the current holder
 	late       []Send // by former holders
 	loaded     map[string]int
-	lastLoad   time.Time // of a load
+	lastLoad   time.Time
 	earlyLoads int
 }
 
@@ -83,7 +83,7 @@
 	return r
 }
 
-// takeOver gives the lease to a router that knows nothing.
+// takeOver gives the lease to a router without any state.
 func (r *rollout) takeOver() {
 	r.late = append(r.late, r.sent...)
 	r.sent = nil
@@ -97,7 +97,7 @@
 	r.holder.Step(d)
 }
 
-// deliverOrder brings an order to its engine.
+// deliverOrder delivers an order to its engine.
 func (r *rollout) deliverOrder(s Send) (wire.OrderStatus, *verdict.Error) {
 	i := slices.IndexFunc(r.engines, func(e *engine) bool { return e.vm.ID == s.VM.ID })
 	return r.engines[i].handleOrder(s.Order, func() {
@@ -109,7 +109,8 @@
 	})
 }
 
-// completeCalls ends the calls that are out. lost says what is lost of each.
+// completeCalls ends the calls in flight. For each call lost returns 0 if the
+// order is lost, 1 if the reply is lost, or another number if neither is.
 func (r *rollout) completeCalls(lost func() int) {
 	sent := r.sent
 	r.sent = nil
@@ -133,7 +134,7 @@
 	r.sent = append(r.sent, r.holder.Step(Tick{Now: r.now})...)
 }
 
-// progress lets the engines get on.
+// progress advances the engines that work on an order and that which selects.
 func (r *rollout) progress(which func() bool) {
 	for _, e := range r.engines {
 		switch {
@@ -153,14 +154,14 @@
 			out++
 		}
 		if n := r.loaded[e.vm.ID]; n > 1 {
-			t.Fatalf("%s has loaded the version %d times", e.vm.ID, n)
+			t.Fatalf("%s loaded the version %d times, want at most once", e.vm.ID, n)
 		}
 	}
 	if out > maxEnginesOut {
-		t.Fatalf("%d engines are out, and %d may be", out, maxEnginesOut)
+		t.Fatalf("%d engines are unavailable, want at most %d", out, maxEnginesOut)
 	}
 	if r.earlyLoads > 0 {
-		t.Fatal("the weight store was asked too soon")
+		t.Fatal("two loads started within the load interval")
 	}
 }
 
@@ -177,7 +178,7 @@
 		"progress": func(t *rapid.T) { r.progress(func() bool { return rapid.Bool().Draw(t, "this") }) },
 		"take over": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
-				r.tick() // what the former holder had decided on when it was frozen
+				r.tick() // orders that the former holder had decided on when it was paused
 				r.takeOver()
 			}
 		},
@@ -192,11 +193,11 @@
 	}
 }
 
-// A new version is rolled out while the controller's lease changes hands,
-// orders and replies are lost, and orders of former holders arrive late. If the
-// new holder loaded at once, or took "no answer" for "no order", the weight
-// store would be asked too often, a pool would lose more engines than it may,
-// or an engine would load the same version twice.
+// Rolls out a new version while the controller's lease changes hands, orders
+// and replies are lost, and orders of former holders arrive late. If a new
+// holder loaded at once, or took a missing reply for an order that was not
+// executed, the weight store's rate would be exceeded, a pool would lose more
+// engines than allowed, or an engine would load the same version twice.
 func TestRolloutAcrossLeaseHolders(t *testing.T) {
 	loads := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -217,6 +218,6 @@
 		}
 	})
 	if loads == 0 {
-		t.Fatal("nothing was loaded: the test shows nothing")
+		t.Fatal("no engine loaded the version, so the test checked nothing")
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -12,17 +12,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// maxPrepared bounds the upstreams of the fleet that are prepared and wait for
-// the weight store: to prepare more would only keep them out for longer.
+// maxPrepared limits the upstreams of the fleet that are prepared and wait for
+// the weight store. Preparing more would only keep them out of service for
+// longer.
 const maxPrepared = 4
 
-// rollOut gives the orders that the weight store and the pools allow now.
+// rollOut returns the orders that the weight store and the pools allow now.
 func (s *State) rollOut(now time.Time) []Send {
 	return append(s.prepare(now), s.startLoad(now)...)
 }
 
-// prepare orders upstreams to be emptied, no more of a pool at a time than it
-// allows to be out.
+// prepare orders upstreams to drain, without exceeding a pool's limit of
+// unavailable upstreams.
 func (s *State) prepare(now time.Time) []Send {
 	var sends []Send
 	unavailable, total, prepared := s.countUpstreams()
@@ -43,8 +44,8 @@
 	return sends
 }
 
-// startLoad orders one prepared upstream to startLoad, at the weight store's rate. The
-// order is counted when it is sent, whatever becomes of it.
+// startLoad orders one prepared upstream to load, at most one per loadInterval.
+// An order counts against that rate once it is sent, whatever its outcome.
 func (s *State) startLoad(now time.Time) []Send {
 	if now.Before(s.nextLoad) {
 		return nil
@@ -63,9 +64,9 @@
 	return nil
 }
 
-// needsPrepare reports whether an upstream is to be prepared now: it is known to have
-// something else loaded than is wanted, and to work on no order, or to be
-// prepared for one that is no longer wanted.
+// needsPrepare reports whether an upstream is to be prepared now: it is known
+// to have something other than the desired model loaded and to work on no
+// order, or it is prepared for an order that is no longer desired.
 func (s *State) needsPrepare(now time.Time, u *upstream, p profile.Pool) bool {
 	if !u.reachable || !u.managed || u.inFlight || u.pending || p.Model == "" || matches(desiredSpec(p), u.status.Loaded) {
 		return false
@@ -86,7 +87,8 @@
 	return wire.Order{ID: orderID(u, desiredSpec(p)), Token: s.token, Action: a, Want: desiredSpec(p)}
 }
 
-// isServing reports whether an order would take the upstream out of its pool.
+// isServing reports whether the upstream serves requests, so that an order
+// would make it unavailable to its pool.
 func (u *upstream) isServing() bool {
 	return u.reachable && !u.pending && u.isIdle() && u.status.Loaded.Model != ""
 }
@@ -101,9 +103,9 @@
 	}
 }
 
-// countUpstreams returns, for each pool, the upstreams that do not serve and all, and
-// how many of the fleet wait for the weight store. One that can't be reached
-// counts as out, whatever the reason.
+// countUpstreams returns, for each pool, the number of upstreams that do not
+// serve and the number of all, and how many of the fleet wait for the weight
+// store. An unreachable upstream counts as unavailable, whatever the reason.
 func (s *State) countUpstreams() (unavailable, total map[string]int, prepared int) {
 	unavailable, total = make(map[string]int), make(map[string]int)
 	for _, u := range s.sorted {
@@ -118,8 +120,9 @@
 	return unavailable, total, prepared
 }
 
-// maxUnavailable is how many upstreams of a pool may be out at a time. One may always
-// be, or a small pool would never change.
+// maxUnavailable returns how many upstreams of a pool may be unavailable at a
+// time. It is at least 1, because otherwise a small pool could never be
+// updated.
 func maxUnavailable(p profile.Pool, total int) int {
 	return max(1, int(p.MaxUnavailable*float64(total)))
 }
@@ -128,8 +131,8 @@
 	return wire.ModelSpec{Model: p.Model, Version: p.Version, Adapters: p.Adapters, Role: string(p.Role)}
 }
 
-// matches reports whether an upstream has what is wanted. What the pool leaves
-// open may be anything.
+// matches reports whether an upstream has the desired model loaded. A field
+// that the pool leaves empty matches any value.
 func matches(want, have wire.ModelSpec) bool {
 	unsetOrEqual := func(w, h string) bool { return w == "" || w == h }
 	return unsetOrEqual(want.Model, have.Model) && unsetOrEqual(want.Version, have.Version) && unsetOrEqual(want.Role, have.Role) &&
@@ -143,9 +146,10 @@
 	return len(want) == 0 || slices.Equal(slices.Sorted(slices.Values(want)), slices.Sorted(slices.Values(have)))
 }
 
-// orderID names an order by what it asks and of whom, and by how often that has
-// failed. A holder that repeats an order of its predecessor, or one whose
-// answer was lost, uses the same id, and the upstream loads once.
+// orderID derives the id of an order from the upstream, the desired model and
+// the number of earlier attempts. A holder that repeats an order of its
+// predecessor, or an order whose response was lost, uses the same id, so that
+// the upstream loads only once.
 func orderID(u *upstream, w wire.ModelSpec) string {
 	sum := xxh3.HashString(strings.Join(append([]string{u.vm.ID, w.Model, w.Version, w.Role}, w.Adapters...), "\x00"))
 	base := fmt.Sprintf("%016x", sum)
@@ -155,7 +159,7 @@
 		_, _ = fmt.Sscan(lastAttempt, &attempt)
 	}
 	if lastBase == base && u.isIdle() && u.status.Phase != wire.PhaseNone {
-		attempt++ // it has failed, or was done and undone since
+		attempt++ // the last attempt failed, or succeeded and was reverted since
 	}
 	return fmt.Sprintf("%s.%d", base, attempt)
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -1,8 +1,9 @@
-// Package controller is the role of the one router that holds the lease: it
-// orders upstreams to load what their pools ask for, and sweeps old objects.
+// Package controller implements the controller, a role of the one router that
+// holds the controller's lease: it orders upstreams to load the models that
+// their pools ask for, and deletes expired objects from the store.
 //
-// It keeps nothing that must last. What an upstream has loaded and which order
-// it works on, the upstream itself tells; a new holder asks all of them first.
+// The controller persists no state. Each upstream reports what it has loaded
+// and which order it works on; a new holder queries all of them first.
 package controller
 
 import (
@@ -17,44 +18,47 @@
 )
 
 const (
-	// maxQueriesInFlight bounds the queries that are out, so that a new holder does not
-	// ask thousands of sidecars at once.
+	// maxQueriesInFlight limits the calls in flight, so that a new holder does
+	// not query thousands of sidecars at once.
 	maxQueriesInFlight = 32
-	// busyQueryInterval is how often an upstream is asked that works on an order.
+	// busyQueryInterval is how often an upstream that works on an order is
+	// queried.
 	busyQueryInterval = time.Second
-	// queryRetryDelay is how long after a failed call an upstream is asked again.
+	// queryRetryDelay is the delay after a failed call before the upstream is
+	// queried again.
 	queryRetryDelay = 5 * time.Second
-	// idleQueryInterval is how often any other upstream is asked.
+	// idleQueryInterval is how often any other upstream is queried.
 	idleQueryInterval = 10 * time.Minute
-	// orderRetryDelay is how long after it an order that failed is given anew.
+	// orderRetryDelay is the delay after a failed order before it is sent again.
 	orderRetryDelay = 30 * time.Second
 )
 
-// Event is something that has happened to a controller.
+// Event is an input of the controller's State.
 type Event interface{ isEvent() }
 
-// LeaseChanged is a change of the lease. A zero token means that it is not held.
+// LeaseChanged reports the state of the lease. A zero token means that this
+// router does not hold it.
 type LeaseChanged struct {
 	Now   time.Time
 	Token wire.FencingToken
 }
 
-// Desired is what pools there are and which upstreams.
+// Desired is the desired state: the pools and the upstreams.
 type Desired struct {
 	Pools []profile.Pool
 	VMs   []topo.VM
 }
 
-// Replied is the end of a call of a sidecar.
+// Replied is the outcome of a call to a sidecar.
 type Replied struct {
 	Now    time.Time
 	VM     string
 	Order  wire.Order
 	Status wire.OrderStatus
-	Err    *verdict.Error // the call failed, or the order was not taken
+	Err    *verdict.Error // the call failed, or the order was rejected
 }
 
-// Tick is the passing of time.
+// Tick reports the current time.
 type Tick struct {
 	Now time.Time
 }
@@ -64,39 +68,39 @@
 func (Replied) isEvent()      {}
 func (Tick) isEvent()         {}
 
-// Send gives an order to a sidecar; Replied follows.
+// Send is an effect: send an order to a sidecar. Replied follows.
 type Send struct {
 	VM    topo.VM
 	Order wire.Order
 }
 
-// State is the controller's control state.
+// State is the controller's control state. Step advances it.
 type State struct {
-	loadInterval time.Duration // by the weight store's rate
+	loadInterval time.Duration // shortest time between two loads
 	token        wire.FencingToken
 	pools        map[string]profile.Pool
 	upstreams    map[string]*upstream
-	sorted       []*upstream // by id, so that all holders go the same way
-	inFlight     int         // calls that are out
-	fenced       bool        // every upstream has been asked under the token
-	nextLoad     time.Time   // when the weight store allows the next load
+	sorted       []*upstream // by VM id, so that all holders use the same order
+	inFlight     int         // calls that have not ended
+	fenced       bool        // every upstream has been queried under the token
+	nextLoad     time.Time   // earliest time of the next load
 }
 
-// upstream is what is known of one under the present token.
+// upstream is the state of one upstream as observed under the current token.
 type upstream struct {
 	vm        topo.VM
-	queried   bool // has answered, or could not
-	reachable bool // answered the last time
-	managed   bool // takes orders
+	queried   bool // a call under the token has ended, successfully or not
+	reachable bool // the last call succeeded
+	managed   bool // accepts orders
 	inFlight  bool
-	pending   bool // an order was sent, and its answer was lost or is awaited
+	pending   bool // an order was sent, and its response is outstanding or lost
 	status    wire.OrderStatus
 	failedAt  time.Time
-	nextQuery time.Time // of the next query
+	nextQuery time.Time
 }
 
-// NewState returns the State of a controller that starts at most one load in
-// loadEvery.
+// NewState returns the State of a controller that starts at most one load per
+// loadInterval.
 func NewState(loadInterval time.Duration) *State {
 	return &State{
 		loadInterval: loadInterval,
@@ -105,7 +109,7 @@
 	}
 }
 
-// Step applies an event.
+// Step applies an event and returns the orders to send.
 func (s *State) Step(event Event) []Send {
 	switch e := event.(type) {
 	case LeaseChanged:
@@ -120,8 +124,8 @@
 	return nil
 }
 
-// applyLease begins or ends a holding. Whatever was known before is forgotten: the
-// holder in between may have changed it.
+// applyLease records a change of the lease. It resets the state of all
+// upstreams, because another holder may have changed them in between.
 func (s *State) applyLease(e LeaseChanged) {
 	if e.Token == s.token {
 		return
@@ -170,17 +174,17 @@
 	}
 	u.inFlight = false
 	if e.Order.Token != s.token {
-		return // of a former holding
+		return // sent under an earlier token
 	}
 	u.queried = true
 	if e.Err != nil && e.Err.Reason == verdict.ReasonFenced {
-		s.token = 0 // another holds the lease
+		s.token = 0 // another router holds the lease
 		return
 	}
 	u.reachable = e.Err == nil
 	if e.Err != nil {
-		// An order whose answer was lost may have been taken: it stays pending
-		// until the upstream has been asked.
+		// An order whose response was lost may have been accepted: it stays
+		// pending until the upstream has been queried.
 		u.managed = e.Err.Reason != verdict.ReasonNoOrders
 		u.nextQuery = e.Now.Add(queryRetryDelay)
 		return
@@ -205,15 +209,16 @@
 	if !s.fenced {
 		return s.query(now)
 	}
-	// Orders go first: an upstream that is being asked is given none.
+	// Orders go first, because an upstream with a query in flight gets no order.
 	orders := s.rollOut(now)
 	return append(orders, s.query(now)...)
 }
 
-// updateFenced waits until every upstream has been asked under the token. From then
-// on no order of a former holder is taken any more, and what one has ordered
-// just before is known to be running. Only then does the time run until the
-// weight store allows a load: a former holder may have used what it allows.
+// updateFenced sets fenced once every upstream has been queried under the
+// token. From then on upstreams reject orders of former holders, and any order
+// that a former holder sent just before is known to be running. The interval
+// until the first load starts only then, because a former holder may have just
+// used the weight store's rate.
 func (s *State) updateFenced(now time.Time) {
 	if s.fenced {
 		return
--- a/internal/controller/sweep_test.go
+++ b/internal/controller/sweep_test.go
@@ -19,8 +19,9 @@
 	return topo.Ref{Kind: topo.KindClaim, Name: fmt.Sprintf("%03d", i)}
 }
 
-// A caller's idempotency key from yesterday is never swept and the store fills
-// up; or one of today is swept, and the booking that it stands for runs twice.
+// Guards against claims that are never deleted and fill up the store, and
+// against deletion of a claim that is still valid, which would let its request
+// run twice.
 func TestSweepDeletesOnlyExpiredObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewObjectAPI()
@@ -45,7 +46,7 @@
 		for i := range claimCount {
 			_, err := s.Get(t.Context(), claimRef(i))
 			if exists := err == nil; exists != (i%2 == 1) {
-				t.Errorf("claim %d is there: %v", i, exists)
+				t.Errorf("claim %d exists: %v", i, exists)
 			}
 		}
 		stop()
