--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -90,8 +90,8 @@
 	LastStoreResponse time.Time `json:"store_heard,omitzero"`
 }
 
-// PoolStatus is the state of a pool as one router sees it, partly from reports
-// of other VMs.
+// PoolStatus is the state of a pool as one router sees it, based on samples
+// from other VMs.
 type PoolStatus struct {
 	Name     string  `json:"name"`
 	Known    int     `json:"known"`    // upstreams in the list of VMs
@@ -131,7 +131,7 @@
 // Condition is a reason to use an upstream less or not at all.
 type Condition struct {
 	Kind   string    `json:"kind"`
-	Source string    `json:"by"` // where the condition was observed
+	Source string    `json:"by"` // source of the condition
 	Since  time.Time `json:"since,omitzero"`
 	Until  time.Time `json:"until,omitzero"`
 }
@@ -139,8 +139,8 @@
 // ControlRate is the control traffic of one kind at a router.
 type ControlRate struct {
 	Kind           string  `json:"kind"`
-	Bytes          int64   `json:"bytes"`            // since its start
-	BytesPerSecond float64 `json:"bytes_per_second"` // mean since its start
+	Bytes          int64   `json:"bytes"`            // since the router's start
+	BytesPerSecond float64 `json:"bytes_per_second"` // mean since the router's start
 }
 
 // Quarantined is a request that is known or suspected to crash upstreams.
@@ -158,8 +158,8 @@
 	Profile      string `json:"profile,omitempty"` // requested by the caller; empty: the one that matches the request
 	Model        string `json:"model,omitempty"`
 	Service      string `json:"service,omitempty"`
-	Method       string `json:"method,omitempty"` // of a call of a service
-	Path         string `json:"path,omitempty"`   // of a call of a service, after its name
+	Method       string `json:"method,omitempty"` // method of a call to a service
+	Path         string `json:"path,omitempty"`   // path of a call to a service, after the service's name
 	Session      string `json:"session,omitempty"`
 	Ticket       string `json:"ticket,omitempty"` // placement ticket that the caller would send
 }
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -21,7 +21,7 @@
 	Objects  []admin.ObjectVersion
 	Rejected []profile.Problem // each object's first problem
 	Complete topo.Version      // version of the store up to which all changes are known
-	// LastStoreResponse is when the store last responded with data that was not
+	// LastStoreResponse is when the store last sent a response that was not
 	// stale.
 	LastStoreResponse time.Time
 }
@@ -35,7 +35,7 @@
 	complete          topo.Version
 	newest            topo.Version
 	dirty             bool
-	lastStoreResponse time.Time     // time of the last response from the store
+	lastStoreResponse time.Time
 	changed           chan struct{} // closed and replaced when a change is published
 }
 
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// maxPrepared limits the upstreams of the fleet that are prepared and wait for
+// maxPrepared limits how many upstreams of the fleet are prepared and wait for
 // the weight store. Preparing more would only keep them out of service for
 // longer.
 const maxPrepared = 4
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// validationResult is what validate found.
+// validationResult is the result of validate.
 type validationResult struct {
 	Objects  []topo.Ref        `json:"objects"`
 	Problems []profile.Problem `json:"problems"`
@@ -24,14 +24,16 @@
 	}
 }
 
-// validate checks files by themselves: what they refer to must be among them.
+// validate checks files without the store, so that every object they refer to
+// must be among them.
 func (a *app) validate(context.Context) error {
 	docs, problems, err := readFiles(a.options.Validate.paths())
 	if err != nil {
 		return err
 	}
 	if len(problems) == 0 {
-		// With an object missing, those that refer to it would be blamed.
+		// If a file has problems, its objects may be missing here, and those that
+		// refer to them would be reported too.
 		problems = profile.CheckReferences(docs, nil)
 	}
 	v := validationResult{Objects: profile.Refs(docs), Problems: problems}
@@ -44,8 +46,8 @@
 	return nil
 }
 
-// readFiles reads files. None with an object in it is a mistake: a file that a
-// failed command has left empty would otherwise be applied with success.
+// readFiles reads files. It is an error if they contain no object: otherwise a
+// file left empty by a failed command would be applied successfully.
 func readFiles(paths []string) ([]profile.Document, profile.Problems, error) {
 	docs, problems, err := profile.Load(paths...)
 	if err == nil && len(docs)+len(problems) == 0 {
@@ -54,8 +56,8 @@
 	return docs, problems, err
 }
 
-// loadEdits reads files and checks them together with the store. It returns the
-// changes that they ask for.
+// loadEdits reads files, checks them together with the store and returns the
+// edits that they require.
 func (a *app) loadEdits(ctx context.Context, paths []string) ([]edit, error) {
 	docs, problems, err := readFiles(paths)
 	if err != nil {
@@ -89,8 +91,9 @@
 	return edits, nil
 }
 
-// checkBase refuses a file that was made from a revision that has been replaced
-// since: applying it would undo another operator's change without a word.
+// checkBase returns a conflict if a file is based on a revision that has been
+// replaced since, because applying it would silently undo another operator's
+// change.
 func (a *app) checkBase(ctx context.Context, d profile.Document, e edit) error {
 	current := e.base.Revision.Change.ID
 	if d.Change == "" || config.ChangeID(d.Change) == current || e.isUnchanged() {
@@ -118,7 +121,7 @@
 	return a.applyEdits(ctx, o.changeOptions, edits)
 }
 
-// difference is what an apply would do to one object.
+// difference is what apply would change in one object.
 type difference struct {
 	topo.Ref
 	State state  `json:"state"`
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// delete removes an object that nothing refers to.
+// delete deletes an object. It fails if other objects refer to it.
 func (a *app) delete(ctx context.Context) error {
 	o := a.options.Delete
 	ref := topo.Ref(o.Args.Object)
@@ -181,7 +184,7 @@
 	return a.applyEdits(ctx, o.changeOptions, []edit{{base: base}})
 }
 
-// referrers returns the stored objects that refer to one.
+// referrers returns the stored objects that refer to an object.
 func (a *app) referrers(ctx context.Context, ref topo.Ref) ([]topo.Ref, error) {
 	var kind topo.Kind
 	switch ref.Kind {
@@ -205,7 +208,8 @@
 	return referrers, nil
 }
 
-// readExisting reads an object that has to exist.
+// readExisting reads an object. It returns an error with ExitNotFound if the
+// object does not exist.
 func (a *app) readExisting(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
 	current, err := a.editor.Read(ctx, ref)
 	if err == nil && !current.Exists() {
--- a/internal/ctl/bench_test.go
+++ b/internal/ctl/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// upToDateNode is a router that has every change in force at once.
+// upToDateNode is a router at which every change is in force at once.
 type upToDateNode struct{ vms func() []topo.VM }
 
 func (upToDateNode) Status(bool) admin.Status                             { return admin.Status{} }
@@ -30,7 +30,7 @@
 func (upToDateNode) InForce(topo.Ref) admin.InForce                       { return admin.InForce{Version: 1 << 60} }
 func (upToDateNode) Explain(admin.Query) (e admin.Explanation, err error) { return e, err }
 
-// counts wraps a handler and counts its calls and the bytes of bodies.
+// counts holds the number of calls of a handler and the bytes of their bodies.
 type counts struct{ calls, bytes atomic.Int64 }
 
 type countingWriter struct {
@@ -51,10 +51,10 @@
 	})
 }
 
-// BenchmarkApplyWait is one parsleyctl apply --wait of one profile: calls of the
-// store and of the routers, and the bytes of their bodies. It names the router
-// to ask, since all of them share this process's limit of open files; without
-// that the command reads the list of VMs once more.
+// BenchmarkApplyWait measures parsleyctl apply --wait with one profile: the
+// calls to the store and to the routers, and the bytes of their bodies. It
+// names the router to call, because all routers share this process's limit of
+// open files; without --router the command reads the list of VMs once more.
 func BenchmarkApplyWait(b *testing.B) {
 	for _, n := range []int{10, 100, 330} {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
@@ -74,7 +74,7 @@
 				}
 			}
 			for i := range historyLimit {
-				run(100 + i) // until the history is as long as it gets
+				run(100 + i) // fill the object's history
 			}
 			store, routers = counts{}, counts{}
 			for i := 0; b.Loop(); i++ {
@@ -89,7 +89,8 @@
 	}
 }
 
-// historyLimit is more changes than an object's history keeps.
+// historyLimit is larger than the number of changes that an object's history
+// keeps.
 const historyLimit = 25
 
 // startPlatform starts a platform with n listed routers. It returns its URL and
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -14,14 +14,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// edit is a change to be made, with what the store has now.
+// edit is a change to be made to an object, with the stored object that it is
+// based on.
 type edit struct {
 	base  change.StoredObject
 	spec  json.RawMessage // nil deletes
-	label string          // what the new content is called in a diff
+	label string          // label of the new content in a diff
 }
 
-// isUnchanged reports whether the store has that content already.
+// isUnchanged reports whether the store already has the content of e.
 func (e edit) isUnchanged() bool {
 	if e.spec == nil || !e.base.Exists() {
 		return e.spec == nil && !e.base.Exists()
@@ -29,8 +30,9 @@
 	return equalSpecs(e.base, e.spec)
 }
 
-// equalSpecs compares after reading both, so that a field that an older release
-// left to its default is no difference by itself.
+// equalSpecs reports whether a stored object has the content of spec. It
+// decodes and encodes the stored object first, so that a field that an older
+// release left at its default is not a difference.
 func equalSpecs(base change.StoredObject, spec json.RawMessage) bool {
 	stored, err := profile.Decode(base.Ref, base.Revision.Spec)
 	if err != nil {
@@ -40,7 +42,7 @@
 	return err == nil && string(text) == string(spec)
 }
 
-// state is what became of one object of an apply.
+// state is the outcome for one object of an apply.
 type state string
 
 const (
@@ -51,10 +53,10 @@
 	stateConflict  state = "conflict"
 	stateFailed    state = "failed"
 	stateUnknown   state = "unknown"
-	stateSkipped   state = "skipped" // not tried, because one before it ended badly
+	stateSkipped   state = "skipped" // not attempted, because an earlier edit failed
 )
 
-// objectResult is what became of one object.
+// objectResult is the result for one object of an apply.
 type objectResult struct {
 	topo.Ref
 	State   state           `json:"state"`
@@ -67,11 +69,11 @@
 	return a.State == stateCreated || a.State == stateUpdated || a.State == stateDeleted
 }
 
-// applyResult is what became of an apply.
+// applyResult is the result of an apply.
 type applyResult struct {
 	Objects []objectResult `json:"objects"`
-	Key     *newKey        `json:"key,omitempty"`      // of key add
-	InForce *inForceStatus `json:"in_force,omitempty"` // with --wait
+	Key     *newKey        `json:"key,omitempty"`      // set by key add
+	InForce *inForceStatus `json:"in_force,omitempty"` // set with --wait
 }
 
 func (r applyResult) table(w io.Writer) {
@@ -88,7 +90,7 @@
 	}
 }
 
-// dash returns n, or a dash for what is not known.
+// dash formats n; zero, which means unknown, is a dash.
 func dash[N ~int64](n N) string {
 	if n == 0 {
 		return "-"
@@ -96,13 +98,14 @@
 	return fmt.Sprint(n)
 }
 
-// writeOrder orders writes so that no object refers to one that is not there yet;
-// deletions go the other way round.
+// writeOrder returns the position of a kind in the order of writes, in which no
+// object is written before those it refers to.
 func writeOrder(k topo.Kind) int {
 	return slices.Index([]topo.Kind{topo.KindPool, topo.KindProfile, topo.KindOrganisation, topo.KindDrain, topo.KindDomainDrain}, k)
 }
 
-// applyEdits makes edits, prints what became of each and waits if asked to.
+// applyEdits commits edits, prints the result for each object and, with --wait,
+// waits until they are in force.
 func (a *app) applyEdits(ctx context.Context, o changeOptions, edits []edit) error {
 	r, failed := a.commitEdits(ctx, o, edits)
 	if err := a.print(r); err != nil {
@@ -111,7 +114,8 @@
 	return failed
 }
 
-// commitEdits makes edits one after the other and stops at the first that ends badly.
+// commitEdits commits edits one after the other and skips the rest after the
+// first failure.
 func (a *app) commitEdits(ctx context.Context, o changeOptions, edits []edit) (applyResult, error) {
 	slices.SortStableFunc(edits, func(x, y edit) int { return cmp.Compare(writeOrder(x.base.Ref.Kind), writeOrder(y.base.Ref.Kind)) })
 	var r applyResult
@@ -131,8 +135,8 @@
 	return r, partialFailure(r, failed)
 }
 
-// partialFailure turns the failure of one object into that of the whole when others
-// have been changed already.
+// partialFailure returns an error with ExitPartial if one edit failed after
+// others were committed. Otherwise it returns failed.
 func partialFailure(r applyResult, failed error) error {
 	if failed == nil || !slices.ContainsFunc(r.Objects, objectResult.changed) {
 		return failed
@@ -185,7 +189,8 @@
 	}
 }
 
-// conflictError shows what both operators did to what they had in common.
+// conflictError prints how both operators changed their common base and returns
+// an error with ExitConflict.
 func (a *app) conflictError(c change.Conflict, mine string) error {
 	ref, base := c.Base.Ref, c.Base.Revision.Spec
 	theirs, err := diffSpecs(ref, base, c.Theirs.Revision.Spec, "before", "as changed by "+authorLabel(c.Theirs.Revision.Change))
@@ -202,7 +207,7 @@
 		"%s was changed by another operator at the same time; your change was not made", ref)
 }
 
-// authorLabel names who made a change.
+// authorLabel returns a label for the author of a change.
 func authorLabel(c config.Change) string {
 	if c.Author == "" {
 		return "change " + string(c.ID)
--- a/internal/ctl/completion.go
+++ b/internal/ctl/completion.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// completers are the scripts that make a shell complete command lines by asking
-// the command itself, as go-flags does it.
+// completers are the scripts, by shell, that complete command lines by calling
+// parsleyctl itself, as go-flags supports it.
 var completers = map[string]string{
 	"bash": `_parsleyctl() {
   local IFS=$'\n'
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,8 +1,9 @@
-// Package ctl is parsleyctl, the operators' command. It writes configuration
-// to the platform's store and asks routers how far they are.
+// Package ctl implements parsleyctl, the operators' command. It writes
+// configuration to the platform's store and queries routers for their state.
 //
-// Results go to standard output, in a form that scripts can rely on; errors and
-// advice go to standard error. The exit code says what became of a change.
+// Results are written to standard output in a form that scripts can rely on;
+// errors and advice are written to standard error. The exit code states the
+// outcome of a change.
 package ctl
 
 import (
@@ -22,21 +23,21 @@
 
 const program = "parsleyctl"
 
-// app is one run of the command.
+// app is the state of one run of the command.
 type app struct {
 	options Options
 	out     io.Writer
 	errOut  io.Writer
 	http    *topo.HTTP
 	editor  *change.Editor
-	token   string // of the routers' API
+	token   string // token of the routers' admin API
 }
 
-// handler carries out a command.
+// handler is the implementation of a command.
 type handler struct {
 	name     string
 	run      func(*app, context.Context) error
-	platform bool // needs the platform
+	platform bool // requires the platform's URL
 }
 
 var handlers = []handler{
@@ -58,7 +59,7 @@
 	{"completion", (*app).completion, false},
 }
 
-// Run carries out one command line.
+// Run executes one command line and returns its exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) Code {
 	a := &app{out: out, errOut: errOut}
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
@@ -86,7 +87,8 @@
 	return ExitOK
 }
 
-// commandName returns the names of the active command and its subcommand.
+// commandName returns the name of the active command, followed by that of its
+// subcommand.
 func commandName(c *flags.Command) string {
 	name := c.Active.Name
 	if sub := c.Active.Active; sub != nil {
@@ -111,7 +113,8 @@
 	return newExitError(ExitUsage, "", "no command %q", name)
 }
 
-// configureClients prepares the calls of the platform and of routers.
+// configureClients sets up the clients for the platform and for the routers'
+// admin API.
 func (a *app) configureClients() error {
 	if file := a.options.AdminToken; file != "" {
 		text, err := os.ReadFile(file)
@@ -142,7 +145,7 @@
 	}
 }
 
-// notef tells the operator something that is not part of the result.
+// notef prints a message for the operator that is not part of the result.
 func (a *app) notef(format string, args ...any) {
 	fmt.Fprintf(a.errOut, format+"\n", args...)
 }
--- a/internal/ctl/docs_test.go
+++ b/internal/ctl/docs_test.go
@@ -19,8 +19,8 @@
 	return string(text)
 }
 
-// An operator looks up a command or an exit code at night and the page does not
-// know it.
+// Guards against commands and exit codes that are missing in the operators'
+// documentation.
 func TestPageNamesEachCommandAndExitCode(t *testing.T) {
 	text := readPage(t, "parsleyctl.md")
 	for _, h := range handlers {
@@ -35,7 +35,8 @@
 	}
 }
 
-// The same for a field of a file.
+// Guards against fields of configuration files that are missing in the
+// operators' documentation.
 func TestPageNamesEachField(t *testing.T) {
 	text := readPage(t, "profiles.md")
 	for _, kind := range profile.Kinds {
--- a/internal/ctl/document_test.go
+++ b/internal/ctl/document_test.go
@@ -7,9 +7,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// An operator edits what get has printed and applies it. A version such as 1.10
-// or a model named null must come back as the text that it is, not as a number
-// or as nothing: the upstreams would load another version.
+// Guards against text values that change their type when the output of get is
+// applied. A version such as 1.10 or a model named null must be read back as
+// text, not as a number or null; otherwise the upstreams would load another
+// version.
 func TestDocumentRoundTrip(t *testing.T) {
 	for _, text := range []string{"1", "1.10", "0x1f", "1e5", "true", "null", "~", "2026-03-01", "a:b", "#x", "-", "*a", "&a", "!t", "[", "{", "'", `"`, "%x", "@x", "|", ">", "?", "no", "=", ".inf", ".nan", "-.Inf", "1_000", "0o7", "+1", "1:30"} {
 		pool := profile.New(topo.KindPool).(*profile.Pool)
--- a/internal/ctl/drain.go
+++ b/internal/ctl/drain.go
@@ -8,7 +8,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// order returns the drain order that a command is about.
+// order returns the drain order that the command names.
 func (c drainCommand) order() (profile.Object, error) {
 	switch {
 	case c.Domain != "" && c.Args.VM != "":
@@ -21,7 +21,7 @@
 	return nil, newExitError(ExitUsage, "name a VM, or a failure domain with --failure-domain", "nothing is named")
 }
 
-// matches reports whether the command is about a VM of the platform's list.
+// matches reports whether the command applies to a VM of the platform's list.
 func (c drainCommand) matches(vm topo.VM) bool {
 	if c.Domain != "" {
 		return vm.FailureDomain == c.Domain
@@ -29,7 +29,8 @@
 	return vm.ID == c.Args.VM
 }
 
-// drain orders a VM, or the upstreams of a failure domain, to take no new work.
+// drain stores an order that a VM, or the upstreams of a failure domain, take
+// no new work.
 func (a *app) drain(ctx context.Context) error {
 	o := a.options.Drain
 	order, err := o.order()
@@ -57,7 +58,7 @@
 	return a.applyEdits(ctx, o.changeOptions, []edit{{base: base, spec: spec, label: "as ordered"}})
 }
 
-// undrain takes a drain order back.
+// undrain withdraws a drain order.
 func (a *app) undrain(ctx context.Context) error {
 	o := a.options.Undrain
 	order, err := o.order()
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -14,33 +14,35 @@
 
 // Exit codes.
 const (
-	// ExitOK is a command that did what it was asked to.
+	// ExitOK means that the command succeeded.
 	ExitOK Code = 0
-	// ExitFailed is a command that failed and changed nothing.
+	// ExitFailed means that the command failed and changed nothing.
 	ExitFailed Code = 1
-	// ExitUsage is a wrong command line.
+	// ExitUsage means that the command line is wrong.
 	ExitUsage Code = 2
-	// ExitInvalid is configuration with mistakes. Nothing was changed.
+	// ExitInvalid means that the configuration is invalid. Nothing was changed.
 	ExitInvalid Code = 3
-	// ExitConflict is a change that lost to another operator's. Nothing was changed.
+	// ExitConflict means that another operator changed the object first. Nothing
+	// was changed.
 	ExitConflict Code = 4
-	// ExitUnknown is a change of which it is unknown whether it took effect.
+	// ExitUnknown means that it is unknown whether the change took effect.
 	ExitUnknown Code = 5
-	// ExitNotInForce is an accepted change that some router did not confirm in time.
+	// ExitNotInForce means that the change was accepted, but some router did not
+	// confirm it in time.
 	ExitNotInForce Code = 6
-	// ExitDiffers is a diff that found differences.
+	// ExitDiffers means that diff found differences.
 	ExitDiffers Code = 7
-	// ExitNotFound is an object, change or VM that does not exist.
+	// ExitNotFound means that an object, change or VM does not exist.
 	ExitNotFound Code = 8
-	// ExitPartial is an apply of which some changes were made and others not.
+	// ExitPartial means that apply made some changes and not others.
 	ExitPartial Code = 9
 )
 
-// exitError is an error with the code with which the command ends.
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	code   Code
 	err    error
-	advice string // what the operator can do now
+	advice string // suggested next step for the operator
 }
 
 func (e *exitError) Error() string { return e.err.Error() }
@@ -50,7 +52,7 @@
 	return &exitError{code: code, err: errors.Errorf(format, args...), advice: advice}
 }
 
-// classify returns the code and the advice for an error.
+// classify returns the exit code and the advice for an error.
 func classify(err error) (Code, string) {
 	var e *exitError
 	var problems profile.Problems
--- a/internal/ctl/get.go
+++ b/internal/ctl/get.go
@@ -19,12 +19,12 @@
 func (o object) table(w io.Writer) {
 	text, err := document(o.Kind, o.Change.ID, o.Spec)
 	if err != nil {
-		text = string(o.Spec) + "\n" // not written by this command
+		text = string(o.Spec) + "\n" // not valid JSON, so not written by parsleyctl
 	}
 	fmt.Fprint(w, text)
 }
 
-// get prints an object; as YAML and as a table it is a file for apply.
+// get prints an object. Its YAML and table output is a file for apply.
 func (a *app) get(ctx context.Context) error {
 	current, err := a.readExisting(ctx, topo.Ref(a.options.Get.Args.Object))
 	if err != nil {
@@ -37,7 +37,7 @@
 	return a.print(newObject(current))
 }
 
-// listing is the objects of a kind.
+// listing holds the objects of a kind.
 type listing struct {
 	Objects []object `json:"objects"`
 }
@@ -61,7 +61,7 @@
 	return a.print(l)
 }
 
-// historyResult is the history of an object, the newest first.
+// historyResult is the history of an object, newest change first.
 type historyResult struct {
 	topo.Ref
 	Changes []historyEntry `json:"changes"`
@@ -71,7 +71,7 @@
 type historyEntry struct {
 	config.Change
 	Deleted bool   `json:"deleted,omitempty"`
-	Diff    string `json:"diff,omitempty"` // from the one before
+	Diff    string `json:"diff,omitempty"` // from the previous revision
 }
 
 func (c historyResult) table(w io.Writer) {
@@ -105,7 +105,8 @@
 	return a.print(r)
 }
 
-// revisions reads an object with its history. A deleted object has one too.
+// revisions reads an object with its history. Deleted objects have a history
+// too.
 func (a *app) revisions(ctx context.Context, ref topo.Ref) (change.StoredObject, []config.Revision, error) {
 	current, err := a.editor.Read(ctx, ref)
 	if err != nil {
@@ -118,8 +119,9 @@
 	return current, revisions, err
 }
 
-// rollback makes a new revision with the content of a former one. It is checked
-// like any change: what it refers to may be gone by now.
+// rollback makes a new revision with the content of an earlier one. It checks
+// references like any change, because the objects referred to may have been
+// deleted since.
 func (a *app) rollback(ctx context.Context) error {
 	o := a.options.Rollback
 	ref := topo.Ref(o.Args.Object)
@@ -148,8 +150,8 @@
 	return a.newSnapshot().checkReferences(ctx, []profile.Document{{Object: o}})
 }
 
-// findRevision returns the revision with an id, or the last one before the present one
-// that is not a deletion.
+// findRevision returns the revision with an id, or, if id is empty, the last
+// one before the current one that is not a deletion.
 func findRevision(ref topo.Ref, revisions []config.Revision, id config.ChangeID) (config.Revision, error) {
 	for i, r := range revisions {
 		if r.Change.ID == id || id == "" && i > 0 && !r.Deleted() {
--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -12,10 +12,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// keyPrefix lets a key that leaked into a log or a repository be found.
+// keyPrefix makes keys that leak into a log or a repository easy to find.
 const keyPrefix = "pfk_"
 
-// newKey is a key as it is shown once.
+// newKey is a new key with its hash. It is shown only once.
 type newKey struct {
 	Key    string `json:"key"`
 	SHA256 string `json:"sha256"`
@@ -25,7 +25,7 @@
 	fmt.Fprintf(w, "key\t%s\nsha256\t%s\n", k.Key, k.SHA256)
 }
 
-// generateKey makes a key of at least 128 random bits.
+// generateKey returns a key with at least 128 random bits.
 func generateKey() newKey {
 	key := keyPrefix + rand.Text()
 	return newKey{Key: key, SHA256: profile.HashKey(key)}
@@ -35,9 +35,9 @@
 	return a.print(generateKey())
 }
 
-// keyAdd stores the hash of a new key and prints the key, unless it is certain
-// that the hash was not stored: a change whose answer was lost must not leave a
-// valid key that nobody knows.
+// keyAdd stores the hash of a new key. It prints the key unless the hash was
+// certainly not stored: a change whose response was lost must not leave a valid
+// key that nobody has.
 func (a *app) keyAdd(ctx context.Context) error {
 	o := a.options.Key.Add
 	base, org, err := a.organisation(ctx, o.Args.Organisation)
--- a/internal/ctl/neighbours.go
+++ b/internal/ctl/neighbours.go
@@ -8,11 +8,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// listThreshold is how many objects of a kind are read one by one. For more a
-// listing, of some hundred objects a page, costs fewer calls.
+// listThreshold is the highest number of objects of a kind that are read one by
+// one. For more, a listing with some hundred objects a page takes fewer calls.
 const listThreshold = 20
 
-// snapshot is objects as the store had them, each read once.
+// snapshot holds objects of the store, each read once.
 type snapshot struct {
 	app     *app
 	objects map[topo.Ref]change.StoredObject
@@ -23,7 +23,8 @@
 	return &snapshot{app: a, objects: make(map[topo.Ref]change.StoredObject), listed: make(map[topo.Kind]bool)}
 }
 
-// prefetch lists the kinds of which very many objects will be read.
+// prefetch lists the kinds of which docs contain more than listThreshold
+// objects.
 func (s *snapshot) prefetch(ctx context.Context, docs []profile.Document) error {
 	count := make(map[topo.Kind]int)
 	for _, d := range docs {
@@ -37,12 +38,12 @@
 	return nil
 }
 
-// read returns an object; one that does not exist is no error.
+// read returns an object. An object that does not exist is no error.
 func (s *snapshot) read(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
 	if current, ok := s.objects[ref]; ok {
 		return current, nil
 	}
-	// A listing leaves out deleted objects, whose versions are needed.
+	// A listing omits deleted objects, whose versions are needed too.
 	current, err := s.app.editor.Read(ctx, ref)
 	if err == nil {
 		s.objects[ref] = current
@@ -50,7 +51,7 @@
 	return current, err
 }
 
-// list reads all objects of a kind. What has been read before stays.
+// list reads all objects of a kind. Objects read before are kept as they are.
 func (s *snapshot) list(ctx context.Context, kind topo.Kind) error {
 	if s.listed[kind] {
 		return nil
@@ -68,9 +69,10 @@
 	return nil
 }
 
-// readRelated reads what a check of docs needs of the store: the objects that docs
-// refer to, and those that could be broken by docs. A store holds very many
-// organisations, and most changes concern few.
+// readRelated reads the stored objects that a check of docs requires: those
+// that docs refer to, and those that docs could make invalid. It does not read
+// all objects, because a store holds very many organisations and most changes
+// concern few.
 func (s *snapshot) readRelated(ctx context.Context, docs []profile.Document) error {
 	for _, d := range docs {
 		var err error
@@ -99,11 +101,11 @@
 	if err != nil || !hasNewKey(o, current) {
 		return err
 	}
-	// Only a new key can be another organisation's.
+	// Only a new key can be in use by another organisation.
 	return s.list(ctx, topo.KindOrganisation)
 }
 
-// hasNewKey reports whether o has a key that the stored object has not.
+// hasNewKey reports whether o has a key that the stored object does not have.
 func hasNewKey(o *profile.Organisation, current change.StoredObject) bool {
 	known := make(map[string]bool)
 	if stored, err := profile.Decode(current.Ref, current.Revision.Spec); err == nil {
@@ -119,7 +121,8 @@
 	return false
 }
 
-// validObjects returns the objects that exist and are valid. Routers refuse the others.
+// validObjects returns the objects that exist and are valid. Routers reject
+// invalid ones.
 func (s *snapshot) validObjects() profile.Set {
 	set := make(profile.Set, len(s.objects))
 	for ref, current := range s.objects {
@@ -136,7 +139,8 @@
 	return set
 }
 
-// checkReferences checks docs together with the store.
+// checkReferences checks the references between docs and the objects in the
+// store.
 func (s *snapshot) checkReferences(ctx context.Context, docs []profile.Document) error {
 	if err := s.readRelated(ctx, docs); err != nil {
 		return err
--- a/internal/ctl/options.go
+++ b/internal/ctl/options.go
@@ -6,7 +6,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Options is the command line of parsleyctl.
+// Options describes the command line of parsleyctl.
 type Options struct {
 	Platform   string        `long:"platform" env:"PARSLEYCTL_PLATFORM" description:"URL of the platform's API" value-name:"URL"`
 	Router     string        `long:"router" env:"PARSLEYCTL_ROUTER" description:"admin address of a router to ask, instead of any in the list of VMs" value-name:"HOST:PORT"`
@@ -48,7 +48,7 @@
 
 type diffCommand struct{ pathsCommand }
 
-// changeOptions are those of every command that changes something.
+// changeOptions are the options of every command that changes an object.
 type changeOptions struct {
 	Reason      string        `short:"m" long:"reason" description:"why, for the history"`
 	Wait        bool          `long:"wait" description:"wait until the change is in force at every live router"`
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -15,7 +15,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// format is how results are printed.
+// format is the output format of results.
 type format string
 
 const (
@@ -23,10 +23,10 @@
 	formatYAML format = "yaml"
 )
 
-// diffContext is how many unchanged lines are shown around a change.
+// diffContext is the number of unchanged lines shown around a change.
 const diffContext = 3
 
-// result is what a command prints. Its JSON fields are stable.
+// result is the output of a command. Its JSON fields are stable.
 type result interface {
 	table(w io.Writer)
 }
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// toYAML writes v as YAML with the fields of its JSON, in their order.
+// toYAML encodes v as YAML, with the names and the order of its JSON fields.
 func toYAML(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return out, errors.WithStack(err)
 }
 
-// object is a configuration object as operators see it.
+// object is a configuration object as shown to operators.
 type object struct {
 	Kind    topo.Kind       `json:"kind"`
 	Name    string          `json:"name"`
@@ -73,8 +73,8 @@
 	Spec    json.RawMessage `json:"spec,omitempty"`
 }
 
-// document returns an object as a file for apply. A change id in it makes apply
-// refuse when the object has been changed since.
+// document returns an object as a file for apply. If the file has a change id,
+// apply fails when the object has been changed since.
 func document(kind topo.Kind, id config.ChangeID, spec json.RawMessage) (string, error) {
 	if len(spec) == 0 {
 		return "", nil
@@ -92,8 +92,8 @@
 	return b.String(), nil
 }
 
-// diffSpecs returns the unified diff of two contents of an object; empty when
-// they are the same.
+// diffSpecs returns the unified diff of two contents of an object. It is empty
+// if they are equal.
 func diffSpecs(ref topo.Ref, from, to json.RawMessage, fromName, toName string) (string, error) {
 	before, err := document(ref.Kind, "", from)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return text, errors.WithStack(err)
 }
 
-// lines splits text after each newline. Unlike the library's own it gives no
+// lines splits text after each newline. Unlike difflib.SplitLines it returns no
 // line for an empty text.
 func lines(text string) []string {
 	if text == "" {
--- a/internal/ctl/patient.go
+++ b/internal/ctl/patient.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxAttempts is how often a call is made that the platform refuses. With
-	// the pauses between them that is some six seconds.
+	// maxAttempts limits the attempts of a call that the platform refuses. With
+	// the pauses between them they take about six seconds.
 	maxAttempts = 9
-	// initialBackoff and refusedMost bound the mean pause between tries.
+	// initialBackoff and maxBackoff bound the mean pause between attempts.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// retryingStore repeats calls that the platform refuses. The platform limits the
-// rate of calls, so that an apply of many objects would break off somewhere in
-// the middle. A refused call has had no effect, so a write may be repeated too.
+// retryingStore retries calls that the platform refuses. The platform limits
+// the rate of calls, which would otherwise abort an apply of many objects
+// midway. A refused call has had no effect, so writes can be retried too.
 type retryingStore struct {
 	topo.Store
 }
@@ -54,7 +54,8 @@
 	return o, err
 }
 
-// retryRefused makes a call until it is not refused.
+// retryRefused makes a call until it is not refused, at most maxAttempts times.
+// Pauses are randomized and grow exponentially.
 func retryRefused(ctx context.Context, call func() error) error {
 	backoff := initialBackoff
 	for attempt := 1; ; attempt++ {
--- a/internal/ctl/refs.go
+++ b/internal/ctl/refs.go
@@ -14,10 +14,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// completeTimeout bounds how long a shell's completion may ask the platform.
+// completeTimeout bounds the call to the platform for shell completion.
 const completeTimeout = time.Second
 
-// refArg is kind/name on the command line.
+// refArg is a reference to an object on the command line, as kind/name.
 type refArg topo.Ref
 
 // UnmarshalFlag implements flags.Unmarshaler.
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Complete implements flags.Completer. Names come from the platform when the
-// environment says where it is.
+// Complete implements flags.Completer. Names are read from the platform if
+// PARSLEYCTL_PLATFORM is set.
 func (r *refArg) Complete(match string) []flags.Completion {
 	kind, name, named := strings.Cut(match, "/")
 	var out []flags.Completion
@@ -61,7 +61,7 @@
 	return out
 }
 
-// kindArg is a kind on the command line.
+// kindArg is a kind of object on the command line.
 type kindArg topo.Kind
 
 // UnmarshalFlag implements flags.Unmarshaler.
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -14,15 +14,15 @@
 
 // fleetStatus is the state of the fleet.
 type fleetStatus struct {
-	Version     topo.Version         `json:"version"` // newest configuration that any router has in force
+	Version     topo.Version         `json:"version"` // newest configuration in force at any router
 	Routers     []admin.RouterStatus `json:"routers"`
 	Pools       []poolSummary        `json:"pools"`
 	Quarantined []admin.Quarantined  `json:"quarantined"`
-	Upstreams   *admin.Status        `json:"seen_by,omitempty"` // with --upstreams
+	Upstreams   *admin.Status        `json:"seen_by,omitempty"` // set with --upstreams
 }
 
-// poolSummary is a pool as the routers see it. Each sees a sliver of the traffic,
-// so the worst view is shown.
+// poolSummary is a pool as one of the routers sees it. Each router has only a
+// partial view, so the one with the highest skew is shown.
 type poolSummary struct {
 	admin.PoolStatus
 	SeenBy string `json:"seen_by"` // router with the highest skew
@@ -53,8 +53,8 @@
 	return a.print(s)
 }
 
-// unqueriedStatuses returns the routers of the list that the asked one does not know:
-// lists of VMs lag, and differ while they do.
+// unqueriedStatuses returns a status with an error for each listed router that
+// is missing in f. Lists of VMs are updated with a delay, so they can differ.
 func unqueriedStatuses(listed []topo.VM, f admin.FleetStatus) []admin.RouterStatus {
 	var out []admin.RouterStatus
 	for _, vm := range listed {
@@ -87,7 +87,8 @@
 	return s
 }
 
-// mergePools keeps the view of each pool with the highest skew.
+// mergePools merges the pools of a router into s. For each pool the view with
+// the highest skew is kept.
 func (s *fleetStatus) mergePools(r admin.RouterStatus) {
 	for _, p := range r.Status.Pools {
 		i := slices.IndexFunc(s.Pools, func(l poolSummary) bool { return l.Name == p.Name })
@@ -118,7 +119,8 @@
 	s.tableDetails(w)
 }
 
-// tableDetails prints what a healthy fleet has none of, and the upstreams.
+// tableDetails prints problems, which a healthy fleet does not have, and the
+// upstreams.
 func (s fleetStatus) tableDetails(w io.Writer) {
 	for _, r := range s.Routers {
 		if r.Status == nil {
@@ -148,7 +150,8 @@
 	}
 }
 
-// versionOf returns a router's version, marked when others are further.
+// versionOf returns a router's version of the configuration, marked if another
+// router has a newer one.
 func (s fleetStatus) versionOf(r admin.Status) string {
 	if r.Config.Version < s.Version {
 		return fmt.Sprintf("%s (behind)", r.Config.Version)
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// waitRound is how long one call of the wait lasts at most. A router that
-	// stops while it is asked costs no more than that.
+	// waitRound is the longest duration of one call of the wait. It also limits
+	// the time lost when a router stops during a call.
 	waitRound = 2 * time.Second
-	// roundMargin is how much earlier than the whole wait its last round ends.
+	// roundMargin is how long before the end of the whole wait its last round
+	// ends.
 	roundMargin = 700 * time.Millisecond
-	// waitPause is the pause between rounds that ended early.
+	// waitPause is the pause between rounds.
 	waitPause = 200 * time.Millisecond
-	// routerTimeout bounds the call of one router before the next is tried.
+	// routerTimeout bounds the call to one router before the next one is tried.
 	routerTimeout = 5 * time.Second
 )
 
-// inForceStatus says how far the routers are with a change.
+// inForceStatus states at how many routers a change is in force.
 type inForceStatus struct {
 	Everywhere bool               `json:"everywhere"`
 	Routers    int                `json:"routers"`
-	Seconds    float64            `json:"seconds"` // how long it was waited
+	Seconds    float64            `json:"seconds"` // duration of the wait
 	Pending    []admin.RouterWait `json:"pending,omitempty"`
 }
 
@@ -40,7 +41,7 @@
 	}
 }
 
-// describePending says why a router is waited for.
+// describePending returns the reason why a router is pending.
 func describePending(p admin.RouterWait) string {
 	if p.Error != "" {
 		return fmt.Sprintf("%s did not answer: %s", p.VM, p.Error)
@@ -63,7 +64,8 @@
 	return p.VM + " has " + strings.Join(parts, "; ")
 }
 
-// awaitInForce waits until what was applied is in force at every live router.
+// awaitInForce waits until the applied objects are in force at every live
+// router.
 func (a *app) awaitInForce(ctx context.Context, timeout time.Duration, objects []objectResult) (*inForceStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -74,7 +76,8 @@
 		var round inForceStatus
 		round, err = a.awaitRound(ctx, target)
 		if err == nil || r.Routers == 0 {
-			// A round that is cut off at the end says less than the one before.
+			// A round that is cut off by the timeout has less information than the
+			// one before.
 			r = round
 		}
 		r.Seconds = time.Since(start).Seconds()
@@ -98,15 +101,16 @@
 		"the change is accepted but not known to be in force everywhere after %s: %s", timeout, reason)
 }
 
-// waitTarget is what to wait for.
+// waitTarget holds the objects to wait for.
 type waitTarget struct {
 	request admin.WaitRequest
 	refs    []topo.Ref
 }
 
-// newWaitTarget returns what to wait for. An object that was changed again before its
-// version could be read is waited for at its present version. Many objects are
-// waited for by their newest version, because each router is told the list.
+// newWaitTarget returns the objects to wait for. For an object that was changed
+// again before its version was read, it is the current version. Many objects
+// are replaced by their newest version, because the list is sent to each
+// router.
 func (a *app) newWaitTarget(ctx context.Context, objects []objectResult) (waitTarget, error) {
 	var w waitTarget
 	newest := topo.Version(0)
@@ -129,8 +133,8 @@
 	return w, nil
 }
 
-// pending returns the routers at which not all is in force. Of the objects that
-// a router rejects only those that are waited for count.
+// pending returns the routers at which not all objects are in force. Of the
+// objects that a router rejects, only those in w.refs count.
 func (w waitTarget) pending(f admin.FleetWait) []admin.RouterWait {
 	var out []admin.RouterWait
 	for _, r := range f.Routers {
@@ -142,8 +146,9 @@
 	return out
 }
 
-// awaitRound asks one router for all. A router that the list of VMs shows here
-// but not there is pending too: lists lag, and differ while they do.
+// awaitRound queries all routers through one of them. A router that is only in
+// the list of VMs read here is pending too: lists of VMs are updated with a
+// delay, so they can differ.
 func (a *app) awaitRound(ctx context.Context, w waitTarget) (inForceStatus, error) {
 	listed, err := a.routers(ctx)
 	if err != nil {
@@ -162,7 +167,7 @@
 	return inForceStatus{Everywhere: len(pending) == 0, Routers: total, Pending: pending}, nil
 }
 
-// roundTime returns how long a round may last, so that its answer comes before
+// roundTime returns how long a round may last for its response to arrive before
 // ctx ends.
 func roundTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
@@ -172,7 +177,7 @@
 	return max(0, min(waitRound, time.Until(deadline)-roundMargin))
 }
 
-// unqueried returns the routers of the list that are not among the asked ones.
+// unqueried returns the listed routers that are not in queried.
 func unqueried(listed []topo.VM, queried []admin.RouterWait) []admin.RouterWait {
 	known := make(map[string]bool, len(queried))
 	for _, r := range queried {
@@ -187,9 +192,9 @@
 	return out
 }
 
-// routers returns the routers that can be asked: the one that the operator
-// names, or those of the platform's list in random order, so that no router
-// pays for all commands.
+// routers returns the routers that can be called: the one named by --router, or
+// those of the platform's list in random order, to spread the load of commands
+// over them.
 func (a *app) routers(ctx context.Context) ([]topo.VM, error) {
 	if a.options.Router != "" {
 		return []topo.VM{{AdminAddr: a.options.Router}}, nil
@@ -211,7 +216,7 @@
 	return routers, nil
 }
 
-// queryAny asks one router after the other until one answers.
+// queryAny queries one router after the other until one responds.
 func queryAny[T any](ctx context.Context, a *app, routers []topo.VM, query func(context.Context, *admin.Client) (T, error)) (T, error) {
 	var zero T
 	lastErr := newExitError(ExitFailed, "see that the list of VMs shows routers with admin_addr, or name one with --router", "no router can be asked")
