--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -220,9 +220,9 @@
 
 // FleetStatus is the state of all routers, with the list of VMs.
 type FleetStatus struct {
-	VM      string         `json:"vm"` // router that asked the others
+	VM      string         `json:"vm"` // router that queried the others
 	Routers []RouterStatus `json:"routers"`
-	VMs     []topo.VM      `json:"vms"` // the list, as that router knows it
+	VMs     []topo.VM      `json:"vms"` // the list of VMs, as that router has it
 }
 
 // RouterStatus is one router's Status, or the error that occurred instead.
@@ -234,7 +234,7 @@
 
 // FleetWait is the result of a WaitRequest at every router.
 type FleetWait struct {
-	VM      string       `json:"vm"` // router that asked the others
+	VM      string       `json:"vm"` // router that queried the others
 	Routers []RouterWait `json:"routers"`
 }
 
