--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -74,38 +74,38 @@
 
 // CheckHeaders reports the headers that are not in the Table. message identifies the message that
 // carried them.
-func (t *Table) CheckHeaders(h http.Header, message string) {
+func (t *Table) CheckHeaders(h http.Header, source string) {
 	for name := range h {
 		if !t.known[name] {
-			t.report(name, message)
+			t.report(name, source)
 		}
 	}
 }
 
 // CheckStatus reports a status that is not in the Table. message identifies the response.
-func (t *Table) CheckStatus(status int, message string) {
+func (t *Table) CheckStatus(status int, source string) {
 	if !t.statuses[status] {
-		t.report(strconv.Itoa(status), message)
+		t.report(strconv.Itoa(status), source)
 	}
 }
 
 // CheckFields reports the fields of a JSON object that are not in the Table. It skips objects
 // larger than maxObjectBytes and those beyond inspectionsPerSecond. Other JSON values and
 // malformed JSON have no fields. message identifies the object.
-func (t *Table) CheckFields(object []byte, message string) {
+func (t *Table) CheckFields(object []byte, source string) {
 	if len(object) > maxObjectBytes || !t.inspections.Allow() {
 		return
 	}
 	for _, name := range fieldNames(object) {
 		if !t.known[name] {
-			t.report(name, message)
+			t.report(name, source)
 		}
 	}
 }
 
 // ReportMalformed reports that a known word has a value that cannot be interpreted.
-func (t *Table) ReportMalformed(word, value, message string) {
-	t.report(word+": "+truncate(value), message)
+func (t *Table) ReportMalformed(word, value, source string) {
+	t.report(word+": "+truncate(value), source)
 }
 
 // maxValueBytes is the length to which reported values are truncated.
@@ -165,7 +165,7 @@
 }
 
 // report counts an unknown word, and logs it at its first occurrence.
-func (t *Table) report(word, message string) {
+func (t *Table) report(word, source string) {
 	unknownWordCount.Inc(t.place + ": " + word)
 	unknown.mu.Lock()
 	defer unknown.mu.Unlock()
@@ -178,6 +178,6 @@
 	if len(unknown.words) >= maxUnknownWords {
 		return
 	}
-	unknown.words = append(unknown.words, UnknownWord{Place: t.place, Word: word, Source: message, First: time.Now(), Count: 1})
-	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", message)
+	unknown.words = append(unknown.words, UnknownWord{Place: t.place, Word: word, Source: source, First: time.Now(), Count: 1})
+	slog.Warn("a word came that nothing reads", "place", t.place, "word", word, "of", source)
 }
