--- a/internal/vocabulary/vocabulary.go
+++ b/internal/vocabulary/vocabulary.go
@@ -37,11 +37,12 @@
 }
 
 const (
-	// inspectionsPerSecond limits how many objects a Table inspects; each takes a few microseconds.
+	// inspectionsPerSecond limits the JSON objects whose fields a Table inspects, on average and in a
+	// burst. An inspection takes a few microseconds, and thousands of objects may arrive at once.
 	inspectionsPerSecond = 50
 	// maxObjectBytes is the size up to which an object's fields are inspected.
 	maxObjectBytes = 16 << 10
-	// maxUnknownWords limits the unknown words that the process remembers.
+	// maxUnknownWords limits the unknown words that the process records; more are counted only.
 	maxUnknownWords = 64
 )
 
@@ -54,7 +55,8 @@
 	inspections *rate.Limiter
 }
 
-// New returns the Table of a place, such as "header of a response".
+// New returns the Table of a place, such as "header of a response". A word whose name is a number is
+// a status.
 func New(place string, words ...Word) *Table {
 	t := &Table{place: place, words: words, known: make(map[string]bool), statuses: make(map[int]bool), inspections: rate.NewLimiter(inspectionsPerSecond, inspectionsPerSecond)}
 	for _, w := range words {
@@ -72,8 +74,8 @@
 // Words returns a copy of the Table's words.
 func (t *Table) Words() []Word { return slices.Clone(t.words) }
 
-// CheckHeaders reports the headers that are not in the Table. message identifies the message that
-// carried them.
+// CheckHeaders reports the headers that are not in the Table. source identifies the message that
+// carried them, for example by its id.
 func (t *Table) CheckHeaders(h http.Header, source string) {
 	for name := range h {
 		if !t.known[name] {
@@ -82,7 +84,7 @@
 	}
 }
 
-// CheckStatus reports a status that is not in the Table. message identifies the response.
+// CheckStatus reports a status that is not in the Table. source identifies the response.
 func (t *Table) CheckStatus(status int, source string) {
 	if !t.statuses[status] {
 		t.report(strconv.Itoa(status), source)
@@ -90,8 +92,8 @@
 }
 
 // CheckFields reports the fields of a JSON object that are not in the Table. It skips objects
-// larger than maxObjectBytes and those beyond inspectionsPerSecond. Other JSON values and
-// malformed JSON have no fields. message identifies the object.
+// larger than maxObjectBytes and those beyond inspectionsPerSecond. Other JSON values have no
+// fields, and malformed JSON has those before its first error. source identifies the object.
 func (t *Table) CheckFields(object []byte, source string) {
 	if len(object) > maxObjectBytes || !t.inspections.Allow() {
 		return
@@ -103,14 +105,16 @@
 	}
 }
 
-// ReportMalformed reports that a known word has a value that cannot be interpreted.
+// ReportMalformed reports a known word with a value that cannot be interpreted, as the unknown word
+// "NAME: VALUE" with a truncated value. source identifies the message.
 func (t *Table) ReportMalformed(word, value, source string) {
 	t.report(word+": "+truncate(value), source)
 }
 
-// maxValueBytes is the length to which reported values are truncated.
+// maxValueBytes is the number of bytes of a malformed value that are reported.
 const maxValueBytes = 32
 
+// truncate returns at most maxValueBytes of value, followed by "..." if more are left out.
 func truncate(value string) string {
 	if len(value) > maxValueBytes {
 		return value[:maxValueBytes] + "..."
@@ -139,12 +143,12 @@
 	return out
 }
 
-// UnknownWord is a word that has occurred and is not in the Table of its place, or has a malformed
-// value.
+// UnknownWord is a word that has occurred and is not in the Table of its place, or a word of the
+// Table with a malformed value.
 type UnknownWord struct {
 	Place  string    `json:"place"`
-	Word   string    `json:"word"`
-	Source string    `json:"of"` // the message of its first occurrence
+	Word   string    `json:"word"` // its name; "NAME: VALUE" if the value is malformed
+	Source string    `json:"of"`   // identifies the message of its first occurrence
 	First  time.Time `json:"first"`
 	Count  int       `json:"count"`
 }
@@ -164,7 +168,8 @@
 	return out
 }
 
-// report counts an unknown word, and logs it at its first occurrence.
+// report counts an unknown word, and records and logs it at its first occurrence, up to
+// maxUnknownWords in the process. After these, new words are counted only.
 func (t *Table) report(word, source string) {
 	unknownWordCount.Inc(t.place + ": " + word)
 	unknown.mu.Lock()
--- a/internal/vocabulary/vocabulary_test.go
+++ b/internal/vocabulary/vocabulary_test.go
@@ -18,7 +18,8 @@
 	return out
 }
 
-// Guards against words that a peer adds to the protocol and that are ignored silently.
+// A peer adds words to the protocol, or sends a malformed value. Guards against ignoring them
+// silently: each must be reported once, with the number of its occurrences.
 func TestUnknownWordsAreReported(t *testing.T) {
 	table := New("test", Word{Name: "Known"}, Word{Name: "200"}, Word{Name: "state"})
 	for range 2 {
@@ -34,7 +35,8 @@
 	}
 }
 
-// Guards against failures on values that are no JSON objects or malformed.
+// A peer sends malformed JSON, or a JSON value other than an object, where an object belongs. Guards
+// against a panic in the inspection, and against fields that are made up from such values.
 func TestNonObjectsHaveNoFields(t *testing.T) {
 	for _, raw := range []string{"", "7", "null", "[1]", `"text"`, "{", `{"a"`, `{"a":`, `{"a":}`, "{{", "\x00"} {
 		if got := fieldNames([]byte(raw)); len(got) != 0 {
@@ -56,7 +58,7 @@
 	}
 }
 
-// Guards against unbounded memory use when a peer sends ever different words.
+// Guards against unbounded memory use when a peer sends different unknown words without end.
 func TestUnknownWordsAreBounded(t *testing.T) {
 	table := New("many")
 	for i := range 10 * maxUnknownWords {
@@ -67,6 +69,7 @@
 	}
 }
 
+// Guards against panics on any bytes that a peer sends in place of a JSON object.
 func FuzzFields(f *testing.F) {
 	f.Add([]byte(`{"a": 1, "b": {"c": [null]}}`))
 	f.Add([]byte(`{"a": 1, 2: 3}`))
