--- a/cmd/parsleystandin/main.go
+++ b/cmd/parsleystandin/main.go
@@ -19,18 +19,18 @@
 const crashCode = 3
 
 type options struct {
-	Listen string        `long:"listen" required:"true" description:"address to serve on"`
-	Kind   string        `long:"kind" required:"true" choice:"platform" choice:"engine" choice:"service" choice:"weights" description:"what to stand in for"`
-	Name   string        `long:"name" default:"notes-7b" description:"model or service"`
-	Delay  time.Duration `long:"token-delay" default:"1ms" description:"pause between tokens"`
-	Tokens int           `long:"tokens" default:"20" description:"tokens in an answer"`
-	Cache  int           `long:"cache" default:"1000" description:"prompt prefixes that are kept"`
+	Listen     string        `long:"listen" required:"true" description:"address to serve on"`
+	Kind       string        `long:"kind" required:"true" choice:"platform" choice:"engine" choice:"service" choice:"weights" description:"what to stand in for"`
+	Name       string        `long:"name" default:"notes-7b" description:"model or service"`
+	TokenDelay time.Duration `long:"token-delay" default:"1ms" description:"pause between tokens"`
+	Tokens     int           `long:"tokens" default:"20" description:"tokens in an answer"`
+	CacheSize  int           `long:"cache" default:"1000" description:"prompt prefixes that are kept"`
 
-	Fences  bool          `long:"fences" description:"refuse orders with an old fencing token"`
-	Weights string        `long:"weights" description:"URL of the weight store from which an engine loads"`
-	Takes   time.Duration `long:"load-takes" default:"100ms" description:"how long an engine takes to load"`
-	Every   time.Duration `long:"load-every" default:"1s" description:"time between two loads that a weight store allows"`
-	Poison  string        `long:"poison" description:"word in a prompt that crashes the engine"`
+	Fences       bool          `long:"fences" description:"refuse orders with an old fencing token"`
+	Weights      string        `long:"weights" description:"URL of the weight store from which an engine loads"`
+	LoadTime     time.Duration `long:"load-takes" default:"100ms" description:"how long an engine takes to load"`
+	LoadInterval time.Duration `long:"load-every" default:"1s" description:"time between two loads that a weight store allows"`
+	Poison       string        `long:"poison" description:"word in a prompt that crashes the engine"`
 }
 
 func main() {
@@ -44,11 +44,11 @@
 		standin.NewObjectAPI().Register(mux)
 		standin.NewVMList().Register(mux)
 	case "engine":
-		standin.NewEngine(standin.EngineConfig{Model: o.Name, TokenDelay: o.Delay, Tokens: o.Tokens, CacheSize: o.Cache}).Register(mux)
+		standin.NewEngine(standin.EngineConfig{Model: o.Name, TokenDelay: o.TokenDelay, Tokens: o.Tokens, CacheSize: o.CacheSize}).Register(mux)
 		loaded := wire.ModelSpec{Model: o.Name, Version: "1", Role: string(profile.DefaultEngineRole)}
-		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Fences: o.Fences, Weights: o.Weights, Takes: o.Takes}).Register(mux)
+		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Fences: o.Fences, Weights: o.Weights, Takes: o.LoadTime}).Register(mux)
 	case "weights":
-		standin.NewWeightStore(o.Every).Register(mux)
+		standin.NewWeightStore(o.LoadInterval).Register(mux)
 	case "service":
 		standin.NewService(o.Name).Register(mux)
 	}
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -12,14 +12,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// greeter serves a sidecar's hello and nothing else.
-type greeter struct{}
+// helloHandler serves a sidecar's hello and nothing else.
+type helloHandler struct{}
 
-func (greeter) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
+func (helloHandler) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
 	return wire.Hello{VM: "vm-1", Incarnation: 1}, nil
 }
 
-func (greeter) HandleFrame(*wire.Conn, wire.Frame) {}
+func (helloHandler) HandleFrame(*wire.Conn, wire.Frame) {}
 
 // BenchmarkIdlePeers measures the memory of idle connections of a router to
 // sidecars, with all that package wire keeps for them, both ends in this process.
@@ -28,8 +28,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	side := mutual(b, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
-	entry := mutual(b, ca, secure.Identity{Role: secure.RoleRouter, VM: "entry-1"})
+	side := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
+	entry := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleRouter, VM: "entry-1"})
 	for _, transport := range []struct {
 		name     string
 		from, to secure.Transport
@@ -37,14 +37,14 @@
 		for _, n := range []int{100, 1000, 2900} {
 			b.Run(fmt.Sprintf("%s/%d", transport.name, n), func(b *testing.B) {
 				for b.Loop() {
-					b.ReportMetric(memoryOfPeers(b, transport.from, transport.to, n)/float64(n), "B/pair")
+					b.ReportMetric(peerMemory(b, transport.from, transport.to, n)/float64(n), "B/pair")
 				}
 			})
 		}
 	}
 }
 
-func memoryOfPeers(b *testing.B, from, to secure.Transport, n int) float64 {
+func peerMemory(b *testing.B, from, to secure.Transport, n int) float64 {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -57,7 +57,7 @@
 			if err != nil {
 				return
 			}
-			wire.NewConn(b.Context(), c, greeter{})
+			wire.NewConn(b.Context(), c, helloHandler{})
 		}
 	}()
 	before := memoryInUse()
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -26,8 +26,8 @@
 	}).Run(ctx)
 }
 
-// currentToken returns how a sidecar reads the controller's fencing token.
-func currentToken(store topo.Store) func(context.Context) (wire.FencingToken, error) {
+// fencingTokenReader returns how a sidecar reads the controller's fencing token.
+func fencingTokenReader(store topo.Store) func(context.Context) (wire.FencingToken, error) {
 	return func(ctx context.Context) (wire.FencingToken, error) {
 		return lease.CurrentToken(ctx, store, controller.LeaseName)
 	}
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -28,17 +28,17 @@
 
 // What dev mode configures: a pool of engines for chats and a plain service.
 const (
-	devRouter     = "router-0"
-	devModel      = "notes-7b"
-	devNotes      = "notes"
-	devClips      = "clips"
-	devServices   = 2
-	devTokenDelay = 20 * time.Millisecond
-	devTokens     = 24
-	devCache      = 256
-	devLoadEvery  = time.Second
-	devLoadTakes  = time.Second
-	devMultiple   = 1.25
+	devRouter       = "router-0"
+	devModel        = "notes-7b"
+	devNotes        = "notes"
+	devClips        = "clips"
+	devServiceCount = 2
+	devTokenDelay   = 20 * time.Millisecond
+	devTokenCount   = 24
+	devCacheSize    = 256
+	devLoadInterval = time.Second
+	devLoadTime     = time.Second
+	devLoadMultiple = 1.25
 )
 
 // runDev runs a small fleet with stand-ins in this process until ctx ends, and
@@ -50,18 +50,18 @@
 	mux := http.NewServeMux()
 	standin.NewObjectAPI().Register(mux)
 	vms.Register(mux)
-	base, err := listenHTTP(background, mux)
+	platformURL, err := listenHTTP(background, mux)
 	if err != nil {
 		return err
 	}
-	p := topo.NewHTTP(base)
-	if err := configure(ctx, p, string(s.Key)); err != nil {
+	p := topo.NewHTTP(platformURL)
+	if err := writeDevConfig(ctx, p, string(s.Key)); err != nil {
 		return err
 	}
-	if err := startUpstreams(background, vms, base, s.Engines.N); err != nil {
+	if err := startUpstreams(background, vms, platformURL, s.Engines.N); err != nil {
 		return err
 	}
-	ring, err := newRing()
+	keyring, err := newKeyring()
 	if err != nil {
 		return err
 	}
@@ -69,36 +69,36 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	o, err := listenOperators(s.AdminListen, settings.Node{VM: devRouter})
+	o, err := listenOperatorAPI(s.AdminListen, settings.Node{VM: devRouter})
 	if err != nil {
 		return err
 	}
-	admin := o.listener.Addr().String()
-	vms.Set(topo.VM{ID: devRouter, Role: topo.RoleRouter, Addr: l.Addr().String(), AdminAddr: admin})
-	fmt.Fprint(out, devUsage(base, l.Addr().String(), admin, string(s.Key)))
+	adminAddr := o.listener.Addr().String()
+	vms.Set(topo.VM{ID: devRouter, Role: topo.RoleRouter, Addr: l.Addr().String(), AdminAddr: adminAddr})
+	fmt.Fprint(out, devUsage(platformURL, l.Addr().String(), adminAddr, string(s.Key)))
 	server := callerServer{
 		listener: l,
-		config:   router.Config{Store: p, VMs: p, Ring: ring, Dial: dialer(secure.Plain{})},
+		config:   router.Config{Store: p, VMs: p, Ring: keyring, Dial: dialer(secure.Plain{})},
 		admin:    o,
 		plan:     stopPlan{timeout: s.StopTimeout.D},
 
 		vm: devRouter,
 		controller: settings.Controller{
 			LeaseTTL:           settings.Duration{D: lease.DefaultTTL},
-			WeightLoadInterval: settings.Duration{D: devLoadEvery},
+			WeightLoadInterval: settings.Duration{D: devLoadInterval},
 		},
 	}
 	return server.serve(ctx, background)
 }
 
-// newRing returns a Ring with a secret of this process.
-func newRing() (*token.Keyring, error) {
+// newKeyring returns a Ring with a secret of this process.
+func newKeyring() (*token.Keyring, error) {
 	secret := make([]byte, sha256.Size)
 	rand.Read(secret) // never fails, as crypto/rand documents
 	return token.NewKeyring(token.Secret{ID: 1, Value: secret})
 }
 
-func devUsage(base, addr, admin, key string) string {
+func devUsage(platformURL, addr, admin, key string) string {
 	return fmt.Sprintf(`platform  %[1]s
 router    http://%[2]s
 operators http://%[3]s/debug/vars
@@ -107,11 +107,11 @@
   curl -iN http://%[2]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' -d '{"model":"%[5]s","stream":true,"messages":[{"role":"user","content":"Who lost the ball?"}]}'
 a call of a plain service:
   curl -i http://%[2]s/services/%[6]s/tags -H 'Authorization: Bearer %[4]s' -d 'corner'
-`, base, addr, admin, key, devModel, devClips)
+`, platformURL, addr, admin, key, devModel, devClips)
 }
 
-// configure writes the pools, profiles and organisation of dev mode.
-func configure(ctx context.Context, store topo.Store, key string) error {
+// writeDevConfig writes the pools, profiles and organisation of dev mode.
+func writeDevConfig(ctx context.Context, store topo.Store, key string) error {
 	objects := []struct {
 		ref   topo.Ref
 		value any
@@ -123,24 +123,24 @@
 			Name: devClips, Role: profile.DefaultEngineRole, MaxUnavailable: profile.DefaultMaxUnavailable,
 		}},
 		{topo.Ref{Kind: topo.KindProfile, Name: devNotes}, profile.Profile{
-			Name: devNotes, Pool: devNotes, Model: devModel, Deadline: profile.Duration(time.Minute), LoadMultiple: devMultiple,
+			Name: devNotes, Pool: devNotes, Model: devModel, Deadline: profile.Duration(time.Minute), LoadMultiple: devLoadMultiple,
 		}},
 		{topo.Ref{Kind: topo.KindProfile, Name: devClips}, profile.Profile{
-			Name: devClips, Pool: devClips, Service: devClips, Deadline: profile.Duration(10 * time.Second), LoadMultiple: devMultiple,
+			Name: devClips, Pool: devClips, Service: devClips, Deadline: profile.Duration(10 * time.Second), LoadMultiple: devLoadMultiple,
 		}},
 		{topo.Ref{Kind: topo.KindOrganisation, Name: "dev"}, profile.Organisation{
 			Name: "dev", Weight: 1, Profiles: []string{devNotes, devClips}, Keys: []profile.APIKey{{ID: "dev", SHA256: profile.HashKey(key)}},
 		}},
 	}
 	for _, o := range objects {
-		if err := create(ctx, store, o.ref, o.value); err != nil {
+		if err := createObject(ctx, store, o.ref, o.value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func create(ctx context.Context, store topo.Store, ref topo.Ref, v any) error {
+func createObject(ctx context.Context, store topo.Store, ref topo.Ref, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -156,14 +156,14 @@
 func startUpstreams(ctx context.Context, vms *standin.VMList, platformURL string, engines int) error {
 	for i := range engines {
 		mux := http.NewServeMux()
-		standin.NewEngine(standin.EngineConfig{Model: devModel, TokenDelay: devTokenDelay, Tokens: devTokens, CacheSize: devCache}).Register(mux)
+		standin.NewEngine(standin.EngineConfig{Model: devModel, TokenDelay: devTokenDelay, Tokens: devTokenCount, CacheSize: devCacheSize}).Register(mux)
 		loaded := wire.ModelSpec{Model: devModel, Version: "1", Role: string(profile.DefaultEngineRole)}
-		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Takes: devLoadTakes}).Register(mux)
+		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Takes: devLoadTime}).Register(mux)
 		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("engine-%d", i), Pool: devNotes}, mux); err != nil {
 			return err
 		}
 	}
-	for i := range devServices {
+	for i := range devServiceCount {
 		mux := http.NewServeMux()
 		standin.NewService(devClips).Register(mux)
 		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("clips-%d", i), Pool: devClips}, mux); err != nil {
@@ -189,7 +189,7 @@
 	}
 	c := sidecarConfig(parsed.Sidecar)
 	c.Dial = dialer(secure.Plain{})
-	c.Token = currentToken(topo.NewHTTP(platformURL))
+	c.Token = fencingTokenReader(topo.NewHTTP(platformURL))
 	go func() { _ = sidecar.New(c).Serve(ctx, l) }()
 	vm.Role, vm.Addr = topo.RoleUpstream, l.Addr().String()
 	vms.Set(vm)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -27,49 +27,49 @@
 )
 
 const (
-	// storeDial bounds the opening of a connection to the store.
-	storeDial = 500 * time.Millisecond
-	// watchShare of the platform's bound on changes is how long a watch of the
-	// store waits, graceShare how much later it may answer, and callShare how long
+	// storeDialTimeout bounds the opening of a connection to the store.
+	storeDialTimeout = 500 * time.Millisecond
+	// watchWaitFraction of the platform's bound on changes is how long a watch of the
+	// store waits, watchGraceFraction how much later it may answer, and callTimeoutFraction how long
 	// any other call may take. A store in health answers within milliseconds; a
-	// connection that has gone silent is noticed after watchShare and graceShare,
+	// connection that has gone silent is noticed after watchWaitFraction and watchGraceFraction,
 	// with enough left for a listing.
-	watchShare, graceShare, callShare = 0.45, 0.2, 0.4
-	// pauseShare of the bound is the pause after a watch that brought changes. In a
+	watchWaitFraction, watchGraceFraction, callTimeoutFraction = 0.45, 0.2, 0.4
+	// watchPauseFraction of the bound is the pause after a watch that brought changes. In a
 	// burst of them, the reader takes several at once: each costs as much as a few
 	// requests, and the routers that pull from it the same.
-	pauseShare = 0.1
-	// storeRetryMost bounds the pause after a failed call of the store, whatever it asks for.
-	storeRetryMost = time.Second
-	// storeRetryFirst is the first pause after a failed call of the store, doubled at each
+	watchPauseFraction = 0.1
+	// storeRetryMax bounds the pause after a failed call of the store, whatever it asks for.
+	storeRetryMax = time.Second
+	// storeRetryInitial is the first pause after a failed call of the store, doubled at each
 	// one that follows. After a loss of power, callers wait for this.
-	storeRetryFirst = 100 * time.Millisecond
-	// settleTime is how long routers that start together take to find out which of
+	storeRetryInitial = 100 * time.Millisecond
+	// firstWatchDelay is how long routers that start together take to find out which of
 	// them reads the store. Most then never begin to watch it.
-	settleTime = 200 * time.Millisecond
-	// pullPause is the pause between two pulls from the router that reads the store.
-	pullPause = 100 * time.Millisecond
-	// lapseHold is how long an entry that lapsed during an outage of the store
+	firstWatchDelay = 200 * time.Millisecond
+	// pullInterval is the pause between two pulls from the router that reads the store.
+	pullInterval = 100 * time.Millisecond
+	// outageGrace is how long an entry that lapsed during an outage of the store
 	// still counts after its end. Upstreams that live are back in 2 s.
-	lapseHold = 2 * time.Second
+	outageGrace = 2 * time.Second
 	// renewMargin is how much later than a heartbeat an upstream's entry may come.
 	renewMargin = 100 * time.Millisecond
 	// stopMargin is how much earlier than its last moment a stop ends, so that
 	// what is still in flight is broken off by us.
 	stopMargin = 300 * time.Millisecond
 
-	// callerShare of its descriptors is what a router uses for callers. A request
+	// callerFraction of its descriptors is what a router uses for callers. A request
 	// takes one of theirs and one to an upstream, and unused ones are kept to both.
-	callerShare = 0.5
-	// defaultCallers is how many connections of callers a router keeps where the
+	callerFraction = 0.5
+	// defaultCallerConnections is how many connections of callers a router keeps where the
 	// platform sets no limit of descriptors.
-	defaultCallers = 4096
+	defaultCallerConnections = 4096
 
-	// retryShare is the part of the platform's bound on retries that routers use.
+	// retryFraction is the part of the platform's bound on retries that routers use.
 	// Windows of different routers do not lie at the same time, so the sum of what
 	// each is allowed may exceed the bound by as much as traffic changes from one
 	// window to the next.
-	retryShare = 0.8
+	retryFraction = 0.8
 	// retrySlack is how many retries in a window a router is allowed whatever its
 	// traffic.
 	retrySlack = 1
@@ -90,8 +90,8 @@
 
 // systemNetwork is the network of the machine.
 func systemNetwork(p platform.Settings) (Network, error) {
-	d := net.Dialer{Timeout: storeDial}
-	n := Network{Store: d.DialContext, Upstreams: exchange.Dialer(), Routers: d.DialContext, SuspendedTime: suspended}
+	d := net.Dialer{Timeout: storeDialTimeout}
+	n := Network{Store: d.DialContext, Upstreams: exchange.Dialer(), Routers: d.DialContext, SuspendedTime: suspendedTime}
 	if p.PeerAddr == "" {
 		slog.Warn("the platform names no port for messages between routers: this one reads the store by itself")
 		return n, nil
@@ -118,7 +118,7 @@
 func runEntry(ctx context.Context, s settings.Entry) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	hup := platform.Hangups()
+	hangups := platform.Hangups()
 	path := platform.SettingsPath()
 	p, err := platform.ReadSettings(path)
 	if err != nil {
@@ -129,7 +129,7 @@
 		return err
 	}
 	e := NewEntry(background, s, p, n)
-	if err := e.listen(background); err != nil {
+	if err := e.serveReadinessAndMetrics(background); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", p.CallerListen)
@@ -137,11 +137,11 @@
 		return errors.WithStack(err)
 	}
 	slog.Info("started", "addr", p.CallerListen, "vm", p.VM, "failure_domain", p.FailureDomain)
-	go platform.FollowSettings(background, path, hup, p, e.reload)
-	failed := make(chan error, 1)
-	go func() { failed <- e.Serve(patientListener{l}) }()
+	go platform.FollowSettings(background, path, hangups, p, e.reload)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- e.Serve(retryingListener{l}) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
@@ -150,24 +150,24 @@
 
 // NewEntry returns an Entry that works until ctx ends.
 func NewEntry(ctx context.Context, s settings.Entry, p platform.Settings, n Network) *Entry {
-	requests := telemetry.NewRequestLog(slog.Default())
+	requestLog := telemetry.NewRequestLog(slog.Default())
 	c := entryConfig(p, n, s.Without.Policy)
-	c.RequestLog = requests
+	c.RequestLog = requestLog
 	if off := s.Without.String(); off != "" {
 		slog.Warn("mechanisms are switched off", "without", off)
 	}
 	r := router.New(ctx, c)
 	h := newHealth(r.Alive, r.Ready)
-	g := gateway.NewPlatformGateway(r, platform.Clients{}, requests)
-	return &Entry{settings: s, platform: p, router: r, health: h, server: g.Server(h.closing(g), callerConnections(p), p.ConfigBound)}
+	g := gateway.NewPlatformGateway(r, platform.Clients{}, requestLog)
+	return &Entry{settings: s, platform: p, router: r, health: h, server: g.Server(h.closeWhileLeaving(g), callerConnections(p), p.ConfigBound)}
 }
 
 // callerConnections returns how many connections of callers a router keeps.
 func callerConnections(p platform.Settings) int {
 	if p.MaxDescriptors == 0 {
-		return defaultCallers
+		return defaultCallerConnections
 	}
-	return max(1, int(callerShare*float64(p.MaxDescriptors-spareFiles)))
+	return max(1, int(callerFraction*float64(p.MaxDescriptors-spareDescriptors)))
 }
 
 // Serve serves callers on l until Stop.
@@ -189,65 +189,65 @@
 }
 
 // entryConfig returns what the router reaches others by, and what it does there.
-func entryConfig(p platform.Settings, n Network, on policy.Policy) router.Config {
-	bound := min(p.ConfigBound, p.DrainBound)
+func entryConfig(p platform.Settings, n Network, enabled policy.Policy) router.Config {
+	changeBound := min(p.ConfigBound, p.DrainBound)
 	store := topo.NewHTTPWithDialer(p.StoreURL, n.Store).WithDialect(platform.Store{}, topo.Timeouts{
-		Call: share(bound, callShare), WatchGrace: share(bound, graceShare), MaxRetryAfter: storeRetryMost,
+		Call: scaleDuration(changeBound, callTimeoutFraction), WatchGrace: scaleDuration(changeBound, watchGraceFraction), MaxRetryAfter: storeRetryMax,
 	})
-	pace := config.DefaultTiming()
-	pace.WatchWait = share(bound, watchShare)
-	pace.PullInterval = pullPause
-	pace.WatchPause = share(bound, pauseShare)
-	pace.RetryInitial = storeRetryFirst
-	pace.RetryMax = storeRetryMost
-	pace.PeerWait = 0
-	pace.FirstWatchDelay = settleTime
-	pace.Relayed = n.Packets != nil
+	timing := config.DefaultTiming()
+	timing.WatchWait = scaleDuration(changeBound, watchWaitFraction)
+	timing.PullInterval = pullInterval
+	timing.WatchPause = scaleDuration(changeBound, watchPauseFraction)
+	timing.RetryInitial = storeRetryInitial
+	timing.RetryMax = storeRetryMax
+	timing.PeerWait = 0
+	timing.FirstWatchDelay = firstWatchDelay
+	timing.Relayed = n.Packets != nil
 	return router.Config{
 		Store:        store,
 		Source:       platform.NewConfig(store, p.Regions),
 		Decode:       platform.Decode,
-		ConfigTiming: pace,
+		ConfigTiming: timing,
 		Mesh: &router.Mesh{
 			Self:          relay.Router{Name: p.VM, Addr: p.PeerAddr, Domain: p.FailureDomain, Capacity: p.Capacity},
-			Timing:        relay.TimingFor(bound),
+			Timing:        relay.TimingFor(changeBound),
 			Packets:       n.Packets,
 			Calls:         n.Calls,
 			Dial:          n.Routers,
 			SuspendedTime: n.SuspendedTime,
 			MemberDecoder: platform.Runners{Regions: p.Regions},
-			MemberTiming:  memberTiming(p, on),
+			MemberTiming:  memberTiming(p, enabled),
 		},
 		Direct:        exchange.NewClient(platform.Calls{}, n.Upstreams),
-		Tuning:        tuning(p, on),
+		Tuning:        tuning(p, enabled),
 		VM:            p.VM,
 		FailureDomain: p.FailureDomain,
 	}
 }
 
 // memberTiming returns how long entries of upstreams count.
-func memberTiming(p platform.Settings, on policy.Policy) membership.Timing {
-	t := membership.Timing{OutageGrace: lapseHold, MaxRenewInterval: p.HeartbeatInterval + renewMargin}
-	if on.Linger {
+func memberTiming(p platform.Settings, enabled policy.Policy) membership.Timing {
+	t := membership.Timing{OutageGrace: outageGrace, MaxRenewInterval: p.HeartbeatInterval + renewMargin}
+	if enabled.Linger {
 		t.Linger = p.DrainBound
 	}
 	return t
 }
 
-// share returns a part of a time.
-func share(d time.Duration, part float64) time.Duration {
-	return time.Duration(part * float64(d))
+// scaleDuration returns a part of a time.
+func scaleDuration(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(d))
 }
 
 // tuning returns the bounds that the platform sets.
-func tuning(p platform.Settings, on policy.Policy) router.Tuning {
+func tuning(p platform.Settings, enabled policy.Policy) router.Tuning {
 	return router.Tuning{
-		Retries:       retry.Rule{Ratio: retryShare * p.RetryRatio, Slack: retrySlack, Window: p.RetryWindow},
+		Retries:       retry.Rule{Ratio: retryFraction * p.RetryRatio, Slack: retrySlack, Window: p.RetryWindow},
 		LoadMultiple:  p.LoadMultiple,
 		WarmupOverage: p.WarmupOverage,
 		WarmupSlack:   p.WarmupSlack,
 		Regions:       p.RegionCount(),
-		Policy:        on,
+		Policy:        enabled,
 	}
 }
 
@@ -260,9 +260,9 @@
 	slog.Info("settings reloaded", "retry_ratio", p.RetryRatio, "load_multiple", p.LoadMultiple)
 }
 
-// listen serves what a router answers beside its callers: whether it is ready,
+// serveReadinessAndMetrics serves what a router answers beside its callers: whether it is ready,
 // to the balancer, and its metrics.
-func (e *Entry) listen(ctx context.Context) error {
+func (e *Entry) serveReadinessAndMetrics(ctx context.Context) error {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, e.Ready)
 	if err := serveOn(ctx, e.platform.ReadyListen, ready); err != nil {
@@ -273,7 +273,7 @@
 	}
 	metrics := http.NewServeMux()
 	metrics.Handle("GET /metrics", telemetry.Handler())
-	metrics.HandleFunc("GET /upstreams", e.upstreams)
+	metrics.HandleFunc("GET /upstreams", e.serveUpstreams)
 	return serveOn(ctx, net.JoinHostPort(e.platform.IP, strconv.Itoa(e.settings.MetricsPort.N)), metrics)
 }
 
@@ -282,8 +282,8 @@
 	return e.router.DirectUpstreams(time.Now())
 }
 
-// upstreams serves what this router holds against each upstream.
-func (e *Entry) upstreams(w http.ResponseWriter, _ *http.Request) {
+// serveUpstreams serves what this router holds against each upstream.
+func (e *Entry) serveUpstreams(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.UpstreamConditions()); err != nil {
 		slog.Warn("what is held against upstreams could not be told", "error", err)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// spareFiles is how many files a process needs beside its connections.
-	spareFiles = 256
-	// acceptPause is the pause after a connection that could not be accepted.
-	acceptPause = 100 * time.Millisecond
+	// spareDescriptors is how many files a process needs beside its connections.
+	spareDescriptors = 256
+	// acceptRetryDelay is the pause after a connection that could not be accepted.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 var acceptFailures = telemetry.NewCounter("daemon_accept_failures_total",
@@ -63,7 +63,7 @@
 // checkFileLimit says when the limit of open files is too low for the
 // settings. It is the operator's to change.
 func checkFileLimit(connections int) {
-	need := uint64(connections + spareFiles)
+	need := uint64(connections + spareDescriptors)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		slog.Warn("the limit of open files could not be read", "error", err)
@@ -74,27 +74,27 @@
 	}
 }
 
-// patientListener goes on after a connection that could not be accepted.
+// retryingListener goes on after a connection that could not be accepted.
 // Without it a process that runs out of files for a moment would stop to
 // listen for good, though it serves what it has.
-type patientListener struct {
+type retryingListener struct {
 	net.Listener
 }
 
 // Accept implements net.Listener.
-func (l patientListener) Accept() (net.Conn, error) {
+func (l retryingListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
-		if err == nil || !passing(err) {
+		if err == nil || !isTemporaryAcceptError(err) {
 			return c, err
 		}
 		acceptFailures.Inc()
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// passing reports whether an error of accepting says nothing about the listener.
-func passing(err error) bool {
+// isTemporaryAcceptError reports whether an error of accepting says nothing about the listener.
+func isTemporaryAcceptError(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, e) {
 			return true
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// brief is a listener that fails for want of files before it accepts.
-type brief struct {
+// failingListener is a listener that fails for want of files before it accepts.
+type failingListener struct {
 	net.Listener
 	failures []error
 }
 
-func (l *brief) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.failures) == 0 {
-		near, _ := net.Pipe()
-		return near, nil
+		conn, _ := net.Pipe()
+		return conn, nil
 	}
 	err := l.failures[0]
 	l.failures = l.failures[1:]
@@ -28,17 +28,17 @@
 // A surge takes a sidecar's last open files for a moment. It must be there for
 // routers when the surge is over: a loop that ends with the first failed accept
 // leaves an upstream that runs, looks well, and gets no work until morning.
-func TestListenerOutlastsWantOfFiles(t *testing.T) {
+func TestListenerRetriesAfterDescriptorExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := acceptFailures.Value()
-		l := patientListener{&brief{failures: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}}
+		l := retryingListener{&failingListener{failures: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}}
 		if _, err := l.Accept(); err != nil {
 			t.Error(err)
 		}
 		if got := acceptFailures.Value() - before; got != 3 {
 			t.Errorf("%d failures counted, want 3", got)
 		}
-		closed := patientListener{&brief{failures: []error{net.ErrClosed}}}
+		closed := retryingListener{&failingListener{failures: []error{net.ErrClosed}}}
 		if _, err := closed.Accept(); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("a closed listener: %v", err)
 		}
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -57,18 +57,18 @@
 	}
 }
 
-// wrap puts the health paths before next. While the process is leaving, each
+// withHealthPaths puts the health paths before next. While the process is leaving, each
 // answer closes its connection.
-func (h *health) wrap(next http.Handler) http.Handler {
+func (h *health) withHealthPaths(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	h.register(mux)
 	mux.Handle("/", next)
-	return h.closing(mux)
+	return h.closeWhileLeaving(mux)
 }
 
-// closing makes each answer of next close its connection while the process is
+// closeWhileLeaving makes each answer of next close its connection while the process is
 // leaving.
-func (h *health) closing(next http.Handler) http.Handler {
+func (h *health) closeWhileLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if h.leaving.Load() {
 			w.Header().Set("Connection", "close")
--- a/internal/daemon/health_test.go
+++ b/internal/daemon/health_test.go
@@ -10,11 +10,11 @@
 	"github.com/parsleyfront/parsleyfront/internal/loop"
 )
 
-// stuck is a control state whose step does not return until it is let go.
-type stuck chan struct{}
+// stuckReducer is a control state whose step does not return until it is let go.
+type stuckReducer chan struct{}
 
 // Step implements loop.Reducer.
-func (s stuck) Step(struct{}) []struct{} {
+func (s stuckReducer) Step(struct{}) []struct{} {
 	<-s
 	return nil
 }
@@ -23,28 +23,28 @@
 // an old view, and nothing that changes reaches it. Whoever restarts processes
 // must see it, and must not see a router that only has no configuration yet, or
 // is leaving, as one to be restarted.
-func TestLiveAndReadyTellDifferentTruths(t *testing.T) {
+func TestLivenessAndReadinessAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		state := make(stuck)
+		state := make(stuckReducer)
 		l := loop.New(state, func(struct{}) {}, func() {})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		go l.Run(ctx)
-		known := false
-		h := newHealth(l.Probe, func() bool { return known })
+		isReady := false
+		h := newHealth(l.Probe, func() bool { return isReady })
 		var next http.HandlerFunc = func(http.ResponseWriter, *http.Request) {}
 		expect := func(when string, live, ready int) {
 			t.Helper()
 			for path, want := range map[string]int{pathLive: live, pathReady: ready} {
 				w := httptest.NewRecorder()
-				h.wrap(next).ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
+				h.withHealthPaths(next).ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 				if w.Code != want {
 					t.Errorf("%s: %s answers %d, want %d", when, path, w.Code, want)
 				}
 			}
 		}
 		expect("at the start", http.StatusOK, http.StatusServiceUnavailable)
-		known = true
+		isReady = true
 		expect("serving", http.StatusOK, http.StatusOK)
 		l.Post(struct{}{})
 		synctest.Wait()
--- a/internal/daemon/heap.go
+++ b/internal/daemon/heap.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// routerHeapFloor is how far the heap of a router grows at least from one
+	// routerHeapGrowthFloor is how far the heap of a router grows at least from one
 	// garbage collection to the next, in bytes. A router that holds little
 	// would otherwise collect dozens of times a second at its peak.
-	routerHeapFloor = 64 << 20
+	routerHeapGrowthFloor = 64 << 20
 
 	// defaultGCPercent is Go's own setting: as much as is in use.
 	defaultGCPercent = 100
 
-	// smallestHeap bounds the setting where next to nothing is in use, in bytes.
+	// minLiveHeap bounds the setting where next to nothing is in use, in bytes.
 	// It lies under the heap of a process that has done no more than start, about
 	// 500 KB, for which the setting would otherwise fall short of the floor.
-	smallestHeap = 256 << 10
+	minLiveHeap = 256 << 10
 
-	liveHeap    = "/gc/heap/live:bytes"
-	totalMemory = "/memory/classes/total:bytes"
+	liveHeapMetric    = "/gc/heap/live:bytes"
+	totalMemoryMetric = "/memory/classes/total:bytes"
 )
 
-// growBetweenCollections keeps the heap's growth at floor or more. It leaves
+// setMinHeapGrowth keeps the heap's growth at floor or more. It leaves
 // the operator's own GOGC alone.
-func growBetweenCollections(floor uint64) {
+func setMinHeapGrowth(floor uint64) {
 	if os.Getenv("GOGC") == "" {
 		adjustGC(floor)
 	}
@@ -36,15 +36,15 @@
 // adjustGC sets the pace by what is in use now, and again after each collection:
 // an object that nobody refers to is cleaned up by the next one.
 func adjustGC(floor uint64) {
-	live, other := processMemory()
+	live, nonHeap := processMemory()
 	debug.SetGCPercent(gcPercent(live, floor))
-	debug.SetMemoryLimit(memoryLimit(live, other, floor))
+	debug.SetMemoryLimit(memoryLimit(live, nonHeap, floor))
 	type marker struct{ _ [64]byte }
 	runtime.AddCleanup(new(marker), adjustGC, floor)
 }
 
-// heapMemory is the memory of the heap, by what it is used for.
-var heapMemory = []string{
+// heapMemoryMetrics is the memory of the heap, by what it is used for.
+var heapMemoryMetrics = []string{
 	"/memory/classes/heap/objects:bytes",
 	"/memory/classes/heap/unused:bytes",
 	"/memory/classes/heap/free:bytes",
@@ -53,28 +53,28 @@
 
 // processMemory returns what the last collection left in the heap, and the memory
 // of the process beside the heap, in bytes.
-func processMemory() (live, other uint64) {
-	samples := []metrics.Sample{{Name: liveHeap}, {Name: totalMemory}}
-	for _, name := range heapMemory {
+func processMemory() (live, nonHeap uint64) {
+	samples := []metrics.Sample{{Name: liveHeapMetric}, {Name: totalMemoryMetric}}
+	for _, name := range heapMemoryMetrics {
 		samples = append(samples, metrics.Sample{Name: name})
 	}
 	metrics.Read(samples)
-	other = samples[1].Value.Uint64()
+	nonHeap = samples[1].Value.Uint64()
 	for _, heap := range samples[2:] {
-		other -= min(other, heap.Value.Uint64())
+		nonHeap -= min(nonHeap, heap.Value.Uint64())
 	}
-	return samples[0].Value.Uint64(), other
+	return samples[0].Value.Uint64(), nonHeap
 }
 
 // gcPercent returns by how many percent a heap with live bytes in use may grow.
 func gcPercent(live, floor uint64) int {
-	return int(max(defaultGCPercent, 100*floor/max(live, smallestHeap)))
+	return int(max(defaultGCPercent, 100*floor/max(live, minLiveHeap)))
 }
 
 // memoryLimit returns the memory at which a collection starts whatever the
 // percentage says. Go scales its smallest heap of 4 MiB by the percentage, so
 // that a small one would grow to many times the floor: 1 GB for 256 KB in use
 // and a floor of 64 MB.
-func memoryLimit(live, other, floor uint64) int64 {
-	return int64(2*live + floor + other)
+func memoryLimit(live, nonHeap, floor uint64) int64 {
+	return int64(2*live + floor + nonHeap)
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -17,24 +17,24 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// operators is what the API for operators needs.
-type operators struct {
+// operatorAPI is what the API for operatorAPI needs.
+type operatorAPI struct {
 	vm       string
 	token    string
 	listener net.Listener // nil: the API is off
 }
 
-// listenOperators opens the API's listener; an empty addr turns the API off.
-func listenOperators(addr string, n settings.Node) (operators, error) {
+// listenOperatorAPI opens the API's listener; an empty addr turns the API off.
+func listenOperatorAPI(addr string, n settings.Node) (operatorAPI, error) {
 	if addr == "" {
-		return operators{}, nil
+		return operatorAPI{}, nil
 	}
 	token, err := readToken(n.AdminTokenFile)
 	if err != nil {
-		return operators{}, err
+		return operatorAPI{}, err
 	}
 	l, err := net.Listen("tcp", addr)
-	return operators{vm: n.VM, token: token, listener: l}, errors.WithStack(err)
+	return operatorAPI{vm: n.VM, token: token, listener: l}, errors.WithStack(err)
 }
 
 func readToken(path string) (string, error) {
@@ -53,7 +53,7 @@
 }
 
 // serveRouter serves the API of r, and its health, until ctx ends.
-func (o operators) serveRouter(ctx context.Context, r *router.Router, h *health) {
+func (o operatorAPI) serveRouter(ctx context.Context, r *router.Router, h *health) {
 	if o.listener != nil {
 		o.serve(ctx, admin.NewServer(admin.Config{
 			VM: o.vm, Node: r.AdminNode(o.vm), Token: o.token, Leaving: h.leaving.Load,
@@ -62,17 +62,17 @@
 }
 
 // serveSidecar serves the metrics of a sidecar, and its health, until ctx ends.
-func (o operators) serveSidecar(ctx context.Context, h *health) {
+func (o operatorAPI) serveSidecar(ctx context.Context, h *health) {
 	if o.listener == nil {
 		return
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET "+admin.PathVars, telemetry.Handler())
-	o.serve(ctx, o.guard(mux), h)
+	o.serve(ctx, o.requireToken(mux), h)
 }
 
-// guard lets requests pass that carry the token.
-func (o operators) guard(next http.Handler) http.Handler {
+// requireToken lets requests pass that carry the token.
+func (o operatorAPI) requireToken(next http.Handler) http.Handler {
 	if o.token == "" {
 		return next
 	}
@@ -86,7 +86,7 @@
 	})
 }
 
-func (o operators) serve(ctx context.Context, api http.Handler, h *health) {
+func (o operatorAPI) serve(ctx context.Context, api http.Handler, h *health) {
 	mux := http.NewServeMux()
 	h.register(mux)
 	mux.Handle("/", api)
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -41,14 +41,14 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		ca    string
-		works bool
+		ca     string
+		wantOK bool
 	}{"with its authority": {path, true}, "without": {"", false}} {
 		p, err := platformClient(t.Context(), settings.Platform{URL: settings.URL(server.URL), CA: c.ca}, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := p.VMs(t.Context(), ""); (err == nil) != c.works {
+		if _, _, err := p.VMs(t.Context(), ""); (err == nil) != c.wantOK {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/daemon/role_test.go
+++ b/internal/daemon/role_test.go
@@ -22,12 +22,12 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-const testDomain = "fleet.test"
+const testTrustDomain = "fleet.test"
 
-// mutual returns the transport of a process with a certificate of ca.
-func mutual(t testing.TB, ca *securetest.CA, id secure.Identity) *secure.MutualTLS {
+// newMutualTLS returns the transport of a process with a certificate of ca.
+func newMutualTLS(t testing.TB, ca *securetest.CA, id secure.Identity) *secure.MutualTLS {
 	t.Helper()
-	cert, key, err := ca.Issue(id.URI(testDomain))
+	cert, key, err := ca.Issue(id.URI(testTrustDomain))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 	}
-	m, err := secure.NewMutualTLS(id, testDomain, p)
+	m, err := secure.NewMutualTLS(id, testTrustDomain, p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	m := mutual(t, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
+	m := newMutualTLS(t, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
 	go func() { _ = sidecar.New(sidecarConfig(p.Sidecar)).Serve(ctx, m.Listen(l)) }()
 	return l.Addr().String(), runs
 }
@@ -73,7 +73,7 @@
 // What runs on one upstream VM gets hold of its sidecar's certificate, which all
 // other sidecars trust, because sidecars hand each other cached prefixes. With
 // it bookings could be run on every upstream, past all routers.
-func TestSidecarRunsNothingForAnotherSidecar(t *testing.T) {
+func TestSidecarRejectsRequestsOfOtherSidecars(t *testing.T) {
 	ca, err := securetest.NewCA("fleet")
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 		{secure.Identity{Role: secure.RoleSidecar, VM: "vm-2"}, false},
 		{secure.Identity{Role: secure.RoleRouter, VM: "entry-1"}, true},
 	} {
-		m := mutual(t, ca, c.id)
+		m := newMutualTLS(t, ca, c.id)
 		peer := wire.NewPeer(wire.PeerConfig{Dial: func(ctx context.Context) (net.Conn, error) { return m.Dial(ctx, "vm-1", addr) }})
 		defer peer.Close()
 		hello, err := peer.Connect(t.Context())
@@ -96,22 +96,22 @@
 		key := wire.Key{VM: "vm-1", Incarnation: hello.Incarnation, Nonce: token.NewNonce(), Expires: 1 << 33}
 		stream, _, err := peer.Submit(t.Context(), wire.Submit{Key: key, Org: "club", Window: 1 << 10, Call: wire.Call{Method: http.MethodPost, Path: "/book"}})
 		if err == nil {
-			for piece, next := stream.Next(t.Context()); next == nil && piece.End == nil; piece, next = stream.Next(t.Context()) {
+			for chunk, nextErr := stream.Next(t.Context()); nextErr == nil && chunk.End == nil; chunk, nextErr = stream.Next(t.Context()) {
 				continue
 			}
 		}
-		refusal := verdict.From(err)
+		rejection := verdict.From(err)
 		switch {
 		case c.allowed && (err != nil || runs.Load() != 1):
 			t.Errorf("a %s had %d requests run: %v", c.id.Role, runs.Load(), err)
-		case !c.allowed && (err == nil || refusal.Reason != verdict.ReasonForbidden || runs.Load() != 0):
+		case !c.allowed && (err == nil || rejection.Reason != verdict.ReasonForbidden || runs.Load() != 0):
 			t.Errorf("a %s had %d requests run: %v", c.id.Role, runs.Load(), err)
 		}
 		for _, method := range []wire.Method{wire.MethodOrder, wire.MethodCancel, wire.MethodNotice, wire.MethodReport, wire.MethodConfigSince, wire.MethodImport, wire.MethodJoined} {
 			err := peer.Call(t.Context(), method, json.RawMessage("{}"), nil)
 			forbidden := err != nil && verdict.From(err).Reason == verdict.ReasonForbidden
-			between := method == wire.MethodImport || method == wire.MethodJoined // sidecars
-			if want := between == c.allowed; forbidden != want {
+			isSidecarMethod := method == wire.MethodImport || method == wire.MethodJoined // sidecars
+			if want := isSidecarMethod == c.allowed; forbidden != want {
 				t.Errorf("%s calls %s: forbidden is %v, want %v (%v)", c.id.Role, method, forbidden, want, errors.Cause(err))
 			}
 		}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -24,9 +24,9 @@
 	idleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the headers of a request.
 	maxHeaderBytes = 64 << 10
-	// sidecarFiles is how many sidecars a router may be connected to at the
+	// maxSidecarConnections is how many sidecars a router may be connected to at the
 	// target's size, for the check of the file limit.
-	sidecarFiles = 3000
+	maxSidecarConnections = 3000
 )
 
 // callerServer is what a router serves callers by.
@@ -34,7 +34,7 @@
 	listener net.Listener
 	tls      *tls.Config // nil: plain HTTP
 	config   router.Config
-	admin    operators
+	admin    operatorAPI
 	plan     stopPlan
 
 	vm         string // as the platform lists it
@@ -48,10 +48,10 @@
 }
 
 func runRouter(ctx context.Context, s settings.Router) error {
-	growBetweenCollections(routerHeapFloor)
+	setMinHeapGrowth(routerHeapGrowthFloor)
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	checkFileLimit(s.MaxConnections.N + sidecarFiles)
+	checkFileLimit(s.MaxConnections.N + maxSidecarConnections)
 	c, err := routerConfig(background, s)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	if server.tls, err = callerTLS(background, s); err != nil {
 		return err
 	}
-	if server.admin, err = listenOperators(s.AdminListen, s.Node); err != nil {
+	if server.admin, err = listenOperatorAPI(s.AdminListen, s.Node); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", s.Listen)
@@ -119,22 +119,22 @@
 	c.admin.serveRouter(background, r, h)
 	go runController(ctx, c.config.Store, c.vm, c.controller, r)
 	server := &http.Server{
-		Handler:           h.wrap(gateway.New(r)),
+		Handler:           h.withHealthPaths(gateway.New(r)),
 		TLSConfig:         c.tls,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
 		if c.tls != nil {
-			failed <- server.ServeTLS(c.listener, "", "")
+			serveErr <- server.ServeTLS(c.listener, "", "")
 			return
 		}
-		failed <- server.Serve(c.listener)
+		serveErr <- server.Serve(c.listener)
 	}()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return errors.WithStack(err)
 	case <-ctx.Done():
 	}
@@ -150,7 +150,7 @@
 func (p stopPlan) stop(ctx context.Context, h *health, server *http.Server) error {
 	h.leave()
 	slog.Info("leaving: readiness fails, requests are still taken", "for", p.delay)
-	wait(ctx, p.delay)
+	sleep(ctx, p.delay)
 	slog.Info("leaving: no more requests are taken, those in flight go on", "for at most", p.timeout)
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
@@ -161,7 +161,7 @@
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -16,19 +16,19 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// routerFiles is how many routers may be connected to a sidecar at the target's
+// maxRouterConnections is how many routers may be connected to a sidecar at the target's
 // size, for the check of the file limit.
-const routerFiles = 400
+const maxRouterConnections = 400
 
 func runSidecar(ctx context.Context, s settings.Sidecar) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	checkFileLimit(routerFiles)
+	checkFileLimit(maxRouterConnections)
 	transport, err := fleetTransport(background, s.Fleet, s.Node, secure.RoleSidecar)
 	if err != nil {
 		return err
 	}
-	o, err := listenOperators(s.AdminListen, s.Node)
+	o, err := listenOperatorAPI(s.AdminListen, s.Node)
 	if err != nil {
 		return err
 	}
@@ -45,13 +45,13 @@
 			return err
 		}
 		c.VMs = p
-		c.Token = currentToken(p)
+		c.Token = fencingTokenReader(p)
 	}
 	sc := sidecar.New(c)
 	h := newHealth(sc.Alive, sc.Ready)
 	context.AfterFunc(ctx, h.leave)
 	o.serveSidecar(background, h)
-	return sc.Serve(ctx, transport.Listen(patientListener{l}))
+	return sc.Serve(ctx, transport.Listen(retryingListener{l}))
 }
 
 func sidecarConfig(s settings.Sidecar) sidecar.Config {
--- a/internal/daemon/suspend.go
+++ b/internal/daemon/suspend.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspended returns for how long the machine has been suspended since it started:
+// suspendedTime returns for how long the machine has been suspendedTime since it started:
 // by how much the clock that counts such time is ahead of the one that does not.
-func suspended() time.Duration {
+func suspendedTime() time.Duration {
 	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		slog.Debug("the time since the machine's start is not known", "error", err)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -12,10 +12,10 @@
 	// queueLength is how many events may wait for the loop.
 	queueLength = 1024
 
-	// settleEvery is after how many events settled is called though more wait.
+	// maxBatch is after how many events settled is called though more wait.
 	// Under a load that never lets the queue run empty, traffic would otherwise
 	// go by an old picture, and timers would not be set, for as long as it lasts.
-	settleEvery = 64
+	maxBatch = 64
 )
 
 // Reducer is a role's control state. Step must not block, read a clock or do
@@ -26,12 +26,12 @@
 
 // Loop feeds events to a Reducer.
 type Loop[E, F any] struct {
-	reducer Reducer[E, F]
-	act     func(F)
-	settled func()
-	events  chan E
-	probes  chan struct{}
-	done    chan struct{}
+	reducer    Reducer[E, F]
+	execute    func(F)
+	afterBatch func()
+	events     chan E
+	probes     chan struct{}
+	done       chan struct{}
 }
 
 // ErrEnded is a loop that runs no more.
@@ -41,14 +41,14 @@
 // time it has run out of events, or after a number of them. Both run on the
 // loop's goroutine: act must not post to the loop from there, and neither may
 // block for long.
-func New[E, F any](r Reducer[E, F], act func(F), settled func()) *Loop[E, F] {
+func New[E, F any](r Reducer[E, F], execute func(F), afterBatch func()) *Loop[E, F] {
 	return &Loop[E, F]{
-		reducer: r,
-		act:     act,
-		settled: settled,
-		events:  make(chan E, queueLength),
-		probes:  make(chan struct{}),
-		done:    make(chan struct{}),
+		reducer:    r,
+		execute:    execute,
+		afterBatch: afterBatch,
+		events:     make(chan E, queueLength),
+		probes:     make(chan struct{}),
+		done:       make(chan struct{}),
 	}
 }
 
@@ -85,7 +85,7 @@
 // Run applies events until ctx ends.
 func (l *Loop[E, F]) Run(ctx context.Context) {
 	defer close(l.done)
-	unsettled := 0
+	batchSize := 0
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,17 +94,17 @@
 			continue
 		case event := <-l.events:
 			l.apply(event)
-			unsettled++
+			batchSize++
 		}
-		if len(l.events) == 0 || unsettled >= settleEvery {
-			unsettled = 0
-			l.settled()
+		if len(l.events) == 0 || batchSize >= maxBatch {
+			batchSize = 0
+			l.afterBatch()
 		}
 	}
 }
 
 func (l *Loop[E, F]) apply(event E) {
 	for _, effect := range l.reducer.Step(event) {
-		l.act(effect)
+		l.execute(effect)
 	}
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -7,21 +7,21 @@
 	"testing/synctest"
 )
 
-// log is a Reducer whose effects are its events.
-type log struct{}
+// echoReducer is a Reducer whose effects are its events.
+type echoReducer struct{}
 
-func (log) Step(n int) []int { return []int{n} }
+func (echoReducer) Step(n int) []int { return []int{n} }
 
 // A router gets events faster than it takes them in, for minutes on end. The
 // picture by which it serves must follow all the same, not only once the storm
 // is over.
-func TestSettlesUnderABacklog(t *testing.T) {
+func TestBatchesAreBoundedUnderABacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var done []int
-		early := 0
-		l := New(log{}, func(n int) { done = append(done, n) }, func() {
-			if len(done) < queueLength {
-				early++
+		var applied []int
+		earlyBatches := 0
+		l := New(echoReducer{}, func(n int) { applied = append(applied, n) }, func() {
+			if len(applied) < queueLength {
+				earlyBatches++
 			}
 		})
 		var want []int
@@ -32,11 +32,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.Run(ctx)
 		synctest.Wait()
-		if !slices.Equal(done, want) {
-			t.Errorf("events were applied as %v", done)
+		if !slices.Equal(applied, want) {
+			t.Errorf("events were applied as %v", applied)
 		}
-		if early < queueLength/settleEvery-1 {
-			t.Errorf("settled %d times before the end of the backlog", early)
+		if earlyBatches < queueLength/maxBatch-1 {
+			t.Errorf("settled %d times before the end of the backlog", earlyBatches)
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -56,8 +56,8 @@
 // All returns the Policy that has all mechanisms on.
 func All() Policy {
 	p := Policy{}
-	for _, s := range p.switches() {
-		*s.on = true
+	for _, s := range p.mechanisms() {
+		*s.enabled = true
 	}
 	return p
 }
@@ -69,11 +69,11 @@
 		if name = strings.TrimSpace(name); name == "" {
 			continue
 		}
-		at := slices.IndexFunc(p.switches(), func(s namedSwitch) bool { return s.name == name })
-		if at < 0 {
+		i := slices.IndexFunc(p.mechanisms(), func(s mechanism) bool { return s.name == name })
+		if i < 0 {
 			return All(), errors.Errorf("no mechanism is called %q: there are %s", name, strings.Join(Names(), ", "))
 		}
-		*p.switches()[at].on = false
+		*p.mechanisms()[i].enabled = false
 	}
 	return p, nil
 }
@@ -81,20 +81,20 @@
 // Names returns the names of all mechanisms.
 func Names() []string {
 	var names []string
-	for _, s := range new(Policy).switches() {
+	for _, s := range new(Policy).mechanisms() {
 		names = append(names, s.name)
 	}
 	return names
 }
 
-// namedSwitch is a mechanism as operators name it.
-type namedSwitch struct {
-	name string
-	on   *bool
+// mechanism is a mechanism as operators name it.
+type mechanism struct {
+	name    string
+	enabled *bool
 }
 
-func (p *Policy) switches() []namedSwitch {
-	return []namedSwitch{
+func (p *Policy) mechanisms() []mechanism {
+	return []mechanism{
 		{"hot-spread", &p.HotSpread},
 		{"soft-bounds", &p.SoftBounds},
 		{"domain-spill", &p.DomainSpill},
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each mechanism has one switch of its own, which switches nothing else off.
-func TestEachMechanismHasItsSwitch(t *testing.T) {
+func TestEachMechanismIsDisabledSeparately(t *testing.T) {
 	all := All()
 	seen := make(map[string]bool)
 	for _, name := range Names() {
@@ -15,25 +15,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		off := ""
+		disabled := ""
 		for i := range reflect.TypeOf(p).NumField() {
 			if !reflect.ValueOf(p).Field(i).Bool() {
-				off += reflect.TypeOf(p).Field(i).Name
+				disabled += reflect.TypeOf(p).Field(i).Name
 			}
 			if !reflect.ValueOf(all).Field(i).Bool() {
 				t.Errorf("%s has no switch", reflect.TypeOf(p).Field(i).Name)
 			}
 		}
-		if seen[off] || off == "" {
-			t.Errorf("%s switches %q off", name, off)
+		if seen[disabled] || disabled == "" {
+			t.Errorf("%s switches %q off", name, disabled)
 		}
-		seen[off] = true
+		seen[disabled] = true
 	}
 }
 
 // An operator who mistypes a name is told the names that there are, and nothing is
 // switched off.
-func TestUnknownMechanismsAreMistakes(t *testing.T) {
+func TestUnknownMechanismsAreErrors(t *testing.T) {
 	p, err := Without("hedges,hegdes")
 	if err == nil || !strings.Contains(err.Error(), "hedges") || p != All() {
 		t.Errorf("%+v, %v", p, err)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,10 +14,10 @@
 
 // Bounds of settings.
 const (
-	minReload = 50 * time.Millisecond
-	maxReload = time.Minute
-	maxDelay  = time.Hour
-	maxStop   = 24 * time.Hour
+	minReloadInterval = 50 * time.Millisecond
+	maxReloadInterval = time.Minute
+	maxDelay          = time.Hour
+	maxStopTimeout    = 24 * time.Hour
 
 	maxPort   = 1<<16 - 1
 	maxWeight = 255 // that a sample of loads can carry
@@ -96,15 +96,15 @@
 	_ = f.Close()
 }
 
-// checkable is the settings of a role.
-type checkable interface{ check(m *ValidationErrors) }
+// checker is the settings of a role.
+type checker interface{ check(m *ValidationErrors) }
 
 func (c Common) check(m *ValidationErrors) {
 	m.oneOf("log-format", c.LogFormat, string(telemetry.LogText), string(telemetry.LogJSON))
 	if _, err := c.Level(); err != nil {
 		m.add("log-level", "want debug, info, warn or error, have %q", c.LogLevel)
 	}
-	m.duration("stop-timeout", c.StopTimeout, time.Second, maxStop)
+	m.duration("stop-timeout", c.StopTimeout, time.Second, maxStopTimeout)
 }
 
 // Level returns the least level of lines that are written.
@@ -120,20 +120,20 @@
 		m.add("vm", "is over %d bytes, more than a request key can carry", token.MaxVMLen)
 	}
 	m.file("admin-token-file", n.AdminTokenFile)
-	m.duration("reload-interval", n.ReloadInterval, minReload, maxReload)
+	m.duration("reload-interval", n.ReloadInterval, minReloadInterval, maxReloadInterval)
 }
 
 func (f Fleet) check(m *ValidationErrors) {
-	given := 0
+	givenFiles := 0
 	for _, path := range []string{f.Cert, f.Key, f.CA} {
 		if path != "" {
-			given++
+			givenFiles++
 		}
 	}
 	switch {
-	case f.InsecurePlain.On && given > 0:
+	case f.InsecurePlain.On && givenFiles > 0:
 		m.add("insecure-plain", "does not go with --fleet-cert, --fleet-key and --fleet-ca: choose")
-	case !f.InsecurePlain.On && given < 3:
+	case !f.InsecurePlain.On && givenFiles < 3:
 		m.add("fleet-cert", "is required together with --fleet-key and --fleet-ca; on one machine, for development, --insecure-plain does without")
 	}
 	m.file("fleet-cert", f.Cert)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -62,21 +62,21 @@
 		m = append(m, fmt.Sprintf("arguments that belong to no flag: %d", len(rest)))
 	}
 	p.Role = Role(parser.Active.Name)
-	p.options = optionsOf(parser.Active.Group)
+	p.options = allOptions(parser.Active.Group)
 	m = append(m, unknownVariables(parser)...)
 	for _, o := range p.options {
-		if v, ok := o.Value().(mistaken); ok && v.mistake() != nil {
-			m.add(o.LongName, "%s", v.mistake())
+		if v, ok := o.Value().(checkedValue); ok && v.valueError() != nil {
+			m.add(o.LongName, "%s", v.valueError())
 		}
 	}
-	p.role().check(&m)
+	p.roleSettings().check(&m)
 	if len(m) > 0 {
 		return p, m
 	}
 	return p, nil
 }
 
-func (p *Parsed) role() checkable {
+func (p *Parsed) roleSettings() checker {
 	switch p.Role {
 	case RoleRouter:
 		return p.Router
@@ -115,10 +115,10 @@
 	}
 }
 
-func optionsOf(g *flags.Group) []*flags.Option {
+func allOptions(g *flags.Group) []*flags.Option {
 	out := g.Options()
 	for _, sub := range g.Groups() {
-		out = append(out, optionsOf(sub)...)
+		out = append(out, allOptions(sub)...)
 	}
 	return out
 }
@@ -128,7 +128,7 @@
 func unknownVariables(parser *flags.Parser) []string {
 	known := make(map[string]bool)
 	for _, c := range parser.Commands() {
-		for _, o := range optionsOf(c.Group) {
+		for _, o := range allOptions(c.Group) {
 			known[o.EnvDefaultKey] = true
 		}
 	}
@@ -150,12 +150,12 @@
 		if o.LongName == helpFlag {
 			continue
 		}
-		fmt.Fprintf(table, "--%s\t%v\t%s\t%s\n", o.LongName, o.Value(), o.EnvDefaultKey, source(o))
+		fmt.Fprintf(table, "--%s\t%v\t%s\t%s\n", o.LongName, o.Value(), o.EnvDefaultKey, valueSource(o))
 	}
 	return errors.WithStack(table.Flush())
 }
 
-func source(o *flags.Option) string {
+func valueSource(o *flags.Option) string {
 	if o.IsSet() && !o.IsSetDefault() {
 		return "flag"
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 
 // An operator sets up the first entry VM at night and gets five things wrong.
 // The process must name all five at its first start, not one at each.
-func TestAllMistakesAreNamedAtOnce(t *testing.T) {
+func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	t.Setenv("PARSLEYD_DRAIN_DELEY", "5s")
 	t.Setenv("PARSLEYD_MAX_CONNECTIONS", "many")
 	t.Setenv("PARSLEYD_INSECURE_PLAIN", "perhaps")
@@ -101,7 +101,7 @@
 	var want []string
 	for _, c := range flags.NewParser(&d, flags.None).Commands() {
 		want = append(want, "## "+c.Name)
-		for _, o := range optionsOf(c.Group) {
+		for _, o := range allOptions(c.Group) {
 			env := "`" + o.EnvDefaultKey + "`"
 			if o.EnvDefaultKey == "" {
 				env = ""
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -14,8 +14,8 @@
 // parser that gave up at the first would show an operator one mistake at a
 // time, one restart apart.
 
-// mistaken is a value that may have been given wrongly.
-type mistaken interface{ mistake() error }
+// checkedValue is a value that may have been given wrongly.
+type checkedValue interface{ valueError() error }
 
 // Duration is a length of time, such as 10s or 1h30m.
 type Duration struct {
@@ -35,7 +35,7 @@
 // String implements fmt.Stringer.
 func (d Duration) String() string { return d.D.String() }
 
-func (d Duration) mistake() error { return d.err }
+func (d Duration) valueError() error { return d.err }
 
 // Count is a whole number.
 type Count struct {
@@ -55,26 +55,26 @@
 // String implements fmt.Stringer.
 func (c Count) String() string { return strconv.Itoa(c.N) }
 
-func (c Count) mistake() error { return c.err }
+func (c Count) valueError() error { return c.err }
 
 // Mechanisms are those of package policy that are on.
 type Mechanisms struct {
-	Policy policy.Policy
-	off    string
-	err    error
+	Policy   policy.Policy
+	disabled string
+	err      error
 }
 
 // UnmarshalFlag implements flags.Unmarshaler.
 func (m *Mechanisms) UnmarshalFlag(text string) error {
-	m.off = text
+	m.disabled = text
 	m.Policy, m.err = policy.Without(text)
 	return nil
 }
 
 // String implements fmt.Stringer.
-func (m Mechanisms) String() string { return m.off }
+func (m Mechanisms) String() string { return m.disabled }
 
-func (m Mechanisms) mistake() error { return m.err }
+func (m Mechanisms) valueError() error { return m.err }
 
 // Ratio is a number from 0 to 1.
 type Ratio struct {
@@ -96,7 +96,7 @@
 // String implements fmt.Stringer.
 func (r Ratio) String() string { return strconv.FormatFloat(r.R, 'g', -1, 64) }
 
-func (r Ratio) mistake() error { return r.err }
+func (r Ratio) valueError() error { return r.err }
 
 // Switch is on or off. A flag without a value switches it on.
 type Switch struct {
@@ -116,7 +116,7 @@
 // String implements fmt.Stringer.
 func (s Switch) String() string { return strconv.FormatBool(s.On) }
 
-func (s Switch) mistake() error { return s.err }
+func (s Switch) valueError() error { return s.err }
 
 // URL is an http or https URL. A password in it is not printed.
 type URL string
@@ -135,7 +135,7 @@
 	return []byte(u.String()), nil
 }
 
-func (u URL) mistake() error {
+func (u URL) valueError() error {
 	parsed, err := url.Parse(string(u))
 	if u == "" || (err == nil && parsed.Host != "" && (parsed.Scheme == "http" || parsed.Scheme == "https")) {
 		return nil
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -17,8 +17,8 @@
 // away, later spans are dropped: traces may be lost, requests may not wait.
 const maxQueuedSpans = 2048
 
-// exportEvery is how long spans wait to be handed over together.
-const exportEvery = time.Second
+// exportInterval is how long spans wait to be handed over together.
+const exportInterval = time.Second
 
 var exportFailures = NewCounter("telemetry_export_failures_total",
 	"Batches of spans that could not be handed to the trace collector.")
@@ -45,7 +45,7 @@
 	// The library writes a line for each failure; here failures are counted.
 	otel.SetLogger(logr.Discard())
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(error) { exportFailures.Inc() }))
-	return startTracing(c, trace.WithBatcher(exporter, trace.WithMaxQueueSize(maxQueuedSpans), trace.WithBatchTimeout(exportEvery))), nil
+	return startTracing(c, trace.WithBatcher(exporter, trace.WithMaxQueueSize(maxQueuedSpans), trace.WithBatchTimeout(exportInterval))), nil
 }
 
 func startTracing(c TraceConfig, out trace.TracerProviderOption) (stop func(context.Context) error) {
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// queuedBytes bounds the lines that wait to be written, in bytes. While the
+	// maxQueuedBytes bounds the lines that wait to be written, in bytes. While the
 	// reader of standard output is slow, later lines are dropped and counted.
-	queuedBytes = 256 << 10
-	// routineRate and failureRate bound the lines about requests, a second, and
+	maxQueuedBytes = 256 << 10
+	// routineLinesPerSecond and failureRate bound the lines about requests, a second, and
 	// routineBurst and failureBurst what may come at once. At 300 bytes a line
 	// that is 60 KB a second, a hundredth of a core.
-	routineRate, routineBurst = 100, 400
-	failureRate, failureBurst = 100, 400
-	// suppressedEvery is how often the lines that were left out are told.
-	suppressedEvery = 5 * time.Second
+	routineLinesPerSecond, routineBurst = 100, 400
+	failureLinesPerSecond, failureBurst = 100, 400
+	// suppressedReportInterval is how often the lines that were left out are told.
+	suppressedReportInterval = 5 * time.Second
 )
 
 var (
@@ -58,7 +58,7 @@
 func (q *QueuedWriter) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.closed || len(q.queue)+len(line) > queuedBytes {
+	if q.closed || len(q.queue)+len(line) > maxQueuedBytes {
 		droppedLines.Inc()
 		return len(line), nil
 	}
@@ -88,7 +88,7 @@
 }
 
 // Close writes what is queued, for as long as within at most.
-func (q *QueuedWriter) Close(within time.Duration) {
+func (q *QueuedWriter) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closed = true
 	q.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 	select {
 	case <-q.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
@@ -107,24 +107,24 @@
 type RequestLog struct {
 	logger *slog.Logger
 
-	mu     sync.Mutex
-	limits map[LineClass]*lineLimit
-	told   time.Time // when suppressed lines were told last
+	mu         sync.Mutex
+	limits     map[LineClass]*lineLimiter
+	lastReport time.Time // when suppressed lines were told last
 }
 
-// lineLimit is the bound of one class of lines.
-type lineLimit struct {
+// lineLimiter is the bound of one class of lines.
+type lineLimiter struct {
 	rate, burst float64
-	left        float64
-	filled      time.Time
+	tokens      float64
+	refilledAt  time.Time
 	suppressed  int // since they were told last
 }
 
 // NewRequestLog returns a RequestLog that writes to l.
 func NewRequestLog(l *slog.Logger) *RequestLog {
-	return &RequestLog{logger: l, limits: map[LineClass]*lineLimit{
-		LineRoutine: {rate: routineRate, burst: routineBurst, left: routineBurst},
-		LineFailure: {rate: failureRate, burst: failureBurst, left: failureBurst},
+	return &RequestLog{logger: l, limits: map[LineClass]*lineLimiter{
+		LineRoutine: {rate: routineLinesPerSecond, burst: routineBurst, tokens: routineBurst},
+		LineFailure: {rate: failureLinesPerSecond, burst: failureBurst, tokens: failureBurst},
 	}}
 }
 
@@ -135,7 +135,7 @@
 		return
 	}
 	now := time.Now()
-	if !r.admit(now, class) {
+	if !r.allow(now, class) {
 		suppressedLines.Inc(class)
 		return
 	}
@@ -146,32 +146,32 @@
 	r.logger.LogAttrs(context.Background(), level, msg, append([]slog.Attr{slog.String("request", id)}, attrs...)...)
 }
 
-// admit reports whether a line may be written, and tells from time to time how
+// allow reports whether a line may be written, and tells from time to time how
 // many might not.
-func (r *RequestLog) admit(now time.Time, class LineClass) bool {
+func (r *RequestLog) allow(now time.Time, class LineClass) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tell(now)
+	r.reportSuppressed(now)
 	l := r.limits[class]
-	if passed := now.Sub(l.filled).Seconds(); passed > 0 {
-		l.left = min(l.burst, l.left+passed*l.rate)
+	if elapsed := now.Sub(l.refilledAt).Seconds(); elapsed > 0 {
+		l.tokens = min(l.burst, l.tokens+elapsed*l.rate)
 	}
-	l.filled = now
-	if l.left < 1 {
+	l.refilledAt = now
+	if l.tokens < 1 {
 		l.suppressed++
 		return false
 	}
-	l.left--
+	l.tokens--
 	return true
 }
 
-// tell writes how many lines were suppressed. It needs r.mu held.
-func (r *RequestLog) tell(now time.Time) {
+// reportSuppressed writes how many lines were suppressed. It needs r.mu held.
+func (r *RequestLog) reportSuppressed(now time.Time) {
 	routine, failure := r.limits[LineRoutine], r.limits[LineFailure]
-	if routine.suppressed+failure.suppressed == 0 || now.Sub(r.told) < suppressedEvery {
+	if routine.suppressed+failure.suppressed == 0 || now.Sub(r.lastReport) < suppressedReportInterval {
 		return
 	}
 	r.logger.Warn("lines about requests were left out", "routine", routine.suppressed, "failure", failure.suppressed)
 	routine.suppressed, failure.suppressed = 0, 0
-	r.told = now
+	r.lastReport = now
 }
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -84,22 +84,22 @@
 	expvar.Publish(d.Name, v)
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	at, _ := slices.BinarySearchFunc(registry.descs, d, func(a, b Desc) int { return strings.Compare(a.Name, b.Name) })
-	registry.descs = slices.Insert(registry.descs, at, d)
+	i, _ := slices.BinarySearchFunc(registry.descs, d, func(a, b Desc) int { return strings.Compare(a.Name, b.Name) })
+	registry.descs = slices.Insert(registry.descs, i, d)
 }
 
 func checkName(d Desc) error {
 	unit := d.Name[strings.LastIndexByte(d.Name, '_')+1:]
-	fits := false
+	valid := false
 	switch d.Kind {
 	case KindCounter:
-		fits = unit == "total"
+		valid = unit == "total"
 	case KindGauge:
-		fits = slices.Contains(gaugeUnits, unit)
+		valid = slices.Contains(gaugeUnits, unit)
 	case KindHistogram:
-		fits = unit == "seconds"
+		valid = unit == "seconds"
 	}
-	if !fits || !namePattern.MatchString(d.Name) {
+	if !valid || !namePattern.MatchString(d.Name) {
 		return fmt.Errorf("telemetry: %q is no name for a %s", d.Name, d.Kind)
 	}
 	if d.Help == "" {
@@ -242,11 +242,11 @@
 // Histogram is a distribution of durations: how many there were in all, and
 // the quantiles of the last minute.
 type Histogram struct {
-	mu      sync.Mutex
-	recent  *hdrhistogram.WindowedHistogram
-	rotated time.Time
-	count   int64
-	sum     time.Duration
+	mu           sync.Mutex
+	recent       *hdrhistogram.WindowedHistogram
+	lastRotation time.Time
+	count        int64
+	sum          time.Duration
 }
 
 // NewHistogram registers a Histogram. Its name ends with _seconds.
@@ -269,18 +269,18 @@
 
 // rotate drops the windows that have grown old. It needs h.mu held.
 func (h *Histogram) rotate(now time.Time) {
-	due := int(now.Sub(h.rotated) / windowLength)
+	due := int(now.Sub(h.lastRotation) / windowLength)
 	if due == 0 {
 		return
 	}
-	h.rotated = now
+	h.lastRotation = now
 	for range min(due, histogramWindows) {
 		h.recent.Rotate()
 	}
 }
 
-// summary is a Histogram as operators see it; all but Count in seconds.
-type summary struct {
+// histogramSummary is a Histogram as operators see it; all but Count in seconds.
+type histogramSummary struct {
 	Count int64   `json:"count"`
 	Sum   float64 `json:"sum"`
 	P50   float64 `json:"p50_last_minute"`
@@ -295,7 +295,7 @@
 	h.rotate(time.Now())
 	recent := h.recent.Merge()
 	seconds := func(units int64) float64 { return (time.Duration(units) * histogramUnit).Seconds() }
-	b, _ := json.Marshal(summary{ // plain numbers: it can't fail
+	b, _ := json.Marshal(histogramSummary{ // plain numbers: it can't fail
 		Count: h.count,
 		Sum:   h.sum.Seconds(),
 		P50:   seconds(recent.ValueAtQuantile(50)),
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,8 +25,8 @@
 	testHistogram = NewHistogram("test_wait_seconds", "Test.")
 )
 
-// hops does to spans what a request does on its way through the fleet.
-func hops(p Traceparent) Traceparent {
+// runHops does to spans what a request does on its way through the fleet.
+func runHops(p Traceparent) Traceparent {
 	for _, hop := range []Hop{HopCaller, HopRouter, HopSidecar, HopUpstream} {
 		span := Start(hop, p)
 		span.Set(AttrVM, "vm-1")
@@ -37,17 +37,17 @@
 	return p
 }
 
-func TestNoTraceCostsNothing(t *testing.T) {
-	if n := testing.AllocsPerRun(100, func() { hops(parent) }); n != 0 {
+func TestDisabledTracingDoesNotAllocate(t *testing.T) {
+	if n := testing.AllocsPerRun(100, func() { runHops(parent) }); n != 0 {
 		t.Errorf("%v allocations a request while tracing is off", n)
 	}
-	if got := hops(parent); got != parent {
+	if got := runHops(parent); got != parent {
 		t.Errorf("the caller's trace context became %q on its way through", got)
 	}
 	stop := startTracing(TraceConfig{Ratio: 1}, trace.WithSyncer(tracetest.NewNoopExporter()))
 	defer func() { _ = stop(context.Background()) }()
 	unsampled := parent[:len(parent)-1] + "0"
-	if n := testing.AllocsPerRun(100, func() { hops(unsampled) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { runHops(unsampled) }); n != 0 {
 		t.Errorf("%v allocations a request whose caller has decided against a trace", n)
 	}
 }
@@ -55,7 +55,7 @@
 func TestEachHopIsTheParentOfTheNext(t *testing.T) {
 	recorder := tracetest.NewInMemoryExporter()
 	stop := startTracing(TraceConfig{Ratio: 0}, trace.WithSyncer(recorder))
-	last := hops(parent)
+	last := runHops(parent)
 	spans := recorder.GetSpans()
 	if err := stop(context.Background()); err != nil {
 		t.Fatal(err)
@@ -63,15 +63,15 @@
 	if len(spans) != 4 {
 		t.Fatalf("%d spans, want one a hop", len(spans))
 	}
-	before := "00f067aa0ba902b7"
+	wantParent := "00f067aa0ba902b7"
 	for _, s := range spans {
-		if got := s.Parent.SpanID().String(); got != before || s.SpanContext.TraceID().String() != "4bf92f3577b34da6a3ce929d0e0e4736" {
-			t.Errorf("span %s of trace %s has parent %s, want %s of the caller's trace", s.Name, s.SpanContext.TraceID(), got, before)
+		if got := s.Parent.SpanID().String(); got != wantParent || s.SpanContext.TraceID().String() != "4bf92f3577b34da6a3ce929d0e0e4736" {
+			t.Errorf("span %s of trace %s has parent %s, want %s of the caller's trace", s.Name, s.SpanContext.TraceID(), got, wantParent)
 		}
-		before = s.SpanContext.SpanID().String()
+		wantParent = s.SpanContext.SpanID().String()
 	}
-	if !strings.Contains(string(last), before) {
-		t.Errorf("the upstream was told %q, want span %s", last, before)
+	if !strings.Contains(string(last), wantParent) {
+		t.Errorf("the upstream was told %q, want span %s", last, wantParent)
 	}
 }
 
@@ -100,8 +100,8 @@
 // it on the page of counters, which more people may read than the process list.
 // expvar's own handler shows the command line there.
 func TestHandlerHidesTheCommandLine(t *testing.T) {
-	former := os.Args
-	defer func() { os.Args = former }()
+	oldArgs := os.Args
+	defer func() { os.Args = oldArgs }()
 	os.Args = append(os.Args[:len(os.Args):len(os.Args)], "--token=5ec4e7")
 	testFamily.Add(ControlLoad, 7)
 	testHistogram.Observe(30 * time.Millisecond)
@@ -109,7 +109,7 @@
 	Handler().ServeHTTP(w, httptest.NewRequest("GET", "/debug/vars", nil))
 	var page struct {
 		Family map[ControlKind]int64 `json:"test_family_total"`
-		Wait   summary               `json:"test_wait_seconds"`
+		Wait   histogramSummary      `json:"test_wait_seconds"`
 	}
 	if err := json.Unmarshal(w.Body.Bytes(), &page); err != nil {
 		t.Fatalf("%s in %s", err, w.Body)
@@ -154,7 +154,7 @@
 	b.Run("off", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			hops(parent)
+			runHops(parent)
 		}
 	})
 	b.Run("unsampled", func(b *testing.B) {
@@ -162,7 +162,7 @@
 		defer func() { _ = stop(context.Background()) }()
 		b.ReportAllocs()
 		for b.Loop() {
-			hops("")
+			runHops("")
 		}
 	})
 	b.Run("on", func(b *testing.B) {
@@ -170,14 +170,14 @@
 		defer func() { _ = stop(context.Background()) }()
 		b.ReportAllocs()
 		for b.Loop() {
-			hops(parent)
+			runHops(parent)
 		}
 	})
 }
 
 // An operator reads the log of the night: a line for each change, not a stack
 // of calls, which the text handler writes for an error of package errors.
-func TestLogLinesAreLines(t *testing.T) {
+func TestErrorsAreLoggedOnOneLine(t *testing.T) {
 	for _, f := range []LogFormat{LogText, LogJSON} {
 		var out strings.Builder
 		NewLogger(&out, f, slog.LevelInfo).Info("files are broken", "error", errors.New("no PEM"))
