--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// helloHandler serves a sidecar's hello and nothing else.
+// helloHandler answers every call with a sidecar's hello and ignores frames.
 type helloHandler struct{}
 
 func (helloHandler) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
@@ -21,8 +21,8 @@
 
 func (helloHandler) HandleFrame(*wire.Conn, wire.Frame) {}
 
-// BenchmarkIdlePeers measures the memory of idle connections of a router to
-// sidecars, with all that package wire keeps for them, both ends in this process.
+// BenchmarkIdlePeers measures the memory of idle connections from a router to sidecars,
+// including the state that package wire keeps for them. Both ends are in this process.
 func BenchmarkIdlePeers(b *testing.B) {
 	ca, err := securetest.NewCA("fleet")
 	if err != nil {
@@ -74,7 +74,7 @@
 	return memoryInUse() - before
 }
 
-// memoryInUse returns the bytes of heap and stacks that are in use.
+// memoryInUse returns the memory of heap and stacks in use, in bytes, after a collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -12,7 +12,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// runController lets a router stand for the controller's lease until ctx ends.
+// runController runs the controller on a router until ctx ends. The controller gives orders
+// only while it holds the controller's lease.
 func runController(ctx context.Context, store topo.Store, vm string, s settings.Controller, r *router.Router) {
 	controller.New(controller.Config{
 		Store:        store,
@@ -26,7 +27,8 @@
 	}).Run(ctx)
 }
 
-// fencingTokenReader returns how a sidecar reads the controller's fencing token.
+// fencingTokenReader returns a function by which a sidecar reads the controller's fencing
+// token from store.
 func fencingTokenReader(store topo.Store) func(context.Context) (wire.FencingToken, error) {
 	return func(ctx context.Context) (wire.FencingToken, error) {
 		return lease.CurrentToken(ctx, store, controller.LeaseName)
--- a/internal/daemon/counters_test.go
+++ b/internal/daemon/counters_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// row is a metric's line on the operators' page.
+// row returns the line of a metric in the table of docs/operators/counters.md.
 func row(d telemetry.Desc) string {
 	name, kind := d.Name, string(d.Kind)
 	if d.Label != "" {
@@ -22,9 +22,8 @@
 	return fmt.Sprintf("| `%s` | %s | %s |", name, kind, d.Help)
 }
 
-// An alert goes off at night and the page that should say what the counter
-// means has no row for it, because a change added the counter and not the row;
-// or it has one for a counter that no longer exists.
+// A change that adds or removes a metric without changing the operators' page would leave
+// an alert unexplained, or a row for a metric that no longer exists.
 func TestOperatorsPageListsEachMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/counters.md")
 	if err != nil {
@@ -45,7 +44,7 @@
 	}
 }
 
-// The morning page names for each alert counter what to look at.
+// The page for the morning check must have a row for each alert counter.
 func TestMorningPageNamesEachAlert(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/morning.md")
 	if err != nil {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -26,7 +26,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// What dev mode configures: a pool of engines for chats and a plain service.
+// Names and parameters of the fleet of dev mode: a pool of model engines for chats and a
+// plain service.
 const (
 	devRouter       = "router-0"
 	devModel        = "notes-7b"
@@ -41,8 +42,8 @@
 	devLoadMultiple = 1.25
 )
 
-// runDev runs a small fleet with stand-ins in this process until ctx ends, and
-// tells out how to use it.
+// runDev runs a small fleet with stand-ins in this process until ctx ends and the planned
+// stop is over. It writes instructions for its use to out.
 func runDev(ctx context.Context, s settings.Dev, out io.Writer) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -91,7 +92,7 @@
 	return server.serve(ctx, background)
 }
 
-// newKeyring returns a Ring with a secret of this process.
+// newKeyring returns a Keyring with a random secret.
 func newKeyring() (*token.Keyring, error) {
 	secret := make([]byte, sha256.Size)
 	rand.Read(secret) // never fails, as crypto/rand documents
@@ -110,7 +111,7 @@
 `, platformURL, addr, admin, key, devModel, devClips)
 }
 
-// writeDevConfig writes the pools, profiles and organisation of dev mode.
+// writeDevConfig writes the pools, profiles and organisation of dev mode to store.
 func writeDevConfig(ctx context.Context, store topo.Store, key string) error {
 	objects := []struct {
 		ref   topo.Ref
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// startUpstreams runs the stand-ins of both pools, each with its sidecar.
+// startUpstreams starts the stand-in upstreams of both pools, each with its sidecar. They
+// run until ctx ends.
 func startUpstreams(ctx context.Context, vms *standin.VMList, platformURL string, engines int) error {
 	for i := range engines {
 		mux := http.NewServeMux()
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// startUpstream runs an upstream with its sidecar and lists its VM.
+// startUpstream starts an upstream with its sidecar and adds its VM to vms.
 func startUpstream(ctx context.Context, vms *standin.VMList, platformURL string, vm topo.VM, h http.Handler) error {
 	base, err := listenHTTP(ctx, h)
 	if err != nil {
@@ -196,7 +198,8 @@
 	return nil
 }
 
-// listenHTTP serves h on a free port until ctx ends and returns its URL.
+// listenHTTP serves h on a free port in the background until ctx ends. It returns the
+// server's URL.
 func listenHTTP(ctx context.Context, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -27,73 +27,76 @@
 )
 
 const (
-	// storeDialTimeout bounds the opening of a connection to the store.
+	// storeDialTimeout bounds the opening of a connection to the store or another router.
 	storeDialTimeout = 500 * time.Millisecond
-	// watchWaitFraction of the platform's bound on changes is how long a watch of the
-	// store waits, watchGraceFraction how much later it may answer, and callTimeoutFraction how long
-	// any other call may take. A store in health answers within milliseconds; a
-	// connection that has gone silent is noticed after watchWaitFraction and watchGraceFraction,
-	// with enough left for a listing.
+	// Times of calls to the store, as fractions of the platform's bound on how long a
+	// change may take to be in force: how long a watch waits for a change, how much later
+	// than that its response may arrive, and how long any other call may take. A healthy
+	// store responds within milliseconds. A broken connection is detected after the sum
+	// of watchWaitFraction and watchGraceFraction, which leaves enough time for a listing.
 	watchWaitFraction, watchGraceFraction, callTimeoutFraction = 0.45, 0.2, 0.4
-	// watchPauseFraction of the bound is the pause after a watch that brought changes. In a
-	// burst of them, the reader takes several at once: each costs as much as a few
-	// requests, and the routers that pull from it the same.
+	// watchPauseFraction is the pause after a watch that returned changes, as a fraction of
+	// the same bound. It batches bursts of changes: each watch response costs the parent
+	// as much as a few requests, and each of its subscribers the same.
 	watchPauseFraction = 0.1
-	// storeRetryMax bounds the pause after a failed call of the store, whatever it asks for.
+	// storeRetryMax bounds the pause after a failed call to the store, whatever its
+	// Retry-After says.
 	storeRetryMax = time.Second
-	// storeRetryInitial is the first pause after a failed call of the store, doubled at each
-	// one that follows. After a loss of power, callers wait for this.
+	// storeRetryInitial is the first pause after a failed call to the store, doubled at each
+	// further failure. After a power failure, callers wait for this pause.
 	storeRetryInitial = 100 * time.Millisecond
-	// firstWatchDelay is how long routers that start together take to find out which of
-	// them reads the store. Most then never begin to watch it.
+	// firstWatchDelay is how long routers that start together need to agree on which of
+	// them reads the store. With this delay most of them never start a watch.
 	firstWatchDelay = 200 * time.Millisecond
-	// pullInterval is the pause between two pulls from the router that reads the store.
+	// pullInterval is the pause between two pulls of a subscriber from its parent.
 	pullInterval = 100 * time.Millisecond
-	// outageGrace is how long an entry that lapsed during an outage of the store
-	// still counts after its end. Upstreams that live are back in 2 s.
+	// outageGrace is how long after the end of a store outage an entry that expired during
+	// it still counts. Running upstreams write their entries again within 2 s.
 	outageGrace = 2 * time.Second
-	// renewMargin is how much later than a heartbeat an upstream's entry may come.
+	// renewMargin is added to the heartbeat interval for the longest time between two
+	// renewals of an upstream's entry.
 	renewMargin = 100 * time.Millisecond
-	// stopMargin is how much earlier than its last moment a stop ends, so that
-	// what is still in flight is broken off by us.
+	// stopMargin is how long before the end of the platform's grace period a planned stop
+	// ends, so that the router itself closes the connections that are still in use.
 	stopMargin = 300 * time.Millisecond
 
-	// callerFraction of its descriptors is what a router uses for callers. A request
-	// takes one of theirs and one to an upstream, and unused ones are kept to both.
+	// callerFraction is the fraction of a router's file descriptors that it uses for
+	// connections of callers. Each request takes one of these and one to an upstream, and
+	// idle connections are kept open on both sides.
 	callerFraction = 0.5
-	// defaultCallerConnections is how many connections of callers a router keeps where the
-	// platform sets no limit of descriptors.
+	// defaultCallerConnections is the maximum number of caller connections if the platform
+	// sets no limit on file descriptors.
 	defaultCallerConnections = 4096
 
-	// retryFraction is the part of the platform's bound on retries that routers use.
-	// Windows of different routers do not lie at the same time, so the sum of what
-	// each is allowed may exceed the bound by as much as traffic changes from one
-	// window to the next.
+	// retryFraction is the fraction of the platform's bound on retries that routers use.
+	// The windows of different routers are not aligned, so the sum of their budgets can
+	// exceed the bound by as much as traffic changes from one window to the next.
 	retryFraction = 0.8
-	// retrySlack is how many retries in a window a router is allowed whatever its
-	// traffic.
+	// retrySlack is the number of retries in a window that a router is allowed regardless
+	// of its traffic.
 	retrySlack = 1
 )
 
-// Network is how an entry reaches others.
+// Network holds the dialers and listeners by which an Entry communicates.
 type Network struct {
 	Store     topo.DialFunc
 	Upstreams exchange.DialFunc
 	Routers   topo.DialFunc
-	// Packets and Calls are where this router is reached by others. Without Packets
-	// it reads the store by itself.
+	// Packets and Calls receive messages and connections of other routers. Without Packets
+	// this router reads the store itself.
 	Packets net.PacketConn
 	Calls   net.Listener
-	// SuspendedTime returns for how long the machine has been suspended in all.
+	// SuspendedTime returns the total time for which the VM has been suspended.
 	SuspendedTime func() time.Duration
 }
 
-// systemNetwork is the network of the machine.
+// systemNetwork returns a Network that uses the VM's network, and listens on the address
+// for messages between routers.
 func systemNetwork(p platform.Settings) (Network, error) {
 	d := net.Dialer{Timeout: storeDialTimeout}
 	n := Network{Store: d.DialContext, Upstreams: exchange.Dialer(), Routers: d.DialContext, SuspendedTime: suspendedTime}
 	if p.PeerAddr == "" {
-		slog.Warn("the platform names no port for messages between routers: this one reads the store by itself")
+		slog.Warn("the platform's settings name no address for messages between routers: this router reads the store itself")
 		return n, nil
 	}
 	var err error
@@ -148,7 +151,7 @@
 	return e.Stop(background)
 }
 
-// NewEntry returns an Entry that works until ctx ends.
+// NewEntry returns an Entry whose router runs until ctx ends.
 func NewEntry(ctx context.Context, s settings.Entry, p platform.Settings, n Network) *Entry {
 	requestLog := telemetry.NewRequestLog(slog.Default())
 	c := entryConfig(p, n, s.Without.Policy)
@@ -162,7 +165,7 @@
 	return &Entry{settings: s, platform: p, router: r, health: h, server: g.Server(h.closeWhileLeaving(g), callerConnections(p), p.ConfigBound)}
 }
 
-// callerConnections returns how many connections of callers a router keeps.
+// callerConnections returns the maximum number of open caller connections.
 func callerConnections(p platform.Settings) int {
 	if p.MaxDescriptors == 0 {
 		return defaultCallerConnections
@@ -175,20 +178,20 @@
 	return errors.WithStack(e.server.Serve(l))
 }
 
-// Ready serves the balancer's question whether to send callers.
+// Ready serves the load balancer's readiness check.
 func (e *Entry) Ready(w http.ResponseWriter, r *http.Request) {
 	e.health.serveReady(w, r)
 }
 
-// Stop is a planned stop: it returns when nothing is in flight any more, or when
-// the platform's grace is nearly over.
+// Stop performs a planned stop. It returns when no request is in flight any more, or with
+// an error shortly before the platform's grace period is over.
 func (e *Entry) Stop(ctx context.Context) error {
 	delay := e.settings.DrainDelay.D
 	plan := stopPlan{delay: delay, timeout: max(e.platform.GracePeriod-delay-stopMargin, 0)}
 	return plan.stop(ctx, e.health, e.server.Server)
 }
 
-// entryConfig returns what the router reaches others by, and what it does there.
+// entryConfig returns the configuration of a router on the operators' platform.
 func entryConfig(p platform.Settings, n Network, enabled policy.Policy) router.Config {
 	changeBound := min(p.ConfigBound, p.DrainBound)
 	store := topo.NewHTTPWithDialer(p.StoreURL, n.Store).WithDialect(platform.Store{}, topo.Timeouts{
@@ -225,7 +228,7 @@
 	}
 }
 
-// memberTiming returns how long entries of upstreams count.
+// memberTiming returns how long entries of upstreams stay valid.
 func memberTiming(p platform.Settings, enabled policy.Policy) membership.Timing {
 	t := membership.Timing{OutageGrace: outageGrace, MaxRenewInterval: p.HeartbeatInterval + renewMargin}
 	if enabled.Linger {
@@ -234,12 +237,13 @@
 	return t
 }
 
-// scaleDuration returns a part of a time.
+// scaleDuration returns d times fraction.
 func scaleDuration(d time.Duration, fraction float64) time.Duration {
 	return time.Duration(fraction * float64(d))
 }
 
-// tuning returns the bounds that the platform sets.
+// tuning returns the limits that the platform's settings define, with the mechanisms that
+// are enabled.
 func tuning(p platform.Settings, enabled policy.Policy) router.Tuning {
 	return router.Tuning{
 		Retries:       retry.Rule{Ratio: retryFraction * p.RetryRatio, Slack: retrySlack, Window: p.RetryWindow},
@@ -251,7 +255,7 @@
 	}
 }
 
-// reload takes changed settings. Addresses are the process's for life.
+// reload applies changed settings. A changed address only takes effect at the next start.
 func (e *Entry) reload(p platform.Settings) {
 	e.router.Tune(tuning(p, e.settings.Without.Policy))
 	if p.CallerListen != e.platform.CallerListen || p.StoreURL != e.platform.StoreURL {
@@ -260,8 +264,8 @@
 	slog.Info("settings reloaded", "retry_ratio", p.RetryRatio, "load_multiple", p.LoadMultiple)
 }
 
-// serveReadinessAndMetrics serves what a router answers beside its callers: whether it is ready,
-// to the balancer, and its metrics.
+// serveReadinessAndMetrics starts the servers of the load balancer's readiness checks and
+// of the metrics. They run until ctx ends.
 func (e *Entry) serveReadinessAndMetrics(ctx context.Context) error {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, e.Ready)
@@ -277,20 +281,20 @@
 	return serveOn(ctx, net.JoinHostPort(e.platform.IP, strconv.Itoa(e.settings.MetricsPort.N)), metrics)
 }
 
-// UpstreamConditions returns what this router holds against each upstream.
+// UpstreamConditions returns the conditions that this router has recorded of each upstream.
 func (e *Entry) UpstreamConditions() []admin.UpstreamConditions {
 	return e.router.DirectUpstreams(time.Now())
 }
 
-// serveUpstreams serves what this router holds against each upstream.
+// serveUpstreams serves the result of UpstreamConditions as JSON.
 func (e *Entry) serveUpstreams(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.UpstreamConditions()); err != nil {
-		slog.Warn("what is held against upstreams could not be told", "error", err)
+		slog.Warn("could not write the conditions of upstreams", "error", err)
 	}
 }
 
-// serveOn serves h on addr until ctx ends.
+// serveOn listens on addr and serves h in the background until ctx ends.
 func serveOn(ctx context.Context, addr string, h http.Handler) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -302,9 +306,9 @@
 	return nil
 }
 
-// Close ends the serving of callers at once.
+// Close stops serving callers at once and closes their connections.
 func (e *Entry) Close() {
 	if err := e.server.Close(); err != nil {
-		slog.Warn("closing the listener for callers", "error", err)
+		slog.Warn("could not close the server for callers", "error", err)
 	}
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// spareDescriptors is how many files a process needs beside its connections.
+	// spareDescriptors is the number of file descriptors that a process needs in addition
+	// to its connections.
 	spareDescriptors = 256
-	// acceptRetryDelay is the pause after a connection that could not be accepted.
+	// acceptRetryDelay is the pause after a failed accept.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
 var acceptFailures = telemetry.NewCounter("daemon_accept_failures_total",
 	"Connections of routers that could not be accepted, for want of files or memory.", telemetry.Alert)
 
-// fleetTransport returns how this process connects to others of the fleet.
+// fleetTransport returns the transport between this process and others of the fleet. Its
+// certificates are reloaded until ctx ends.
 func fleetTransport(ctx context.Context, f settings.Fleet, n settings.Node, role secure.Role) (secure.Transport, error) {
 	if f.InsecurePlain.On {
 		slog.Warn("routers and sidecars connect without TLS: --insecure-plain is for development on one machine")
@@ -45,8 +47,8 @@
 	}
 }
 
-// platformClient returns the platform's client, which trusts the authorities
-// of the settings.
+// platformClient returns a client of the platform that trusts the certificate authorities
+// of s, or those of the system if s names none.
 func platformClient(ctx context.Context, s settings.Platform, reload time.Duration) (*topo.HTTP, error) {
 	p := topo.NewHTTP(string(s.URL))
 	if s.CA == "" {
@@ -60,23 +62,23 @@
 	return p.WithTLS(c.Config), nil
 }
 
-// checkFileLimit says when the limit of open files is too low for the
-// settings. It is the operator's to change.
+// checkFileLimit logs a warning if the limit on open files is too low for the number of
+// connections. It leaves the limit as it is: changing it is up to the operator.
 func checkFileLimit(connections int) {
 	need := uint64(connections + spareDescriptors)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		slog.Warn("the limit of open files could not be read", "error", err)
+		slog.Warn("could not read the limit on open files", "error", err)
 		return
 	}
 	if limit.Cur < need {
-		slog.Warn("the limit of open files is lower than the settings may need", "limit", limit.Cur, "need", need)
+		slog.Warn("the limit on open files is lower than the settings may require", "limit", limit.Cur, "need", need)
 	}
 }
 
-// retryingListener goes on after a connection that could not be accepted.
-// Without it a process that runs out of files for a moment would stop to
-// listen for good, though it serves what it has.
+// retryingListener retries Accept after a temporary error. Without it, a process that runs
+// out of file descriptors for a moment would never accept a connection again, although it
+// still serves those that it has.
 type retryingListener struct {
 	net.Listener
 }
@@ -93,7 +95,8 @@
 	}
 }
 
-// isTemporaryAcceptError reports whether an error of accepting says nothing about the listener.
+// isTemporaryAcceptError reports whether err comes from a lack of resources or an aborted
+// connection, so that the listener can still be used.
 func isTemporaryAcceptError(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, e) {
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -9,7 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// failingListener is a listener that fails for want of files before it accepts.
+// failingListener is a listener whose Accept returns failures first, one a call, and then
+// succeeds.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -25,9 +26,9 @@
 	return nil, &net.OpError{Op: "accept", Err: err}
 }
 
-// A surge takes a sidecar's last open files for a moment. It must be there for
-// routers when the surge is over: a loop that ends with the first failed accept
-// leaves an upstream that runs, looks well, and gets no work until morning.
+// A surge uses up a sidecar's file descriptors for a moment. The sidecar must accept
+// connections again afterwards: if its accept loop ended at the first error, its upstream
+// would run and look healthy but get no requests.
 func TestListenerRetriesAfterDescriptorExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := acceptFailures.Value()
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// probeTimeout bounds how long a control loop may take until its next turn.
+// probeTimeout bounds how long a control loop may take to respond to a probe.
 const probeTimeout = 2 * time.Second
 
-// Paths of the health of a process.
+// Paths of the health checks.
 const (
 	pathLive  = "/livez"
 	pathReady = "/readyz"
 )
 
-// health answers two questions about a process that have different answers: a
-// process is live while its control loop turns, else it is to be restarted; it
-// is ready while it can serve and is not leaving, else it is to be left alone.
+// health serves the liveness and readiness checks of a process. A process is live while
+// its control loop processes events; otherwise it must be restarted. It is ready while it
+// can serve requests and is not leaving; otherwise it must get no requests.
 type health struct {
 	alive   func(context.Context) error
 	ready   func() bool
@@ -34,7 +34,7 @@
 	h.leaving.Store(true)
 }
 
-// register adds the paths to mux.
+// register adds the health checks to mux.
 func (h *health) register(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+pathLive, h.serveLive)
 	mux.HandleFunc("GET "+pathReady, h.serveReady)
@@ -57,8 +57,8 @@
 	}
 }
 
-// withHealthPaths puts the health paths before next. While the process is leaving, each
-// answer closes its connection.
+// withHealthPaths returns a handler that serves the health checks and passes all other
+// requests to next. While the process is leaving, each response closes its connection.
 func (h *health) withHealthPaths(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	h.register(mux)
@@ -66,7 +66,7 @@
 	return h.closeWhileLeaving(mux)
 }
 
-// closeWhileLeaving makes each answer of next close its connection while the process is
+// closeWhileLeaving makes each response of next close its connection while the process is
 // leaving.
 func (h *health) closeWhileLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/daemon/health_test.go
+++ b/internal/daemon/health_test.go
@@ -10,7 +10,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/loop"
 )
 
-// stuckReducer is a control state whose step does not return until it is let go.
+// stuckReducer is a reducer whose Step blocks until it receives from the channel.
 type stuckReducer chan struct{}
 
 // Step implements loop.Reducer.
@@ -19,10 +19,9 @@
 	return nil
 }
 
-// A router's control loop hangs in a step: its listener accepts, it answers from
-// an old view, and nothing that changes reaches it. Whoever restarts processes
-// must see it, and must not see a router that only has no configuration yet, or
-// is leaving, as one to be restarted.
+// A router whose control loop hangs still accepts and serves requests, but from outdated
+// state, so its liveness check must fail. A router that has no configuration yet, or is
+// leaving, must only fail its readiness check, so that it is not restarted.
 func TestLivenessAndReadinessAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := make(stuckReducer)
@@ -50,7 +49,7 @@
 		synctest.Wait()
 		expect("stuck", http.StatusServiceUnavailable, http.StatusOK)
 		state <- struct{}{}
-		expect("let go", http.StatusOK, http.StatusOK)
+		expect("released", http.StatusOK, http.StatusOK)
 		h.leave()
 		expect("leaving", http.StatusOK, http.StatusServiceUnavailable)
 		stop()
--- a/internal/daemon/heap.go
+++ b/internal/daemon/heap.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// routerHeapGrowthFloor is how far the heap of a router grows at least from one
-	// garbage collection to the next, in bytes. A router that holds little
-	// would otherwise collect dozens of times a second at its peak.
+	// routerHeapGrowthFloor is the minimum growth of a router's heap from one garbage
+	// collection to the next, in bytes. A router with a small heap would otherwise collect
+	// dozens of times a second at peak load.
 	routerHeapGrowthFloor = 64 << 20
 
-	// defaultGCPercent is Go's own setting: as much as is in use.
+	// defaultGCPercent is Go's default of GOGC: the heap grows by its live size.
 	defaultGCPercent = 100
 
-	// minLiveHeap bounds the setting where next to nothing is in use, in bytes.
-	// It lies under the heap of a process that has done no more than start, about
-	// 500 KB, for which the setting would otherwise fall short of the floor.
+	// minLiveHeap is the smallest live heap, in bytes, for which the percentage is computed.
+	// It must be below the live heap of a process that has just started, about 500 KB.
+	// Otherwise such a process would grow by less than the floor.
 	minLiveHeap = 256 << 10
 
 	liveHeapMetric    = "/gc/heap/live:bytes"
 	totalMemoryMetric = "/memory/classes/total:bytes"
 )
 
-// setMinHeapGrowth keeps the heap's growth at floor or more. It leaves
-// the operator's own GOGC alone.
+// setMinHeapGrowth makes the heap grow by at least floor bytes between collections, unless
+// the environment sets GOGC.
 func setMinHeapGrowth(floor uint64) {
 	if os.Getenv("GOGC") == "" {
 		adjustGC(floor)
 	}
 }
 
-// adjustGC sets the pace by what is in use now, and again after each collection:
-// an object that nobody refers to is cleaned up by the next one.
+// adjustGC sets the collector's percentage and memory limit for the current live heap, and
+// does so again after each collection: the cleanup of an unreachable object runs after the
+// next one.
 func adjustGC(floor uint64) {
 	live, nonHeap := processMemory()
 	debug.SetGCPercent(gcPercent(live, floor))
@@ -43,7 +44,7 @@
 	runtime.AddCleanup(new(marker), adjustGC, floor)
 }
 
-// heapMemoryMetrics is the memory of the heap, by what it is used for.
+// heapMemoryMetrics lists the metrics whose sum is the memory of the heap.
 var heapMemoryMetrics = []string{
 	"/memory/classes/heap/objects:bytes",
 	"/memory/classes/heap/unused:bytes",
@@ -51,8 +52,8 @@
 	"/memory/classes/heap/released:bytes",
 }
 
-// processMemory returns what the last collection left in the heap, and the memory
-// of the process beside the heap, in bytes.
+// processMemory returns the live heap after the last collection and the memory that the
+// process uses outside the heap, in bytes.
 func processMemory() (live, nonHeap uint64) {
 	samples := []metrics.Sample{{Name: liveHeapMetric}, {Name: totalMemoryMetric}}
 	for _, name := range heapMemoryMetrics {
@@ -66,15 +67,15 @@
 	return samples[0].Value.Uint64(), nonHeap
 }
 
-// gcPercent returns by how many percent a heap with live bytes in use may grow.
+// gcPercent returns the percentage by which a heap of live bytes may grow until the next
+// collection, so that it grows by at least floor bytes.
 func gcPercent(live, floor uint64) int {
 	return int(max(defaultGCPercent, 100*floor/max(live, minLiveHeap)))
 }
 
-// memoryLimit returns the memory at which a collection starts whatever the
-// percentage says. Go scales its smallest heap of 4 MiB by the percentage, so
-// that a small one would grow to many times the floor: 1 GB for 256 KB in use
-// and a floor of 64 MB.
+// memoryLimit returns the memory use in bytes at which a collection starts regardless of
+// the percentage. Go scales its minimum heap of 4 MiB by the percentage, so that a small
+// heap would grow to many times the floor: to 1 GB with 256 KB in use and a floor of 64 MB.
 func memoryLimit(live, nonHeap, floor uint64) int64 {
 	return int64(2*live + floor + nonHeap)
 }
--- a/internal/daemon/heap_test.go
+++ b/internal/daemon/heap_test.go
@@ -14,9 +14,9 @@
 	return sample[0].Value.Uint64()
 }
 
-// A router starts with an empty heap, and the setting that suits it then would
-// let the heap of a router with ten thousand streams grow to many times what it
-// holds, until its VM has no memory left.
+// The percentage that suits the nearly empty heap of a starting router would let the heap
+// of a router with ten thousand streams grow to many times its live size and exhaust the
+// VM's memory. It must fall as the live heap grows.
 func TestGCPercentFallsAsTheHeapGrows(t *testing.T) {
 	const floor, percent = 16 << 20, "/gc/gogc:percent"
 	defer debug.SetGCPercent(debug.SetGCPercent(defaultGCPercent))
@@ -35,9 +35,9 @@
 	runtime.KeepAlive(retained)
 }
 
-// A router starts on a VM with little memory. In the first minute, with next to
-// nothing in use, its heap grows to a multiple of the floor and the process is
-// killed: Go's smallest heap grows with the percentage that suits the floor.
+// Go scales its minimum heap by the percentage. Without the memory limit, the heap of a
+// router that has just started would grow to a multiple of the floor, and on a VM with
+// little memory the process would be killed.
 func TestMemoryLimitOfIdleProcessStaysNearTheFloor(t *testing.T) {
 	const floor = 16 << 20
 	defer debug.SetGCPercent(debug.SetGCPercent(defaultGCPercent))
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -1,4 +1,4 @@
-// Package daemon runs the roles of parsleyd.
+// Package daemon implements parsleyd: it starts and stops a process in one of its roles.
 package daemon
 
 import (
@@ -19,15 +19,16 @@
 // Exit codes of parsleyd.
 const (
 	exitOK       = 0
-	exitFailed   = 1 // while running
-	exitSettings = 2 // mistakes in the settings
+	exitFailed   = 1 // an error at the start or while running
+	exitSettings = 2 // invalid settings
 )
 
-// flushTimeout bounds the handing over of the last spans at the end.
+// flushTimeout bounds how long the process waits at its end for the export of spans and
+// the writing of queued log lines.
 const flushTimeout = 3 * time.Second
 
-// Main runs parsleyd with a command line, without the program's name, until a
-// signal and a planned stop end it. It returns the exit code.
+// Main runs parsleyd with the command-line arguments args, which exclude the program's
+// name, until a signal starts a planned stop and the stop is over. It returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	p, err := settings.Parse(args)
 	var help settings.Help
@@ -47,8 +48,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// The first signal starts a planned stop; a second one ends at once, as
-	// signals do where nobody asks for them.
+	// The first signal starts a planned stop. After it the default handling of signals
+	// applies again, so that a second one ends the process at once.
 	context.AfterFunc(ctx, stop)
 	if err := run(ctx, p, stdout, stderr); err != nil {
 		slog.Error("ended", "error", err)
@@ -87,7 +88,8 @@
 	}
 }
 
-// startTracing turns tracing on where the settings ask for it.
+// startTracing turns tracing on if the settings name a collector. flush exports the
+// spans that are still queued and turns tracing off.
 func startTracing(p *settings.Parsed) (flush func(), err error) {
 	common, node := p.Common(), p.Node()
 	if common.TraceEndpoint == "" {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -17,14 +17,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/telemetry"
 )
 
-// operatorAPI is what the API for operatorAPI needs.
+// operatorAPI holds the settings and the listener of the operators' API.
 type operatorAPI struct {
 	vm       string
 	token    string
 	listener net.Listener // nil: the API is off
 }
 
-// listenOperatorAPI opens the API's listener; an empty addr turns the API off.
+// listenOperatorAPI opens the listener of the operators' API. An empty addr turns the API
+// off.
 func listenOperatorAPI(addr string, n settings.Node) (operatorAPI, error) {
 	if addr == "" {
 		return operatorAPI{}, nil
@@ -43,16 +44,17 @@
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return "", errors.Wrap(err, "admin token")
+		return "", errors.Wrap(err, "could not read the admin token file")
 	}
 	token := strings.TrimSpace(string(b))
 	if token == "" {
-		return "", errors.Errorf("admin token: %s is empty", path)
+		return "", errors.Errorf("admin token file %s is empty", path)
 	}
 	return token, nil
 }
 
-// serveRouter serves the API of r, and its health, until ctx ends.
+// serveRouter serves the operators' API of r and its health checks in the background until
+// ctx ends.
 func (o operatorAPI) serveRouter(ctx context.Context, r *router.Router, h *health) {
 	if o.listener != nil {
 		o.serve(ctx, admin.NewServer(admin.Config{
@@ -61,7 +63,8 @@
 	}
 }
 
-// serveSidecar serves the metrics of a sidecar, and its health, until ctx ends.
+// serveSidecar serves the metrics of a sidecar and its health checks in the background
+// until ctx ends.
 func (o operatorAPI) serveSidecar(ctx context.Context, h *health) {
 	if o.listener == nil {
 		return
@@ -71,7 +74,8 @@
 	o.serve(ctx, o.requireToken(mux), h)
 }
 
-// requireToken lets requests pass that carry the token.
+// requireToken returns a handler that passes requests with the operators' token to next and
+// rejects all others. If no token is configured it passes all requests.
 func (o operatorAPI) requireToken(next http.Handler) http.Handler {
 	if o.token == "" {
 		return next
--- a/internal/daemon/platform_test.go
+++ b/internal/daemon/platform_test.go
@@ -14,9 +14,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/standin"
 )
 
-// The platform has an authority of its own. A process that was told of it must
-// reach the platform, and one that was not must not hand it the configuration's
-// requests: it could be anyone.
+// The platform's certificate is signed by its own authority. A process with that authority
+// in its settings must connect. One without it must not send requests for the
+// configuration, since the server could be an impostor.
 func TestPlatformOverTLS(t *testing.T) {
 	ca, err := securetest.NewCA("platform")
 	if err != nil {
--- a/internal/daemon/role_test.go
+++ b/internal/daemon/role_test.go
@@ -24,7 +24,7 @@
 
 const testTrustDomain = "fleet.test"
 
-// newMutualTLS returns the transport of a process with a certificate of ca.
+// newMutualTLS returns the transport of a process whose certificate is issued by ca.
 func newMutualTLS(t testing.TB, ca *securetest.CA, id secure.Identity) *secure.MutualTLS {
 	t.Helper()
 	cert, key, err := ca.Issue(id.URI(testTrustDomain))
@@ -45,7 +45,8 @@
 	return m
 }
 
-// serveSidecar runs the sidecar of VM vm-1 before an upstream that counts bookings.
+// serveSidecar runs the sidecar of VM vm-1 in front of an upstream that counts the requests
+// to /book in runs.
 func serveSidecar(t *testing.T, ca *securetest.CA) (addr string, runs *atomic.Int64) {
 	t.Helper()
 	runs = new(atomic.Int64)
@@ -70,9 +71,9 @@
 	return l.Addr().String(), runs
 }
 
-// What runs on one upstream VM gets hold of its sidecar's certificate, which all
-// other sidecars trust, because sidecars hand each other cached prefixes. With
-// it bookings could be run on every upstream, past all routers.
+// Sidecars trust each other's certificates because they transfer cached prefixes between
+// them. A process on an upstream VM that obtains its sidecar's certificate must not be able
+// to run requests on other upstreams without a router.
 func TestSidecarRejectsRequestsOfOtherSidecars(t *testing.T) {
 	ca, err := securetest.NewCA("fleet")
 	if err != nil {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -20,16 +20,16 @@
 const (
 	// headerTimeout bounds how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout bounds how long a caller's connection is kept between requests.
+	// idleTimeout bounds how long a caller's connection stays open between requests.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the headers of a request.
+	// maxHeaderBytes bounds the size of a request's headers.
 	maxHeaderBytes = 64 << 10
-	// maxSidecarConnections is how many sidecars a router may be connected to at the
-	// target's size, for the check of the file limit.
+	// maxSidecarConnections is the number of sidecars that a router connects to in a fleet
+	// of the target size. It is used to check the limit on open files.
 	maxSidecarConnections = 3000
 )
 
-// callerServer is what a router serves callers by.
+// callerServer holds what a router needs to serve callers and operators.
 type callerServer struct {
 	listener net.Listener
 	tls      *tls.Config // nil: plain HTTP
@@ -37,14 +37,14 @@
 	admin    operatorAPI
 	plan     stopPlan
 
-	vm         string // as the platform lists it
+	vm         string // id in the platform's list
 	controller settings.Controller
 }
 
-// stopPlan is how a router leaves.
+// stopPlan holds the durations of a planned stop.
 type stopPlan struct {
-	delay   time.Duration // until the balancer has noticed
-	timeout time.Duration // for the requests in flight
+	delay   time.Duration // from failing readiness until connections are refused
+	timeout time.Duration // for requests in flight after that
 }
 
 func runRouter(ctx context.Context, s settings.Router) error {
@@ -77,8 +77,8 @@
 	return server.serve(ctx, background)
 }
 
-// routerConfig opens what a router reaches others by. Its files are followed
-// until ctx ends.
+// routerConfig returns the configuration of a router in front of sidecars. Its
+// certificates and secrets are reloaded when their files change, until ctx ends.
 func routerConfig(ctx context.Context, s settings.Router) (router.Config, error) {
 	transport, err := fleetTransport(ctx, s.Fleet, s.Node, secure.RoleRouter)
 	if err != nil {
@@ -98,7 +98,7 @@
 	}, nil
 }
 
-// callerTLS returns nil when callers speak plain HTTP.
+// callerTLS returns the TLS configuration for callers, or nil if they use plain HTTP.
 func callerTLS(ctx context.Context, s settings.Router) (*tls.Config, error) {
 	if s.CallerCert == "" {
 		return nil, nil
@@ -111,8 +111,8 @@
 	return c.Config(), nil
 }
 
-// serve serves callers until ctx ends and the planned stop is over. background
-// ends after that.
+// serve serves callers until ctx ends and the planned stop is over. background must end
+// after that.
 func (c callerServer) serve(ctx, background context.Context) error {
 	r := router.New(background, c.config)
 	h := newHealth(r.Alive, r.Ready)
@@ -141,12 +141,11 @@
 	return c.plan.stop(background, h, server)
 }
 
-// stop ends a router without cutting a request. Readiness fails first, while
-// the router serves on: until the balancer has looked, it still sends. Each
-// answer then asks its connection to be closed, so that kept connections, on
-// which a request might cross with our closing them, are gone by the end of the
-// delay. Then no connection is accepted, what is in flight ends, and so does
-// the router.
+// stop shuts server down without cutting off requests. First readiness fails while the
+// router still serves, because the balancer sends requests until its next check. From then
+// on each response closes its connection. Otherwise a request could arrive on an idle
+// connection just as the router closes it. After the delay no connection is accepted any
+// more, and stop waits until the requests in flight have ended or the timeout is over.
 func (p stopPlan) stop(ctx context.Context, h *health, server *http.Server) error {
 	h.leave()
 	slog.Info("leaving: readiness fails, requests are still taken", "for", p.delay)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -16,8 +16,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/upstream"
 )
 
-// maxRouterConnections is how many routers may be connected to a sidecar at the target's
-// size, for the check of the file limit.
+// maxRouterConnections is the number of routers that connect to a sidecar in a fleet of the
+// target size. It is used to check the limit on open files.
 const maxRouterConnections = 400
 
 func runSidecar(ctx context.Context, s settings.Sidecar) error {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs a reducer: one goroutine owns a role's control state,
-// applies events to it in order and carries out the effects that come back.
+// Package loop runs a reducer: one goroutine owns a role's control state, applies events
+// to it in order and executes the effects that each step returns.
 package loop
 
 import (
@@ -9,7 +9,7 @@
 )
 
 const (
-	// queueLength is how many events may wait for the loop.
+	// queueLength is the capacity of the event queue.
 	queueLength = 1024
 
 	// maxBatch is after how many events settled is called though more wait.
@@ -18,13 +18,13 @@
 	maxBatch = 64
 )
 
-// Reducer is a role's control state. Step must not block, read a clock or do
-// I/O: time comes inside the event and effects go out as data.
+// Reducer is a role's control state. Step applies an event and returns its effects. It must
+// not block, read a clock or do I/O: events carry the time, and effects are data.
 type Reducer[E, F any] interface {
 	Step(event E) []F
 }
 
-// Loop feeds events to a Reducer.
+// Loop applies queued events to a Reducer and executes its effects.
 type Loop[E, F any] struct {
 	reducer    Reducer[E, F]
 	execute    func(F)
@@ -34,7 +34,7 @@
 	done       chan struct{}
 }
 
-// ErrEnded is a loop that runs no more.
+// ErrEnded is the error of a probe of a loop that has ended.
 var ErrEnded = errors.New("loop: ended")
 
 // New returns a Loop that hands each effect to act, and calls settled each
@@ -52,9 +52,9 @@
 	}
 }
 
-// Post queues an event. It reports false when the loop has ended, also while
-// there is room in the queue: who waits for what an event brings about would
-// else wait for good.
+// Post queues an event and waits while the queue is full. It returns false if the loop has
+// ended, even if the queue has free capacity: otherwise a caller that waits for the result
+// of the event would wait forever.
 func (l *Loop[E, F]) Post(event E) bool {
 	select {
 	case <-l.done:
@@ -69,8 +69,9 @@
 	}
 }
 
-// Probe waits until the loop takes a turn. A loop that is stuck in a step or an
-// effect takes none: its process answers on the network and decides nothing.
+// Probe waits until the loop is between two events. It fails if ctx ends first, which means
+// that the loop hangs in a step or an effect, or with ErrEnded if the loop has ended. A
+// process whose loop hangs still accepts connections but makes no decisions.
 func (l *Loop[E, F]) Probe(ctx context.Context) error {
 	select {
 	case l.probes <- struct{}{}:
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -7,14 +7,13 @@
 	"testing/synctest"
 )
 
-// echoReducer is a Reducer whose effects are its events.
+// echoReducer is a Reducer that returns each event as its only effect.
 type echoReducer struct{}
 
 func (echoReducer) Step(n int) []int { return []int{n} }
 
-// A router gets events faster than it takes them in, for minutes on end. The
-// picture by which it serves must follow all the same, not only once the storm
-// is over.
+// A router receives events faster than it applies them, for minutes. The state that it
+// serves from must still be updated meanwhile, not only once the queue is empty.
 func TestBatchesAreBoundedUnderABacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var applied []int
@@ -36,13 +35,13 @@
 			t.Errorf("events were applied as %v", applied)
 		}
 		if earlyBatches < queueLength/maxBatch-1 {
-			t.Errorf("settled %d times before the end of the backlog", earlyBatches)
+			t.Errorf("afterBatch was called %d times before the end of the backlog", earlyBatches)
 		}
 		cancel()
 		synctest.Wait()
 		for range 20 {
 			if l.Post(0) {
-				t.Fatal("an ended loop took an event")
+				t.Fatal("an ended loop accepted an event")
 			}
 		}
 	})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,10 +1,10 @@
-// Package policy names the mechanisms by which routers serve upstreams without a sidecar
-// better than by chance, so that each can be switched off: by an operator who suspects
-// one of them at night, and by whoever measures what it is worth.
+// Package policy names the optional mechanisms by which routers choose among upstreams
+// without a sidecar. Each can be switched off, by operators who suspect that it does harm
+// and for measurements of its benefit.
 //
-// Package router reads a Policy where a mechanism begins; none of them guards a promise
-// to callers, so that any may be off. Without HotSpread and SharedLoads a surge of one
-// session puts upstreams over the operators' bound on load.
+// Package router checks the Policy where a mechanism starts. No guarantee to callers
+// depends on a mechanism, so any of them may be off. Without HotSpread and SharedLoads a
+// surge of one session's requests puts upstreams over the load bound.
 package policy
 
 import (
@@ -14,46 +14,49 @@
 	"github.com/pkg/errors"
 )
 
-// Policy says which mechanisms are on. Its zero value has all off.
+// Policy sets which mechanisms are on. In the zero Policy all are off.
 type Policy struct {
-	// HotSpread spreads a session that has more requests than its home may hold over as
-	// many upstreams as it needs, from the router's own sample of the traffic.
+	// HotSpread spreads a session with more requests than its home upstream may get over
+	// as many upstreams as it needs, judging by the router's own share of the traffic.
 	HotSpread bool
-	// SoftBounds draws the bound on load for each request, so that routers that are told the
-	// same do not turn away from an upstream together.
+	// SoftBounds draws the load bound at random for each request, so that routers with the
+	// same load reports do not all avoid an upstream at once.
 	SoftBounds bool
-	// DomainSpill lets a session's requests that its home has no room for go to upstreams
-	// of the same failure domain first.
+	// DomainSpill sends requests for which a session's home upstream has no capacity to
+	// upstreams of the same failure domain first.
 	DomainSpill bool
-	// SharedLoads has routers tell each other the loads of upstreams.
+	// SharedLoads makes routers report the loads of upstreams to each other.
 	SharedLoads bool
-	// SharedOutcomes has routers tell each other how requests went at upstreams.
+	// SharedOutcomes makes routers report the outcomes of requests at upstreams to each
+	// other.
 	SharedOutcomes bool
-	// Outliers puts upstreams last that fail more of their requests than others.
+	// Outliers ranks upstreams last that fail more of their requests than others.
 	Outliers bool
-	// Pace sends requests without a session to the upstreams that answer fastest.
+	// Pace sends requests without a session to the upstreams with the lowest relative
+	// latency.
 	Pace bool
-	// Waits sends requests where their first byte is expected in time, by how much waits
-	// at each engine and how fast it works, and turns those away at once for which there
-	// is no such engine and no free place.
+	// Waits sends requests to engines at which their first byte is expected in time, given
+	// the length of the queue and the speed of each engine. It rejects a request at once
+	// if there is no such engine and no free slot.
 	Waits bool
-	// Donors names, with each request, the upstream that is likely to hold its prompt.
+	// Donors names, with each request, the upstream that is likely to have its prompt
+	// cached.
 	Donors bool
-	// LastServed prefers as donor the upstream that has served the session last.
+	// LastServed prefers the upstream that has served the session last as donor.
 	LastServed bool
-	// Hedges asks a second upstream when an idempotent read is late.
+	// Hedges sends an idempotent read that is late to a second upstream too.
 	Hedges bool
-	// Switches gives a silent stream that may be resumed up for another upstream.
+	// Switches moves a stalled stream that can be resumed to another upstream.
 	Switches bool
-	// Resumption goes on at another upstream with a stream that has broken off.
+	// Resumption continues a stream that has broken off at another upstream.
 	Resumption bool
-	// Linger keeps upstreams whose entry is gone for a while, as donors.
+	// Linger keeps upstreams whose entry was removed as donors for a while.
 	Linger bool
-	// StartWait lets requests wait for the first configuration of a router.
+	// StartWait makes requests wait for the first configuration of a router.
 	StartWait bool
 }
 
-// All returns the Policy that has all mechanisms on.
+// All returns the Policy in which all mechanisms are on.
 func All() Policy {
 	p := Policy{}
 	for _, s := range p.mechanisms() {
@@ -62,7 +65,8 @@
 	return p
 }
 
-// Without returns All but for the mechanisms of a list of names, separated by commas.
+// Without returns All except the mechanisms in names, a comma-separated list. It returns an
+// error, and All, if a name is unknown.
 func Without(names string) (Policy, error) {
 	p := All()
 	for name := range strings.SplitSeq(names, ",") {
@@ -71,7 +75,7 @@
 		}
 		i := slices.IndexFunc(p.mechanisms(), func(s mechanism) bool { return s.name == name })
 		if i < 0 {
-			return All(), errors.Errorf("no mechanism is called %q: there are %s", name, strings.Join(Names(), ", "))
+			return All(), errors.Errorf("unknown mechanism %q: want one of %s", name, strings.Join(Names(), ", "))
 		}
 		*p.mechanisms()[i].enabled = false
 	}
@@ -87,7 +91,7 @@
 	return names
 }
 
-// mechanism is a mechanism as operators name it.
+// mechanism is the name of a mechanism in settings and its field in a Policy.
 type mechanism struct {
 	name    string
 	enabled *bool
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each mechanism has one switch of its own, which switches nothing else off.
+// Each mechanism has a name that switches it off and no other.
 func TestEachMechanismIsDisabledSeparately(t *testing.T) {
 	all := All()
 	seen := make(map[string]bool)
@@ -31,8 +31,7 @@
 	}
 }
 
-// An operator who mistypes a name is told the names that there are, and nothing is
-// switched off.
+// A mistyped name is an error that lists the valid names, and nothing is switched off.
 func TestUnknownMechanismsAreErrors(t *testing.T) {
 	p, err := Without("hedges,hegdes")
 	if err == nil || !strings.Contains(err.Error(), "hedges") || p != All() {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,7 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// Bounds of settings.
+// Limits of the values of settings.
 const (
 	minReloadInterval = 50 * time.Millisecond
 	maxReloadInterval = time.Minute
@@ -20,22 +20,22 @@
 	maxStopTimeout    = 24 * time.Hour
 
 	maxPort   = 1<<16 - 1
-	maxWeight = 255 // that a sample of loads can carry
+	maxWeight = 255 // the largest that fits into a load sample
 	maxSlots  = 1 << 16
 	minKeys   = 1 << 10
 	maxKeys   = 1 << 22
 
-	// minAnswerBytes lets a router that has lost its connection find what was
-	// on its way.
+	// minAnswerBytes is enough for a router that has lost its connection to fetch again
+	// what was in transit.
 	minAnswerBytes = 64 << 10
 	maxAnswerBytes = 1 << 30
 	maxBufferBytes = 1 << 40
 )
 
-// ValidationErrors is all that is wrong with a command line and environment.
+// ValidationErrors lists all errors of a command line and its environment.
 type ValidationErrors []string
 
-// Error implements error, one mistake a line.
+// Error implements error, with one error a line.
 func (m ValidationErrors) Error() string {
 	return "mistakes in the settings:\n  " + strings.Join(m, "\n  ")
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// file checks that a file can be read; an empty name is none.
+// file checks that the file can be opened. An empty path is not checked.
 func (m *ValidationErrors) file(flag, path string) {
 	if path == "" {
 		return
@@ -96,7 +96,7 @@
 	_ = f.Close()
 }
 
-// checker is the settings of a role.
+// checker is the settings of a role, which add their errors to m.
 type checker interface{ check(m *ValidationErrors) }
 
 func (c Common) check(m *ValidationErrors) {
@@ -107,7 +107,8 @@
 	m.duration("stop-timeout", c.StopTimeout, time.Second, maxStopTimeout)
 }
 
-// Level returns the least level of lines that are written.
+// Level returns the minimum level of log lines that are written. It fails if LogLevel is
+// not a level.
 func (c Common) Level() (slog.Level, error) {
 	var l slog.Level
 	err := l.UnmarshalText([]byte(c.LogLevel))
@@ -173,7 +174,7 @@
 	m.file("platform-ca", s.Platform.CA)
 	s.Admission.check(m)
 	s.Answers.check(m)
-	// Without TLS whoever reaches the port may run work.
+	// Without TLS, anyone who can reach the port can run requests at the upstream.
 	if host, _, err := net.SplitHostPort(s.Listen); err == nil && s.InsecurePlain.On && !net.ParseIP(host).IsLoopback() {
 		m.add("listen", "with --insecure-plain only a loopback address such as 127.0.0.1:7400, have %q", s.Listen)
 	}
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// envPrefix begins every environment variable of parsleyd.
+// envPrefix is the prefix of all environment variables of parsleyd.
 const envPrefix = "PARSLEYD_"
 
-// helpFlag is what the parser adds to the settings.
+// helpFlag is the name of the flag that the parser adds to the settings.
 const helpFlag = "help"
 
-// Role is what a process does.
+// Role is the function of a process in a fleet.
 type Role string
 
-// Roles, as the command line names them.
+// Roles, by their subcommands.
 const (
 	RoleRouter  Role = "router"
 	RoleSidecar Role = "sidecar"
@@ -28,14 +28,14 @@
 	RoleDev     Role = "dev"
 )
 
-// Parsed is a command line and environment that has been read.
+// Parsed holds the settings read from a command line and the environment.
 type Parsed struct {
 	Daemon
 	Role    Role
 	options []*flags.Option
 }
 
-// Help is a request for help, with the text to print.
+// Help is the error of a command line that requests help. Its value is the help text.
 type Help string
 
 // Error implements error.
@@ -48,7 +48,7 @@
 	var m ValidationErrors
 	parser := flags.NewParser(&p.Daemon, flags.HelpFlag|flags.PassDoubleDash)
 	parser.UnknownOptionHandler = func(name string, _ flags.SplitArgument, rest []string) ([]string, error) {
-		m.add(name, "no such setting") // the value stays unsaid: it may be a secret
+		m.add(name, "no such setting") // without the value, which may be a secret
 		return rest, nil
 	}
 	rest, err := parser.ParseArgs(args)
@@ -103,7 +103,7 @@
 	}
 }
 
-// Node returns the settings of a process of a fleet; dev mode has none.
+// Node returns the settings of a router or sidecar, or the zero Node for other roles.
 func (p *Parsed) Node() Node {
 	switch p.Role {
 	case RoleRouter:
@@ -123,8 +123,9 @@
 	return out
 }
 
-// unknownVariables names variables that look like ours and that no role reads.
-// A misspelt variable would otherwise leave its setting at the default unseen.
+// unknownVariables returns an error for each variable that has parsleyd's prefix but is
+// read by no role. A misspelt variable would otherwise silently leave its setting at the
+// default.
 func unknownVariables(parser *flags.Parser) []string {
 	known := make(map[string]bool)
 	for _, c := range parser.Commands() {
@@ -142,8 +143,8 @@
 	return out
 }
 
-// Print writes the settings of the active role, one a line: flag, value,
-// variable and where the value comes from. Secrets are not written.
+// Print writes the settings of the active role, one a line: flag, value, environment
+// variable and the source of the value. Secrets are redacted.
 func (p *Parsed) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, o := range p.options {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings defines the flags and environment variables of parsleyd and
-// checks them, all at once, before anything starts.
+// Package settings defines the flags and environment variables of parsleyd. It checks all
+// of them before anything starts and reports all errors together.
 package settings
 
 import "github.com/parsleyfront/parsleyfront/internal/secure"
 
-// Daemon is the command line of parsleyd.
+// Daemon defines the command line of parsleyd, with a subcommand for each role.
 type Daemon struct {
 	Router  Router  `command:"router" description:"serve callers, in front of the sidecars"`
 	Sidecar Sidecar `command:"sidecar" description:"serve routers, beside one upstream"`
@@ -12,7 +12,7 @@
 	Dev     Dev     `command:"dev" description:"run a small fleet with stand-ins in one process"`
 }
 
-// Common is the settings of every role.
+// Common holds the settings of every role.
 type Common struct {
 	PrintSettings Switch   `long:"print-settings" optional:"yes" optional-value:"true" description:"print the settings with where each comes from, and end"`
 	LogFormat     string   `long:"log-format" env:"PARSLEYD_LOG_FORMAT" default:"text" description:"text or json"`
@@ -22,7 +22,7 @@
 	StopTimeout   Duration `long:"stop-timeout" env:"PARSLEYD_STOP_TIMEOUT" default:"1h" description:"how long a planned stop waits for requests in flight"`
 }
 
-// Node is the settings of a process of a fleet.
+// Node holds the settings that identify and manage a router or sidecar of a fleet.
 type Node struct {
 	VM             string   `long:"vm" env:"PARSLEYD_VM" description:"this VM's id in the platform's list"`
 	Region         string   `long:"region" env:"PARSLEYD_REGION" description:"region of this VM"`
@@ -31,7 +31,7 @@
 	ReloadInterval Duration `long:"reload-interval" env:"PARSLEYD_RELOAD_INTERVAL" default:"5s" description:"how often files of certificates, keys and secrets are looked at; a change is taken at the second look that finds it"`
 }
 
-// Fleet is the settings of trust between routers and sidecars.
+// Fleet holds the settings for mutual authentication of routers and sidecars.
 type Fleet struct {
 	Cert          string `long:"fleet-cert" env:"PARSLEYD_FLEET_CERT" description:"PEM file of this process's certificate, which names its role and VM"`
 	Key           string `long:"fleet-key" env:"PARSLEYD_FLEET_KEY" description:"PEM file of its key"`
@@ -40,13 +40,13 @@
 	InsecurePlain Switch `long:"insecure-plain" env:"PARSLEYD_INSECURE_PLAIN" optional:"yes" optional-value:"true" description:"connect routers and sidecars without TLS, for development on one machine"`
 }
 
-// Platform is where the platform is.
+// Platform holds the address of the platform's API and its certificate authorities.
 type Platform struct {
 	URL URL    `long:"platform" env:"PARSLEYD_PLATFORM" description:"URL of the platform's API; a sidecar without it hands on no cached prefixes when its upstream leaves, and takes no orders"`
 	CA  string `long:"platform-ca" env:"PARSLEYD_PLATFORM_CA" description:"PEM file of the authorities that sign the platform's certificate; without it those of the system count"`
 }
 
-// Router is the settings of the router role.
+// Router holds the settings of the router role.
 type Router struct {
 	Common   `group:"Process"`
 	Node     `group:"Node"`
@@ -66,7 +66,7 @@
 	Controller `group:"Controller"`
 }
 
-// Sidecar is the settings of the sidecar role.
+// Sidecar holds the settings of the sidecar role.
 type Sidecar struct {
 	Common   `group:"Process"`
 	Node     `group:"Node"`
@@ -81,14 +81,14 @@
 	Answers   `group:"Answers"`
 }
 
-// Controller is the settings of the one router that gives orders to upstreams.
-// They are the same for all routers of a fleet.
+// Controller holds the settings of the controller, the one router that gives orders to
+// upstreams. They must be the same for all routers of a fleet.
 type Controller struct {
 	LeaseTTL           Duration `long:"lease-ttl" env:"PARSLEYD_LEASE_TTL" default:"15s" description:"how long another router waits until it takes over from one that has stopped giving orders"`
 	WeightLoadInterval Duration `long:"weight-load-interval" env:"PARSLEYD_WEIGHT_LOAD_INTERVAL" default:"5s" description:"time between two loads of models that the weight store allows the whole fleet"`
 }
 
-// Admission is what an upstream is given.
+// Admission holds the limits on requests that a sidecar admits to its upstream.
 type Admission struct {
 	Weight     Count `long:"weight" env:"PARSLEYD_WEIGHT" default:"1" description:"capacity of the upstream relative to others of its pool, as in the platform's list"`
 	Slots      Count `long:"slots" env:"PARSLEYD_SLOTS" default:"32" description:"requests that run at the upstream at once"`
@@ -99,7 +99,7 @@
 	Keys       Count `long:"keys" env:"PARSLEYD_KEYS" default:"65536" description:"request keys that are remembered"`
 }
 
-// Answers is what a sidecar keeps of answers.
+// Answers sets which responses a sidecar keeps and for how long.
 type Answers struct {
 	DetachGrace Duration `long:"detach-grace" env:"PARSLEYD_DETACH_GRACE" default:"15s" description:"how long a request goes on that nobody reads"`
 	KeepAnswer  Duration `long:"keep-answer" env:"PARSLEYD_KEEP_ANSWER" default:"30s" description:"how long each answer is kept at least"`
@@ -107,8 +107,8 @@
 	BufferBytes Count    `long:"buffer-bytes" env:"PARSLEYD_BUFFER_BYTES" default:"268435456" description:"bytes of all answers that are kept"`
 }
 
-// Entry is the settings of a router on the operators' platform. Addresses, VM and
-// limits come from the platform's own settings file.
+// Entry holds the settings of a router on the operators' platform. Its addresses, VM and
+// limits come from the platform's settings file.
 type Entry struct {
 	Common `group:"Process"`
 
@@ -118,7 +118,7 @@
 	Without Mechanisms `long:"without" env:"PARSLEYD_WITHOUT" default:"" description:"mechanisms to switch off, separated by commas: to find out whether one does harm"`
 }
 
-// Dev is the settings of dev mode.
+// Dev holds the settings of dev mode.
 type Dev struct {
 	Common `group:"Process"`
 
@@ -128,7 +128,7 @@
 	Key         Secret `long:"key" env:"PARSLEYD_KEY" default:"dev-key" description:"API key that callers use"`
 }
 
-// Identity is whom the certificate of a process of the fleet names.
+// Identity returns the identity that the process's certificate must have in role.
 func (n Node) Identity(role secure.Role) secure.Identity {
 	return secure.Identity{Role: role, VM: n.VM}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,8 +15,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// An operator sets up the first entry VM at night and gets five things wrong.
-// The process must name all five at its first start, not one at each.
+// A command line and environment with several errors must be reported completely at the
+// first start, not one error at each, and without the secrets in them.
 func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	t.Setenv("PARSLEYD_DRAIN_DELEY", "5s")
 	t.Setenv("PARSLEYD_MAX_CONNECTIONS", "many")
@@ -36,7 +36,7 @@
 		"--caller-key", "--caller-cert", "--stop-timeout", "--vm", "arguments that belong to no flag: 1",
 	} {
 		if !slices.ContainsFunc(m, func(s string) bool { return strings.HasPrefix(s, want) }) {
-			t.Errorf("nothing is said about %s", want)
+			t.Errorf("no error for %s", want)
 		}
 	}
 	if strings.Contains(err.Error(), "5ec4e7") || strings.Contains(err.Error(), "hunter2") {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Whoever reaches a sidecar's port without TLS can run work on its upstream.
+// Without TLS, anyone who can reach a sidecar's port can run requests at its upstream.
 func TestPlainSidecarListensOnLoopbackOnly(t *testing.T) {
 	args := []string{"sidecar", "--vm=a", "--upstream=http://127.0.0.1:1", "--insecure-plain", "--listen"}
 	if _, err := Parse(append(args, "127.0.0.1:7400")); err != nil {
@@ -52,7 +52,7 @@
 	}
 	for _, addr := range []string{"10.0.0.2:7400", ":7400", "0.0.0.0:7400"} {
 		if _, err := Parse(append(args, addr)); err == nil {
-			t.Errorf("%s was taken", addr)
+			t.Errorf("%s was accepted", addr)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// The operators' page of settings is what an operator has at hand at night.
+// The operators' page of settings must list every setting as it is defined, in order.
 func TestOperatorsPageListsEachSetting(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	if err != nil {
@@ -120,8 +120,7 @@
 	}
 }
 
-// All mechanisms are on unless an operator says otherwise, and a name that is none is a
-// mistake like any other.
+// All mechanisms are on by default, and an unknown name is reported as an error.
 func TestMechanismsAreOnUnlessSwitchedOff(t *testing.T) {
 	p, err := Parse([]string{"entry"})
 	if err != nil || p.Entry.Without.Policy != policy.All() {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -10,11 +10,10 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// The kinds of value below accept any text and keep what is wrong with it. A
-// parser that gave up at the first would show an operator one mistake at a
-// time, one restart apart.
+// The types of values below accept any text and record the error. A parser that stopped at
+// the first error would show operators only one at each start.
 
-// checkedValue is a value that may have been given wrongly.
+// checkedValue is a value whose text may be invalid.
 type checkedValue interface{ valueError() error }
 
 // Duration is a length of time, such as 10s or 1h30m.
@@ -37,7 +36,7 @@
 
 func (d Duration) valueError() error { return d.err }
 
-// Count is a whole number.
+// Count is an integer.
 type Count struct {
 	N   int
 	err error
@@ -57,7 +56,8 @@
 
 func (c Count) valueError() error { return c.err }
 
-// Mechanisms are those of package policy that are on.
+// Mechanisms sets which mechanisms of package policy are on. Its text is a comma-separated
+// list of those that are off.
 type Mechanisms struct {
 	Policy   policy.Policy
 	disabled string
@@ -98,7 +98,7 @@
 
 func (r Ratio) valueError() error { return r.err }
 
-// Switch is on or off. A flag without a value switches it on.
+// Switch is a boolean. A flag without a value sets it to true.
 type Switch struct {
 	On  bool
 	err error
@@ -118,10 +118,10 @@
 
 func (s Switch) valueError() error { return s.err }
 
-// URL is an http or https URL. A password in it is not printed.
+// URL is an http or https URL. Its password is redacted when it is printed.
 type URL string
 
-// String implements fmt.Stringer, without the password.
+// String implements fmt.Stringer with the password redacted.
 func (u URL) String() string {
 	parsed, err := url.Parse(string(u))
 	if err != nil {
@@ -130,7 +130,7 @@
 	return parsed.Redacted()
 }
 
-// MarshalText implements encoding.TextMarshaler, without the password.
+// MarshalText implements encoding.TextMarshaler with the password redacted.
 func (u URL) MarshalText() ([]byte, error) {
 	return []byte(u.String()), nil
 }
@@ -143,7 +143,7 @@
 	return errors.Errorf("want a URL such as http://10.0.0.2:7000, have %s", u)
 }
 
-// Secret is a value that is not printed.
+// Secret is a value that is redacted when it is printed.
 type Secret string
 
 // String implements fmt.Stringer.
