--- a/cmd/parsleybench/main.go
+++ b/cmd/parsleybench/main.go
@@ -1,5 +1,5 @@
-// Command parsleybench tries policies on a modelled pool, and plays load against a fleet
-// that runs.
+// Command parsleybench evaluates policies on a simulated pool and generates load against a
+// running fleet.
 package main
 
 import (
--- a/cmd/parsleyctl/main.go
+++ b/cmd/parsleyctl/main.go
@@ -1,5 +1,5 @@
-// Command parsleyctl is how operators change the configuration of a
-// parsleyfront fleet and see what it does.
+// Command parsleyctl is the operators' command-line tool. It changes the configuration of a
+// parsleyfront fleet and shows the fleet's state.
 package main
 
 import (
--- a/cmd/parsleystandin/main.go
+++ b/cmd/parsleystandin/main.go
@@ -1,5 +1,4 @@
-// Command parsleystandin runs one of the stand-ins that tests put in the place
-// of outside systems.
+// Command parsleystandin runs one of the stand-ins that replace external systems in tests.
 package main
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// crashCode is the exit code of an engine that a request has crashed.
+// crashCode is the exit code of an engine that has been crashed by a request.
 const crashCode = 3
 
 type options struct {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -12,9 +12,9 @@
 	// queueLength is the capacity of the event queue.
 	queueLength = 1024
 
-	// maxBatch is after how many events settled is called though more wait.
-	// Under a load that never lets the queue run empty, traffic would otherwise
-	// go by an old picture, and timers would not be set, for as long as it lasts.
+	// maxBatch is the number of events after which afterBatch is called although more are
+	// queued. Otherwise, while the queue never runs empty, traffic would be served from
+	// outdated state and timers would not be set.
 	maxBatch = 64
 )
 
@@ -37,10 +37,9 @@
 // ErrEnded is the error of a probe of a loop that has ended.
 var ErrEnded = errors.New("loop: ended")
 
-// New returns a Loop that hands each effect to act, and calls settled each
-// time it has run out of events, or after a number of them. Both run on the
-// loop's goroutine: act must not post to the loop from there, and neither may
-// block for long.
+// New returns a Loop that passes each effect to execute. It calls afterBatch when the queue
+// is empty, and at the latest after maxBatch events. Both run on the loop's goroutine:
+// execute must not post to the loop from there, and neither may block for long.
 func New[E, F any](r Reducer[E, F], execute func(F), afterBatch func()) *Loop[E, F] {
 	return &Loop[E, F]{
 		reducer:    r,
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -41,8 +41,9 @@
 // Error implements error.
 func (h Help) Error() string { return string(h) }
 
-// Parse reads a command line, without the program's name, and the environment.
-// The error is Help or Mistakes; with Mistakes, what could be read is returned too.
+// Parse reads the command-line arguments args, which exclude the program's name, and the
+// environment. The error is Help or ValidationErrors. With ValidationErrors it also returns
+// the settings that could be read.
 func Parse(args []string) (*Parsed, error) {
 	p := &Parsed{}
 	var m ValidationErrors
--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -1,26 +1,26 @@
 package telemetry
 
-// ControlKind is what control traffic is for.
+// ControlKind is the purpose of control traffic.
 type ControlKind string
 
-// Kinds of control traffic. A package that sends another kind adds it here.
+// Kinds of control traffic. A package that sends another kind must add it here.
 const (
-	ControlLoad      ControlKind = "load"      // samples on the back of traffic
+	ControlLoad      ControlKind = "load"      // load samples piggybacked on traffic
 	ControlConfig    ControlKind = "config"    // configuration, from the store or from peers
-	ControlSuspects  ControlKind = "suspects"  // requests that may crash upstreams
-	ControlNotice    ControlKind = "notice"    // of leaving
-	ControlHeartbeat ControlKind = "heartbeat" // pings of quiet connections
-	ControlHello     ControlKind = "hello"     // introductions on new connections
+	ControlSuspects  ControlKind = "suspects"  // requests suspected of crashing upstreams
+	ControlNotice    ControlKind = "notice"    // notices that a process is leaving
+	ControlHeartbeat ControlKind = "heartbeat" // pings on idle connections
+	ControlHello     ControlKind = "hello"     // hello messages on new connections
 	ControlHandshake ControlKind = "handshake" // TLS handshakes with sidecars
 	ControlCredit    ControlKind = "credit"    // flow control of streams
-	ControlReport    ControlKind = "report"    // crashes, to a session's home
-	ControlOrder     ControlKind = "order"     // to upstreams
-	ControlVMs       ControlKind = "vms"       // readings of the list of VMs
-	ControlLease     ControlKind = "lease"     // calls of the store for leases and claims
-	ControlStatus    ControlKind = "status"    // asked by operators
+	ControlReport    ControlKind = "report"    // crash reports to a session's home
+	ControlOrder     ControlKind = "order"     // orders to upstreams
+	ControlVMs       ControlKind = "vms"       // reads of the list of VMs
+	ControlLease     ControlKind = "lease"     // calls to the store for leases and claims
+	ControlStatus    ControlKind = "status"    // status requests of operators
 )
 
-// ControlBytes counts the control traffic of this process, sent and received,
-// by kind. Requests and answers themselves are not in it.
+// ControlBytes counts the control traffic that this process sends and receives, by kind, in
+// bytes. Requests and responses are not included.
 var ControlBytes = NewFamily[ControlKind]("control_bytes_total", "kind",
 	"Control traffic sent and received, in bytes, without requests and answers.")
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -13,36 +13,36 @@
 	"go.opentelemetry.io/otel/sdk/trace"
 )
 
-// maxQueuedSpans bounds the spans that wait for the collector. While it is
-// away, later spans are dropped: traces may be lost, requests may not wait.
+// maxQueuedSpans bounds the number of spans that wait for export. While the collector is
+// unavailable, further spans are dropped, so that requests never wait for it.
 const maxQueuedSpans = 2048
 
-// exportInterval is how long spans wait to be handed over together.
+// exportInterval is the maximum time for which spans are collected into a batch.
 const exportInterval = time.Second
 
 var exportFailures = NewCounter("telemetry_export_failures_total",
 	"Batches of spans that could not be handed to the trace collector.")
 
-// TraceConfig says where spans go and which.
+// TraceConfig configures which spans are recorded and where they are exported to.
 type TraceConfig struct {
 	Endpoint string  // URL of an OTLP collector over HTTP, such as http://10.0.0.9:4318/v1/traces
-	Ratio    float64 // share of traces to begin; one that a caller has begun keeps its decision
+	Ratio    float64 // fraction of traces to sample, from 0 to 1; traces begun by a caller keep the caller's decision
 	Resource Resource
 }
 
-// Resource says whose spans they are.
+// Resource identifies the process that records the spans.
 type Resource struct {
 	Role, VM, Region, FailureDomain string
 }
 
-// StartTracing turns tracing on for the process. The result turns it off after
-// handing over what is queued.
+// StartTracing turns tracing on for the process. stop turns it off and exports the spans
+// that are still queued.
 func StartTracing(ctx context.Context, c TraceConfig) (stop func(context.Context) error, err error) {
 	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(c.Endpoint))
 	if err != nil {
 		return nil, errors.Wrap(err, "telemetry: trace exporter")
 	}
-	// The library writes a line for each failure; here failures are counted.
+	// The library would log a line for each failure. They are counted instead.
 	otel.SetLogger(logr.Discard())
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(error) { exportFailures.Inc() }))
 	return startTracing(c, trace.WithBatcher(exporter, trace.WithMaxQueueSize(maxQueuedSpans), trace.WithBatchTimeout(exportInterval))), nil
--- a/internal/telemetry/handler.go
+++ b/internal/telemetry/handler.go
@@ -6,13 +6,14 @@
 	"net/http"
 )
 
-// memStats is the name under which expvar publishes the runtime's memory figures.
+// memStats is the name under which expvar publishes the runtime's memory statistics.
 const memStats = "memstats"
 
-// Handler serves the metrics of this process and its memory figures as JSON.
+// Handler returns a handler that serves the metrics and memory statistics of this process
+// as JSON.
 //
-// It stands in for expvar.Handler, which also shows the command line: a secret
-// that was given in a flag would be readable by all who may read counters.
+// It replaces expvar.Handler, which also shows the command line: a secret passed in a flag
+// would be visible to everyone who may read the metrics.
 func Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxQueuedBytes bounds the lines that wait to be written, in bytes. While the
-	// reader of standard output is slow, later lines are dropped and counted.
+	// maxQueuedBytes bounds the lines that wait to be written, in bytes. Lines that exceed
+	// it, because standard output is read too slowly, are dropped and counted.
 	maxQueuedBytes = 256 << 10
-	// routineLinesPerSecond and failureRate bound the lines about requests, a second, and
-	// routineBurst and failureBurst what may come at once. At 300 bytes a line
-	// that is 60 KB a second, a hundredth of a core.
+	// Rates and bursts of lines about requests, for each class. At 300 bytes a line the
+	// rates add up to 60 KB a second, which takes a hundredth of a core.
 	routineLinesPerSecond, routineBurst = 100, 400
 	failureLinesPerSecond, failureBurst = 100, 400
-	// suppressedReportInterval is how often the lines that were left out are told.
+	// suppressedReportInterval is the minimum time between two lines that report how many
+	// lines were suppressed.
 	suppressedReportInterval = 5 * time.Second
 )
 
@@ -28,17 +28,18 @@
 		"Log lines about requests that were left out to bound their volume, by class.")
 )
 
-// LineClass is a class of lines about requests. Each has a bound of its own, so
-// that failures are not left out because so much went well.
+// LineClass is a class of lines about requests. Each has its own rate limit, so that lines
+// about failures are not suppressed by the number of routine ones.
 type LineClass string
 
-// Classes of lines.
+// Classes of lines about requests.
 const (
 	LineRoutine LineClass = "routine"
 	LineFailure LineClass = "failure"
 )
 
-// QueuedWriter writes to another writer without ever making its caller wait.
+// QueuedWriter writes to another writer in the background, so that Write never blocks on
+// it.
 type QueuedWriter struct {
 	mu     sync.Mutex
 	queue  []byte
@@ -47,14 +48,14 @@
 	done   chan struct{}
 }
 
-// NewQueuedWriter returns a QueuedWriter in front of w.
+// NewQueuedWriter returns a QueuedWriter that writes to w.
 func NewQueuedWriter(w io.Writer) *QueuedWriter {
 	q := &QueuedWriter{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go q.run(w)
 	return q
 }
 
-// Write implements io.Writer. It takes one whole line or drops it.
+// Write implements io.Writer. It queues line as a whole, or drops it and returns no error.
 func (q *QueuedWriter) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,7 +79,7 @@
 		lines, closed := q.queue, q.closed
 		q.queue = spare[:0]
 		q.mu.Unlock()
-		// Where standard output is gone there is nowhere to say so.
+		// There is no other place to report an error of standard output.
 		_, _ = w.Write(lines)
 		spare = lines
 		if closed {
@@ -87,7 +88,8 @@
 	}
 }
 
-// Close writes what is queued, for as long as within at most.
+// Close waits until all queued lines are written, for timeout at most. Later lines are
+// dropped.
 func (q *QueuedWriter) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closed = true
@@ -102,22 +104,22 @@
 	}
 }
 
-// RequestLog writes lines about single requests, in bounded volume. The nil
-// RequestLog writes nothing.
+// RequestLog writes log lines about single requests at a limited rate. The nil RequestLog
+// writes nothing.
 type RequestLog struct {
 	logger *slog.Logger
 
 	mu         sync.Mutex
 	limits     map[LineClass]*lineLimiter
-	lastReport time.Time // when suppressed lines were told last
+	lastReport time.Time // of suppressed lines
 }
 
-// lineLimiter is the bound of one class of lines.
+// lineLimiter is a token bucket that limits one class of lines.
 type lineLimiter struct {
 	rate, burst float64
 	tokens      float64
 	refilledAt  time.Time
-	suppressed  int // since they were told last
+	suppressed  int // since the last report
 }
 
 // NewRequestLog returns a RequestLog that writes to l.
@@ -128,8 +130,8 @@
 	}}
 }
 
-// Log writes a line about the request id, unless too many of its class came
-// before.
+// Log writes a line about the request id. It suppresses the line if its class is over its
+// rate limit.
 func (r *RequestLog) Log(class LineClass, msg, id string, attrs ...slog.Attr) {
 	if r == nil {
 		return
@@ -146,8 +148,8 @@
 	r.logger.LogAttrs(context.Background(), level, msg, append([]slog.Attr{slog.String("request", id)}, attrs...)...)
 }
 
-// allow reports whether a line may be written, and tells from time to time how
-// many might not.
+// allow reports whether a line of class may be written. It also writes the report of
+// suppressed lines when it is due.
 func (r *RequestLog) allow(now time.Time, class LineClass) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,13 +167,14 @@
 	return true
 }
 
-// reportSuppressed writes how many lines were suppressed. It needs r.mu held.
+// reportSuppressed logs how many lines were suppressed since the last report, if any were
+// and the interval is over. r.mu must be held.
 func (r *RequestLog) reportSuppressed(now time.Time) {
 	routine, failure := r.limits[LineRoutine], r.limits[LineFailure]
 	if routine.suppressed+failure.suppressed == 0 || now.Sub(r.lastReport) < suppressedReportInterval {
 		return
 	}
-	r.logger.Warn("lines about requests were left out", "routine", routine.suppressed, "failure", failure.suppressed)
+	r.logger.Warn("log lines about requests were suppressed", "routine", routine.suppressed, "failure", failure.suppressed)
 	routine.suppressed, failure.suppressed = 0, 0
 	r.lastReport = now
 }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -5,17 +5,17 @@
 	"log/slog"
 )
 
-// LogFormat is how lines are written.
+// LogFormat is the format of log lines.
 type LogFormat string
 
-// Formats of lines.
+// Formats of log lines.
 const (
 	LogText LogFormat = "text"
 	LogJSON LogFormat = "json"
 )
 
-// NewLogger returns a logger for changes of state. What happens with each
-// request is counted and traced, not logged.
+// NewLogger returns a logger for changes of state. Single requests are counted and traced,
+// not logged here.
 func NewLogger(w io.Writer, f LogFormat, level slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: level, ReplaceAttr: plainError}
 	if f == LogJSON {
@@ -24,8 +24,8 @@
 	return slog.New(slog.NewTextHandler(w, opts))
 }
 
-// plainError writes an error as its message. The handlers would write one of
-// package errors with the stack that made it, over many lines.
+// plainError replaces an error by its message. The handlers would write an error of package
+// errors with its stack trace, over many lines.
 func plainError(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		return slog.String(a.Key, err.Error())
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -1,14 +1,14 @@
-// Package telemetry is how a process tells what it does: counters by expvar,
-// a span for each hop by OpenTelemetry, and lines for changes of state by slog.
+// Package telemetry provides the metrics, traces and logs of a process: metrics published
+// by expvar, a span for each hop by OpenTelemetry, and log lines by slog.
 //
-// Metrics are package variables of the package that counts:
+// Metrics are package variables of the package that updates them:
 //
 //	var strayFrames = telemetry.NewCounter("wire_stray_frames_total",
 //		"Frames dropped because they belong to no open stream.")
 //
-// Their names begin with the package, end with the unit, and have a row on the
-// operators' page of counters, which a test compares with the registry. A
-// process counts in one place even when it holds several roles, as in dev mode.
+// Their names begin with the package's name and end with the unit. Each has a row on the
+// operators' page of counters, which a test compares with the registry. A process that runs
+// several roles, as in dev mode, has one set of metrics for all of them.
 package telemetry
 
 import (
@@ -38,23 +38,23 @@
 type Desc struct {
 	Name  string
 	Kind  Kind
-	Label string // what the values of a family are told apart by; else empty
+	Label string // name of a Family's label; empty for other metrics
 	Help  string
-	Alert bool // a value that grows wants a person to look
+	Alert bool // growth of the value must be investigated by an operator
 }
 
 // Option changes the Desc of a metric.
 type Option func(*Desc)
 
-// Alert marks a counter that stands still in a healthy fleet.
+// Alert marks a counter that does not grow in a healthy fleet.
 func Alert(d *Desc) {
 	d.Alert = true
 }
 
-// namePattern is the shape of metric names.
+// namePattern is the syntax of metric names.
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`)
 
-// gaugeUnits are the last words that a gauge's name may have.
+// gaugeUnits lists the units that a gauge's name may end with.
 var gaugeUnits = []string{
 	"bytes", "seconds", "ratio", "info", "version",
 	"connections", "domains", "entries", "objects", "requests", "streams", "tokens", "upstreams", "vms",
@@ -65,15 +65,15 @@
 	descs []Desc
 }
 
-// Descs returns the metrics of this process in order of name.
+// Descs returns the descriptions of the metrics of this process, ordered by name.
 func Descs() []Desc {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
 	return slices.Clone(registry.descs)
 }
 
-// register publishes v. It panics on a name that breaks the rules or is taken,
-// which shows as soon as the process starts.
+// register publishes v. It panics if the name is invalid or already registered. Since
+// metrics are package variables, that happens when the process starts.
 func register(d Desc, v expvar.Var, opts []Option) {
 	for _, opt := range opts {
 		opt(&d)
@@ -100,15 +100,15 @@
 		valid = unit == "seconds"
 	}
 	if !valid || !namePattern.MatchString(d.Name) {
-		return fmt.Errorf("telemetry: %q is no name for a %s", d.Name, d.Kind)
+		return fmt.Errorf("telemetry: invalid name %q for a %s", d.Name, d.Kind)
 	}
 	if d.Help == "" {
-		return fmt.Errorf("telemetry: %s has no help", d.Name)
+		return fmt.Errorf("telemetry: metric %s has no help text", d.Name)
 	}
 	return nil
 }
 
-// Counter is a number that only grows.
+// Counter is a value that only increases.
 type Counter struct {
 	v expvar.Int
 }
@@ -125,7 +125,7 @@
 	c.v.Add(1)
 }
 
-// Add adds n, which is not negative.
+// Add adds n, which must not be negative.
 func (c *Counter) Add(n int64) {
 	c.v.Add(n)
 }
@@ -135,7 +135,7 @@
 	return c.v.Value()
 }
 
-// Gauge is a number that rises and falls.
+// Gauge is a value that can increase and decrease.
 type Gauge struct {
 	v expvar.Int
 }
@@ -157,20 +157,19 @@
 	g.v.Add(n)
 }
 
-// Value returns the present value.
+// Value returns the current value.
 func (g *Gauge) Value() int64 {
 	return g.v.Value()
 }
 
 const (
-	// maxLabels bounds the values of a family's label. Were a label ever taken
-	// from outside, say a caller's header, each new spelling would otherwise
-	// hold memory for good.
+	// maxLabels bounds the number of label values of a Family. Otherwise, if a label were
+	// taken from input such as a caller's header, each new value would use memory forever.
 	maxLabels  = 64
 	otherLabel = "other"
 )
 
-// Family is a set of counters told apart by one label, whose values are
+// Family is a set of counters distinguished by the value of one label. The values are
 // constants of type L.
 type Family[L ~string] struct {
 	m      expvar.Map
@@ -190,7 +189,7 @@
 	f.Add(label, 1)
 }
 
-// Add adds n, which is not negative, to the counter of label.
+// Add adds n, which must not be negative, to the counter of label.
 func (f *Family[L]) Add(label L, n int64) {
 	if f.m.Get(string(label)) == nil {
 		label = f.admit(label)
@@ -198,7 +197,8 @@
 	f.m.Add(string(label), n)
 }
 
-// admit makes room for a label, or returns the one that stands for the rest.
+// admit adds a counter for label and returns label. If the Family is full, it returns the
+// label under which all others are counted.
 func (f *Family[L]) admit(label L) L {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,7 +221,7 @@
 	return 0
 }
 
-// Do calls fn for each label that has been counted, in order.
+// Do calls fn for each label that has been counted, in alphabetical order.
 func (f *Family[L]) Do(fn func(label L, n int64)) {
 	f.m.Do(func(kv expvar.KeyValue) {
 		if v, ok := kv.Value.(*expvar.Int); ok {
@@ -230,7 +230,7 @@
 	})
 }
 
-// What a Histogram can tell apart.
+// Resolution, range and windows of a Histogram. The windows add up to a minute.
 const (
 	histogramUnit    = 10 * time.Microsecond
 	histogramMax     = time.Hour
@@ -239,8 +239,8 @@
 	windowLength     = 15 * time.Second
 )
 
-// Histogram is a distribution of durations: how many there were in all, and
-// the quantiles of the last minute.
+// Histogram is a distribution of durations. It has the total count and sum since the start
+// of the process, and quantiles of the last minute.
 type Histogram struct {
 	mu           sync.Mutex
 	recent       *hdrhistogram.WindowedHistogram
@@ -256,18 +256,18 @@
 	return h
 }
 
-// Observe counts a duration. One over an hour counts as an hour.
+// Observe records a duration. In the quantiles, a duration over an hour counts as an hour.
 func (h *Histogram) Observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rotate(time.Now())
 	units := min(max(d, 0), histogramMax) / histogramUnit
-	_ = h.recent.Current.RecordValue(int64(units)) // within the bounds
+	_ = h.recent.Current.RecordValue(int64(units)) // cannot fail: the value is in range
 	h.count++
 	h.sum += d
 }
 
-// rotate drops the windows that have grown old. It needs h.mu held.
+// rotate drops the windows that have expired. h.mu must be held.
 func (h *Histogram) rotate(now time.Time) {
 	due := int(now.Sub(h.lastRotation) / windowLength)
 	if due == 0 {
@@ -279,7 +279,8 @@
 	}
 }
 
-// histogramSummary is a Histogram as operators see it; all but Count in seconds.
+// histogramSummary is the published JSON form of a Histogram. All values but Count are in
+// seconds.
 type histogramSummary struct {
 	Count int64   `json:"count"`
 	Sum   float64 `json:"sum"`
@@ -295,7 +296,7 @@
 	h.rotate(time.Now())
 	recent := h.recent.Merge()
 	seconds := func(units int64) float64 { return (time.Duration(units) * histogramUnit).Seconds() }
-	b, _ := json.Marshal(histogramSummary{ // plain numbers: it can't fail
+	b, _ := json.Marshal(histogramSummary{ // cannot fail for plain numbers
 		Count: h.count,
 		Sum:   h.sum.Seconds(),
 		P50:   seconds(recent.ValueAtQuantile(50)),
--- a/internal/telemetry/span.go
+++ b/internal/telemetry/span.go
@@ -10,15 +10,16 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Hop is a stage of a request's path, and the name of its span.
+// Hop is a stage of a request's path. Its value is the name of the stage's span.
 type Hop string
 
-// Hops, from the caller inwards. Each span is the parent of the next.
+// Hops, from the caller to the upstream. The span of each hop is the parent of the next
+// hop's span.
 const (
 	HopCaller   Hop = "caller"   // a caller's request, served by a router
-	HopRouter   Hop = "router"   // one attempt of a router at a sidecar
-	HopSidecar  Hop = "sidecar"  // a request in a sidecar, queueing included
-	HopUpstream Hop = "upstream" // the call of the upstream
+	HopRouter   Hop = "router"   // one attempt of a router to run a request at a sidecar
+	HopSidecar  Hop = "sidecar"  // a request in a sidecar, including the time in its queue
+	HopUpstream Hop = "upstream" // the sidecar's call to the upstream
 )
 
 var hopKinds = map[Hop]trace.SpanKind{
@@ -28,8 +29,8 @@
 	HopUpstream: trace.SpanKindClient,
 }
 
-// Attr names an attribute of a span. Request ids are none of them: whoever
-// holds one may fetch the answer.
+// Attr is the name of an attribute of a span. Request ids must not be attributes, because
+// anyone who has one can fetch the response.
 type Attr string
 
 // Attributes of spans.
@@ -50,7 +51,7 @@
 // 00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01, or empty.
 type Traceparent string
 
-// Places in a Traceparent, whose form is fixed.
+// Length of a Traceparent and offsets of its fields, which are fixed.
 const (
 	traceparentLen = 55
 	traceStart     = 3
@@ -60,8 +61,8 @@
 	flagsStart     = 53
 )
 
-// ParseTraceparent returns s, or the empty Traceparent when s is none. What a
-// caller sends must not reach peers and upstreams unchecked.
+// ParseTraceparent returns s, or the empty Traceparent if s is not valid. The header of a
+// caller must be checked before it is sent to peers and upstreams.
 func ParseTraceparent(s string) Traceparent {
 	if _, ok := Traceparent(s).context(); !ok {
 		return ""
@@ -82,7 +83,7 @@
 	if err != nil {
 		return trace.SpanContext{}, false
 	}
-	// Version 00 has two flags; a caller may not set the reserved ones.
+	// Version 00 accepts two flags; a caller must not set the reserved ones.
 	if s[flagsStart] != '0' || s[flagsStart+1] < '0' || s[flagsStart+1] > '3' {
 		return trace.SpanContext{}, false
 	}
@@ -91,17 +92,17 @@
 	}), true
 }
 
-// tracer makes spans; nil while tracing is off.
+// tracer creates spans; nil while tracing is off.
 var tracer atomic.Pointer[trace.Tracer]
 
-// Span is one hop of one request. The zero Span records nothing.
+// Span is the span of one hop of a request. The zero Span records nothing.
 type Span struct {
 	span   trace.Span // nil while tracing is off
 	parent Traceparent
 }
 
-// Start begins the span of a hop. parent comes from the hop before and may be
-// empty. While tracing is off it costs a load of a pointer and no allocation.
+// Start begins the span of a hop. parent comes from the previous hop and may be empty.
+// While tracing is off, Start loads one pointer and does not allocate.
 func Start(hop Hop, parent Traceparent) Span {
 	t := tracer.Load()
 	if t == nil {
@@ -110,7 +111,7 @@
 	ctx := context.Background()
 	if sc, ok := parent.context(); ok {
 		if !sc.IsSampled() {
-			return Span{parent: parent} // decided at the first hop
+			return Span{parent: parent} // the first hop decides about sampling
 		}
 		ctx = trace.ContextWithRemoteSpanContext(ctx, sc)
 	}
@@ -118,8 +119,8 @@
 	return Span{span: span, parent: parent}
 }
 
-// Traceparent is what the next hop is told: this span, or while tracing is off
-// the hop before, so that a trace passes through a process that adds nothing.
+// Traceparent returns the trace context for the next hop: this span's, or the previous hop's
+// while tracing is off, so that a process without tracing does not interrupt a trace.
 func (s Span) Traceparent() Traceparent {
 	if s.span == nil || !s.span.SpanContext().IsValid() {
 		return s.parent
@@ -128,14 +129,14 @@
 	return Traceparent(fmt.Sprintf("00-%s-%s-%s", sc.TraceID(), sc.SpanID(), sc.TraceFlags()))
 }
 
-// Set adds an attribute.
+// Set sets an attribute of the span.
 func (s Span) Set(a Attr, value string) {
 	if s.span != nil && s.span.IsRecording() {
 		s.span.SetAttributes(attribute.String(string(a), value))
 	}
 }
 
-// Fail marks the hop as failed for a reason.
+// Fail marks the hop as failed and records the reason.
 func (s Span) Fail(reason string) {
 	if s.span != nil && s.span.IsRecording() {
 		s.span.SetAttributes(attribute.String(string(AttrReason), reason))
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,7 +25,8 @@
 	testHistogram = NewHistogram("test_wait_seconds", "Test.")
 )
 
-// runHops does to spans what a request does on its way through the fleet.
+// runHops starts and ends a failed span for each hop of a request that arrives with p. It
+// returns the trace context after the last hop.
 func runHops(p Traceparent) Traceparent {
 	for _, hop := range []Hop{HopCaller, HopRouter, HopSidecar, HopUpstream} {
 		span := Start(hop, p)
@@ -71,7 +72,7 @@
 		wantParent = s.SpanContext.SpanID().String()
 	}
 	if !strings.Contains(string(last), wantParent) {
-		t.Errorf("the upstream was told %q, want span %s", last, wantParent)
+		t.Errorf("the upstream received %q, want span %s", last, wantParent)
 	}
 }
 
@@ -86,7 +87,7 @@
 		if got == "" {
 			return
 		}
-		// What is passed on must mean the same to the usual library.
+		// An accepted value must be read in the same way by the OpenTelemetry library.
 		carrier := propagation.MapCarrier{"traceparent": s}
 		want := oteltrace.SpanContextFromContext(propagation.TraceContext{}.Extract(context.Background(), carrier))
 		sc, _ := got.context()
@@ -96,9 +97,8 @@
 	})
 }
 
-// An operator who passes a secret in a flag, against the manual, must not find
-// it on the page of counters, which more people may read than the process list.
-// expvar's own handler shows the command line there.
+// A secret that is passed in a flag must not be served with the metrics, which more people
+// may read than the process list. The handler of package expvar shows the command line.
 func TestHandlerHidesTheCommandLine(t *testing.T) {
 	oldArgs := os.Args
 	defer func() { os.Args = oldArgs }()
@@ -122,8 +122,8 @@
 	}
 }
 
-// A caller sends each request with another value of a header that a careless
-// change counts by: without a bound the process grows until it is killed.
+// If a label's value comes from a caller's header, a caller that sends a new value with
+// each request must not make the process grow until it is killed.
 func TestFamilyIsBounded(t *testing.T) {
 	f := NewFamily[string]("test_bounded_total", "kind", "Test.")
 	for i := range 10 * maxLabels {
@@ -145,7 +145,7 @@
 		{Name: "router_refusals_total", Kind: KindCounter},
 	} {
 		if checkName(d) == nil {
-			t.Errorf("%+v was taken", d)
+			t.Errorf("%+v was accepted", d)
 		}
 	}
 }
@@ -175,8 +175,8 @@
 	})
 }
 
-// An operator reads the log of the night: a line for each change, not a stack
-// of calls, which the text handler writes for an error of package errors.
+// An error in the log must take one line. Without plainError, the text handler writes an
+// error of package errors with its stack trace.
 func TestErrorsAreLoggedOnOneLine(t *testing.T) {
 	for _, f := range []LogFormat{LogText, LogJSON} {
 		var out strings.Builder
