--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -204,16 +204,16 @@
 
 // WaitReply lists the objects that are not in force at a router.
 type WaitReply struct {
-	VM     string   `json:"vm"`
-	Behind []Behind `json:"behind,omitempty"`
+	VM     string          `json:"vm"`
+	Behind []LaggingObject `json:"behind,omitempty"`
 	// Rejected are the objects that the router has rejected as invalid. It is
 	// set only if the request has Complete.
 	Rejected []topo.Ref `json:"rejected,omitempty"`
 }
 
-// Behind is an object that is not in force at the requested version. One
+// LaggingObject is an object that is not in force at the requested version. One
 // without a kind stands for all changes up to the version.
-type Behind struct {
+type LaggingObject struct {
 	ObjectVersion
 	InForce InForce `json:"in_force"`
 }
@@ -267,7 +267,7 @@
 	out := WaitReply{VM: vm}
 	for _, o := range r.Objects {
 		if in := n.InForce(o.Ref); in.Version < o.Version {
-			out.Behind = append(out.Behind, Behind{ObjectVersion: o, InForce: in})
+			out.Behind = append(out.Behind, LaggingObject{ObjectVersion: o, InForce: in})
 		}
 	}
 	if r.Complete == 0 {
@@ -275,7 +275,7 @@
 	}
 	if complete := n.Complete(); complete < r.Complete {
 		all := ObjectVersion{Version: r.Complete}
-		out.Behind = append(out.Behind, Behind{ObjectVersion: all, InForce: InForce{Version: complete}})
+		out.Behind = append(out.Behind, LaggingObject{ObjectVersion: all, InForce: InForce{Version: complete}})
 	}
 	out.Rejected = n.Rejected()
 	return out
