--- a/cmd/parsleystandin/main.go
+++ b/cmd/parsleystandin/main.go
@@ -45,7 +45,7 @@
 	case "engine":
 		standin.NewEngine(standin.EngineConfig{Model: o.Name, TokenDelay: o.TokenDelay, Tokens: o.Tokens, CacheSize: o.CacheSize}).Register(mux)
 		loaded := wire.ModelSpec{Model: o.Name, Version: "1", Role: string(profile.DefaultEngineRole)}
-		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Fences: o.Fences, Weights: o.Weights, Takes: o.LoadTime}).Register(mux)
+		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, ChecksFencingToken: o.Fences, Weights: o.Weights, LoadDuration: o.LoadTime}).Register(mux)
 	case "weights":
 		standin.NewWeightStore(o.LoadInterval).Register(mux)
 	case "service":
--- a/internal/claim/keeper_test.go
+++ b/internal/claim/keeper_test.go
@@ -17,7 +17,7 @@
 		store := standin.NewObjectAPI()
 		first, second := NewClaimer(store), NewClaimer(store)
 		ref := Ref("org", "pay-once")
-		snapshot := store.Copy()
+		snapshot := store.Snapshot()
 		firstKey, outcome, err := first.Claim(t.Context(), ref, wire.Key{VM: "a"})
 		if err != nil || outcome != Created {
 			t.Fatal(outcome, err)
--- a/internal/config/follow/follow_test.go
+++ b/internal/config/follow/follow_test.go
@@ -31,17 +31,17 @@
 }{
 	{},
 	{faults: standin.ObjectFaults{Down: true}, blocksChanges: true, compactsAfter: true},
-	{faults: standin.ObjectFaults{Silent: true}, blocksChanges: true},
+	{faults: standin.ObjectFaults{Unresponsive: true}, blocksChanges: true},
 	{faults: standin.ObjectFaults{Delay: profile.Duration(800 * time.Millisecond)}},
-	{faults: standin.ObjectFaults{LoseAnswers: 12}},
-	{faults: standin.ObjectFaults{LoseAnswers: 6, LoseKind: topo.KindProfile, WritesPerSecond: 1}},
-	{faults: standin.ObjectFaults{LoseAnswers: 6, LoseKind: topo.KindProfile, StaleEvery: 2, StaleBy: profile.Duration(3 * time.Second)}},
+	{faults: standin.ObjectFaults{LoseResponses: 12}},
+	{faults: standin.ObjectFaults{LoseResponses: 6, LoseKind: topo.KindProfile, WritesPerSecond: 1}},
+	{faults: standin.ObjectFaults{LoseResponses: 6, LoseKind: topo.KindProfile, StaleEvery: 2, StaleBy: profile.Duration(3 * time.Second)}},
 	{faults: standin.ObjectFaults{LateWrites: 6, LateBy: profile.Duration(3 * time.Second), LoseKind: topo.KindProfile}},
 	{faults: standin.ObjectFaults{LoseRequests: 1000, LoseKind: topo.KindProfile}},
 	{faults: standin.ObjectFaults{LoseRequests: 20}},
 	{faults: standin.ObjectFaults{StaleEvery: 2, StaleBy: profile.Duration(3 * time.Second)}},
 	{hasWatchGaps: true},
-	{faults: standin.ObjectFaults{SilentWatches: 1}},
+	{faults: standin.ObjectFaults{UnresponsiveWatches: 1}},
 	{faults: standin.ObjectFaults{ReadsPerSecond: 8, WritesPerSecond: 3}},
 }
 
@@ -114,7 +114,7 @@
 		f := newFleet(t, ctx, 1, 1, 2)
 		time.Sleep(time.Minute)
 		n := f.routers[0]
-		f.store.SetFaults(standin.ObjectFaults{SilentWatches: len(f.routers)})
+		f.store.SetFaults(standin.ObjectFaults{UnresponsiveWatches: len(f.routers)})
 		time.Sleep(3 * time.Second)
 		f.store.SetFaults(standin.ObjectFaults{})
 		f.createFirst(ctx, "c")
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		f := newFleet(t, ctx, 1, 1, 2)
-		f.store.SetFaults(standin.ObjectFaults{Silent: true})
+		f.store.SetFaults(standin.ObjectFaults{Unresponsive: true})
 		time.Sleep(30 * time.Second)
 		f.store.SetFaults(standin.ObjectFaults{})
 		f.createFirst(ctx, "c")
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -160,7 +160,7 @@
 		mux := http.NewServeMux()
 		standin.NewEngine(standin.EngineConfig{Model: devModel, TokenDelay: devTokenDelay, Tokens: devTokenCount, CacheSize: devCacheSize}).Register(mux)
 		loaded := wire.ModelSpec{Model: devModel, Version: "1", Role: string(profile.DefaultEngineRole)}
-		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, Takes: devLoadTime}).Register(mux)
+		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, LoadDuration: devLoadTime}).Register(mux)
 		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("engine-%d", i), Pool: devNotes}, mux); err != nil {
 			return err
 		}
--- a/internal/lease/restored_test.go
+++ b/internal/lease/restored_test.go
@@ -31,7 +31,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				store := standin.NewObjectAPI()
 				before(t, store)
-				snapshot := store.Copy()
+				snapshot := store.Snapshot()
 				holder := startCandidate(t, store, "holder")
 				time.Sleep(time.Second)
 				other := startCandidate(t, store, "other")
--- a/internal/standin/objectapi.go
+++ b/internal/standin/objectapi.go
@@ -114,19 +114,19 @@
 	return p
 }
 
-// ObjectCopy is the content of an ObjectAPI at a moment.
-type ObjectCopy struct{ content *objects }
+// ObjectSnapshot is the content of an ObjectAPI at a moment.
+type ObjectSnapshot struct{ content *objects }
 
-// Copy returns a copy of what the API holds.
-func (a *ObjectAPI) Copy() ObjectCopy {
+// Snapshot returns a copy of what the API holds.
+func (a *ObjectAPI) Snapshot() ObjectSnapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return ObjectCopy{content: a.present.clone()}
+	return ObjectSnapshot{content: a.present.clone()}
 }
 
 // Restore lets the API come back from a copy, in a new era: what was written since is gone,
 // and its revisions are given out again.
-func (a *ObjectAPI) Restore(c ObjectCopy) {
+func (a *ObjectAPI) Restore(c ObjectSnapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.era++
@@ -189,7 +189,7 @@
 			_, _ = a.commit(o, ifVersion)
 		})
 		return topo.Object{}, errors.Wrap(topo.ErrUnknown, "connection cut")
-	case take(&a.faults.LoseAnswers):
+	case take(&a.faults.LoseResponses):
 		_, _ = a.commit(o, ifVersion)
 		return topo.Object{}, errors.Wrap(topo.ErrUnknown, "connection cut")
 	}
@@ -244,7 +244,7 @@
 	w := &waiter{kinds: kinds, woken: make(chan struct{}, 1)}
 	a.mu.Lock()
 	a.counts.Watches++
-	silent := take(&a.faults.SilentWatches)
+	silent := take(&a.faults.UnresponsiveWatches)
 	a.waiters[w] = struct{}{}
 	a.mu.Unlock()
 	defer func() {
--- a/internal/standin/objectfault.go
+++ b/internal/standin/objectfault.go
@@ -14,16 +14,16 @@
 type ObjectFaults struct {
 	// Down refuses all calls, and ends the watches that wait.
 	Down bool `json:"down,omitempty"`
-	// Silent leaves all calls without an answer.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive leaves all calls without an answer.
+	Unresponsive bool `json:"silent,omitempty"`
 	// Delay passes before a call is served.
 	Delay profile.Duration `json:"delay,omitempty"`
 	// ReadsPerSecond and WritesPerSecond limit the calls; zero is no limit.
 	ReadsPerSecond  float64 `json:"reads_per_second,omitempty"`
 	WritesPerSecond float64 `json:"writes_per_second,omitempty"`
 
-	// LoseAnswers is how many of the next writes take effect without an answer.
-	LoseAnswers int `json:"lose_answers,omitempty"`
+	// LoseResponses is how many of the next writes take effect without an answer.
+	LoseResponses int `json:"lose_answers,omitempty"`
 	// LoseRequests is how many get lost before they take effect.
 	LoseRequests int `json:"lose_requests,omitempty"`
 	// LateWrites is how many get no answer and take effect later, by LateBy.
@@ -38,8 +38,8 @@
 
 	// WatchGaps is how many of the next watches with changes leave out the first.
 	WatchGaps int `json:"watch_gaps,omitempty"`
-	// SilentWatches is how many of the next watches get no answer, whatever changes.
-	SilentWatches int `json:"silent_watches,omitempty"`
+	// UnresponsiveWatches is how many of the next watches get no answer, whatever changes.
+	UnresponsiveWatches int `json:"silent_watches,omitempty"`
 }
 
 // SetFaults replaces the faults.
@@ -85,7 +85,7 @@
 	}
 	a.mu.Unlock()
 	switch {
-	case f.Silent:
+	case f.Unresponsive:
 		<-ctx.Done()
 		return lost(write)
 	case f.Down:
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -12,10 +12,10 @@
 
 // OrdersConfig says how a stand-in engine takes orders.
 type OrdersConfig struct {
-	Loaded  wire.ModelSpec // at the start
-	Fences  bool           // refuse an order with an older fencing token than before
-	Weights string         // URL of the weight store; empty: loads need none
-	Takes   time.Duration  // how long a load takes
+	Loaded             wire.ModelSpec // at the start
+	ChecksFencingToken bool           // refuse an order with an older fencing token than before
+	Weights            string         // URL of the weight store; empty: loads need none
+	LoadDuration       time.Duration  // how long a load takes
 }
 
 // Orders is the part of a stand-in engine that takes orders.
@@ -36,7 +36,7 @@
 func (o *Orders) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Status()) })
 	mux.HandleFunc("POST /orders", o.take)
-	mux.HandleFunc("GET /debug/orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Taken()) })
+	mux.HandleFunc("GET /debug/orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Accepted()) })
 }
 
 // Status returns the latest order.
@@ -46,8 +46,8 @@
 	return o.status
 }
 
-// Taken returns the orders that were begun, in order.
-func (o *Orders) Taken() []wire.Order {
+// Accepted returns the orders that were begun, in order.
+func (o *Orders) Accepted() []wire.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]wire.Order{}, o.taken...)
@@ -69,7 +69,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
-	case o.config.Fences && token < o.status.Token:
+	case o.config.ChecksFencingToken && token < o.status.Token:
 		return http.StatusPreconditionFailed
 	case order.ID == o.status.ID:
 		return http.StatusOK
@@ -93,7 +93,7 @@
 			phase = wire.PhaseFailed
 		}
 	}
-	time.Sleep(o.config.Takes)
+	time.Sleep(o.config.LoadDuration)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.status.Phase = phase
--- a/internal/topo/era_test.go
+++ b/internal/topo/era_test.go
@@ -41,7 +41,7 @@
 // overwriting another writer's object that was given the same revision after the restore.
 func TestWriteFailsOnAReusedRevision(t *testing.T) {
 	store, client, unaware := newRestorableStore(t)
-	snapshot := store.Copy()
+	snapshot := store.Snapshot()
 	read := put(t, client, `"mine"`, 0)
 	store.Restore(snapshot)
 	other := put(t, client, `"another's"`, 0)
@@ -68,7 +68,7 @@
 // be answered without the changes of the new era up to that revision.
 func TestWatchFailsInANewEra(t *testing.T) {
 	store, client, unaware := newRestorableStore(t)
-	c := store.Copy()
+	c := store.Snapshot()
 	for range 3 {
 		o := put(t, client, `1`, 0)
 		if err := client.Delete(t.Context(), claimRef, o.Version); err != nil {
--- a/internal/topo/http_test.go
+++ b/internal/topo/http_test.go
@@ -140,14 +140,14 @@
 				t.Errorf("%s: %v, want %v", what, err, want)
 			}
 		}
-		api.SetFaults(standin.ObjectFaults{LoseAnswers: 1})
+		api.SetFaults(standin.ObjectFaults{LoseResponses: 1})
 		check("response lost after the effect", put(ref, 0), topo.ErrUnknown)
 		check("made again", put(ref, 0), topo.ErrConflict)
 		api.SetFaults(standin.ObjectFaults{Down: true})
 		check("store down", put(ref, 1), topo.ErrRefused)
 		api.SetFaults(standin.ObjectFaults{WritesPerSecond: 0.5})
 		check("over the rate", put(ref, 1), topo.ErrRefused)
-		api.SetFaults(standin.ObjectFaults{Silent: true})
+		api.SetFaults(standin.ObjectFaults{Unresponsive: true})
 		check("no response in time", put(ref, 1), topo.ErrUnknown)
 		api.SetFaults(standin.ObjectFaults{Delay: profile.Duration(time.Minute)})
 		check("too slow", put(ref, 1), topo.ErrUnknown)
--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -210,9 +210,9 @@
 	It("does not wait for a watch that has gone silent", func() {
 		f.addListedRouter()
 		file := write(notesPool + sharedProfile)
-		f.faults(standin.ObjectFaults{SilentWatches: 1})
+		f.faults(standin.ObjectFaults{UnresponsiveWatches: 1})
 		Expect(run(f.platformURL, "apply", file).code).To(Equal(ctl.ExitOK))
-		Eventually(func() int { return f.objectFaults().SilentWatches }, startWithin).Should(BeZero())
+		Eventually(func() int { return f.objectFaults().UnresponsiveWatches }, startWithin).Should(BeZero())
 		longer := write(strings.Replace(sharedProfile, "30s", "40s", 1))
 		got := run(f.platformURL, "apply", "--wait", "--wait-timeout", "20s", longer)
 		Expect(got.code).To(Equal(ctl.ExitOK), got.out)
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -317,7 +317,7 @@
 	// The platform's list of VMs is down as well.
 	It("is not noticed either when no part of the platform answers", func() {
 		one, two := f.addRouter(), f.addRouter()
-		f.faults(standin.ObjectFaults{Silent: true})
+		f.faults(standin.ObjectFaults{Unresponsive: true})
 		f.vmFaults(standin.VMFaults{Down: true})
 		serves(one, two)
 	})
