--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -69,7 +69,7 @@
 				Reserve:    s.Reserve.N,
 				Headroom:   s.Headroom.N,
 				MaxWaiting: s.MaxWaiting.N,
-				MaxBytes:   s.MaxBytes.N,
+				MaxBytes:   s.MaxWaitingBytes.N,
 			},
 			DetachGrace: s.DetachGrace.D,
 			KeepAnswer:  s.KeepAnswer.D,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -186,7 +186,7 @@
 	m.count("reserve", a.Reserve, 0, a.Slots.N-1)
 	m.count("headroom", a.Headroom, 0, maxSlots)
 	m.count("max-waiting", a.MaxWaiting, 0, maxSlots)
-	m.count("max-waiting-bytes", a.MaxBytes, minAnswerBytes, maxBufferBytes)
+	m.count("max-waiting-bytes", a.MaxWaitingBytes, minAnswerBytes, maxBufferBytes)
 	m.count("keys", a.Keys, minKeys, maxKeys)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,13 +90,13 @@
 
 // Admission holds the limits on requests that a sidecar admits to its upstream.
 type Admission struct {
-	Weight     Count `long:"weight" env:"PARSLEYD_WEIGHT" default:"1" description:"capacity of the upstream relative to others of its pool, as in the platform's list"`
-	Slots      Count `long:"slots" env:"PARSLEYD_SLOTS" default:"32" description:"requests that run at the upstream at once"`
-	Reserve    Count `long:"reserve" env:"PARSLEYD_RESERVE" default:"1" description:"slots kept for organisations under their share while several are active"`
-	Headroom   Count `long:"headroom" env:"PARSLEYD_HEADROOM" default:"0" description:"requests beyond the slots that may pass running ones of lower priority; for upstreams that honour priorities"`
-	MaxWaiting Count `long:"max-waiting" env:"PARSLEYD_MAX_WAITING" default:"256" description:"requests that wait at most"`
-	MaxBytes   Count `long:"max-waiting-bytes" env:"PARSLEYD_MAX_WAITING_BYTES" default:"67108864" description:"bytes of the requests that wait at most"`
-	Keys       Count `long:"keys" env:"PARSLEYD_KEYS" default:"65536" description:"request keys that are remembered"`
+	Weight          Count `long:"weight" env:"PARSLEYD_WEIGHT" default:"1" description:"capacity of the upstream relative to others of its pool, as in the platform's list"`
+	Slots           Count `long:"slots" env:"PARSLEYD_SLOTS" default:"32" description:"requests that run at the upstream at once"`
+	Reserve         Count `long:"reserve" env:"PARSLEYD_RESERVE" default:"1" description:"slots kept for organisations under their share while several are active"`
+	Headroom        Count `long:"headroom" env:"PARSLEYD_HEADROOM" default:"0" description:"requests beyond the slots that may pass running ones of lower priority; for upstreams that honour priorities"`
+	MaxWaiting      Count `long:"max-waiting" env:"PARSLEYD_MAX_WAITING" default:"256" description:"requests that wait at most"`
+	MaxWaitingBytes Count `long:"max-waiting-bytes" env:"PARSLEYD_MAX_WAITING_BYTES" default:"67108864" description:"bytes of the requests that wait at most"`
+	Keys            Count `long:"keys" env:"PARSLEYD_KEYS" default:"65536" description:"request keys that are remembered"`
 }
 
 // Answers sets which responses a sidecar keeps and for how long.
