--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -23,7 +23,7 @@
 	version        topo.Version
 	changed        chan struct{}
 	ignoresRefresh bool // Refresh has no effect
-	store          topo.Version
+	storeVersion   topo.Version
 	vms            []topo.VM
 }
 
@@ -50,7 +50,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.ignoresRefresh {
-		n.version = n.store
+		n.version = n.storeVersion
 		close(n.changed)
 		n.changed = make(chan struct{})
 	}
@@ -59,7 +59,7 @@
 // network holds in-memory connections to the routers, by address.
 type network struct {
 	mu       sync.Mutex
-	accepted map[string]chan net.Conn
+	incoming map[string]chan net.Conn
 	bytes    atomic.Int64 // in both directions
 }
 
@@ -85,20 +85,20 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	const backlog = 16
-	l := &listener{accepted: make(chan net.Conn, backlog), closed: make(chan struct{})}
-	n.accepted[addr] = l.accepted
+	l := &listener{incoming: make(chan net.Conn, backlog), closed: make(chan struct{})}
+	n.incoming[addr] = l.incoming
 	return l
 }
 
 func (n *network) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
-	accepted := n.accepted[strings.TrimSuffix(addr, ":80")]
+	incoming := n.incoming[strings.TrimSuffix(addr, ":80")]
 	n.mu.Unlock()
-	if accepted == nil {
+	if incoming == nil {
 		return nil, errors.New("refused")
 	}
 	near, far := net.Pipe()
-	accepted <- far
+	incoming <- far
 	return countingConn{near, &n.bytes}, nil
 }
 
@@ -111,14 +111,14 @@
 
 // listener is an open address of a network.
 type listener struct {
-	accepted chan net.Conn
+	incoming chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -141,10 +141,10 @@
 
 // newFleet starts n routers at version and returns a client of the first.
 func newFleet(t testing.TB, n int, version topo.Version) (*fleet, *Client) {
-	f := &fleet{network: network{accepted: make(map[string]chan net.Conn)}}
+	f := &fleet{network: network{incoming: make(map[string]chan net.Conn)}}
 	vms := make([]topo.VM, n)
 	for i := range n {
-		node := &fakeNode{version: version, store: version, changed: make(chan struct{})}
+		node := &fakeNode{version: version, storeVersion: version, changed: make(chan struct{})}
 		f.nodes = append(f.nodes, node)
 		id := fmt.Sprintf("router-%03d", i)
 		api := NewServer(Config{VM: id, Node: node, Token: "t"})
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -89,12 +89,12 @@
 	for {
 		peers := s.routers(s.config.Node.VMs())
 		pending := slices.DeleteFunc(slices.Clone(peers), func(p peer) bool {
-			previous, asked := latest[p.vm.ID]
-			return asked && !previous.Pending()
+			previous, queried := latest[p.vm.ID]
+			return queried && !previous.Pending()
 		})
 		responses := queryAll(s, pending, func(p peer) RouterWait { return s.queryWait(ctx, p, req) })
-		for _, a := range responses {
-			latest[a.VM] = a
+		for _, response := range responses {
+			latest[response.VM] = response
 		}
 		if complete := !slices.ContainsFunc(responses, RouterWait.Pending); complete || !sleep(ctx, roundPause) {
 			return inOrder(peers, latest)
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -49,20 +49,20 @@
 }
 
 // Apply records an Update. Publish makes it known.
-func (l *Ledger) Apply(f Update) {
+func (l *Ledger) Apply(u Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, o := range f.Objects {
+	for _, o := range u.Objects {
 		l.versions[o.Ref] = o.Version
 		l.newest = max(l.newest, o.Version)
 		delete(l.rejected, o.Ref)
 	}
-	for _, p := range f.Rejected {
+	for _, p := range u.Rejected {
 		l.rejected[p.Ref] = p
 	}
-	l.dirty = l.dirty || len(f.Objects)+len(f.Rejected) > 0 || f.Complete > l.complete
-	l.complete = max(l.complete, f.Complete)
-	l.lastStoreResponse = f.LastStoreResponse
+	l.dirty = l.dirty || len(u.Objects)+len(u.Rejected) > 0 || u.Complete > l.complete
+	l.complete = max(l.complete, u.Complete)
+	l.lastStoreResponse = u.LastStoreResponse
 }
 
 // Publish closes the channel returned by Changed if anything was recorded since
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -16,7 +16,7 @@
 	s, now := NewState(time.Second), time.Unix(1_800_000_000, 0)
 	s.Step(LeaseChanged{Now: now, Token: 1})
 	s.Step(newDesired(n))
-	for !s.fenced {
+	for !s.allQueried {
 		for _, send := range s.Step(Tick{Now: now}) {
 			have := wire.ModelSpec{Model: "m", Version: "1"}
 			s.Step(Replied{Now: now, VM: send.VM.ID, Order: send.Order, Status: wire.OrderStatus{Loaded: have}})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -91,16 +91,16 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
-			c.postState()
+			c.postEvents()
 		case <-ctx.Done():
 		}
 	}
 	<-resigned
 }
 
-// postState posts the state of the lease to the reducer and, while the lease is
+// postEvents posts the state of the lease to the reducer and, while the lease is
 // held, the desired state and a tick.
-func (c *Controller) postState() {
+func (c *Controller) postEvents() {
 	now := time.Now()
 	grant := c.lease.Grant()
 	if !grant.Valid(now) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	loadInterval  = 10 * time.Second
-	maxEnginesOut = 2
+	loadInterval          = 10 * time.Second
+	maxUnavailableEngines = 2
 )
 
 // engine is a model engine with its sidecar.
@@ -53,7 +53,7 @@
 	return e.status, nil
 }
 
-func (e *engine) isOut() bool {
+func (e *engine) isUnavailable() bool {
 	return e.status.Phase != wire.PhaseNone && e.status.Phase != wire.PhaseDone
 }
 
@@ -89,7 +89,7 @@
 	r.sent = nil
 	r.token++
 	r.holder = NewState(loadInterval)
-	d := Desired{Pools: []profile.Pool{{Name: "notes", Model: "notes-7b", Version: "2", MaxUnavailable: float64(maxEnginesOut) / 6}}}
+	d := Desired{Pools: []profile.Pool{{Name: "notes", Model: "notes-7b", Version: "2", MaxUnavailable: float64(maxUnavailableEngines) / 6}}}
 	for _, e := range r.engines {
 		d.VMs = append(d.VMs, e.vm)
 	}
@@ -111,13 +111,13 @@
 
 // completeCalls ends the calls in flight. For each call lost returns 0 if the
 // order is lost, 1 if the reply is lost, or another number if neither is.
-func (r *rollout) completeCalls(lost func() int) {
+func (r *rollout) completeCalls(nextOutcome func() int) {
 	sent := r.sent
 	r.sent = nil
 	for _, s := range sent {
 		reply := Replied{Now: r.now, VM: s.VM.ID, Order: s.Order}
 		lostErr := verdict.New(verdict.MayHaveRun, verdict.ReasonConnection, "lost")
-		switch lost() {
+		switch nextOutcome() {
 		case 0:
 			reply.Err = lostErr // the order
 		case 1:
@@ -135,10 +135,10 @@
 }
 
 // progress advances the engines that work on an order and that which selects.
-func (r *rollout) progress(which func() bool) {
+func (r *rollout) progress(isSelected func() bool) {
 	for _, e := range r.engines {
 		switch {
-		case !e.isOut() || !which():
+		case !e.isUnavailable() || !isSelected():
 		case e.status.Phase == wire.PhaseDraining:
 			e.status.Phase = wire.PhaseReady
 		case e.status.Phase == wire.PhaseRunning:
@@ -148,17 +148,17 @@
 }
 
 func (r *rollout) check(t *rapid.T) {
-	out := 0
+	unavailable := 0
 	for _, e := range r.engines {
-		if e.isOut() {
-			out++
+		if e.isUnavailable() {
+			unavailable++
 		}
 		if n := r.loaded[e.vm.ID]; n > 1 {
 			t.Fatalf("%s loaded the version %d times, want at most once", e.vm.ID, n)
 		}
 	}
-	if out > maxEnginesOut {
-		t.Fatalf("%d engines are unavailable, want at most %d", out, maxEnginesOut)
+	if unavailable > maxUnavailableEngines {
+		t.Fatalf("%d engines are unavailable, want at most %d", unavailable, maxUnavailableEngines)
 	}
 	if r.earlyLoads > 0 {
 		t.Fatal("two loads started within the load interval")
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -82,7 +82,7 @@
 	upstreams    map[string]*upstream
 	sorted       []*upstream // by VM id, so that all holders use the same order
 	inFlight     int         // calls that have not ended
-	fenced       bool        // every upstream has been queried under the token
+	allQueried   bool        // every upstream has been queried under the token
 	nextLoad     time.Time   // earliest time of the next load
 }
 
@@ -130,7 +130,7 @@
 	if e.Token == s.token {
 		return
 	}
-	s.token, s.fenced = e.Token, false
+	s.token, s.allQueried = e.Token, false
 	for _, u := range s.upstreams {
 		*u = upstream{vm: u.vm, inFlight: u.inFlight}
 	}
@@ -205,8 +205,8 @@
 	if s.token == 0 {
 		return nil
 	}
-	s.updateFenced(now)
-	if !s.fenced {
+	s.updateAllQueried(now)
+	if !s.allQueried {
 		return s.query(now)
 	}
 	// Orders go first, because an upstream with a query in flight gets no order.
@@ -214,13 +214,13 @@
 	return append(orders, s.query(now)...)
 }
 
-// updateFenced sets fenced once every upstream has been queried under the
+// updateAllQueried sets fenced once every upstream has been queried under the
 // token. From then on upstreams reject orders of former holders, and any order
 // that a former holder sent just before is known to be running. The interval
 // until the first load starts only then, because a former holder may have just
 // used the weight store's rate.
-func (s *State) updateFenced(now time.Time) {
-	if s.fenced {
+func (s *State) updateAllQueried(now time.Time) {
+	if s.allQueried {
 		return
 	}
 	for _, u := range s.upstreams {
@@ -228,7 +228,7 @@
 			return
 		}
 	}
-	s.fenced = true
+	s.allQueried = true
 	s.nextLoad = now.Add(s.loadInterval)
 }
 
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -66,16 +66,16 @@
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	store := a.newSnapshot()
-	if err := store.prefetch(ctx, docs); err != nil {
+	snap := a.newSnapshot()
+	if err := snap.prefetch(ctx, docs); err != nil {
 		return nil, err
 	}
-	if err := store.checkReferences(ctx, docs); err != nil {
+	if err := snap.checkReferences(ctx, docs); err != nil {
 		return nil, err
 	}
 	edits := make([]edit, len(docs))
 	for i, d := range docs {
-		base, err := store.read(ctx, d.Object.Ref())
+		base, err := snap.read(ctx, d.Object.Ref())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/ctl/bench_test.go
+++ b/internal/ctl/bench_test.go
@@ -73,7 +73,7 @@
 					b.Fatal(code, errOut.String())
 				}
 			}
-			for i := range historyLimit {
+			for i := range historyFillCount {
 				run(100 + i) // fill the object's history
 			}
 			store, routers = counts{}, counts{}
@@ -89,9 +89,9 @@
 	}
 }
 
-// historyLimit is larger than the number of changes that an object's history
+// historyFillCount is larger than the number of changes that an object's history
 // keeps.
-const historyLimit = 25
+const historyFillCount = 25
 
 // startPlatform starts a platform with n listed routers. It returns its URL and
 // the address of one router.
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -79,7 +79,7 @@
 func (r applyResult) table(w io.Writer) {
 	fmt.Fprintln(w, "OBJECT\tSTATE\tVERSION\tCHANGE")
 	for _, o := range r.Objects {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", o.Ref, o.State, dash(o.Version), o.Change)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", o.Ref, o.State, formatOrDash(o.Version), o.Change)
 	}
 	if r.InForce != nil {
 		r.InForce.table(w)
@@ -90,8 +90,8 @@
 	}
 }
 
-// dash formats n; zero, which means unknown, is a dash.
-func dash[N ~int64](n N) string {
+// formatOrDash formats n; zero, which means unknown, is a formatOrDash.
+func formatOrDash[N ~int64](n N) string {
 	if n == 0 {
 		return "-"
 	}
@@ -191,13 +191,13 @@
 
 // conflictError prints how both operators changed their common base and returns
 // an error with ExitConflict.
-func (a *app) conflictError(c change.Conflict, mine string) error {
+func (a *app) conflictError(c change.Conflict, ownLabel string) error {
 	ref, base := c.Base.Ref, c.Base.Revision.Spec
 	theirs, err := diffSpecs(ref, base, c.Theirs.Revision.Spec, "before", "as changed by "+authorLabel(c.Theirs.Revision.Change))
 	if err != nil {
 		return err
 	}
-	own, err := diffSpecs(ref, base, c.Mine.Spec, "before", mine)
+	own, err := diffSpecs(ref, base, c.Mine.Spec, "before", ownLabel)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -35,9 +35,9 @@
 
 // handler is the implementation of a command.
 type handler struct {
-	name     string
-	run      func(*app, context.Context) error
-	platform bool // requires the platform's URL
+	name          string
+	run           func(*app, context.Context) error
+	needsPlatform bool // requires the platform's URL
 }
 
 var handlers = []handler{
@@ -105,7 +105,7 @@
 		if err := a.configureClients(); err != nil {
 			return err
 		}
-		if h.platform && a.http == nil {
+		if h.needsPlatform && a.http == nil {
 			return newExitError(ExitUsage, "set --platform or PARSLEYCTL_PLATFORM", "%s needs the platform's URL", name)
 		}
 		return h.run(a, ctx)
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -18,7 +18,7 @@
 		e.Profile, e.Pool, e.Mean, e.Multiple, e.TicketNote, e.VM)
 	fmt.Fprintln(w, "ORDER\tUPSTREAM\tDOMAIN\tSTATE\tLOAD\tBOUND\tWHY")
 	for i, c := range e.Candidates {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%s\t%s\n", i+1, c.VM, c.FailureDomain, c.State, c.Load, dash(int64(c.Bound)), c.Reason)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%d\t%s\t%s\n", i+1, c.VM, c.FailureDomain, c.State, c.Load, formatOrDash(int64(c.Bound)), c.Reason)
 	}
 }
 
--- a/internal/ctl/version_test.go
+++ b/internal/ctl/version_test.go
@@ -9,7 +9,7 @@
 // Versions are shown as era and revision, not as one number of thirteen digits.
 func TestVersionFormatIncludesEra(t *testing.T) {
 	for v, want := range map[topo.Version]string{0: "-", 7: "7", topo.VersionAt(2, 44): "2.44"} {
-		if got := dash(v); got != want {
+		if got := formatOrDash(v); got != want {
 			t.Errorf("version shown as %q, want %q", got, want)
 		}
 	}
