--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -40,8 +40,8 @@
 	// Rejected returns the objects of which the router has rejected a version as
 	// invalid.
 	Rejected() []topo.Ref
-	// Changed returns a channel that is closed at the next change of the
-	// configuration in force.
+	// Changed returns a channel that is closed when an object next comes into
+	// force or is rejected, or Complete next advances.
 	Changed() <-chan struct{}
 	// Refresh makes the router read the store's changes soon, and returns at
 	// once. Without it, a router whose watch has stalled would learn of a change
@@ -75,8 +75,8 @@
 	Pools         []PoolStatus  `json:"pools"`
 	Control       []ControlRate `json:"control"`
 	Quarantined   []Quarantined `json:"quarantined,omitempty"`
-	// UnknownWords are the words received from other systems that the router
-	// does not recognize.
+	// UnknownWords are the headers, fields and status codes in messages of other
+	// systems that the router does not recognize.
 	UnknownWords []vocabulary.UnknownWord `json:"unread,omitempty"`
 }
 
@@ -90,20 +90,21 @@
 	LastStoreResponse time.Time `json:"store_heard,omitzero"`
 }
 
-// PoolStatus is the state of a pool as one router sees it, based on samples
-// from other VMs.
+// PoolStatus is the state of a pool as one router sees it, based on the load
+// reports that it has received from other VMs. It may lack a recent report of
+// some upstreams.
 type PoolStatus struct {
 	Name     string  `json:"name"`
 	Known    int     `json:"known"`    // upstreams in the list of VMs
-	Serving  int     `json:"serving"`  // also those without a recent report
+	Serving  int     `json:"serving"`  // neither draining nor down; includes upstreams without a recent report
 	Draining int     `json:"draining"` // ordered to drain, or reporting that they leave
 	Down     int     `json:"down"`
-	Mean     float64 `json:"mean_load"`
-	Max      int     `json:"max_load"`
-	// Skew is the highest load of an upstream divided by the mean; zero without
-	// load.
+	Mean     float64 `json:"mean_load"` // requests in progress per unit of weight
+	Max      int     `json:"max_load"`  // load of Busiest
+	// Skew is the highest load per unit of weight of an upstream, divided by Mean;
+	// zero without load.
 	Skew      float64          `json:"skew"`
-	Busiest   string           `json:"busiest,omitempty"`
+	Busiest   string           `json:"busiest,omitempty"` // upstream with the highest load per unit of weight
 	Upstreams []UpstreamStatus `json:"upstreams,omitempty"`
 }
 
@@ -111,7 +112,7 @@
 type UpstreamStatus struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain,omitempty"`
-	State         string `json:"state"` // serving, draining, down or unheard
+	State         string `json:"state"` // serving, draining, down, or unheard: without a recent report
 	Load          int    `json:"load"`  // requests in progress
 }
 
@@ -131,7 +132,7 @@
 // Condition is a reason to use an upstream less or not at all.
 type Condition struct {
 	Kind   string    `json:"kind"`
-	Source string    `json:"by"` // source of the condition
+	Source string    `json:"by"` // who or what reported it, such as "operators" or "other routers"
 	Since  time.Time `json:"since,omitzero"`
 	Until  time.Time `json:"until,omitzero"`
 }
@@ -211,8 +212,10 @@
 	Rejected []topo.Ref `json:"rejected,omitempty"`
 }
 
-// LaggingObject is an object that is not in force at the requested version. One
-// without a kind stands for all changes up to the version.
+// LaggingObject is an object that is not in force at the requested version. If
+// its Kind is empty, it stands for all changes up to WaitRequest.Complete, and
+// InForce.Version is the version up to which the router has applied or rejected
+// them.
 type LaggingObject struct {
 	ObjectVersion
 	InForce InForce `json:"in_force"`
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -22,8 +22,8 @@
 	mu             sync.Mutex
 	version        topo.Version
 	changed        chan struct{}
-	ignoresRefresh bool // Refresh has no effect
-	storeVersion   topo.Version
+	ignoresRefresh bool         // Refresh has no effect
+	storeVersion   topo.Version // version of the object in the store
 	vms            []topo.VM
 }
 
@@ -59,8 +59,8 @@
 // network holds in-memory connections to the routers, by address.
 type network struct {
 	mu       sync.Mutex
-	incoming map[string]chan net.Conn
-	bytes    atomic.Int64 // in both directions
+	incoming map[string]chan net.Conn // connections that are not accepted yet
+	bytes    atomic.Int64             // in both directions
 }
 
 type countingConn struct {
@@ -184,7 +184,7 @@
 	f.nodes[0].vms = append(f.nodes[0].vms,
 		topo.VM{ID: "stopped", Role: topo.RoleRouter, AdminAddr: "stopped"},
 		topo.VM{ID: "hanging", Role: topo.RoleRouter, AdminAddr: "hanging"},
-		topo.VM{ID: "unlisted", Role: topo.RoleRouter},
+		topo.VM{ID: "unlisted", Role: topo.RoleRouter}, // its admin address is not listed
 		topo.VM{ID: "engine", Role: topo.RoleUpstream})
 	req.WaitMillis = 700
 	wait, err := client.FleetWait(t.Context(), req)
@@ -201,6 +201,8 @@
 	}
 }
 
+// Guards against an API that serves operators' data to a client with a wrong
+// token, as it would if the token were not compared before a request is routed.
 func TestWrongTokenIsRejected(t *testing.T) {
 	_, client := newFleet(t, 1, 5)
 	client.token = "wrong"
--- a/internal/admin/fleet.go
+++ b/internal/admin/fleet.go
@@ -23,9 +23,10 @@
 	roundWait = 500 * time.Millisecond
 	// roundPause is the pause between rounds, for peers that fail at once.
 	roundPause = 100 * time.Millisecond
-	// idleConnTimeout is how long an idle connection to a peer is kept. A
-	// waiting command sends a query about every half second, and there are no
-	// others.
+	// idleConnTimeout is how long an idle connection to a peer is kept. While a
+	// command waits, the router that it called queries each pending peer about
+	// every half second and reuses the connection. Otherwise routers do not query
+	// each other.
 	idleConnTimeout = 3 * time.Second
 )
 
@@ -81,8 +82,10 @@
 }
 
 // awaitAll queries every router until the objects in req are in force at all of
-// them or ctx ends. After the first round it queries only those that were
-// pending. It stops waiting for a router that is removed from the list of VMs.
+// them or ctx ends, and returns the latest response of each. It works in rounds,
+// each with a wait of roundWait instead of req.WaitMillis. After the first round
+// it queries only those that were pending. It stops waiting for a router that is
+// removed from the list of VMs.
 func (s *Server) awaitAll(ctx context.Context, req WaitRequest) []RouterWait {
 	req.WaitMillis = int(roundWait.Milliseconds())
 	latest := make(map[string]RouterWait)
@@ -131,6 +134,7 @@
 	return reply
 }
 
+// sleep waits for d. It returns false if ctx has ended by then.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/admin/ledger/ledger.go
+++ b/internal/admin/ledger/ledger.go
@@ -1,8 +1,10 @@
 // Package ledger records which version of each object is in force, for
 // operators.
 //
-// A router's control loop writes a Ledger, and publishes after the view of the
-// configuration that goes with it. A Ledger is safe for concurrent use.
+// A router's control loop records each Update with Apply, publishes the view of
+// the configuration that contains it to requests, and then calls Publish.
+// Clients that wait for a change are therefore woken only once requests use it.
+// A Ledger is safe for concurrent use.
 package ledger
 
 import (
@@ -16,25 +18,26 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// Update lists the objects that have come into force or were rejected.
+// Update lists the objects that have come into force or were rejected, and
+// states how far the router has read the store.
 type Update struct {
-	Objects  []admin.ObjectVersion
-	Rejected []profile.Problem // each object's first problem
-	Complete topo.Version      // version of the store up to which all changes are known
+	Objects  []admin.ObjectVersion // versions that have come into force
+	Rejected []profile.Problem     // each object's first problem
+	Complete topo.Version          // version of the store up to which all changes were applied or rejected
 	// LastStoreResponse is when the store last sent a response that was not
 	// stale.
 	LastStoreResponse time.Time
 }
 
-// Ledger holds the version in force of each object. The control loop writes it,
-// and publishes after the View that goes with it.
+// Ledger holds the version in force of each object, and the problems of the
+// versions that were rejected.
 type Ledger struct {
 	mu                sync.Mutex
 	versions          map[topo.Ref]topo.Version
 	rejected          map[topo.Ref]profile.Problem
-	complete          topo.Version
-	newest            topo.Version
-	dirty             bool
+	complete          topo.Version // see Update.Complete
+	newest            topo.Version // highest version of any object in force
+	dirty             bool         // something was applied since the last Publish
 	lastStoreResponse time.Time
 	changed           chan struct{} // closed and replaced when a change is published
 }
@@ -48,7 +51,8 @@
 	}
 }
 
-// Apply records an Update. Publish makes it known.
+// Apply records an Update, which InForce, Complete and Status return from then
+// on. Publish wakes those that wait for a change.
 func (l *Ledger) Apply(u Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +81,9 @@
 	}
 }
 
-// InForce returns the state of an object.
+// InForce returns the version of an object that is in force. If a newer version
+// was rejected, it also returns the problem. For an object that does not exist
+// it returns Complete.
 func (l *Ledger) InForce(ref topo.Ref) admin.InForce {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +100,8 @@
 	return in
 }
 
-// Complete returns the version of the store up to which all changes are known.
+// Complete returns the version of the store up to which all changes were applied
+// or rejected as invalid.
 func (l *Ledger) Complete() topo.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,8 +120,8 @@
 	return s
 }
 
-// Changed returns a channel that is closed at the next change of the
-// configuration in force.
+// Changed returns a channel that is closed by the next Publish after an object
+// came into force or was rejected, or Complete advanced.
 func (l *Ledger) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxWait bounds the wait of a WaitRequest, so that a client that has
-	// disconnected leaves no work behind.
+	// maxWait bounds the wait of a WaitRequest, and so the time for which the
+	// router may go on working for a client that has gone.
 	maxWait = 5 * time.Second
 	// maxBodyBytes limits the body of a request.
 	maxBodyBytes = 4 << 20
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,8 +36,9 @@
 type Config struct {
 	Store topo.Store
 	Self  string // this router's VM
-	// Process is unique to this process, so that a restarted one is another
-	// candidate.
+	// Process is unique to this process. It is part of the name under which the
+	// process competes for the lease, so that a restarted process does not
+	// regard the lease of the earlier one as its own.
 	Process string
 	// LeaseTTL is how long the lease lasts without renewal.
 	LeaseTTL time.Duration
@@ -58,7 +59,7 @@
 	config      Config
 	lease       *lease.Runner
 	loop        *loop.Loop[Event, Send]
-	ctx         context.Context
+	ctx         context.Context   // of Run; ends the calls to sidecars
 	lastDesired time.Time         // last time the pools were read; owned by Run
 	lastToken   wire.FencingToken // lease token at that time; owned by Run
 }
@@ -98,8 +99,9 @@
 	<-resigned
 }
 
-// postEvents posts the state of the lease to the reducer and, while the lease is
-// held, the desired state and a tick.
+// postEvents posts the state of the lease to the reducer. While the lease is
+// held, it also posts a tick and, every desiredInterval and for each new token,
+// the desired state.
 func (c *Controller) postEvents() {
 	now := time.Now()
 	grant := c.lease.Grant()
@@ -117,6 +119,7 @@
 	c.loop.Post(Tick{Now: now})
 }
 
+// execute sends an order in the background and posts its outcome.
 func (c *Controller) execute(s Send) {
 	go func() { c.loop.Post(c.send(s)) }()
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -53,6 +53,8 @@
 	return e.status, nil
 }
 
+// isUnavailable reports whether the engine works on an order and so serves no
+// requests.
 func (e *engine) isUnavailable() bool {
 	return e.status.Phase != wire.PhaseNone && e.status.Phase != wire.PhaseDone
 }
@@ -109,8 +111,8 @@
 	})
 }
 
-// completeCalls ends the calls in flight. For each call lost returns 0 if the
-// order is lost, 1 if the reply is lost, or another number if neither is.
+// completeCalls ends the calls in flight. It calls nextOutcome once for each of
+// them: 0 loses the order, 1 loses the reply, any other number loses neither.
 func (r *rollout) completeCalls(nextOutcome func() int) {
 	sent := r.sent
 	r.sent = nil
@@ -134,7 +136,8 @@
 	r.sent = append(r.sent, r.holder.Step(Tick{Now: r.now})...)
 }
 
-// progress advances the engines that work on an order and that which selects.
+// progress advances engines that work on an order. It calls isSelected once for
+// each of them, and skips those for which it returns false.
 func (r *rollout) progress(isSelected func() bool) {
 	for _, e := range r.engines {
 		switch {
@@ -194,10 +197,11 @@
 }
 
 // Rolls out a new version while the controller's lease changes hands, orders
-// and replies are lost, and orders of former holders arrive late. If a new
-// holder loaded at once, or took a missing reply for an order that was not
-// executed, the weight store's rate would be exceeded, a pool would lose more
-// engines than allowed, or an engine would load the same version twice.
+// and replies are lost, and orders of former holders arrive late. Guards
+// against loads above the weight store's rate, more unavailable engines in a
+// pool than allowed, and an engine that loads the same version twice. These
+// would come about if a new holder loaded at once, or if a holder assumed that
+// an order without a reply was not executed.
 func TestRolloutAcrossLeaseHolders(t *testing.T) {
 	loads := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -12,9 +12,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// maxPrepared limits how many upstreams of the fleet are prepared and wait for
-// the weight store. Preparing more would only keep them out of service for
-// longer.
+// maxPrepared limits how many upstreams of the fleet drain, or have drained and
+// wait for the weight store. Preparing more would only keep them out of service
+// for longer.
 const maxPrepared = 4
 
 // rollOut returns the orders that the weight store and the pools allow now.
@@ -103,9 +103,11 @@
 	}
 }
 
-// countUpstreams returns, for each pool, the number of upstreams that do not
-// serve and the number of all, and how many of the fleet wait for the weight
-// store. An unreachable upstream counts as unavailable, whatever the reason.
+// countUpstreams returns, for each pool, the number of unavailable upstreams and
+// the number of all, and for the fleet the number of upstreams that count towards
+// maxPrepared. An unreachable upstream counts as unavailable, whatever the
+// reason, and one that rejects all orders counts as available. An upstream whose
+// order is pending counts as prepared.
 func (s *State) countUpstreams() (unavailable, total map[string]int, prepared int) {
 	unavailable, total = make(map[string]int), make(map[string]int)
 	for _, u := range s.sorted {
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -18,8 +18,9 @@
 )
 
 const (
-	// maxQueriesInFlight limits the calls in flight, so that a new holder does
-	// not query thousands of sidecars at once.
+	// maxQueriesInFlight is the number of calls in flight, orders included, from
+	// which on no further query is sent, so that a new holder does not query
+	// thousands of sidecars at once. Orders are not held back by it.
 	maxQueriesInFlight = 32
 	// busyQueryInterval is how often an upstream that works on an order is
 	// queried.
@@ -81,7 +82,7 @@
 	pools        map[string]profile.Pool
 	upstreams    map[string]*upstream
 	sorted       []*upstream // by VM id, so that all holders use the same order
-	inFlight     int         // calls that have not ended
+	inFlight     int         // calls that have not ended, orders and queries
 	allQueried   bool        // every upstream has been queried under the token
 	nextLoad     time.Time   // earliest time of the next load
 }
@@ -93,7 +94,7 @@
 	reachable bool // the last call succeeded
 	managed   bool // accepts orders
 	inFlight  bool
-	pending   bool // an order was sent, and its response is outstanding or lost
+	pending   bool // the last call was an order, and its response is outstanding or lost
 	status    wire.OrderStatus
 	failedAt  time.Time
 	nextQuery time.Time
@@ -184,7 +185,8 @@
 	u.reachable = e.Err == nil
 	if e.Err != nil {
 		// An order whose response was lost may have been accepted: it stays
-		// pending until the upstream has been queried.
+		// pending until the next query is sent. A new order needs a successful
+		// call first.
 		u.managed = e.Err.Reason != verdict.ReasonNoOrders
 		u.nextQuery = e.Now.Add(queryRetryDelay)
 		return
@@ -214,11 +216,11 @@
 	return append(orders, s.query(now)...)
 }
 
-// updateAllQueried sets fenced once every upstream has been queried under the
-// token. From then on upstreams reject orders of former holders, and any order
-// that a former holder sent just before is known to be running. The interval
-// until the first load starts only then, because a former holder may have just
-// used the weight store's rate.
+// updateAllQueried sets allQueried once every upstream has been queried under
+// the token. An upstream that has responded rejects orders of former holders,
+// and its status shows any order that a former holder sent just before. The
+// first load may start no sooner than loadInterval after that, because a former
+// holder may just have started one.
 func (s *State) updateAllQueried(now time.Time) {
 	if s.allQueried {
 		return
--- a/internal/ctl/bench_test.go
+++ b/internal/ctl/bench_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// historyFillCount is larger than the number of changes that an object's history
-// keeps.
+// historyFillCount is the number of changes that fill an object's history. It is
+// larger than the number that the history keeps.
 const historyFillCount = 25
 
 // startPlatform starts a platform with n listed routers. It returns its URL and
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// formatOrDash formats n; zero, which means unknown, is a formatOrDash.
+// formatOrDash formats n, or returns a dash if n is zero: unknown, or no bound.
 func formatOrDash[N ~int64](n N) string {
 	if n == 0 {
 		return "-"
@@ -136,7 +136,8 @@
 }
 
 // partialFailure returns an error with ExitPartial if one edit failed after
-// others were committed. Otherwise it returns failed.
+// others were committed. Otherwise it returns failed, also if its exit code is
+// ExitUnknown or ExitNotInForce, which say more than ExitPartial.
 func partialFailure(r applyResult, failed error) error {
 	if failed == nil || !slices.ContainsFunc(r.Objects, objectResult.changed) {
 		return failed
@@ -190,7 +191,8 @@
 }
 
 // conflictError prints how both operators changed their common base and returns
-// an error with ExitConflict.
+// an error with ExitConflict. ownLabel is the label of this operator's content
+// in the diff.
 func (a *app) conflictError(c change.Conflict, ownLabel string) error {
 	ref, base := c.Base.Ref, c.Base.Revision.Spec
 	theirs, err := diffSpecs(ref, base, c.Theirs.Revision.Spec, "before", "as changed by "+authorLabel(c.Theirs.Revision.Change))
--- a/internal/ctl/drain.go
+++ b/internal/ctl/drain.go
@@ -29,8 +29,8 @@
 	return vm.ID == c.Args.VM
 }
 
-// drain stores an order that a VM, or the upstreams of a failure domain, take
-// no new work.
+// drain stores an order by which a VM, or every upstream of a failure domain, is
+// to take no new work.
 func (a *app) drain(ctx context.Context) error {
 	o := a.options.Drain
 	order, err := o.order()
--- a/internal/ctl/get.go
+++ b/internal/ctl/get.go
@@ -24,7 +24,8 @@
 	fmt.Fprint(w, text)
 }
 
-// get prints an object. Its YAML and table output is a file for apply.
+// get prints an object. What it prints as YAML or as a table can be saved to a
+// file and applied.
 func (a *app) get(ctx context.Context) error {
 	current, err := a.readExisting(ctx, topo.Ref(a.options.Get.Args.Object))
 	if err != nil {
--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -35,9 +35,9 @@
 	return a.print(generateKey())
 }
 
-// keyAdd stores the hash of a new key. It prints the key unless the hash was
-// certainly not stored: a change whose response was lost must not leave a valid
-// key that nobody has.
+// keyAdd stores the hash of a new key and prints the key. It also prints the key
+// if it is unknown whether the hash was stored: otherwise a change whose
+// response was lost could leave a valid key that nobody has.
 func (a *app) keyAdd(ctx context.Context) error {
 	o := a.options.Key.Add
 	base, org, err := a.organisation(ctx, o.Args.Organisation)
--- a/internal/ctl/neighbours.go
+++ b/internal/ctl/neighbours.go
@@ -10,6 +10,8 @@
 
 // listThreshold is the highest number of objects of a kind that are read one by
 // one. For more, a listing with some hundred objects a page takes fewer calls.
+// It is also the highest number of objects that --wait names to routers one by
+// one.
 const listThreshold = 20
 
 // snapshot holds objects of the store, each read once.
@@ -38,7 +40,8 @@
 	return nil
 }
 
-// read returns an object. An object that does not exist is no error.
+// read returns an object, from the store if it was not read before. For one that
+// does not exist it returns no error, and Exists reports false.
 func (s *snapshot) read(ctx context.Context, ref topo.Ref) (change.StoredObject, error) {
 	if current, ok := s.objects[ref]; ok {
 		return current, nil
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -18,14 +18,14 @@
 	Routers     []admin.RouterStatus `json:"routers"`
 	Pools       []poolSummary        `json:"pools"`
 	Quarantined []admin.Quarantined  `json:"quarantined"`
-	Upstreams   *admin.Status        `json:"seen_by,omitempty"` // set with --upstreams
+	Upstreams   *admin.Status        `json:"seen_by,omitempty"` // state of the router whose upstreams are shown; set with --upstreams
 }
 
 // poolSummary is a pool as one of the routers sees it. Each router has only a
-// partial view, so the one with the highest skew is shown.
+// partial view, so the view with the highest skew of the pool is shown.
 type poolSummary struct {
 	admin.PoolStatus
-	SeenBy string `json:"seen_by"` // router with the highest skew
+	SeenBy string `json:"seen_by"` // router whose view is shown
 }
 
 func (a *app) status(ctx context.Context) error {
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// waitRound is the longest duration of one call of the wait. It also limits
-	// the time lost when a router stops during a call.
+	// waitRound is the longest duration of one round. A wait consists of rounds,
+	// each of which makes one router query all. A router that stops during a round
+	// delays the wait by no more than that.
 	waitRound = 2 * time.Second
 	// roundMargin is how long before the end of the whole wait its last round
-	// ends.
+	// ends, so that the response still arrives in time.
 	roundMargin = 700 * time.Millisecond
 	// waitPause is the pause between rounds.
 	waitPause = 200 * time.Millisecond
@@ -104,13 +105,13 @@
 // waitTarget holds the objects to wait for.
 type waitTarget struct {
 	request admin.WaitRequest
-	refs    []topo.Ref
+	refs    []topo.Ref // all objects, also if request names only a version
 }
 
-// newWaitTarget returns the objects to wait for. For an object that was changed
-// again before its version was read, it is the current version. Many objects
-// are replaced by their newest version, because the list is sent to each
-// router.
+// newWaitTarget returns the objects to wait for, each with its committed version.
+// An object that was changed again before that version was read gets its current
+// version. More than listThreshold objects are replaced by the newest of their
+// versions, because the list is sent to each router.
 func (a *app) newWaitTarget(ctx context.Context, objects []objectResult) (waitTarget, error) {
 	var w waitTarget
 	newest := topo.Version(0)
@@ -167,8 +168,8 @@
 	return inForceStatus{Everywhere: len(pending) == 0, Routers: total, Pending: pending}, nil
 }
 
-// roundTime returns how long a round may last for its response to arrive before
-// ctx ends.
+// roundTime returns the duration of the next round: waitRound, or less, so that
+// the round ends roundMargin before ctx does.
 func roundTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -192,9 +193,9 @@
 	return out
 }
 
-// routers returns the routers that can be called: the one named by --router, or
-// those of the platform's list in random order, to spread the load of commands
-// over them.
+// routers returns the routers that can be called: the one named by --router,
+// whose VM is not known and has an empty id, or those of the platform's list in
+// random order, to spread the load of commands over them.
 func (a *app) routers(ctx context.Context) ([]topo.VM, error) {
 	if a.options.Router != "" {
 		return []topo.VM{{AdminAddr: a.options.Router}}, nil
