--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -28,12 +28,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	side := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
-	entry := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleRouter, VM: "entry-1"})
+	sidecarTLS := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"})
+	routerTLS := newMutualTLS(b, ca, secure.Identity{Role: secure.RoleRouter, VM: "entry-1"})
 	for _, transport := range []struct {
 		name     string
 		from, to secure.Transport
-	}{{"plain", secure.Plain{}, secure.Plain{}}, {"tls", entry, side}} {
+	}{{"plain", secure.Plain{}, secure.Plain{}}, {"tls", routerTLS, sidecarTLS}} {
 		for _, n := range []int{100, 1000, 2900} {
 			b.Run(fmt.Sprintf("%s/%d", transport.name, n), func(b *testing.B) {
 				for b.Loop() {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -31,8 +31,8 @@
 const (
 	devRouter       = "router-0"
 	devModel        = "notes-7b"
-	devNotes        = "notes"
-	devClips        = "clips"
+	devEnginePool   = "notes"
+	devService      = "clips"
 	devServiceCount = 2
 	devTokenDelay   = 20 * time.Millisecond
 	devTokenCount   = 24
@@ -108,7 +108,7 @@
   curl -iN http://%[2]s/v1/chat/completions -H 'Authorization: Bearer %[4]s' -d '{"model":"%[5]s","stream":true,"messages":[{"role":"user","content":"Who lost the ball?"}]}'
 a call of a plain service:
   curl -i http://%[2]s/services/%[6]s/tags -H 'Authorization: Bearer %[4]s' -d 'corner'
-`, platformURL, addr, admin, key, devModel, devClips)
+`, platformURL, addr, admin, key, devModel, devService)
 }
 
 // writeDevConfig writes the pools, profiles and organisation of dev mode to store.
@@ -117,20 +117,20 @@
 		ref   topo.Ref
 		value any
 	}{
-		{topo.Ref{Kind: topo.KindPool, Name: devNotes}, profile.Pool{
-			Name: devNotes, Model: devModel, Version: "1", Role: profile.DefaultEngineRole, MaxUnavailable: profile.DefaultMaxUnavailable,
+		{topo.Ref{Kind: topo.KindPool, Name: devEnginePool}, profile.Pool{
+			Name: devEnginePool, Model: devModel, Version: "1", Role: profile.DefaultEngineRole, MaxUnavailable: profile.DefaultMaxUnavailable,
 		}},
-		{topo.Ref{Kind: topo.KindPool, Name: devClips}, profile.Pool{
-			Name: devClips, Role: profile.DefaultEngineRole, MaxUnavailable: profile.DefaultMaxUnavailable,
+		{topo.Ref{Kind: topo.KindPool, Name: devService}, profile.Pool{
+			Name: devService, Role: profile.DefaultEngineRole, MaxUnavailable: profile.DefaultMaxUnavailable,
 		}},
-		{topo.Ref{Kind: topo.KindProfile, Name: devNotes}, profile.Profile{
-			Name: devNotes, Pool: devNotes, Model: devModel, Deadline: profile.Duration(time.Minute), LoadMultiple: devLoadMultiple,
+		{topo.Ref{Kind: topo.KindProfile, Name: devEnginePool}, profile.Profile{
+			Name: devEnginePool, Pool: devEnginePool, Model: devModel, Deadline: profile.Duration(time.Minute), LoadMultiple: devLoadMultiple,
 		}},
-		{topo.Ref{Kind: topo.KindProfile, Name: devClips}, profile.Profile{
-			Name: devClips, Pool: devClips, Service: devClips, Deadline: profile.Duration(10 * time.Second), LoadMultiple: devLoadMultiple,
+		{topo.Ref{Kind: topo.KindProfile, Name: devService}, profile.Profile{
+			Name: devService, Pool: devService, Service: devService, Deadline: profile.Duration(10 * time.Second), LoadMultiple: devLoadMultiple,
 		}},
 		{topo.Ref{Kind: topo.KindOrganisation, Name: "dev"}, profile.Organisation{
-			Name: "dev", Weight: 1, Profiles: []string{devNotes, devClips}, Keys: []profile.APIKey{{ID: "dev", SHA256: profile.HashKey(key)}},
+			Name: "dev", Weight: 1, Profiles: []string{devEnginePool, devService}, Keys: []profile.APIKey{{ID: "dev", SHA256: profile.HashKey(key)}},
 		}},
 	}
 	for _, o := range objects {
@@ -161,14 +161,14 @@
 		standin.NewEngine(standin.EngineConfig{Model: devModel, TokenDelay: devTokenDelay, Tokens: devTokenCount, CacheSize: devCacheSize}).Register(mux)
 		loaded := wire.ModelSpec{Model: devModel, Version: "1", Role: string(profile.DefaultEngineRole)}
 		standin.NewOrders(standin.OrdersConfig{Loaded: loaded, LoadDuration: devLoadTime}).Register(mux)
-		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("engine-%d", i), Pool: devNotes}, mux); err != nil {
+		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("engine-%d", i), Pool: devEnginePool}, mux); err != nil {
 			return err
 		}
 	}
 	for i := range devServiceCount {
 		mux := http.NewServeMux()
-		standin.NewService(devClips).Register(mux)
-		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("clips-%d", i), Pool: devClips}, mux); err != nil {
+		standin.NewService(devService).Register(mux)
+		if err := startUpstream(ctx, vms, platformURL, topo.VM{ID: fmt.Sprintf("clips-%d", i), Pool: devService}, mux); err != nil {
 			return err
 		}
 	}
--- a/internal/daemon/role_test.go
+++ b/internal/daemon/role_test.go
@@ -111,8 +111,8 @@
 		for _, method := range []wire.Method{wire.MethodOrder, wire.MethodCancel, wire.MethodNotice, wire.MethodReport, wire.MethodConfigSince, wire.MethodImport, wire.MethodJoined} {
 			err := peer.Call(t.Context(), method, json.RawMessage("{}"), nil)
 			forbidden := err != nil && verdict.From(err).Reason == verdict.ReasonForbidden
-			isSidecarMethod := method == wire.MethodImport || method == wire.MethodJoined // sidecars
-			if want := isSidecarMethod == c.allowed; forbidden != want {
+			isCalledBySidecars := method == wire.MethodImport || method == wire.MethodJoined // sidecars
+			if want := isCalledBySidecars == c.allowed; forbidden != want {
 				t.Errorf("%s calls %s: forbidden is %v, want %v (%v)", c.id.Role, method, forbidden, want, errors.Cause(err))
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -59,8 +59,8 @@
 // All returns the Policy in which all mechanisms are on.
 func All() Policy {
 	p := Policy{}
-	for _, s := range p.mechanisms() {
-		*s.enabled = true
+	for _, m := range p.mechanisms() {
+		*m.enabled = true
 	}
 	return p
 }
@@ -73,7 +73,7 @@
 		if name = strings.TrimSpace(name); name == "" {
 			continue
 		}
-		i := slices.IndexFunc(p.mechanisms(), func(s mechanism) bool { return s.name == name })
+		i := slices.IndexFunc(p.mechanisms(), func(m mechanism) bool { return m.name == name })
 		if i < 0 {
 			return All(), errors.Errorf("unknown mechanism %q: want one of %s", name, strings.Join(Names(), ", "))
 		}
@@ -85,8 +85,8 @@
 // Names returns the names of all mechanisms.
 func Names() []string {
 	var names []string
-	for _, s := range new(Policy).mechanisms() {
-		names = append(names, s.name)
+	for _, m := range new(Policy).mechanisms() {
+		names = append(names, m.name)
 	}
 	return names
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -46,10 +46,10 @@
 // the settings that could be read.
 func Parse(args []string) (*Parsed, error) {
 	p := &Parsed{}
-	var m ValidationErrors
+	var errs ValidationErrors
 	parser := flags.NewParser(&p.Daemon, flags.HelpFlag|flags.PassDoubleDash)
 	parser.UnknownOptionHandler = func(name string, _ flags.SplitArgument, rest []string) ([]string, error) {
-		m.add(name, "no such setting") // without the value, which may be a secret
+		errs.add(name, "no such setting") // without the value, which may be a secret
 		return rest, nil
 	}
 	rest, err := parser.ParseArgs(args)
@@ -57,22 +57,22 @@
 		if flags.WroteHelp(err) {
 			return nil, Help(err.Error())
 		}
-		return p, append(m, err.Error())
+		return p, append(errs, err.Error())
 	}
 	if len(rest) > 0 {
-		m = append(m, fmt.Sprintf("arguments that belong to no flag: %d", len(rest)))
+		errs = append(errs, fmt.Sprintf("arguments that belong to no flag: %d", len(rest)))
 	}
 	p.Role = Role(parser.Active.Name)
 	p.options = allOptions(parser.Active.Group)
-	m = append(m, unknownVariables(parser)...)
+	errs = append(errs, unknownVariables(parser)...)
 	for _, o := range p.options {
 		if v, ok := o.Value().(checkedValue); ok && v.valueError() != nil {
-			m.add(o.LongName, "%s", v.valueError())
+			errs.add(o.LongName, "%s", v.valueError())
 		}
 	}
-	p.roleSettings().check(&m)
-	if len(m) > 0 {
-		return p, m
+	p.roleSettings().check(&errs)
+	if len(errs) > 0 {
+		return p, errs
 	}
 	return p, nil
 }
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -73,15 +73,15 @@
 
 func (q *QueuedWriter) run(w io.Writer) {
 	defer close(q.done)
-	var spare []byte
+	var written []byte
 	for range q.wake {
 		q.mu.Lock()
 		lines, closed := q.queue, q.closed
-		q.queue = spare[:0]
+		q.queue = written[:0]
 		q.mu.Unlock()
 		// There is no other place to report an error of standard output.
 		_, _ = w.Write(lines)
-		spare = lines
+		written = lines
 		if closed {
 			return
 		}
