--- a/cmd/parsleystandin/main.go
+++ b/cmd/parsleystandin/main.go
@@ -14,7 +14,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// crashCode is the exit code of an engine that has been crashed by a request.
+// crashCode is the exit code of a stand-in that crashes because a request contains the word
+// of --poison.
 const crashCode = 3
 
 type options struct {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -44,6 +44,8 @@
 	}
 }
 
+// peerMemory returns by how many bytes the memory in use grows when n peers connect through
+// the transport from to a server that accepts through the transport to.
 func peerMemory(b *testing.B, from, to secure.Transport, n int) float64 {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/counters_test.go
+++ b/internal/daemon/counters_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// The page for the morning check must have a row for each alert counter.
+// An alert counter without a row on the page for the morning check would not be looked at,
+// so that its growth would go unnoticed.
 func TestMorningPageNamesEachAlert(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/morning.md")
 	if err != nil {
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -31,8 +31,8 @@
 const (
 	devRouter       = "router-0"
 	devModel        = "notes-7b"
-	devEnginePool   = "notes"
-	devService      = "clips"
+	devEnginePool   = "notes" // name of the engines' pool and its profile
+	devService      = "clips" // name of the plain service, its pool and its profile
 	devServiceCount = 2
 	devTokenDelay   = 20 * time.Millisecond
 	devTokenCount   = 24
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -43,10 +43,12 @@
 	// Retry-After says.
 	storeRetryMax = time.Second
 	// storeRetryInitial is the first pause after a failed call to the store, doubled at each
-	// further failure. After a power failure, callers wait for this pause.
+	// further failure. It must be short: when all of the fleet restarts after a power
+	// failure and a router's first call fails, its callers wait for this pause.
 	storeRetryInitial = 100 * time.Millisecond
-	// firstWatchDelay is how long routers that start together need to agree on which of
-	// them reads the store. With this delay most of them never start a watch.
+	// firstWatchDelay is the pause between a router's first listing of the store and its
+	// first watch. Routers that start together need this time to agree on which of them
+	// reads the store, so that most of them never start a watch.
 	firstWatchDelay = 200 * time.Millisecond
 	// pullInterval is the pause between two pulls of a subscriber from its parent.
 	pullInterval = 100 * time.Millisecond
@@ -107,7 +109,9 @@
 	return n, errors.WithStack(err)
 }
 
-// Entry is a router on the operators' platform.
+// Entry is a router on the operators' platform. It sends requests to the upstreams directly,
+// without sidecars. Its configuration comes from the platform's store, which it reads itself
+// or through a parent.
 type Entry struct {
 	settings settings.Entry
 	platform platform.Settings
--- a/internal/daemon/heap.go
+++ b/internal/daemon/heap.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// adjustGC sets the collector's percentage and memory limit for the current live heap, and
-// does so again after each collection: the cleanup of an unreachable object runs after the
-// next one.
+// adjustGC sets the collector's percentage and memory limit for the current live heap. It
+// runs again after each collection: it allocates an unreachable object and registers itself
+// as its cleanup, which the runtime calls after the next collection.
 func adjustGC(floor uint64) {
 	live, nonHeap := processMemory()
 	debug.SetGCPercent(gcPercent(live, floor))
--- a/internal/daemon/role_test.go
+++ b/internal/daemon/role_test.go
@@ -73,7 +73,9 @@
 
 // Sidecars trust each other's certificates because they transfer cached prefixes between
 // them. A process on an upstream VM that obtains its sidecar's certificate must not be able
-// to run requests on other upstreams without a router.
+// to run requests on other upstreams without a router. So a sidecar rejects requests and
+// router methods that come from other sidecars, and accepts the methods for transfers from
+// sidecars only.
 func TestSidecarRejectsRequestsOfOtherSidecars(t *testing.T) {
 	ca, err := securetest.NewCA("fleet")
 	if err != nil {
@@ -104,14 +106,14 @@
 		rejection := verdict.From(err)
 		switch {
 		case c.allowed && (err != nil || runs.Load() != 1):
-			t.Errorf("a %s had %d requests run: %v", c.id.Role, runs.Load(), err)
+			t.Errorf("the request of a %s was run %d times, want 1: %v", c.id.Role, runs.Load(), err)
 		case !c.allowed && (err == nil || rejection.Reason != verdict.ReasonForbidden || runs.Load() != 0):
-			t.Errorf("a %s had %d requests run: %v", c.id.Role, runs.Load(), err)
+			t.Errorf("the request of a %s was run %d times, want it rejected as forbidden: %v", c.id.Role, runs.Load(), err)
 		}
 		for _, method := range []wire.Method{wire.MethodOrder, wire.MethodCancel, wire.MethodNotice, wire.MethodReport, wire.MethodConfigSince, wire.MethodImport, wire.MethodJoined} {
 			err := peer.Call(t.Context(), method, json.RawMessage("{}"), nil)
 			forbidden := err != nil && verdict.From(err).Reason == verdict.ReasonForbidden
-			isCalledBySidecars := method == wire.MethodImport || method == wire.MethodJoined // sidecars
+			isCalledBySidecars := method == wire.MethodImport || method == wire.MethodJoined // methods for transfers
 			if want := isCalledBySidecars == c.allowed; forbidden != want {
 				t.Errorf("%s calls %s: forbidden is %v, want %v (%v)", c.id.Role, method, forbidden, want, errors.Cause(err))
 			}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -47,6 +47,8 @@
 	timeout time.Duration // for requests in flight after that
 }
 
+// runRouter runs a router in front of sidecars until ctx ends and the planned stop is over.
+// What requests in flight need runs on the background context, which ends after the stop.
 func runRouter(ctx context.Context, s settings.Router) error {
 	setMinHeapGrowth(routerHeapGrowthFloor)
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -111,8 +113,9 @@
 	return c.Config(), nil
 }
 
-// serve serves callers until ctx ends and the planned stop is over. background must end
-// after that.
+// serve serves callers until ctx ends and the planned stop is over. The end of ctx starts
+// the planned stop. The router and the operators' API run until background ends, which must
+// be after serve has returned.
 func (c callerServer) serve(ctx, background context.Context) error {
 	r := router.New(background, c.config)
 	h := newHealth(r.Alive, r.Ready)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -20,6 +20,8 @@
 // target size. It is used to check the limit on open files.
 const maxRouterConnections = 400
 
+// runSidecar runs a sidecar until ctx ends and its planned stop is over. What requests in
+// flight need runs on the background context, which ends after the stop.
 func runSidecar(ctx context.Context, s settings.Sidecar) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,8 +13,9 @@
 	queueLength = 1024
 
 	// maxBatch is the number of events after which afterBatch is called although more are
-	// queued. Otherwise, while the queue never runs empty, traffic would be served from
-	// outdated state and timers would not be set.
+	// queued. A router publishes its state in afterBatch and a sidecar sets its timer: without
+	// this limit, while the queue never runs empty, traffic would be served from outdated
+	// state and timers would not be set.
 	maxBatch = 64
 )
 
@@ -34,12 +35,13 @@
 	done       chan struct{}
 }
 
-// ErrEnded is the error of a probe of a loop that has ended.
+// ErrEnded is returned by Probe if the loop has ended.
 var ErrEnded = errors.New("loop: ended")
 
 // New returns a Loop that passes each effect to execute. It calls afterBatch when the queue
-// is empty, and at the latest after maxBatch events. Both run on the loop's goroutine:
-// execute must not post to the loop from there, and neither may block for long.
+// is empty, and at the latest after maxBatch events. Both run on the loop's goroutine, so
+// neither may block for long, and execute must not call Post there: if the queue were full,
+// Post would wait forever for the loop.
 func New[E, F any](r Reducer[E, F], execute func(F), afterBatch func()) *Loop[E, F] {
 	return &Loop[E, F]{
 		reducer:    r,
@@ -68,9 +70,10 @@
 	}
 }
 
-// Probe waits until the loop is between two events. It fails if ctx ends first, which means
-// that the loop hangs in a step or an effect, or with ErrEnded if the loop has ended. A
-// process whose loop hangs still accepts connections but makes no decisions.
+// Probe waits until the loop is between two events. It returns the error of ctx if ctx ends
+// first, or ErrEnded if the loop has ended. Liveness checks use it to detect a loop that
+// hangs in a step or an effect: its process still accepts connections but makes no
+// decisions.
 func (l *Loop[E, F]) Probe(ctx context.Context) error {
 	select {
 	case l.probes <- struct{}{}:
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -13,7 +13,9 @@
 func (echoReducer) Step(n int) []int { return []int{n} }
 
 // A router receives events faster than it applies them, for minutes. The state that it
-// serves from must still be updated meanwhile, not only once the queue is empty.
+// serves from must still be updated meanwhile, not only once the queue is empty. After the
+// loop has ended, Post must return false even though the queue has free capacity: otherwise
+// a caller would wait forever for the result of its event.
 func TestBatchesAreBoundedUnderABacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var applied []int
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,9 +1,9 @@
-// Package policy names the optional mechanisms by which routers choose among upstreams
-// without a sidecar. Each can be switched off, by operators who suspect that it does harm
-// and for measurements of its benefit.
+// Package policy names the optional mechanisms by which routers improve how requests are
+// served at upstreams that have no sidecar. Each can be switched off, by operators who
+// suspect that it does harm and for measurements of its benefit.
 //
-// Package router checks the Policy where a mechanism starts. No guarantee to callers
-// depends on a mechanism, so any of them may be off. Without HotSpread and SharedLoads a
+// The code that implements a mechanism checks the Policy before it applies the mechanism. No
+// guarantee to callers depends on a mechanism, so any of them may be off. Without HotSpread and SharedLoads a
 // surge of one session's requests puts upstreams over the load bound.
 package policy
 
@@ -44,15 +44,18 @@
 	Donors bool
 	// LastServed prefers the upstream that has served the session last as donor.
 	LastServed bool
-	// Hedges sends an idempotent read that is late to a second upstream too.
+	// Hedges sends an idempotent read also to a second upstream if the response of the
+	// first is late.
 	Hedges bool
 	// Switches moves a stalled stream that can be resumed to another upstream.
 	Switches bool
 	// Resumption continues a stream that has broken off at another upstream.
 	Resumption bool
-	// Linger keeps upstreams whose entry was removed as donors for a while.
+	// Linger keeps an upstream for a while after its entry was removed, so that prompts
+	// cached by it can still be fetched: it gets no new requests but can be a donor.
 	Linger bool
-	// StartWait makes requests wait for the first configuration of a router.
+	// StartWait makes requests that arrive at a router before its first configuration wait
+	// for it instead of being rejected.
 	StartWait bool
 }
 
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -6,7 +6,9 @@
 	"testing"
 )
 
-// Each mechanism has a name that switches it off and no other.
+// If a name switched off a different mechanism, or a new field of Policy had no name,
+// operators and measurements would draw conclusions about the wrong mechanism. Each name
+// must switch off exactly one field that no other name switches off.
 func TestEachMechanismIsDisabledSeparately(t *testing.T) {
 	all := All()
 	seen := make(map[string]bool)
@@ -21,7 +23,7 @@
 				disabled += reflect.TypeOf(p).Field(i).Name
 			}
 			if !reflect.ValueOf(all).Field(i).Bool() {
-				t.Errorf("%s has no switch", reflect.TypeOf(p).Field(i).Name)
+				t.Errorf("%s is off in All: no mechanism has this field", reflect.TypeOf(p).Field(i).Name)
 			}
 		}
 		if seen[disabled] || disabled == "" {
@@ -35,9 +37,9 @@
 func TestUnknownMechanismsAreErrors(t *testing.T) {
 	p, err := Without("hedges,hegdes")
 	if err == nil || !strings.Contains(err.Error(), "hedges") || p != All() {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("Without with an unknown name returned %+v, %v", p, err)
 	}
 	if p, err := Without(" hedges, linger ,"); err != nil || p.Hedges || p.Linger || !p.Pace {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("Without with spaces and an empty name returned %+v, %v", p, err)
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -16,7 +16,7 @@
 const (
 	minReloadInterval = 50 * time.Millisecond
 	maxReloadInterval = time.Minute
-	maxDelay          = time.Hour
+	maxDelay          = time.Hour // of --drain-delay, --lease-ttl and other durations without a limit of their own
 	maxStopTimeout    = 24 * time.Hour
 
 	maxPort   = 1<<16 - 1
@@ -25,8 +25,9 @@
 	minKeys   = 1 << 10
 	maxKeys   = 1 << 22
 
-	// minAnswerBytes is enough for a router that has lost its connection to fetch again
-	// what was in transit.
+	// Limits of buffers for responses and waiting requests, in bytes. minAnswerBytes is
+	// enough to keep the part of a response that was in transit when a router lost its
+	// connection, so that the router can fetch it again.
 	minAnswerBytes = 64 << 10
 	maxAnswerBytes = 1 << 30
 	maxBufferBytes = 1 << 40
@@ -40,16 +41,19 @@
 	return "mistakes in the settings:\n  " + strings.Join(errs, "\n  ")
 }
 
+// add appends an error about the value of flag.
 func (errs *ValidationErrors) add(flag, format string, args ...any) {
 	*errs = append(*errs, "--"+flag+": "+fmt.Sprintf(format, args...))
 }
 
+// required adds an error if value is empty.
 func (errs *ValidationErrors) required(flag, value string) {
 	if value == "" {
 		errs.add(flag, "is required")
 	}
 }
 
+// address adds an error if value is not of the form host:port.
 func (errs *ValidationErrors) address(flag, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		errs.add(flag, "want an address such as 10.0.0.2:8080, have %q", value)
@@ -71,19 +75,23 @@
 	errs.add(flag, "want one of %s, have %q", strings.Join(allowed, ", "), value)
 }
 
+// duration adds an error if v is not within low and high, inclusive. It skips a value whose
+// text is invalid, since Parse has already reported it.
 func (errs *ValidationErrors) duration(flag string, v Duration, low, high time.Duration) {
 	if v.err == nil && (v.D < low || v.D > high) {
 		errs.add(flag, "want from %s to %s, have %s", low, high, v.D)
 	}
 }
 
+// count adds an error if v is not within low and high, inclusive. It skips a value whose
+// text is invalid, since Parse has already reported it.
 func (errs *ValidationErrors) count(flag string, v Count, low, high int) {
 	if v.err == nil && (v.N < low || v.N > high) {
 		errs.add(flag, "want from %d to %d, have %d", low, high, v.N)
 	}
 }
 
-// file checks that the file can be opened. An empty path is not checked.
+// file adds an error if the file at path cannot be opened. It skips an empty path.
 func (errs *ValidationErrors) file(flag, path string) {
 	if path == "" {
 		return
@@ -96,7 +104,8 @@
 	_ = f.Close()
 }
 
-// checker is the settings of a role, which add their errors to m.
+// checker is implemented by the settings of each role. check adds an error to errs for each
+// invalid value.
 type checker interface{ check(errs *ValidationErrors) }
 
 func (c Common) check(errs *ValidationErrors) {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -157,6 +157,7 @@
 	return errors.WithStack(table.Flush())
 }
 
+// valueSource returns where the value of o comes from: flag, environment or default.
 func valueSource(o *flags.Option) string {
 	if o.IsSet() && !o.IsSetDefault() {
 		return "flag"
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -36,7 +36,8 @@
 
 func (d Duration) valueError() error { return d.err }
 
-// Count is an integer.
+// Count is a number of things, such as slots or bytes. It accepts any integer: check applies
+// the range of each setting.
 type Count struct {
 	N   int
 	err error
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -12,8 +12,9 @@
 	// maxQueuedBytes bounds the lines that wait to be written, in bytes. Lines that exceed
 	// it, because standard output is read too slowly, are dropped and counted.
 	maxQueuedBytes = 256 << 10
-	// Rates and bursts of lines about requests, for each class. At 300 bytes a line the
-	// rates add up to 60 KB a second, which takes a hundredth of a core.
+	// Rate limit of the lines about requests, for each class: lines a second on average, and
+	// lines that may be written at once. At 300 bytes a line both classes add up to 60 KB a
+	// second, which takes a hundredth of a core.
 	routineLinesPerSecond, routineBurst = 100, 400
 	failureLinesPerSecond, failureBurst = 100, 400
 	// suppressedReportInterval is the minimum time between two lines that report how many
@@ -73,7 +74,7 @@
 
 func (q *QueuedWriter) run(w io.Writer) {
 	defer close(q.done)
-	var written []byte
+	var written []byte // buffer of the lines written last, reused as the next queue
 	for range q.wake {
 		q.mu.Lock()
 		lines, closed := q.queue, q.closed
@@ -148,8 +149,8 @@
 	r.logger.LogAttrs(context.Background(), level, msg, append([]slog.Attr{slog.String("request", id)}, attrs...)...)
 }
 
-// allow reports whether a line of class may be written. It also writes the report of
-// suppressed lines when it is due.
+// allow reports whether a line of class may be written at the time now, and counts the line
+// against the limit. Before that it logs how many lines were suppressed, if this is due.
 func (r *RequestLog) allow(now time.Time, class LineClass) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -14,8 +14,9 @@
 	LogJSON LogFormat = "json"
 )
 
-// NewLogger returns a logger for changes of state. Single requests are counted and traced,
-// not logged here.
+// NewLogger returns a logger for changes of the process's state. Single requests are counted
+// and traced; lines about them are only written through a RequestLog, which limits their
+// rate.
 func NewLogger(w io.Writer, f LogFormat, level slog.Level) *slog.Logger {
 	opts := &slog.HandlerOptions{Level: level, ReplaceAttr: plainError}
 	if f == LogJSON {
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -6,7 +6,8 @@
 //	var strayFrames = telemetry.NewCounter("wire_stray_frames_total",
 //		"Frames dropped because they belong to no open stream.")
 //
-// Their names begin with the package's name and end with the unit. Each has a row on the
+// Their names begin with the package's name. Names of counters end with _total, names of
+// gauges and histograms with the unit. Each metric has a row on the
 // operators' page of counters, which a test compares with the registry. A process that runs
 // several roles, as in dev mode, has one set of metrics for all of them.
 package telemetry
@@ -232,10 +233,10 @@
 
 // Resolution, range and windows of a Histogram. The windows add up to a minute.
 const (
-	histogramUnit    = 10 * time.Microsecond
+	histogramUnit    = 10 * time.Microsecond // unit of recorded values
 	histogramMax     = time.Hour
-	histogramDigits  = 2
-	histogramWindows = 4
+	histogramDigits  = 2 // significant decimal digits of recorded values
+	histogramWindows = 4 // windows from which quantiles are computed
 	windowLength     = 15 * time.Second
 )
 
--- a/internal/telemetry/span.go
+++ b/internal/telemetry/span.go
@@ -29,8 +29,8 @@
 	HopUpstream: trace.SpanKindClient,
 }
 
-// Attr is the name of an attribute of a span. Request ids must not be attributes, because
-// anyone who has one can fetch the response.
+// Attr is the name of an attribute of a span. A whole request id must not be an attribute,
+// because anyone who has one can fetch the response. The nonce alone is not enough for that.
 type Attr string
 
 // Attributes of spans.
@@ -39,7 +39,7 @@
 	AttrProfile      Attr = "parsley.profile"
 	AttrPool         Attr = "parsley.pool"
 	AttrVM           Attr = "parsley.vm"
-	AttrNonce        Attr = "parsley.nonce" // of the request key
+	AttrNonce        Attr = "parsley.nonce" // of the request key, without the rest of the key
 	AttrVerdict      Attr = "parsley.verdict"
 	AttrReason       Attr = "parsley.reason"
 )
@@ -83,7 +83,8 @@
 	if err != nil {
 		return trace.SpanContext{}, false
 	}
-	// Version 00 accepts two flags; a caller must not set the reserved ones.
+	// Version 00 defines the two lowest flags. Values with any other flag are rejected: a
+	// caller must not set reserved ones.
 	if s[flagsStart] != '0' || s[flagsStart+1] < '0' || s[flagsStart+1] > '3' {
 		return trace.SpanContext{}, false
 	}
@@ -111,7 +112,7 @@
 	ctx := context.Background()
 	if sc, ok := parent.context(); ok {
 		if !sc.IsSampled() {
-			return Span{parent: parent} // the first hop decides about sampling
+			return Span{parent: parent} // not sampled by decision of the first hop
 		}
 		ctx = trace.ContextWithRemoteSpanContext(ctx, sc)
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -38,6 +38,9 @@
 	return p
 }
 
+// A process pays for spans on each request, even while tracing is off or if the caller has
+// decided not to sample the trace. In both cases spans must not allocate, and while tracing
+// is off the caller's trace context must reach the upstream unchanged.
 func TestDisabledTracingDoesNotAllocate(t *testing.T) {
 	if n := testing.AllocsPerRun(100, func() { runHops(parent) }); n != 0 {
 		t.Errorf("%v allocations a request while tracing is off", n)
@@ -53,6 +56,9 @@
 	}
 }
 
+// If a hop started a trace of its own or skipped its predecessor, operators could not follow
+// a request from the caller to the upstream. A sampled trace of a caller must be continued
+// although the process itself samples none.
 func TestEachHopIsTheParentOfTheNext(t *testing.T) {
 	recorder := tracetest.NewInMemoryExporter()
 	stop := startTracing(TraceConfig{Ratio: 0}, trace.WithSyncer(recorder))
@@ -137,6 +143,8 @@
 	}
 }
 
+// A metric whose name lacks its unit, or that has no help text, can be misread by operators.
+// It must be rejected when it is registered.
 func TestNamesCarryUnits(t *testing.T) {
 	for _, d := range []Desc{
 		{Name: "router_refusals", Kind: KindCounter, Help: "x"},
