--- a/internal/benchtool/benchtool.go
+++ b/internal/benchtool/benchtool.go
@@ -22,14 +22,14 @@
 
 const program = "parsleybench"
 
-// Code is an exit code.
-type Code int
+// ExitCode is an exit code.
+type ExitCode int
 
 // Exit codes.
 const (
-	ExitOK     Code = 0
-	ExitFailed Code = 1
-	ExitUsage  Code = 2
+	ExitOK     ExitCode = 0
+	ExitFailed ExitCode = 1
+	ExitUsage  ExitCode = 2
 )
 
 // Options is the command line.
@@ -55,7 +55,7 @@
 }
 
 // Run carries out one command line.
-func Run(ctx context.Context, args []string, out, errOut io.Writer) Code {
+func Run(ctx context.Context, args []string, out, errOut io.Writer) ExitCode {
 	var o Options
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &o); err != nil {
@@ -81,17 +81,17 @@
 func (o *Options) dispatch(ctx context.Context, command string, out io.Writer) error {
 	switch command {
 	case "check":
-		_, err := read(o.Check.Args.File)
+		_, err := readExperiment(o.Check.Args.File)
 		return err
 	case "run":
 		return o.Run.run(out)
 	case "load":
-		return openloop.Play(ctx, o.Load, out)
+		return openloop.Run(ctx, o.Load, out)
 	}
 	return errors.Errorf("no command %q", command)
 }
 
-func read(path string) (*experiment.File, error) {
+func readExperiment(path string) (*experiment.File, error) {
 	r, err := os.Open(path)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -103,26 +103,26 @@
 
 // run plays an experiment and writes its runs, its page and a table.
 func (c *RunCommand) run(out io.Writer) error {
-	f, err := read(c.Args.File)
+	f, err := readExperiment(c.Args.File)
 	if err != nil {
 		return err
 	}
-	runs, err := experiment.Play(f)
+	runs, err := experiment.RunAll(f)
 	if err != nil {
 		return err
 	}
-	lines := filepath.Join(c.Out, f.Name+".jsonl")
-	if err := write(lines, func(w io.Writer) error { return experiment.WriteLines(w, runs) }); err != nil {
+	linesPath := filepath.Join(c.Out, f.Name+".jsonl")
+	if err := writeFile(linesPath, func(w io.Writer) error { return experiment.WriteJSONLines(w, runs) }); err != nil {
 		return err
 	}
-	page := filepath.Join(c.Out, f.Name+".html")
-	if err := write(page, func(w io.Writer) error { return experiment.WriteReport(w, f, runs) }); err != nil {
+	pagePath := filepath.Join(c.Out, f.Name+".html")
+	if err := writeFile(pagePath, func(w io.Writer) error { return experiment.WriteReport(w, f, runs) }); err != nil {
 		return err
 	}
-	return table(out, experiment.Summarise(f, runs), lines, page)
+	return writeTable(out, experiment.Summarise(f, runs), linesPath, pagePath)
 }
 
-func write(path string, content func(io.Writer) error) error {
+func writeFile(path string, content func(io.Writer) error) error {
 	w, err := os.Create(path)
 	if err != nil {
 		return errors.WithStack(err)
@@ -134,13 +134,13 @@
 	return errors.WithStack(w.Close())
 }
 
-func table(out io.Writer, summaries []experiment.Summary, files ...string) error {
+func writeTable(out io.Writer, summaries []experiment.Summary, files ...string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "policy\tin time %\tlate %\trefused %\tfailed %\tturned away %\tfound %\tread M\tmoved M\tskew\tp50 ms\tp95 ms\tp99 ms\t")
 	for _, s := range summaries {
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.0f\t\n", s.Policy,
-			100*s.InTime.Mean, 100*s.Late.Mean, 100*s.Refused.Mean, 100*s.Failed.Mean, 100*s.TurnedAway.Mean, 100*s.Reuse.Mean,
-			s.Read.Mean/million, s.Moved.Mean/million, s.Skew.Mean, s.P50.Mean, s.P95.Mean, s.P99.Mean)
+			100*s.InTime.Mean, 100*s.Late.Mean, 100*s.Refused.Mean, 100*s.Failed.Mean, 100*s.Rejections.Mean, 100*s.Reuse.Mean,
+			s.PrefilledTokens.Mean/million, s.TransferredTokens.Mean/million, s.Skew.Mean, s.P50.Mean, s.P95.Mean, s.P99.Mean)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.WithStack(err)
--- a/internal/benchtool/benchtool_test.go
+++ b/internal/benchtool/benchtool_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const tiny = `
+const tinyExperiment = `
 name: tiny
 seeds: [1]
 policies:
@@ -21,17 +21,17 @@
   callers: {per_second: 20, objective: 100ms, patience: 2s, attempts: 1, tries: 1}
 `
 
-func run(args ...string) (Code, string, string) {
+func run(args ...string) (ExitCode, string, string) {
 	var out, errOut bytes.Buffer
 	code := Run(context.Background(), args, &out, &errOut)
 	return code, out.String(), errOut.String()
 }
 
 // An experiment is checked, played and leaves its two files; a table names its policies.
-func TestRunLeavesLinesAndAPage(t *testing.T) {
+func TestRunWritesLinesAndReport(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "tiny.yaml")
-	if err := os.WriteFile(file, []byte(tiny), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(tinyExperiment), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if code, _, errOut := run("check", file); code != ExitOK {
@@ -51,12 +51,12 @@
 // Scripts tell a wrong command line from a file with mistakes by the exit code.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.yaml")
-	if err := os.WriteFile(bad, []byte(strings.Replace(tiny, "seeds", "seed", 1)), 0o600); err != nil {
+	if err := os.WriteFile(bad, []byte(strings.Replace(tinyExperiment, "seeds", "seed", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		args []string
-		want Code
+		want ExitCode
 	}{
 		{[]string{"--help"}, ExitOK},
 		{nil, ExitUsage},
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const small = `
+const smallExperiment = `
 name: small
 about: "two policies <b>side by side</b>"
 seeds: [1, 2]
@@ -41,8 +41,8 @@
 // Somebody compares two policies and looks at the page: each is there with its plots,
 // and what the file says of itself cannot break the page.
 func TestReportComparesThePolicies(t *testing.T) {
-	f := read(t, small)
-	runs, err := Play(f)
+	f := read(t, smallExperiment)
+	runs, err := RunAll(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,13 +70,13 @@
 
 // A script reads the runs: one line each, with the seconds.
 func TestLinesAreJSON(t *testing.T) {
-	f := read(t, small)
-	runs, err := Play(f)
+	f := read(t, smallExperiment)
+	runs, err := RunAll(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := WriteLines(&b, runs); err != nil {
+	if err := WriteJSONLines(&b, runs); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
@@ -87,13 +87,13 @@
 	if err := json.Unmarshal([]byte(lines[3]), &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Experiment != "small" || r.Seed != 2 || len(r.Seconds) != 5 || r.Sum.Asked == 0 {
+	if r.Experiment != "small" || r.Seed != 2 || len(r.Seconds) != 5 || r.Sum.Arrived == 0 {
 		t.Errorf("line 4 is %+v", r)
 	}
 }
 
 // A name that is misspelt changes nothing silently.
-func TestMistakesInAFileAreNamed(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"length: 4s", "lenght: 4s", "lenght"},
 		{"length: 4s", "length: 0s", "length"},
@@ -107,8 +107,8 @@
 		{"  routers: 2", "  routers: 2\n  faults: [{kind: slow, at: 1s, for: 1s, share: 0.5}]", "times"},
 		{"  routers: 2", "  routers: 2\n  surges: [{at: 1s, for: 1s, times: 1}]", "surges[0]"},
 	} {
-		text := strings.Replace(small, c.old, c.new, 1)
-		if text == small {
+		text := strings.Replace(smallExperiment, c.old, c.new, 1)
+		if text == smallExperiment {
 			t.Fatalf("%q is not in the file", c.old)
 		}
 		if _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -118,7 +118,7 @@
 }
 
 // The experiments that are delivered can be played.
-func TestDeliveredExperimentsPlay(t *testing.T) {
+func TestShippedExperimentsRun(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/experiments/*.yaml")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%d experiments, %v", len(paths), err)
@@ -134,8 +134,8 @@
 			continue
 		}
 		f.Seeds, f.Policies, f.Model.Length = f.Seeds[:1], f.Policies[:1], 2*time.Second
-		runs, err := Play(f)
-		if err != nil || runs[0].Sum.Asked == 0 {
+		runs, err := RunAll(f)
+		if err != nil || runs[0].Sum.Arrived == 0 {
 			t.Errorf("%s: %+v, %v", path, runs, err)
 		}
 	}
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -42,10 +42,10 @@
 	if err := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict()).Decode(&f); err != nil {
 		return nil, errors.Wrap(err, "experiment")
 	}
-	return &f, f.check()
+	return &f, f.validate()
 }
 
-func (f *File) check() error {
+func (f *File) validate() error {
 	switch {
 	case f.Name == "":
 		return errors.New("name: is missing")
@@ -64,5 +64,5 @@
 			return errors.Wrapf(err, "policies[%d].without", i)
 		}
 	}
-	return errors.Wrap(f.Model.Check(), "model")
+	return errors.Wrap(f.Model.Validate(), "model")
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -19,12 +19,12 @@
 )
 
 //go:embed report.html
-var reportText string
+var reportSource string
 
 var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(s Spread) string { return fmt.Sprintf("%.2f%% (%.2f to %.2f)", 100*s.Mean, 100*s.Low, 100*s.High) },
 	"number":  func(s Spread) string { return fmt.Sprintf("%.3g (%.3g to %.3g)", s.Mean, s.Low, s.High) },
-}).Parse(reportText))
+}).Parse(reportSource))
 
 // The size of a plot.
 const (
@@ -41,15 +41,15 @@
 // WriteReport writes a page that compares the policies.
 func WriteReport(w io.Writer, f *File, runs []Run) error {
 	r := report{File: f, Summaries: Summarise(f, runs)}
-	draw := []func(*File, []Run) (*plot.Plot, error){
+	newPlots := []func(*File, []Run) (*plot.Plot, error){
 		latencies,
-		overTime("begun in time", "part of those who asked", func(s model.Second) float64 { return partOf(s.InTime, s.Asked) }),
-		overTime("turned away", "times a second", func(s model.Second) float64 { return float64(s.TurnedAway) }),
+		overTime("begun in time", "part of those who asked", func(s model.Second) float64 { return ratio(s.InTime, s.Arrived) }),
+		overTime("turned away", "times a second", func(s model.Second) float64 { return float64(s.Rejections) }),
 		overTime("late, refused or failed", "callers a second", func(s model.Second) float64 { return float64(s.Late + s.Refused + s.Failed) }),
 		overTime("skew", "most loaded upstream over the mean", func(s model.Second) float64 { return s.Skew }),
-		overTime("queue", "requests that wait at upstreams", func(s model.Second) float64 { return s.Waiting }),
+		overTime("queue", "requests that wait at upstreams", func(s model.Second) float64 { return s.Queued }),
 	}
-	for _, d := range draw {
+	for _, d := range newPlots {
 		p, err := d(f, runs)
 		if err != nil {
 			return errors.Wrap(err, "plot")
@@ -63,12 +63,12 @@
 	return errors.Wrap(reportTemplate.Execute(w, r), "write the report")
 }
 
-// partOf returns NaN where nobody asked, which leaves a gap in a plot.
-func partOf(n, of int) float64 {
-	if of == 0 {
+// ratio returns NaN where nobody asked, which leaves a gap in a plot.
+func ratio(count, total int) float64 {
+	if total == 0 {
 		return math.NaN()
 	}
-	return float64(n) / float64(of)
+	return float64(count) / float64(total)
 }
 
 // render returns a plot as an SVG for a page. What is in it comes from the plotting
@@ -96,7 +96,7 @@
 	return p
 }
 
-func add(p *plot.Plot, i int, name string, points plotter.XYs) error {
+func addLine(p *plot.Plot, i int, name string, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
 	}
@@ -115,31 +115,31 @@
 	p := newPlot("time to the first byte", "milliseconds", "part of the answers")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, policy := range f.Policies {
-		its := of(runs, policy.Name)
-		all := hdrhistogram.Import(its[0].first.Export())
-		for _, r := range its[1:] {
-			all.Merge(r.first)
+		policyRuns := runsOfPolicy(runs, policy.Name)
+		merged := hdrhistogram.Import(policyRuns[0].firstByte.Export())
+		for _, r := range policyRuns[1:] {
+			merged.Merge(r.firstByte)
 		}
 		var points plotter.XYs
-		for _, b := range all.CumulativeDistribution() {
-			points = append(points, plotter.XY{X: max(float64(b.ValueAt)/1000, leastMS), Y: b.Quantile / 100})
+		for _, b := range merged.CumulativeDistribution() {
+			points = append(points, plotter.XY{X: max(float64(b.ValueAt)/1000, minMS), Y: b.Quantile / 100})
 		}
-		if err := add(p, i, policy.Name, points); err != nil {
+		if err := addLine(p, i, policy.Name, points); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-// leastMS is the shortest time on a logarithmic axis.
-const leastMS = 0.1
+// minMS is the shortest time on a logarithmic axis.
+const minMS = 0.1
 
 // overTime plots a figure of each second, the mean over the seeds.
-func overTime(title, label string, figure func(model.Second) float64) func(*File, []Run) (*plot.Plot, error) {
+func overTime(title, label string, metric func(model.Second) float64) func(*File, []Run) (*plot.Plot, error) {
 	return func(f *File, runs []Run) (*plot.Plot, error) {
 		p := newPlot(title, "seconds", label)
 		for i, policy := range f.Policies {
-			if err := add(p, i, policy.Name, meanOverTime(of(runs, policy.Name), figure)); err != nil {
+			if err := addLine(p, i, policy.Name, meanOverTime(runsOfPolicy(runs, policy.Name), metric)); err != nil {
 				return nil, err
 			}
 		}
@@ -147,7 +147,7 @@
 	}
 }
 
-func meanOverTime(runs []Run, figure func(model.Second) float64) plotter.XYs {
+func meanOverTime(runs []Run, metric func(model.Second) float64) plotter.XYs {
 	var sums []float64
 	var counts []int
 	for _, r := range runs {
@@ -155,7 +155,7 @@
 			if at == len(sums) {
 				sums, counts = append(sums, 0), append(counts, 0)
 			}
-			if x := figure(s); !math.IsNaN(x) {
+			if x := metric(s); !math.IsNaN(x) {
 				sums[at] += x
 				counts[at]++
 			}
--- a/internal/model/callers.go
+++ b/internal/model/callers.go
@@ -11,103 +11,103 @@
 )
 
 const (
-	// kind is the name of the one kind of requests.
-	kind = "request"
+	// requestProfile is the name of the one requestProfile of requests.
+	requestProfile = "request"
 	// retryWindow is the time over which retries are bounded.
 	retryWindow = 10 * time.Second
 )
 
 // session is a chat, and what its prompt has grown to.
 type session struct {
-	id     uint64
-	prompt int // tokens
+	id           uint64
+	promptTokens int // tokens
 }
 
 // call is one request of a caller.
 type call struct {
-	session               *session
-	prompt, fresh, answer int // tokens
-	asked                 time.Time
-	tries                 int
-	attempts              int
-	tried                 map[int]bool
-	begun, late           bool // its first byte is there; not within the objective
-	left, ended           bool // its caller has gone; it is over
+	session                               *session
+	promptTokens, newTokens, answerTokens int // tokens
+	arrivedAt                             time.Time
+	tries                                 int
+	attempts                              int
+	tried                                 map[int]bool
+	responseStarted, late                 bool // its first byte is there; not within the objective
+	abandoned, ended                      bool // its caller has gone; it is over
 }
 
-// arrive lets the next caller come, and all after it.
-func (f *fleet) arrive() {
-	rate, hot := f.rate()
+// scheduleArrivals lets the next caller come, and all after it.
+func (f *fleet) scheduleArrivals() {
+	rate, hotShare := f.rate()
 	f.clock.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.clock.now.Sub(start) > f.config.Length {
+		if f.clock.now.Sub(startTime) > f.config.Length {
 			return
 		}
-		f.ask(f.newCall(hot))
-		f.arrive()
+		f.submit(f.newCall(hotShare))
+		f.scheduleArrivals()
 	})
 }
 
 // rate returns how many callers come in a second now, and which part of them asks for
 // one session.
-func (f *fleet) rate() (perSecond, hot float64) {
-	usual := f.config.Callers.PerSecond
-	perSecond = usual
+func (f *fleet) rate() (perSecond, hotShare float64) {
+	base := f.config.Callers.PerSecond
+	perSecond = base
 	for _, s := range f.config.Surges {
-		if at := f.clock.now.Sub(start); at >= s.At && at < s.At+s.For {
-			perSecond += usual * (s.Times - 1)
-			if s.Session {
-				hot += usual * (s.Times - 1)
+		if at := f.clock.now.Sub(startTime); at >= s.At && at < s.At+s.Duration {
+			perSecond += base * (s.Factor - 1)
+			if s.SingleSession {
+				hotShare += base * (s.Factor - 1)
 			}
 		}
 	}
-	return perSecond, hot / perSecond
+	return perSecond, hotShare / perSecond
 }
 
-func (f *fleet) newCall(hot float64) *call {
-	c := &call{asked: f.clock.now, session: &session{}, tried: make(map[int]bool)}
+func (f *fleet) newCall(hotShare float64) *call {
+	c := &call{arrivedAt: f.clock.now, session: &session{}, tried: make(map[int]bool)}
 	if len(f.sessions) > 0 {
-		at := 0
-		if f.random.Float64() >= hot {
-			at = f.sessionAt()
+		index := 0
+		if f.random.Float64() >= hotShare {
+			index = f.drawSession()
 		}
-		c.session = f.sessions[at]
+		c.session = f.sessions[index]
 	}
-	c.prompt = c.session.prompt
-	c.fresh = f.config.Callers.NewTokens
-	c.answer = int(f.random.ExpFloat64() * float64(f.config.Callers.AnswerTokens))
-	f.result.asked(c.asked)
-	f.clock.after(f.config.Callers.Patience, func() { f.leave(c) })
+	c.promptTokens = c.session.promptTokens
+	c.newTokens = f.config.Callers.NewTokens
+	c.answerTokens = int(f.random.ExpFloat64() * float64(f.config.Callers.AnswerTokens))
+	f.result.recordArrival(c.arrivedAt)
+	f.clock.after(f.config.Callers.Patience, func() { f.abandon(c) })
 	return c
 }
 
-// sessionAt draws a session: with a skew, the first ones more often.
-func (f *fleet) sessionAt() int {
+// drawSession draws a session: with a skew, the first ones more often.
+func (f *fleet) drawSession() int {
 	n := float64(len(f.sessions))
 	x := f.random.Float64()
 	if skew := f.config.Callers.Skew; skew > 0 {
-		x = math.Pow(x, 1/(1-min(skew, mostSkew)))
+		x = math.Pow(x, 1/(1-min(skew, maxSkew)))
 	}
 	return min(int(x*n), len(f.sessions)-1)
 }
 
-// mostSkew keeps the exponent of the skew finite.
-const mostSkew = 0.95
+// maxSkew keeps the exponent of the skew finite.
+const maxSkew = 0.95
 
-func (f *fleet) promptAtStart() int {
-	return int(f.random.ExpFloat64() * float64(f.config.Callers.Prompt))
+func (f *fleet) initialPromptTokens() int {
+	return int(f.random.ExpFloat64() * float64(f.config.Callers.PromptTokens))
 }
 
-// leave ends the wait of a caller without a whole answer.
-func (f *fleet) leave(c *call) {
+// abandon ends the wait of a caller without a whole answer.
+func (f *fleet) abandon(c *call) {
 	if c.ended {
 		return
 	}
-	c.ended, c.left = true, true
-	f.result.failed(c.asked)
+	c.ended, c.abandoned = true, true
+	f.result.recordFailure(c.arrivedAt)
 }
 
-// ask sends a request to a router.
-func (f *fleet) ask(c *call) {
+// submit sends a request to a router.
+func (f *fleet) submit(c *call) {
 	if c.ended {
 		return
 	}
@@ -116,146 +116,146 @@
 	c.attempts = 0
 	r := f.routers[f.random.IntN(len(f.routers))]
 	now := f.clock.now
-	r.window.Request(now, f.rule())
-	r.returns.Arrived(now)
+	r.retryBudget.Request(now, f.retryRule())
+	r.returnScheduler.Arrived(now)
 	r.tracker.RecordObjective(0, f.config.Callers.Objective)
 	q := placement.Query{Session: c.session.id, LoadMultiple: f.config.Pool.LoadMultiple, Random: f.random.Uint64(), Now: now}
 	if c.session.id != 0 {
-		q.SessionShare = r.tracker.RecordRequest(now, c.session.id, kind)
+		q.SessionShare = r.tracker.RecordRequest(now, c.session.id, requestProfile)
 	}
-	f.clock.after(hop, func() { f.send(r, c, q) })
+	f.clock.after(hopLatency, func() { f.dispatch(r, c, q) })
 }
 
-func (f *fleet) rule() retry.Rule {
+func (f *fleet) retryRule() retry.Rule {
 	return retry.Rule{Ratio: f.config.Callers.RetryRatio, Slack: f.config.Callers.RetrySlack / float64(len(f.routers)), Window: retryWindow}
 }
 
-// send offers a request to the upstream that the router's decisions put first.
-func (f *fleet) send(r *router, c *call, q placement.Query) {
+// dispatch offers a request to the upstream that the router's decisions put first.
+func (f *fleet) dispatch(r *router, c *call, q placement.Query) {
 	if c.ended {
 		return
 	}
-	var out [placement.MaxCandidates]placement.Choice
+	var choices [placement.MaxCandidates]placement.Choice
 	q.Now = f.clock.now
-	n, basis := r.tracker.Choose(q.Now, r.placed, f.on, balance.Request{
-		Query: q, Profile: kind, Objective: f.config.Callers.Objective,
-		TimeLeft: f.config.Callers.Patience - q.Now.Sub(c.asked), ObjectiveMissed: c.tries > 1, Unavailable: f.closed(r),
-	}, &out)
+	n, basis := r.tracker.Choose(q.Now, r.pool, f.policy, balance.Request{
+		Query: q, Profile: requestProfile, Objective: f.config.Callers.Objective,
+		TimeLeft: f.config.Callers.Patience - q.Now.Sub(c.arrivedAt), ObjectiveMissed: c.tries > 1, Unavailable: f.unavailable(r),
+	}, &choices)
 	if basis.ShouldReject {
-		f.refuse(r, c)
+		f.reject(r, c)
 		return
 	}
-	for _, choice := range out[:n] {
+	for _, choice := range choices[:n] {
 		if !c.tried[choice.Index] {
 			c.tried[choice.Index] = true
 			c.attempts++
-			f.attempt(r, c, q, choice, basis)
+			f.startAttempt(r, c, q, choice, basis)
 			return
 		}
 	}
-	f.refuse(r, c)
+	f.reject(r, c)
 }
 
-// closed returns which upstreams a router sends nothing; nil: none.
-func (f *fleet) closed(r *router) func(int) bool {
-	if r.said.Empty() {
+// unavailable returns which upstreams a router sends nothing; nil: none.
+func (f *fleet) unavailable(r *router) func(int) bool {
+	if r.observations.Empty() {
 		return nil
 	}
 	return func(i int) bool {
-		leave, _ := r.said.Conditions(f.clock.now, f.upstreams[i].name).Permission(condition.Work)
-		return leave == condition.Never
+		permission, _ := r.observations.Conditions(f.clock.now, f.upstreams[i].name).Permission(condition.Work)
+		return permission == condition.Never
 	}
 }
 
-// attempt sends a request to one upstream.
-func (f *fleet) attempt(r *router, c *call, q placement.Query, choice placement.Choice, basis placement.Basis) {
-	u, sent, judged := f.upstreams[choice.Index], f.clock.now, false
-	a := balance.Attempt{VM: u.id, Profile: kind, Urgency: basis.Urgency, Load: choice.Load, Deferred: basis.Deferred}
+// startAttempt sends a request to one upstream.
+func (f *fleet) startAttempt(r *router, c *call, q placement.Query, choice placement.Choice, basis placement.Basis) {
+	u, sent, outcomeRecorded := f.upstreams[choice.Index], f.clock.now, false
+	a := balance.Attempt{VM: u.id, Profile: requestProfile, Urgency: basis.Urgency, Load: choice.Load, Deferred: basis.Deferred}
 	r.tracker.BeginWait(a)
-	waits := true
-	begun := func() {
-		if waits {
-			waits = false
+	waiting := true
+	endWait := func() {
+		if waiting {
+			waiting = false
 			r.tracker.EndWait(a)
 		}
 	}
-	judge := func(well bool) {
-		if !judged {
-			judged = true
-			r.tracker.RecordOutcome(f.clock.now, a, f.clock.now.Sub(sent), well)
+	recordOutcome := func(succeeded bool) {
+		if !outcomeRecorded {
+			outcomeRecorded = true
+			r.tracker.RecordOutcome(f.clock.now, a, f.clock.now.Sub(sent), succeeded)
 		}
 	}
-	over := false
-	end := func() {
-		if !over {
-			over = true
-			begun()
+	ended := false
+	endAttempt := func() {
+		if !ended {
+			ended = true
+			endWait()
 			r.tracker.EndAttempt(u.id)
 		}
 	}
 	r.tracker.BeginAttempt(u.id)
-	j := &job{call: c, donor: f.donor(r, c, choice), behind: basis.Deferred}
-	var first, last time.Time
-	j.first = func() {
-		begun()
-		judge(true)
-		first, last = f.clock.now, f.clock.now
-		f.begun(r, c, choice.Index)
+	j := &job{call: c, donor: f.donor(r, c, choice), deferred: basis.Deferred}
+	var firstByteAt, lastEventAt time.Time
+	j.onFirstByte = func() {
+		endWait()
+		recordOutcome(true)
+		firstByteAt, lastEventAt = f.clock.now, f.clock.now
+		f.recordFirstByte(r, c, choice.Index)
 	}
-	j.event = func() {
-		r.tracker.RecordEvents(f.clock.now, u.id, kind, 1, f.clock.now.Sub(last))
-		last = f.clock.now
+	j.onEvent = func() {
+		r.tracker.RecordEvents(f.clock.now, u.id, requestProfile, 1, f.clock.now.Sub(lastEventAt))
+		lastEventAt = f.clock.now
 	}
-	j.done = func(well bool) {
-		end()
-		if well {
-			r.tracker.RecordAnswerTime(f.clock.now, u.id, kind, f.clock.now.Sub(first))
-			f.answered(r, c)
+	j.onDone = func(succeeded bool) {
+		endAttempt()
+		if succeeded {
+			r.tracker.RecordAnswerTime(f.clock.now, u.id, requestProfile, f.clock.now.Sub(firstByteAt))
+			f.recordResponse(r, c)
 			return
 		}
-		judge(false)
-		f.again(r, c, q)
+		recordOutcome(false)
+		f.retryOrReject(r, c, q)
 	}
-	f.clock.after(time.Duration(balance.HangMultiple*float64(f.config.Callers.Objective)), func() { judge(false) })
-	f.clock.after(f.config.Callers.Patience-f.clock.now.Sub(c.asked), end)
-	f.watchCrash(u, u.life, func() bool { return over || c.ended }, func() {
-		end()
-		judge(false)
-		f.again(r, c, q)
+	f.clock.after(time.Duration(balance.HangMultiple*float64(f.config.Callers.Objective)), func() { recordOutcome(false) })
+	f.clock.after(f.config.Callers.Patience-f.clock.now.Sub(c.arrivedAt), endAttempt)
+	f.watchCrash(u, u.incarnation, func() bool { return ended || c.ended }, func() {
+		endAttempt()
+		recordOutcome(false)
+		f.retryOrReject(r, c, q)
 	})
-	f.clock.after(hop, func() {
+	f.clock.after(hopLatency, func() {
 		if c.ended || u.offer(j) {
 			return
 		}
-		end()
+		endAttempt()
 		if u.rest > 0 {
-			r.said.RecordResting(f.clock.now, u.name, u.rest)
+			r.observations.RecordResting(f.clock.now, u.name, u.rest)
 		}
-		judge(false)
-		f.again(r, c, q)
+		recordOutcome(false)
+		f.retryOrReject(r, c, q)
 	})
 }
 
 // watchCrash calls do when an upstream has crashed since a life of it, unless that is of
 // no more interest.
-func (f *fleet) watchCrash(u *upstream, life int, over func() bool, do func()) {
-	f.clock.after(sampleEvery, func() {
+func (f *fleet) watchCrash(u *upstream, incarnation int, isOver func() bool, onCrash func()) {
+	f.clock.after(sampleInterval, func() {
 		switch {
-		case over():
-		case u.life != life:
-			do()
+		case isOver():
+		case u.incarnation != incarnation:
+			onCrash()
 		case u.load() > 0 && f.clock.now.Before(f.clock.end):
-			f.watchCrash(u, life, over, do)
+			f.watchCrash(u, incarnation, isOver, onCrash)
 		}
 	})
 }
 
 // donor returns the upstream that the router names as the holder of a prompt, or nil.
 func (f *fleet) donor(r *router, c *call, choice placement.Choice) *upstream {
-	if !f.on.Donors || c.session.id == 0 || f.upstreams[choice.Index].engine == nil {
+	if !f.policy.Donors || c.session.id == 0 || f.upstreams[choice.Index].engine == nil {
 		return nil
 	}
-	if last, ok := r.last[c.session.id]; ok && f.on.LastServed && last != choice.Index {
+	if last, ok := r.lastServed[c.session.id]; ok && f.policy.LastServed && last != choice.Index {
 		return f.upstreams[last]
 	}
 	if choice.Donor == placement.None {
@@ -264,68 +264,68 @@
 	return f.upstreams[choice.Donor]
 }
 
-// begun takes in the first byte of an answer.
-func (f *fleet) begun(r *router, c *call, at int) {
-	if f.config.Pool.TellsLoad {
-		r.tracker.RecordLoad(f.clock.now, f.upstreams[at].id, f.upstreams[at].load())
-		r.tracker.SetSlots(f.upstreams[at].places)
+// recordFirstByte takes in the first byte of an answer.
+func (f *fleet) recordFirstByte(r *router, c *call, index int) {
+	if f.config.Pool.ReportsLoad {
+		r.tracker.RecordLoad(f.clock.now, f.upstreams[index].id, f.upstreams[index].load())
+		r.tracker.SetSlots(f.upstreams[index].slots)
 	}
-	r.returns.Answered(f.clock.now)
+	r.returnScheduler.Answered(f.clock.now)
 	if c.session.id != 0 {
-		r.last[c.session.id] = at
+		r.lastServed[c.session.id] = index
 	}
-	if !c.begun {
-		c.begun = true
-		c.late = f.result.begun(f.clock.now.Add(2 * hop).Sub(c.asked))
+	if !c.responseStarted {
+		c.responseStarted = true
+		c.late = f.result.recordFirstByte(f.clock.now.Add(2 * hopLatency).Sub(c.arrivedAt))
 	}
 }
 
-// answered takes in a whole answer.
-func (f *fleet) answered(r *router, c *call) {
+// recordResponse takes in a whole answer.
+func (f *fleet) recordResponse(r *router, c *call) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	if f.config.Callers.Grows {
-		c.session.prompt = max(c.session.prompt, c.prompt+c.fresh+c.answer)
+	if f.config.Callers.PromptsGrow {
+		c.session.promptTokens = max(c.session.promptTokens, c.promptTokens+c.newTokens+c.answerTokens)
 	}
-	r.tracker.RecordDuration(kind, f.clock.now.Sub(c.asked))
-	f.result.answered(c.asked, c.late)
+	r.tracker.RecordDuration(requestProfile, f.clock.now.Sub(c.arrivedAt))
+	f.result.recordResponse(c.arrivedAt, c.late)
 }
 
-// again offers a request to the next upstream, if that is allowed.
-func (f *fleet) again(r *router, c *call, q placement.Query) {
+// retryOrReject offers a request to the next upstream, if that is allowed.
+func (f *fleet) retryOrReject(r *router, c *call, q placement.Query) {
 	switch {
 	case c.ended:
-	case c.begun: // a part of the answer is with the caller
+	case c.responseStarted: // a part of the answer is with the caller
 		c.ended = true
-		f.result.failed(c.asked)
-	case c.attempts < f.config.Callers.Attempts && r.window.Withdraw(f.clock.now, f.rule()):
-		f.send(r, c, q)
+		f.result.recordFailure(c.arrivedAt)
+	case c.attempts < f.config.Callers.MaxAttempts && r.retryBudget.Withdraw(f.clock.now, f.retryRule()):
+		f.dispatch(r, c, q)
 	default:
-		f.refuse(r, c)
+		f.reject(r, c)
 	}
 }
 
-// opens returns when the first upstream takes requests of a router again; zero: one does now.
-func (f *fleet) opens(r *router) time.Duration {
+// earliestAvailability returns when the first upstream takes requests of a router again; zero: one does now.
+func (f *fleet) earliestAvailability(r *router) time.Duration {
 	soonest := condition.Forever
 	for _, u := range f.upstreams {
-		soonest = min(soonest, r.said.AvailableIn(f.clock.now, u.name))
+		soonest = min(soonest, r.observations.AvailableIn(f.clock.now, u.name))
 	}
 	return soonest
 }
 
-// refuse tells a caller when to come back.
-func (f *fleet) refuse(r *router, c *call) {
-	left := f.config.Callers.Patience - f.clock.now.Sub(c.asked)
-	back := max(r.returns.Schedule(f.clock.now, left, f.random.Float64()), f.opens(r))
-	f.result.turnedAway(c.asked)
-	if c.tries >= f.config.Callers.Tries {
+// reject tells a caller when to come back.
+func (f *fleet) reject(r *router, c *call) {
+	left := f.config.Callers.Patience - f.clock.now.Sub(c.arrivedAt)
+	delay := max(r.returnScheduler.Schedule(f.clock.now, left, f.random.Float64()), f.earliestAvailability(r))
+	f.result.recordRejection(c.arrivedAt)
+	if c.tries >= f.config.Callers.MaxTries {
 		c.ended = true
-		f.result.refused(c.asked)
+		f.result.recordRefusal(c.arrivedAt)
 		return
 	}
-	most := time.Duration(retry.MaxDelayShare * float64(left))
-	f.clock.after(min(back, most), func() { f.ask(c) })
+	maxDelay := time.Duration(retry.MaxDelayShare * float64(left))
+	f.clock.after(min(delay, maxDelay), func() { f.submit(c) })
 }
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// schedule lets the faults of the configuration begin and end.
-func (f *fleet) schedule() {
+// scheduleFaults lets the faults of the configuration begin and end.
+func (f *fleet) scheduleFaults() {
 	for _, fault := range f.config.Faults {
-		n := max(1, int(fault.Share*float64(len(f.upstreams))+0.5))
+		n := max(1, int(fault.UpstreamShare*float64(len(f.upstreams))+0.5))
 		for _, i := range f.random.Perm(len(f.upstreams))[:n] {
 			u := f.upstreams[i]
-			f.clock.after(fault.At, func() { u.befall(fault, true) })
-			f.clock.after(fault.At+fault.For, func() { u.befall(fault, false) })
+			f.clock.after(fault.At, func() { u.setFault(fault, true) })
+			f.clock.after(fault.At+fault.Duration, func() { u.setFault(fault, false) })
 		}
 	}
 }
 
-// befall begins or ends a fault.
-func (u *upstream) befall(fault Fault, begins bool) {
-	part := fault.Part
-	if part == 0 {
-		part = 1
+// setFault begins or ends a fault.
+func (u *upstream) setFault(fault Fault, active bool) {
+	share := fault.RequestShare
+	if share == 0 {
+		share = 1
 	}
-	if !begins {
-		part = 0
+	if !active {
+		share = 0
 	}
 	switch fault.Kind {
 	case Slow:
-		u.slow = 1
-		if begins {
-			u.slow = fault.Times
+		u.slowdown = 1
+		if active {
+			u.slowdown = fault.SlowdownFactor
 		}
 	case Refuse:
-		u.refuse, u.rest = part, fault.Rest
+		u.refuseShare, u.rest = share, fault.Rest
 	case Fail:
-		u.fail = part
+		u.failShare = share
 	case Hang:
-		u.hang = part
+		u.hangShare = share
 	case Crash:
-		u.refuse = part // it takes no connection until it is back
-		if begins {
+		u.refuseShare = share // it takes no connection until it is back
+		if active {
 			u.crash()
 		}
 	}
 }
 
-// window returns the number of the second in which a caller asked.
-func window(asked time.Time) int {
-	return int(asked.Sub(start) / time.Second)
+// secondIndex returns the number of the second in which a caller asked.
+func secondIndex(arrivedAt time.Time) int {
+	return int(arrivedAt.Sub(startTime) / time.Second)
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	// hop is the time of one way between a caller, a router and an upstream.
-	hop = 500 * time.Microsecond
-	// shareEvery is how often routers tell each other what they know.
-	shareEvery = 250 * time.Millisecond
-	// sampleEvery is how often the loads of upstreams are looked at.
-	sampleEvery = 100 * time.Millisecond
+	// hopLatency is the time of one way between a caller, a router and an upstream.
+	hopLatency = 500 * time.Microsecond
+	// reportInterval is how often routers tell each other what they know.
+	reportInterval = 250 * time.Millisecond
+	// sampleInterval is how often the loads of upstreams are looked at.
+	sampleInterval = 100 * time.Millisecond
 )
 
-// start is the beginning of virtual time. Any would do.
-var start = time.Unix(1_000_000, 0)
+// startTime is the beginning of virtual time. Any would do.
+var startTime = time.Unix(1_000_000, 0)
 
 // fleet is a run under way.
 type fleet struct {
 	config    Config
-	on        policy.Policy
+	policy    policy.Policy
 	random    *rand.Rand
 	clock     clock
 	upstreams []*upstream
@@ -50,30 +50,30 @@
 
 // router is what one router knows.
 type router struct {
-	tracker *balance.Tracker
-	placed  *placement.Pool
-	window  retry.WindowBudget
-	returns retry.ReturnScheduler
-	said    *condition.Observations
-	last    map[uint64]int // upstream that has served a session last
+	tracker         *balance.Tracker
+	pool            *placement.Pool
+	retryBudget     retry.WindowBudget
+	returnScheduler retry.ReturnScheduler
+	observations    *condition.Observations
+	lastServed      map[uint64]int // upstream that has served a session last
 }
 
-// Play runs the configuration with a policy. The same arguments give the same Result.
-func Play(c Config, on policy.Policy, seed uint64) *Result {
+// Simulate runs the configuration with a policy. The same arguments give the same Result.
+func Simulate(c Config, p policy.Policy, seed uint64) *Result {
 	f := &fleet{
 		config: c,
-		on:     on,
+		policy: p,
 		random: rand.New(rand.NewPCG(seed, 0)),
-		clock:  clock{now: start},
+		clock:  clock{now: startTime},
 		result: newResult(c),
 	}
 	f.build()
-	f.clock.every(shareEvery, f.share)
-	f.clock.every(sampleEvery, f.sample)
-	f.schedule()
-	f.arrive()
-	f.clock.run(start.Add(c.Length + c.Callers.Patience))
-	f.result.finish()
+	f.clock.every(reportInterval, f.exchangeReports)
+	f.clock.every(sampleInterval, f.sampleLoads)
+	f.scheduleFaults()
+	f.scheduleArrivals()
+	f.clock.run(startTime.Add(c.Length + c.Callers.Patience))
+	f.result.computeAverages()
 	return f.result
 }
 
@@ -89,40 +89,40 @@
 	}
 	for i := range f.config.Routers {
 		f.routers = append(f.routers, &router{
-			tracker: balance.NewTracker(),
-			placed:  placement.NewPool(members, placement.Locality{Domain: domainName(i % domains)}),
-			said:    condition.NewObservations(),
-			last:    make(map[uint64]int),
+			tracker:      balance.NewTracker(),
+			pool:         placement.NewPool(members, placement.Locality{Domain: domainName(i % domains)}),
+			observations: condition.NewObservations(),
+			lastServed:   make(map[uint64]int),
 		})
 	}
 	for i := range f.config.Callers.Sessions {
-		s := &session{id: uint64(i) + 1, prompt: f.promptAtStart()}
+		s := &session{id: uint64(i) + 1, promptTokens: f.initialPromptTokens()}
 		f.sessions = append(f.sessions, s)
 	}
 }
 
-// share has routers tell each other what they know, through the first of them. What one
+// exchangeReports has routers tell each other what they know, through the first of them. What one
 // packs another can read, so that merging it does not fail.
-func (f *fleet) share() {
-	now, reader := f.clock.now, f.routers[0].tracker
+func (f *fleet) exchangeReports() {
+	now, parent := f.clock.now, f.routers[0].tracker
 	for _, r := range f.routers[1:] {
-		_ = reader.MergeReport(now, f.ids, r.tracker.Report(now, now.Add(-shareEvery), f.ids).Allowed(f.on))
+		_ = parent.MergeReport(now, f.ids, r.tracker.Report(now, now.Add(-reportInterval), f.ids).Allowed(f.policy))
 	}
-	known := reader.Summary(now, f.ids).Allowed(f.on)
+	summary := parent.Summary(now, f.ids).Allowed(f.policy)
 	for _, r := range f.routers[1:] {
-		_ = r.tracker.MergeSummary(now, f.ids, known)
+		_ = r.tracker.MergeSummary(now, f.ids, summary)
 	}
 }
 
-// sample takes in how unevenly the upstreams are loaded.
-func (f *fleet) sample() {
-	most, sum, waiting := 0, 0, 0
+// sampleLoads takes in how unevenly the upstreams are loaded.
+func (f *fleet) sampleLoads() {
+	maxLoad, sum, waiting := 0, 0, 0
 	for _, u := range f.upstreams {
-		most, sum = max(most, u.load()), sum+u.load()
+		maxLoad, sum = max(maxLoad, u.load()), sum+u.load()
 		waiting += u.waiting()
 	}
 	mean := float64(sum) / float64(len(f.upstreams))
-	f.result.sample(f.clock.now, float64(most), mean, waiting)
+	f.result.recordSample(f.clock.now, float64(maxLoad), mean, waiting)
 }
 
 func domainName(i int) string {
--- a/internal/model/overload_test.go
+++ b/internal/model/overload_test.go
@@ -15,20 +15,20 @@
 		Length:  24 * time.Second,
 		Routers: 68,
 		Pool: Pool{
-			Upstreams: 117, FailureDomains: 5, LoadMultiple: 2, TellsLoad: true,
+			Upstreams: 117, FailureDomains: 5, LoadMultiple: 2, ReportsLoad: true,
 			Engine: &Engine{
-				Batch: 16, Queue: 48, Step: 3030 * time.Microsecond, StepPerSlot: 121 * time.Microsecond,
-				First: 60 * time.Millisecond, PrefillPerMS: 92, Memory: 365_000,
-				MoveSetup: 1700 * time.Microsecond, MovePerMS: 3900,
+				BatchSize: 16, MaxQueue: 48, StepTime: 3030 * time.Microsecond, StepPerSlot: 121 * time.Microsecond,
+				FirstTokenDelay: 60 * time.Millisecond, PrefillPerMS: 92, CacheTokens: 365_000,
+				TransferSetup: 1700 * time.Microsecond, TransferPerMS: 3900,
 			},
 		},
 		Callers: Callers{
-			PerSecond: 682, Sessions: 1400, Prompt: 4000, NewTokens: 500, AnswerTokens: 190,
+			PerSecond: 682, Sessions: 1400, PromptTokens: 4000, NewTokens: 500, AnswerTokens: 190,
 			Objective: 500 * time.Millisecond, Patience: 8 * time.Second,
-			Attempts: 1, Tries: 2, RetryRatio: 0.2, RetrySlack: 176,
+			MaxAttempts: 1, MaxTries: 2, RetryRatio: 0.2, RetrySlack: 176,
 		},
-		Surges: []Surge{{At: 8 * time.Second, For: 7 * time.Second, Times: 3.5}},
-		Faults: []Fault{{Kind: Slow, At: 7 * time.Second, For: 8 * time.Second, Share: 0.44, Times: 5}},
+		Surges: []Surge{{At: 8 * time.Second, Duration: 7 * time.Second, Factor: 3.5}},
+		Faults: []Fault{{Kind: Slow, At: 7 * time.Second, Duration: 8 * time.Second, UpstreamShare: 0.44, SlowdownFactor: 5}},
 	}
 }
 
@@ -42,37 +42,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := Play(overloadConfig(), without, 1).Sum()
-	after := Play(overloadConfig(), policy.All(), 1).Sum()
-	t.Logf("of %d in time, late, refused, failed: %d %d %d %d; without estimates %d %d %d %d", after.Asked,
+	before := Simulate(overloadConfig(), without, 1).Sum()
+	after := Simulate(overloadConfig(), policy.All(), 1).Sum()
+	t.Logf("of %d in time, late, refused, failed: %d %d %d %d; without estimates %d %d %d %d", after.Arrived,
 		after.InTime, after.Late, after.Refused, after.Failed, before.InTime, before.Late, before.Refused, before.Failed)
 	if after.InTime < before.InTime*5/4 {
 		t.Errorf("%d answers in time, %d without estimates", after.InTime, before.InTime)
 	}
-	// A late answer is worth three tenths of one in time to these callers.
-	const late = 0.3
-	worth := float64(after.InTime) + late*float64(after.Late)
-	if former := float64(before.InTime) + late*float64(before.Late); worth < 1.1*former {
-		t.Errorf("answers worth %.0f, %.0f without estimates", worth, former)
+	// A lateWeight answer is worth three tenths of one in time to these callers.
+	const lateWeight = 0.3
+	value := float64(after.InTime) + lateWeight*float64(after.Late)
+	if baseline := float64(before.InTime) + lateWeight*float64(before.Late); value < 1.1*baseline {
+		t.Errorf("answers worth %.0f, %.0f without estimates", value, baseline)
 	}
 }
 
 // On a calm day no engine has a queue, and nobody is turned away or sent elsewhere.
-func TestEstimatesChangeNothingOnACalmDay(t *testing.T) {
+func TestEstimatesChangeNothingWithoutOverload(t *testing.T) {
 	c := overloadConfig()
 	c.Surges, c.Faults = nil, nil
 	without, err := policy.Without("waits")
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, after := Play(c, without, 1), Play(c, policy.All(), 1)
+	before, after := Simulate(c, without, 1), Simulate(c, policy.All(), 1)
 	if got := after.Sum().Refused; got > 0 {
 		t.Errorf("%d are turned away", got)
 	}
 	if a, b := after.Sum().InTime, before.Sum().InTime; a < b*99/100 {
 		t.Errorf("%d in time, %d without estimates", a, b)
 	}
-	if after.Moved > before.Moved*11/10 {
-		t.Errorf("%d tokens are moved, %d without estimates", after.Moved, before.Moved)
+	if after.TransferredTokens > before.TransferredTokens*11/10 {
+		t.Errorf("%d tokens are moved, %d without estimates", after.TransferredTokens, before.TransferredTokens)
 	}
 }
--- a/internal/model/upstream.go
+++ b/internal/model/upstream.go
@@ -11,51 +11,51 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// stride is how many tokens an engine generates between two looks at its batch: the
+// tokensPerUpdate is how many tokens an engine generates between two looks at its batch: the
 // step's time is taken to hold that long.
-const stride = 8
+const tokensPerUpdate = 8
 
 // upstream is an engine or a plain service.
 type upstream struct {
-	fleet   *fleet
-	engine  *Engine // nil: a plain service
-	id      load.VM
-	name    string
-	places  int // requests that it works on at a time
-	room    int // requests that may wait
-	life    int // how often it has crashed
-	running int
-	queue   []*job
-	reading time.Time // when the prompts that are being read have been
-	context int       // tokens of the prompts in the batch
-	memory  memory
-	slow    float64       // how many times slower it works
-	refuse  float64       // part of the requests
-	rest    time.Duration // that it wants of a router with each refusal
-	fail    float64
-	hang    float64
+	fleet         *fleet
+	engine        *Engine // nil: a plain service
+	id            load.VM
+	name          string
+	slots         int // requests that it works on at a time
+	maxQueue      int // requests that may wait
+	incarnation   int // how often it has crashed
+	running       int
+	queue         []*job
+	prefillEnd    time.Time // when the prompts that are being read have been
+	contextTokens int       // tokens of the prompts in the batch
+	cache         promptCache
+	slowdown      float64       // how many times slower it works
+	refuseShare   float64       // part of the requests
+	rest          time.Duration // that it wants of a router with each refusal
+	failShare     float64
+	hangShare     float64
 }
 
 // job is one request at an upstream.
 type job struct {
-	call  *call
-	life  int // of the upstream
-	donor *upstream
-	// behind tells that it goes after all jobs for which this is not told.
-	behind bool
-	first  func()          // its first byte is there
-	event  func()          // an event of its answer is there; nil: nobody wants to know
-	done   func(well bool) // its answer has ended
+	call        *call
+	incarnation int // of the upstream
+	donor       *upstream
+	// deferred tells that it goes after all jobs for which this is not told.
+	deferred    bool
+	onFirstByte func()               // its first byte is there
+	onEvent     func()               // an event of its answer is there; nil: nobody wants to know
+	onDone      func(succeeded bool) // its answer has ended
 }
 
 func newUpstream(f *fleet, i int) *upstream {
 	name := fmt.Sprint("upstream-", i)
-	u := &upstream{fleet: f, id: load.Hash(name), name: name, slow: 1}
+	u := &upstream{fleet: f, id: load.Hash(name), name: name, slowdown: 1}
 	if p := f.config.Pool.Plain; p != nil {
-		u.places, u.room = p.Slots, p.Queue
+		u.slots, u.maxQueue = p.Slots, p.MaxQueue
 	}
 	if e := f.config.Pool.Engine; e != nil {
-		u.engine, u.places, u.room, u.memory = e, e.Batch, e.Queue, newMemory(e.Memory)
+		u.engine, u.slots, u.maxQueue, u.cache = e, e.BatchSize, e.MaxQueue, newPromptCache(e.CacheTokens)
 	}
 	return u
 }
@@ -68,18 +68,18 @@
 // offer hands a request to the upstream, or reports that it is turned away.
 func (u *upstream) offer(j *job) bool {
 	random := u.fleet.random
-	if u.refuse > 0 && random.Float64() < u.refuse {
+	if u.refuseShare > 0 && random.Float64() < u.refuseShare {
 		return false
 	}
-	j.life = u.life
+	j.incarnation = u.incarnation
 	switch {
-	case u.fail > 0 && random.Float64() < u.fail:
-		u.fleet.clock.after(hop, func() { j.done(false) })
-	case u.hang > 0 && random.Float64() < u.hang:
+	case u.failShare > 0 && random.Float64() < u.failShare:
+		u.fleet.clock.after(hopLatency, func() { j.onDone(false) })
+	case u.hangShare > 0 && random.Float64() < u.hangShare:
 		// nothing comes back
-	case u.running < u.places:
+	case u.running < u.slots:
 		u.begin(j)
-	case len(u.queue) < u.room:
+	case len(u.queue) < u.maxQueue:
 		u.queue = append(u.queue, j)
 	default:
 		return false
@@ -90,19 +90,19 @@
 func (u *upstream) begin(j *job) {
 	u.running++
 	if u.engine != nil {
-		u.read(j)
+		u.prefill(j)
 		return
 	}
-	work := u.times(time.Duration(u.fleet.random.ExpFloat64() * float64(u.fleet.config.Pool.Plain.Work)))
-	u.after(j, work, func() {
-		j.first()
-		u.end(j)
+	serviceTime := u.scaled(time.Duration(u.fleet.random.ExpFloat64() * float64(u.fleet.config.Pool.Plain.ServiceTime)))
+	u.after(j, serviceTime, func() {
+		j.onFirstByte()
+		u.finish(j)
 	})
 }
 
-// times returns how long something takes that usually takes d.
-func (u *upstream) times(d time.Duration) time.Duration {
-	return time.Duration(u.slow * float64(d))
+// scaled returns how long something takes that usually takes d.
+func (u *upstream) scaled(d time.Duration) time.Duration {
+	return time.Duration(u.slowdown * float64(d))
 }
 
 // after lets something happen to a job, unless the upstream has crashed until then or
@@ -110,76 +110,76 @@
 func (u *upstream) after(j *job, d time.Duration, do func()) {
 	u.fleet.clock.after(d, func() {
 		switch {
-		case u.life != j.life:
-		case j.call.left:
-			u.leave(j)
+		case u.incarnation != j.incarnation:
+		case j.call.abandoned:
+			u.release(j)
 		default:
 			do()
 		}
 	})
 }
 
-// read has an engine get and read what it lacks of a prompt, one prompt at a time, and
+// prefill has an engine get and prefill what it lacks of a prompt, one prompt at a time, and
 // begin the answer.
-func (u *upstream) read(j *job) {
+func (u *upstream) prefill(j *job) {
 	e, c := u.engine, j.call
-	held := min(u.memory.held(c.session.id), c.prompt)
-	moved := 0
+	cached := min(u.cache.cachedTokens(c.session.id), c.promptTokens)
+	transferred := 0
 	if j.donor != nil {
-		moved = max(0, min(j.donor.memory.held(c.session.id), c.prompt)-held)
+		transferred = max(0, min(j.donor.cache.cachedTokens(c.session.id), c.promptTokens)-cached)
 	}
-	lacks := c.prompt - held - moved
-	u.fleet.result.prompt(held, moved, lacks)
+	missing := c.promptTokens - cached - transferred
+	u.fleet.result.recordPrompt(cached, transferred, missing)
 	wait := time.Duration(0)
-	if moved > 0 {
-		wait = e.MoveSetup + milliseconds(float64(moved)/e.MovePerMS)
+	if transferred > 0 {
+		wait = e.TransferSetup + milliseconds(float64(transferred)/e.TransferPerMS)
 	}
 	now := u.fleet.clock.now
-	begins := now.Add(wait)
-	if u.reading.After(begins) {
-		begins = u.reading
+	prefillStart := now.Add(wait)
+	if u.prefillEnd.After(prefillStart) {
+		prefillStart = u.prefillEnd
 	}
-	u.reading = begins.Add(u.times(milliseconds(float64(lacks+c.fresh) / e.PrefillPerMS)))
-	u.context += c.prompt
-	u.after(j, u.reading.Sub(now)+u.times(e.First), func() {
-		u.memory.keep(c.session.id, c.prompt+c.fresh)
-		j.first()
-		u.generate(j, c.answer)
+	u.prefillEnd = prefillStart.Add(u.scaled(milliseconds(float64(missing+c.newTokens) / e.PrefillPerMS)))
+	u.contextTokens += c.promptTokens
+	u.after(j, u.prefillEnd.Sub(now)+u.scaled(e.FirstTokenDelay), func() {
+		u.cache.put(c.session.id, c.promptTokens+c.newTokens)
+		j.onFirstByte()
+		u.generate(j, c.answerTokens)
 	})
 }
 
 // generate has an engine generate so many tokens more.
-func (u *upstream) generate(j *job, tokens int) {
-	if tokens <= 0 {
-		u.memory.keep(j.call.session.id, j.call.prompt+j.call.fresh+j.call.answer)
-		u.end(j)
+func (u *upstream) generate(j *job, tokensLeft int) {
+	if tokensLeft <= 0 {
+		u.cache.put(j.call.session.id, j.call.promptTokens+j.call.newTokens+j.call.answerTokens)
+		u.finish(j)
 		return
 	}
 	e := u.engine
-	step := e.Step + time.Duration(u.running)*e.StepPerSlot + time.Duration(float64(u.context)/1000*float64(e.StepPerKToken))
-	n := min(stride, tokens)
-	u.after(j, u.times(time.Duration(n)*step), func() {
-		if j.event != nil {
-			j.event()
+	step := e.StepTime + time.Duration(u.running)*e.StepPerSlot + time.Duration(float64(u.contextTokens)/1000*float64(e.StepPerKToken))
+	n := min(tokensPerUpdate, tokensLeft)
+	u.after(j, u.scaled(time.Duration(n)*step), func() {
+		if j.onEvent != nil {
+			j.onEvent()
 		}
-		u.generate(j, tokens-n)
+		u.generate(j, tokensLeft-n)
 	})
 }
 
-func (u *upstream) end(j *job) {
-	u.leave(j)
-	j.done(true)
+func (u *upstream) finish(j *job) {
+	u.release(j)
+	j.onDone(true)
 }
 
-// leave frees the place of a job.
-func (u *upstream) leave(j *job) {
+// release frees the place of a job.
+func (u *upstream) release(j *job) {
 	u.running--
-	u.context = max(0, u.context-j.call.prompt)
-	for u.running < u.places && len(u.queue) > 0 {
-		at := max(0, slices.IndexFunc(u.queue, func(j *job) bool { return !j.behind }))
-		next := u.queue[at]
-		u.queue = slices.Delete(u.queue, at, at+1)
-		if !next.call.left {
+	u.contextTokens = max(0, u.contextTokens-j.call.promptTokens)
+	for u.running < u.slots && len(u.queue) > 0 {
+		index := max(0, slices.IndexFunc(u.queue, func(j *job) bool { return !j.deferred }))
+		next := u.queue[index]
+		u.queue = slices.Delete(u.queue, index, index+1)
+		if !next.call.abandoned {
 			u.begin(next)
 		}
 	}
@@ -187,10 +187,10 @@
 
 // crash loses all that the upstream has.
 func (u *upstream) crash() {
-	u.life++
-	u.running, u.queue, u.context, u.reading = 0, nil, 0, time.Time{}
+	u.incarnation++
+	u.running, u.queue, u.contextTokens, u.prefillEnd = 0, nil, 0, time.Time{}
 	if u.engine != nil {
-		u.memory = newMemory(u.engine.Memory)
+		u.cache = newPromptCache(u.engine.CacheTokens)
 	}
 }
 
@@ -198,33 +198,33 @@
 	return time.Duration(math.Round(x * float64(time.Millisecond)))
 }
 
-// memory is the prompts that an engine keeps, those used last.
-type memory struct {
-	most    int
-	tokens  int
-	prompts *simplelru.LRU[uint64, int] // tokens by session
+// promptCache is the prompts that an engine keeps, those used last.
+type promptCache struct {
+	capacity        int
+	tokens          int
+	tokensBySession *simplelru.LRU[uint64, int] // tokens by session
 }
 
-func newMemory(most int) memory {
-	prompts, err := simplelru.NewLRU[uint64, int](math.MaxInt, nil)
+func newPromptCache(capacity int) promptCache {
+	tokensBySession, err := simplelru.NewLRU[uint64, int](math.MaxInt, nil)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
-	return memory{most: most, prompts: prompts}
+	return promptCache{capacity: capacity, tokensBySession: tokensBySession}
 }
 
-// held returns how many tokens of a session's prompt are kept.
-func (m *memory) held(session uint64) int {
-	tokens, _ := m.prompts.Peek(session)
+// cachedTokens returns how many tokens of a session's prompt are kept.
+func (m *promptCache) cachedTokens(session uint64) int {
+	tokens, _ := m.tokensBySession.Peek(session)
 	return tokens
 }
 
-// keep keeps a session's prompt and forgets those used longest ago.
-func (m *memory) keep(session uint64, tokens int) {
-	m.tokens += tokens - m.held(session)
-	m.prompts.Add(session, tokens)
-	for m.tokens > m.most && m.prompts.Len() > 1 {
-		_, oldest, _ := m.prompts.RemoveOldest()
+// put keeps a session's prompt and forgets those used longest ago.
+func (m *promptCache) put(session uint64, tokens int) {
+	m.tokens += tokens - m.cachedTokens(session)
+	m.tokensBySession.Add(session, tokens)
+	for m.tokens > m.capacity && m.tokensBySession.Len() > 1 {
+		_, oldest, _ := m.tokensBySession.RemoveOldest()
 		m.tokens -= oldest
 	}
 }
--- a/internal/openloop/openloop.go
+++ b/internal/openloop/openloop.go
@@ -27,27 +27,27 @@
 	URL       string        `long:"url" value-name:"URL" required:"yes" description:"Where requests are sent"`
 	Method    string        `long:"method" default:"POST" description:"Method of the requests"`
 	Host      string        `long:"host" description:"Host header; empty: that of the URL"`
-	Header    []string      `long:"header" value-name:"NAME:VALUE" description:"Header of each request; may be repeated. {session} stands for the session's name"`
+	Headers   []string      `long:"header" value-name:"NAME:VALUE" description:"Header of each request; may be repeated. {session} stands for the session's name"`
 	Body      string        `long:"body" description:"Body of each request. {session} stands for the session's name"`
 	PerSecond float64       `long:"per-second" default:"10" description:"Requests a second, on average; they come by chance"`
-	For       time.Duration `long:"for" default:"10s" description:"For how long requests are sent"`
+	Duration  time.Duration `long:"for" default:"10s" description:"For how long requests are sent"`
 	Sessions  int           `long:"sessions" default:"100" description:"Number of sessions, each as likely as the others"`
 	Timeout   time.Duration `long:"timeout" default:"15s" description:"How long a request is waited for"`
-	Open      int           `long:"open" default:"1000" description:"Requests that may be open at a time"`
+	MaxOpen   int           `long:"open" default:"1000" description:"Requests that may be open at a time"`
 	Seed      uint64        `long:"seed" default:"1" description:"Decides times and sessions"`
 }
 
-// Check returns what is wrong with the options.
-func (o Options) Check() error {
+// Validate returns what is wrong with the options.
+func (o Options) Validate() error {
 	switch {
-	case o.PerSecond <= 0 || o.PerSecond > mostPerSecond:
-		return errors.Errorf("--per-second: write more than 0 and at most %d", mostPerSecond)
-	case o.For <= 0 || o.Timeout <= 0:
+	case o.PerSecond <= 0 || o.PerSecond > maxPerSecond:
+		return errors.Errorf("--per-second: write more than 0 and at most %d", maxPerSecond)
+	case o.Duration <= 0 || o.Timeout <= 0:
 		return errors.New("--for and --timeout: write a time above 0")
-	case o.Sessions < 1 || o.Open < 1:
+	case o.Sessions < 1 || o.MaxOpen < 1:
 		return errors.New("--sessions and --open: write 1 at least")
 	}
-	for _, h := range o.Header {
+	for _, h := range o.Headers {
 		if !strings.Contains(h, ":") {
 			return errors.Errorf("--header: %q has no colon", h)
 		}
@@ -57,57 +57,57 @@
 }
 
 const (
-	// mostPerSecond bounds what one process sends.
-	mostPerSecond = 20000
-	// longest is the longest time that the histograms tell from longer ones, and digits
+	// maxPerSecond bounds what one process sends.
+	maxPerSecond = 20000
+	// maxLatency is the maxLatency time that the histograms tell from longer ones, and digits
 	// how exactly they do.
-	longest = 10 * time.Minute
-	digits  = 3
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
 )
 
-// player is a run under way.
-type player struct {
-	options Options
-	client  *http.Client
-	open    chan struct{}
+// generator is a run under way.
+type generator struct {
+	options      Options
+	client       *http.Client
+	openRequests chan struct{}
 
-	mu       sync.Mutex
-	statuses map[int]int // 0: no answer
-	notSent  int
-	first    *hdrhistogram.Histogram // until the first byte of the body, in microseconds
-	whole    *hdrhistogram.Histogram
+	mu            sync.Mutex
+	statuses      map[int]int // 0: no answer
+	notSent       int
+	firstByte     *hdrhistogram.Histogram // until the first byte of the body, in microseconds
+	wholeResponse *hdrhistogram.Histogram
 }
 
-// Play sends the load and writes what became of it.
-func Play(ctx context.Context, o Options, out io.Writer) error {
-	if err := o.Check(); err != nil {
+// Run sends the load and writes what became of it.
+func Run(ctx context.Context, o Options, out io.Writer) error {
+	if err := o.Validate(); err != nil {
 		return err
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	transport.MaxIdleConnsPerHost = o.Open
-	p := &player{
-		options:  o,
-		client:   &http.Client{Transport: transport, Timeout: o.Timeout},
-		open:     make(chan struct{}, o.Open),
-		statuses: make(map[int]int),
-		first:    hdrhistogram.New(1, longest.Microseconds(), digits),
-		whole:    hdrhistogram.New(1, longest.Microseconds(), digits),
+	transport.MaxIdleConnsPerHost = o.MaxOpen
+	g := &generator{
+		options:       o,
+		client:        &http.Client{Transport: transport, Timeout: o.Timeout},
+		openRequests:  make(chan struct{}, o.MaxOpen),
+		statuses:      make(map[int]int),
+		firstByte:     hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
+		wholeResponse: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 	}
 	defer transport.CloseIdleConnections()
-	p.send(ctx)
-	return p.report(out)
+	g.send(ctx)
+	return g.report(out)
 }
 
 // send sends the requests at their times and waits for their ends.
-func (p *player) send(ctx context.Context) {
-	random := rand.New(rand.NewPCG(p.options.Seed, 0))
+func (g *generator) send(ctx context.Context) {
+	random := rand.New(rand.NewPCG(g.options.Seed, 0))
 	due := time.Now()
-	end := due.Add(p.options.For)
-	var all sync.WaitGroup
-	defer all.Wait()
+	end := due.Add(g.options.Duration)
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	for {
-		due = due.Add(time.Duration(random.ExpFloat64() / p.options.PerSecond * float64(time.Second)))
-		at, session := due, "session-"+strconv.Itoa(random.IntN(p.options.Sessions))
+		due = due.Add(time.Duration(random.ExpFloat64() / g.options.PerSecond * float64(time.Second)))
+		at, session := due, "session-"+strconv.Itoa(random.IntN(g.options.Sessions))
 		if at.After(end) {
 			return
 		}
@@ -117,81 +117,81 @@
 			return
 		}
 		select {
-		case p.open <- struct{}{}:
-			all.Go(func() {
-				p.request(ctx, at, session)
-				<-p.open
+		case g.openRequests <- struct{}{}:
+			requests.Go(func() {
+				g.request(ctx, at, session)
+				<-g.openRequests
 			})
 		default:
-			p.mu.Lock()
-			p.notSent++
-			p.mu.Unlock()
+			g.mu.Lock()
+			g.notSent++
+			g.mu.Unlock()
 		}
 	}
 }
 
 // request sends one request that was due at a time.
-func (p *player) request(ctx context.Context, due time.Time, session string) {
-	named := strings.NewReplacer("{session}", session)
+func (g *generator) request(ctx context.Context, due time.Time, session string) {
+	sessionReplacer := strings.NewReplacer("{session}", session)
 	// The method and the URL have been checked.
-	r, _ := http.NewRequestWithContext(ctx, p.options.Method, p.options.URL, strings.NewReader(named.Replace(p.options.Body)))
-	if p.options.Host != "" {
-		r.Host = p.options.Host
+	r, _ := http.NewRequestWithContext(ctx, g.options.Method, g.options.URL, strings.NewReader(sessionReplacer.Replace(g.options.Body)))
+	if g.options.Host != "" {
+		r.Host = g.options.Host
 	}
-	for _, h := range p.options.Header {
+	for _, h := range g.options.Headers {
 		name, value, _ := strings.Cut(h, ":")
-		r.Header.Add(strings.TrimSpace(name), named.Replace(strings.TrimSpace(value)))
+		r.Header.Add(strings.TrimSpace(name), sessionReplacer.Replace(strings.TrimSpace(value)))
 	}
-	resp, err := p.client.Do(r)
+	resp, err := g.client.Do(r)
 	if err != nil {
-		p.count(0, 0, 0)
+		g.record(0, 0, 0)
 		return
 	}
 	defer resp.Body.Close() // its end has been read, or it is given up
-	var b [1]byte
-	_, err = io.ReadFull(resp.Body, b[:])
-	first := time.Since(due)
+	var firstByte [1]byte
+	_, err = io.ReadFull(resp.Body, firstByte[:])
+	firstByteTime := time.Since(due)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		p.count(0, first, 0)
+		g.record(0, firstByteTime, 0)
 		return
 	}
-	p.count(resp.StatusCode, first, time.Since(due))
+	g.record(resp.StatusCode, firstByteTime, time.Since(due))
 }
 
-// count takes in how a request ended. Times of answers other than 2xx are left out.
-func (p *player) count(status int, first, whole time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.statuses[status]++
+// record takes in how a request ended. Times of answers other than 2xx are left out.
+func (g *generator) record(status int, firstByte, wholeResponse time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.statuses[status]++
 	if status/100 == 2 {
 		// Longer times than the histograms hold do not occur: the timeout is shorter.
-		_ = p.first.RecordValue(max(1, first.Microseconds()))
-		_ = p.whole.RecordValue(max(1, whole.Microseconds()))
+		_ = g.firstByte.RecordValue(max(1, firstByte.Microseconds()))
+		_ = g.wholeResponse.RecordValue(max(1, wholeResponse.Microseconds()))
 	}
 }
 
 // Report is what became of the load.
 type Report struct {
-	Statuses map[string]int `json:"statuses"` // "none": no whole answer
-	NotSent  int            `json:"not_sent"`
-	First    Times          `json:"first_byte_ms"`
-	Whole    Times          `json:"whole_ms"`
+	Statuses      map[string]int `json:"statuses"` // "none": no whole answer
+	NotSent       int            `json:"not_sent"`
+	FirstByte     Quantiles      `json:"first_byte_ms"`
+	WholeResponse Quantiles      `json:"whole_ms"`
 }
 
-// Times are quantiles, in milliseconds.
-type Times struct {
+// Quantiles are quantiles, in milliseconds.
+type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-func (p *player) report(out io.Writer) error {
-	r := Report{Statuses: make(map[string]int), NotSent: p.notSent, First: timesOf(p.first), Whole: timesOf(p.whole)}
-	for status, n := range p.statuses {
+func (g *generator) report(out io.Writer) error {
+	r := Report{Statuses: make(map[string]int), NotSent: g.notSent, FirstByte: quantilesOf(g.firstByte), WholeResponse: quantilesOf(g.wholeResponse)}
+	for status, n := range g.statuses {
 		name := fmt.Sprint(status)
 		if status == 0 {
 			name = "none"
@@ -203,7 +203,7 @@
 	return errors.Wrap(e.Encode(r), "write the report")
 }
 
-func timesOf(h *hdrhistogram.Histogram) Times {
+func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	return Times{P50: ms(h.ValueAtQuantile(50)), P95: ms(h.ValueAtQuantile(95)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
+	return Quantiles{P50: ms(h.ValueAtQuantile(50)), P95: ms(h.ValueAtQuantile(95)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
 }
--- a/internal/openloop/openloop_test.go
+++ b/internal/openloop/openloop_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-func play(t *testing.T, o Options) Report {
+func runLoad(t *testing.T, o Options) Report {
 	t.Helper()
 	var out bytes.Buffer
-	if err := Play(t.Context(), o, &out); err != nil {
+	if err := Run(t.Context(), o, &out); err != nil {
 		t.Fatal(err)
 	}
 	var r Report
@@ -29,21 +29,21 @@
 
 func options(url string) Options {
 	return Options{
-		URL: url, Method: http.MethodPost, PerSecond: 200, For: 300 * time.Millisecond,
-		Sessions: 5, Timeout: 10 * time.Second, Open: 100, Seed: 1,
+		URL: url, Method: http.MethodPost, PerSecond: 200, Duration: 300 * time.Millisecond,
+		Sessions: 5, Timeout: 10 * time.Second, MaxOpen: 100, Seed: 1,
 	}
 }
 
 // A fleet turns some requests away, breaks some answers off, and answers the rest. Each
 // is counted as what it was, and sessions are named as the options say.
-func TestEachRequestIsCountedAsWhatItWas(t *testing.T) {
+func TestRequestsAreCountedByOutcome(t *testing.T) {
 	var mu sync.Mutex
-	asked, want, sessions := 0, map[string]int{}, map[string]bool{}
+	received, want, sessions := 0, map[string]int{}, map[string]bool{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		mu.Lock()
-		at := asked
-		asked++
+		at := received
+		received++
 		sessions[r.Header.Get("Session")] = true
 		name := []string{"200", "503", "none"}[at%3]
 		want[name]++
@@ -63,12 +63,12 @@
 	}))
 	defer s.Close()
 	o := options(s.URL)
-	o.Host, o.Header, o.Body = "chat.example", []string{"Session: {session}"}, "body of {session}"
-	r := play(t, o)
+	o.Host, o.Headers, o.Body = "chat.example", []string{"Session: {session}"}, "body of {session}"
+	r := runLoad(t, o)
 	mu.Lock()
 	defer mu.Unlock()
 	if len(want) != 3 || len(sessions) != 5 {
-		t.Fatalf("%d requests for sessions %v", asked, sessions)
+		t.Fatalf("%d requests for sessions %v", received, sessions)
 	}
 	for name, n := range want {
 		if r.Statuses[name] != n {
@@ -78,7 +78,7 @@
 }
 
 // A fleet answers nothing until seven requests are there. They leave all the same.
-func TestNothingSlowsTheLoadDown(t *testing.T) {
+func TestSlowResponsesDoNotDelayRequests(t *testing.T) {
 	release := make(chan struct{})
 	var mu sync.Mutex
 	open := 0
@@ -92,21 +92,21 @@
 		<-release
 	}))
 	defer s.Close()
-	if r := play(t, options(s.URL)); r.Statuses["200"] < 7 || r.Statuses["none"] > 0 {
+	if r := runLoad(t, options(s.URL)); r.Statuses["200"] < 7 || r.Statuses["none"] > 0 {
 		t.Errorf("%+v: the load waited for answers", r)
 	}
 }
 
 // The command may have one request open, and the first is answered when all were due.
 // The others are counted as not sent, and none is sent late.
-func TestRequestsBeyondTheBoundAreNotSent(t *testing.T) {
+func TestRequestsBeyondMaxOpenAreNotSent(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	}))
 	defer s.Close()
 	o := options(s.URL)
-	o.Open, o.Timeout = 1, time.Second
-	if r := play(t, o); r.Statuses["none"] != 1 || r.NotSent == 0 {
+	o.MaxOpen, o.Timeout = 1, time.Second
+	if r := runLoad(t, o); r.Statuses["none"] != 1 || r.NotSent == 0 {
 		t.Errorf("%+v, want one request without an answer", r)
 	}
 }
@@ -120,8 +120,8 @@
 		fmt.Fprint(w, "answer")
 	}))
 	defer s.Close()
-	r := play(t, options(s.URL))
-	for _, ms := range []float64{r.First.P50, r.Whole.P50} {
+	r := runLoad(t, options(s.URL))
+	for _, ms := range []float64{r.FirstByte.P50, r.WholeResponse.P50} {
 		if ms < float64(work.Milliseconds()) {
 			t.Errorf("%+v: shorter than the work", r)
 		}
@@ -135,9 +135,9 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	o := options(s.URL)
-	o.For = time.Hour
+	o.Duration = time.Hour
 	var out bytes.Buffer
-	if err := Play(ctx, o, &out); err != nil || !strings.Contains(out.String(), "first_byte_ms") {
+	if err := Run(ctx, o, &out); err != nil || !strings.Contains(out.String(), "first_byte_ms") {
 		t.Errorf("%q, %v", out.String(), err)
 	}
 }
@@ -146,19 +146,19 @@
 	for _, change := range []func(*Options){
 		func(o *Options) { o.PerSecond = 0 },
 		func(o *Options) { o.PerSecond = 1e9 },
-		func(o *Options) { o.For = 0 },
-		func(o *Options) { o.Open = 0 },
+		func(o *Options) { o.Duration = 0 },
+		func(o *Options) { o.MaxOpen = 0 },
 		func(o *Options) { o.Sessions = 0 },
-		func(o *Options) { o.Header = []string{"no colon"} },
+		func(o *Options) { o.Headers = []string{"no colon"} },
 		func(o *Options) { o.URL = "http://a b" },
 	} {
 		o := options("http://localhost")
 		change(&o)
-		if o.Check() == nil {
+		if o.Validate() == nil {
 			t.Errorf("%+v is taken", o)
 		}
 	}
-	if err := options("http://localhost").Check(); err != nil {
+	if err := options("http://localhost").Validate(); err != nil {
 		t.Error(err)
 	}
 }
