--- a/internal/benchtool/benchtool.go
+++ b/internal/benchtool/benchtool.go
@@ -1,8 +1,8 @@
-// Package benchtool is parsleybench, the command that tries policies on a modelled pool
-// (package experiment) and plays load against a running fleet (package openloop).
+// Package benchtool implements parsleybench, the command that compares policies on a modelled pool
+// (package experiment) and sends load to a running fleet (package openloop).
 //
-// Results go to standard output and to the files that it names; errors go to standard
-// error.
+// Results are written to standard output and to the files that it lists there; errors are written
+// to standard error.
 package benchtool
 
 import (
@@ -22,7 +22,7 @@
 
 const program = "parsleybench"
 
-// ExitCode is an exit code.
+// ExitCode is the exit code of the command.
 type ExitCode int
 
 // Exit codes.
@@ -32,21 +32,21 @@
 	ExitUsage  ExitCode = 2
 )
 
-// Options is the command line.
+// Options holds the commands and their options.
 type Options struct {
 	Check CheckCommand     `command:"check" description:"Say what is wrong with an experiment's file"`
 	Run   RunCommand       `command:"run" description:"Play an experiment and compare its policies"`
 	Load  openloop.Options `command:"load" description:"Play load against a fleet that runs"`
 }
 
-// CheckCommand is the command line of check.
+// CheckCommand holds the arguments of the check command.
 type CheckCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// RunCommand is the command line of run.
+// RunCommand holds the options and arguments of the run command.
 type RunCommand struct {
 	Out  string `short:"o" long:"out" value-name:"DIR" default:"." description:"Folder for NAME.jsonl and NAME.html"`
 	Args struct {
@@ -54,7 +54,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Run carries out one command line.
+// Run executes one command line, without the name of the program, and returns its exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) ExitCode {
 	var o Options
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
@@ -96,12 +96,12 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	defer r.Close() // it was only read
+	defer r.Close() // an error does not matter: the file was only read
 	f, err := experiment.Read(r)
 	return f, errors.Wrap(err, path)
 }
 
-// run plays an experiment and writes its runs, its page and a table.
+// run runs an experiment and writes its runs and its report to files and a table to out.
 func (c *RunCommand) run(out io.Writer) error {
 	f, err := readExperiment(c.Args.File)
 	if err != nil {
@@ -128,7 +128,7 @@
 		return errors.WithStack(err)
 	}
 	if err := content(w); err != nil {
-		_ = w.Close() // the first error says more
+		_ = w.Close() // the error of the write matters more
 		return err
 	}
 	return errors.WithStack(w.Close())
--- a/internal/benchtool/benchtool_test.go
+++ b/internal/benchtool/benchtool_test.go
@@ -27,7 +27,7 @@
 	return code, out.String(), errOut.String()
 }
 
-// An experiment is checked, played and leaves its two files; a table names its policies.
+// Run must write both files of an experiment and a table that contains its policies.
 func TestRunWritesLinesAndReport(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "tiny.yaml")
@@ -48,7 +48,7 @@
 	}
 }
 
-// Scripts tell a wrong command line from a file with mistakes by the exit code.
+// Scripts distinguish a wrong command line from an invalid file by the exit code.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.yaml")
 	if err := os.WriteFile(bad, []byte(strings.Replace(tinyExperiment, "seeds", "seed", 1)), 0o600); err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -38,8 +38,7 @@
 	return f
 }
 
-// Somebody compares two policies and looks at the page: each is there with its plots,
-// and what the file says of itself cannot break the page.
+// The report must contain each policy and all plots, and escape the texts of the file.
 func TestReportComparesThePolicies(t *testing.T) {
 	f := read(t, smallExperiment)
 	runs, err := RunAll(f)
@@ -47,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if len(runs) != 4 || runs[1].Policy != "all" || runs[1].Seed != 2 || runs[2].Policy != "no <donors>" {
-		t.Fatalf("%d runs, not in the order of the file", len(runs))
+		t.Fatalf("%d runs, want 4 in the order of the file", len(runs))
 	}
 	var page bytes.Buffer
 	if err := WriteReport(&page, f, runs); err != nil {
@@ -58,7 +57,7 @@
 	}
 	for _, bad := range []string{"<b>", "<donors>"} {
 		if strings.Contains(page.String(), bad) {
-			t.Errorf("the page holds %s as it is in the file", bad)
+			t.Errorf("the report contains %s unescaped", bad)
 		}
 	}
 	for _, s := range Summarise(f, runs) {
@@ -68,7 +67,7 @@
 	}
 }
 
-// A script reads the runs: one line each, with the seconds.
+// Scripts read the runs: each must be one line of JSON that includes its seconds.
 func TestLinesAreJSON(t *testing.T) {
 	f := read(t, smallExperiment)
 	runs, err := RunAll(f)
@@ -92,7 +91,7 @@
 	}
 }
 
-// A name that is misspelt changes nothing silently.
+// Misspelt names and invalid values must be rejected, with an error that names them.
 func TestInvalidFilesAreRejected(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"length: 4s", "lenght: 4s", "lenght"},
@@ -117,7 +116,7 @@
 	}
 }
 
-// The experiments that are delivered can be played.
+// The experiments in deploy/experiments must be valid and runnable.
 func TestShippedExperimentsRun(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/experiments/*.yaml")
 	if err != nil || len(paths) == 0 {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -1,9 +1,10 @@
-// Package experiment compares policies on a modelled pool: a file names the pool, its
-// callers, what befalls it, the policies and the seeds; each policy is played with each
-// seed in virtual time (package model), and the outcome is written as lines of JSON and
-// as a page with plots.
+// Package experiment compares policies on a modelled pool. A file describes the pool, its callers,
+// surges and faults, the policies and the seeds. Each policy is simulated with each seed in
+// virtual time (package model), and the results are written as lines of JSON and as an HTML
+// report with plots.
 //
-// Package benchtool calls it. It starts a goroutine for each processor and nothing else.
+// Package benchtool uses it. It runs at most one goroutine per processor at a time and starts
+// nothing else.
 package experiment
 
 import (
@@ -17,22 +18,22 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// File is an experiment.
+// File is the file of an experiment.
 type File struct {
 	Name     string       `yaml:"name"`
-	About    string       `yaml:"about"` // what is to be found out
+	About    string       `yaml:"about"` // purpose of the experiment
 	Seeds    []uint64     `yaml:"seeds"`
 	Policies []Policy     `yaml:"policies"`
 	Model    model.Config `yaml:"model"`
 }
 
-// Policy is one of those that are compared.
+// Policy is a policy to compare with the others.
 type Policy struct {
 	Name    string `yaml:"name"`
-	Without string `yaml:"without"` // mechanisms that are off, separated by commas
+	Without string `yaml:"without"` // mechanisms that are switched off, separated by commas
 }
 
-// Read reads an experiment. What it does not know is an error, with its line.
+// Read reads and validates an experiment. Unknown fields are errors that give the line.
 func Read(r io.Reader) (*File, error) {
 	b, err := io.ReadAll(r)
 	if err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -26,7 +26,7 @@
 	"number":  func(s Spread) string { return fmt.Sprintf("%.3g (%.3g to %.3g)", s.Mean, s.Low, s.High) },
 }).Parse(reportSource))
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 3 * vg.Inch
@@ -38,7 +38,7 @@
 	Plots     []template.HTML
 }
 
-// WriteReport writes a page that compares the policies.
+// WriteReport writes an HTML page that compares the policies.
 func WriteReport(w io.Writer, f *File, runs []Run) error {
 	r := report{File: f, Summaries: Summarise(f, runs)}
 	newPlots := []func(*File, []Run) (*plot.Plot, error){
@@ -63,7 +63,7 @@
 	return errors.Wrap(reportTemplate.Execute(w, r), "write the report")
 }
 
-// ratio returns NaN where nobody asked, which leaves a gap in a plot.
+// ratio returns count/total, or NaN, which leaves a gap in a plot, if total is 0.
 func ratio(count, total int) float64 {
 	if total == 0 {
 		return math.NaN()
@@ -71,8 +71,8 @@
 	return float64(count) / float64(total)
 }
 
-// render returns a plot as an SVG for a page. What is in it comes from the plotting
-// library, which escapes names.
+// render returns a plot as an SVG element for a page. The plotting library escapes the names in
+// it, so that it is safe as HTML.
 func render(p *plot.Plot) (template.HTML, error) {
 	c, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 	svg := b.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
-		svg = svg[at:] // a page has its own heading
+		svg = svg[at:] // drop the XML prolog, which an HTML page must not contain
 	}
 	return template.HTML(svg), nil
 }
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// latencies plots which part of the first bytes came within which time.
+// latencies plots the cumulative distribution of the time to the first byte.
 func latencies(f *File, runs []Run) (*plot.Plot, error) {
 	p := newPlot("time to the first byte", "milliseconds", "part of the answers")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -131,10 +131,10 @@
 	return p, nil
 }
 
-// minMS is the shortest time on a logarithmic axis.
+// minMS is the shortest time on the logarithmic axis, in milliseconds.
 const minMS = 0.1
 
-// overTime plots a figure of each second, the mean over the seeds.
+// overTime returns a function that plots a metric of each second as the mean over the seeds.
 func overTime(title, label string, metric func(model.Second) float64) func(*File, []Run) (*plot.Plot, error) {
 	return func(f *File, runs []Run) (*plot.Plot, error) {
 		p := newPlot(title, "seconds", label)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -17,13 +17,13 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// Run is one policy played with one seed.
+// Run is the result of one policy with one seed.
 type Run struct {
 	Experiment        string         `json:"experiment"`
 	Policy            string         `json:"policy"`
 	Seed              uint64         `json:"seed"`
 	Sum               model.Second   `json:"sum"`
-	Reuse             float64        `json:"reuse"` // part of the prompts' tokens that was found
+	Reuse             float64        `json:"reuse"` // share of prompt tokens that was cached
 	TransferredTokens int            `json:"moved_tokens"`
 	PrefilledTokens   int            `json:"read_tokens"`
 	FirstByteMS       Quantiles      `json:"first_byte_ms"`
@@ -32,15 +32,15 @@
 	firstByte *hdrhistogram.Histogram
 }
 
-// Quantiles are of the time to the first byte, in milliseconds.
+// Quantiles are quantiles of the time to the first byte, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// RunAll plays each policy with each seed, one on each processor at a time. The runs come in
-// the order of the file, whichever ended first.
+// RunAll simulates each policy with each seed, as many at a time as there are processors. It
+// returns the runs in the order of the file, whichever ended first.
 func RunAll(f *File) ([]Run, error) {
 	runs := make([]Run, len(f.Policies)*len(f.Seeds))
 	var g errgroup.Group
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// runsOfPolicy returns the runs runsOfPolicy one policy.
+// runsOfPolicy returns the runs of one policy.
 func runsOfPolicy(runs []Run, policy string) []Run {
 	return slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return r.Policy != policy })
 }
 
-// Spread is a figure over the seeds.
+// Spread holds the mean, the lowest and the highest value of a metric over the seeds.
 type Spread struct {
 	Mean, Low, High float64
 }
@@ -109,11 +109,11 @@
 	return s
 }
 
-// Summary is what one policy has shown.
+// Summary holds the results of one policy over all seeds.
 type Summary struct {
 	Policy                                                         string
-	InTime, Late, Refused, Failed                                  Spread // parts of those who asked
-	Rejections                                                     Spread // times, for each who asked
+	InTime, Late, Refused, Failed                                  Spread // shares of the callers
+	Rejections                                                     Spread // rejections per caller
 	Reuse, TransferredTokens, PrefilledTokens, Skew, P50, P95, P99 Spread
 }
 
--- a/internal/model/callers.go
+++ b/internal/model/callers.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// requestProfile is the name of the one requestProfile of requests.
+	// requestProfile is the name of the only profile that requests have.
 	requestProfile = "request"
-	// retryWindow is the time over which retries are bounded.
+	// retryWindow is the window of the retry budget.
 	retryWindow = 10 * time.Second
 )
 
-// session is a chat, and what its prompt has grown to.
+// session is a conversation whose prompt may grow with each response.
 type session struct {
 	id           uint64
-	promptTokens int // tokens
+	promptTokens int
 }
 
-// call is one request of a caller.
+// call is one request of a caller, including its retries.
 type call struct {
 	session                               *session
-	promptTokens, newTokens, answerTokens int // tokens
+	promptTokens, newTokens, answerTokens int
 	arrivedAt                             time.Time
 	tries                                 int
 	attempts                              int
 	tried                                 map[int]bool
-	responseStarted, late                 bool // its first byte is there; not within the objective
-	abandoned, ended                      bool // its caller has gone; it is over
+	responseStarted, late                 bool // the first byte has reached the caller; it came after the objective
+	abandoned, ended                      bool // the caller has left; the outcome is recorded
 }
 
-// scheduleArrivals lets the next caller come, and all after it.
+// scheduleArrivals schedules the next arrival, which schedules the one after it.
 func (f *fleet) scheduleArrivals() {
 	rate, hotShare := f.rate()
 	f.clock.after(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), func() {
@@ -47,8 +47,8 @@
 	})
 }
 
-// rate returns how many callers come in a second now, and which part of them asks for
-// one session.
+// rate returns the current number of arrivals per second, and the share of them, 0 to 1, that
+// belongs to the single session of a surge.
 func (f *fleet) rate() (perSecond, hotShare float64) {
 	base := f.config.Callers.PerSecond
 	perSecond = base
@@ -80,7 +80,7 @@
 	return c
 }
 
-// drawSession draws a session: with a skew, the first ones more often.
+// drawSession returns the index of a random session. With a skew, the first ones are more likely.
 func (f *fleet) drawSession() int {
 	n := float64(len(f.sessions))
 	x := f.random.Float64()
@@ -90,14 +90,14 @@
 	return min(int(x*n), len(f.sessions)-1)
 }
 
-// maxSkew keeps the exponent of the skew finite.
+// maxSkew keeps the exponent in drawSession finite.
 const maxSkew = 0.95
 
 func (f *fleet) initialPromptTokens() int {
 	return int(f.random.ExpFloat64() * float64(f.config.Callers.PromptTokens))
 }
 
-// abandon ends the wait of a caller without a whole answer.
+// abandon records a failure if the caller has no complete response yet.
 func (f *fleet) abandon(c *call) {
 	if c.ended {
 		return
@@ -106,7 +106,7 @@
 	f.result.recordFailure(c.arrivedAt)
 }
 
-// submit sends a request to a router.
+// submit sends a request to a random router.
 func (f *fleet) submit(c *call) {
 	if c.ended {
 		return
@@ -130,7 +130,7 @@
 	return retry.Rule{Ratio: f.config.Callers.RetryRatio, Slack: f.config.Callers.RetrySlack / float64(len(f.routers)), Window: retryWindow}
 }
 
-// dispatch offers a request to the upstream that the router's decisions put first.
+// dispatch sends a request to the best candidate that it has not been sent to yet, or rejects it.
 func (f *fleet) dispatch(r *router, c *call, q placement.Query) {
 	if c.ended {
 		return
@@ -156,7 +156,8 @@
 	f.reject(r, c)
 }
 
-// unavailable returns which upstreams a router sends nothing; nil: none.
+// unavailable returns a function that reports whether the router must send nothing to an
+// upstream, by index. It is nil if all upstreams are available.
 func (f *fleet) unavailable(r *router) func(int) bool {
 	if r.observations.Empty() {
 		return nil
@@ -167,7 +168,7 @@
 	}
 }
 
-// startAttempt sends a request to one upstream.
+// startAttempt sends a request to one upstream and records its progress and outcome.
 func (f *fleet) startAttempt(r *router, c *call, q placement.Query, choice placement.Choice, basis placement.Basis) {
 	u, sent, outcomeRecorded := f.upstreams[choice.Index], f.clock.now, false
 	a := balance.Attempt{VM: u.id, Profile: requestProfile, Urgency: basis.Urgency, Load: choice.Load, Deferred: basis.Deferred}
@@ -236,8 +237,8 @@
 	})
 }
 
-// watchCrash calls do when an upstream has crashed since a life of it, unless that is of
-// no more interest.
+// watchCrash calls onCrash once the upstream's incarnation differs from the given one. It checks
+// every sampleInterval and stops when isOver returns true.
 func (f *fleet) watchCrash(u *upstream, incarnation int, isOver func() bool, onCrash func()) {
 	f.clock.after(sampleInterval, func() {
 		switch {
@@ -250,7 +251,7 @@
 	})
 }
 
-// donor returns the upstream that the router names as the holder of a prompt, or nil.
+// donor returns the upstream that the prompt cache of the session is to be fetched from, or nil.
 func (f *fleet) donor(r *router, c *call, choice placement.Choice) *upstream {
 	if !f.policy.Donors || c.session.id == 0 || f.upstreams[choice.Index].engine == nil {
 		return nil
@@ -264,7 +265,8 @@
 	return f.upstreams[choice.Donor]
 }
 
-// recordFirstByte takes in the first byte of an answer.
+// recordFirstByte records the first byte of a response and the load that the upstream reports
+// with it.
 func (f *fleet) recordFirstByte(r *router, c *call, index int) {
 	if f.config.Pool.ReportsLoad {
 		r.tracker.RecordLoad(f.clock.now, f.upstreams[index].id, f.upstreams[index].load())
@@ -280,7 +282,7 @@
 	}
 }
 
-// recordResponse takes in a whole answer.
+// recordResponse records a complete response.
 func (f *fleet) recordResponse(r *router, c *call) {
 	if c.ended {
 		return
@@ -293,11 +295,12 @@
 	f.result.recordResponse(c.arrivedAt, c.late)
 }
 
-// retryOrReject offers a request to the next upstream, if that is allowed.
+// retryOrReject sends a request whose attempt failed to another upstream, if the number of
+// attempts and the retry budget allow it, and rejects it otherwise.
 func (f *fleet) retryOrReject(r *router, c *call, q placement.Query) {
 	switch {
 	case c.ended:
-	case c.responseStarted: // a part of the answer is with the caller
+	case c.responseStarted: // the caller has received part of the response, so that it cannot be retried
 		c.ended = true
 		f.result.recordFailure(c.arrivedAt)
 	case c.attempts < f.config.Callers.MaxAttempts && r.retryBudget.Withdraw(f.clock.now, f.retryRule()):
@@ -307,7 +310,8 @@
 	}
 }
 
-// earliestAvailability returns when the first upstream takes requests of a router again; zero: one does now.
+// earliestAvailability returns the time until an upstream is available to the router again.
+// Zero: one is available now.
 func (f *fleet) earliestAvailability(r *router) time.Duration {
 	soonest := condition.Forever
 	for _, u := range f.upstreams {
@@ -316,7 +320,8 @@
 	return soonest
 }
 
-// reject tells a caller when to come back.
+// reject rejects a request. Its caller submits it again after a delay, unless it has used all its
+// tries.
 func (f *fleet) reject(r *router, c *call) {
 	left := f.config.Callers.Patience - f.clock.now.Sub(c.arrivedAt)
 	delay := max(r.returnScheduler.Schedule(f.clock.now, left, f.random.Float64()), f.earliestAvailability(r))
--- a/internal/model/clock.go
+++ b/internal/model/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock is virtual time: what happens next, in order. Things of the same moment happen
-// in the order in which they were scheduled.
+// clock is a virtual clock with a queue of events. Events of the same time run in the order in
+// which they were scheduled.
 type clock struct {
 	now      time.Time
 	events   eventQueue
@@ -38,13 +38,13 @@
 	return last
 }
 
-// after schedules something.
+// after schedules do to run once after d. A negative d counts as 0.
 func (c *clock) after(d time.Duration, do func()) {
 	c.sequence++
 	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), sequence: c.sequence, do: do})
 }
 
-// every schedules something again and again until the end.
+// every schedules do to run every d until the end of the run.
 func (c *clock) every(d time.Duration, do func()) {
 	c.after(d, func() {
 		do()
@@ -54,7 +54,7 @@
 	})
 }
 
-// run lets time pass until the end.
+// run executes events in order until none is due by end.
 func (c *clock) run(end time.Time) {
 	c.end = end
 	for c.events.Len() > 0 && !c.events[0].at.After(end) {
--- a/internal/model/config.go
+++ b/internal/model/config.go
@@ -6,100 +6,100 @@
 	"github.com/pkg/errors"
 )
 
-// Config is what is played. Its field names in files are in the yaml tags; times are
+// Config describes a simulation. The yaml tags give the field names in files; durations are
 // written like 300ms or 4s.
 type Config struct {
-	Length  time.Duration `yaml:"length"`  // for how long callers arrive
-	Routers int           `yaml:"routers"` // among which callers are spread by chance
+	Length  time.Duration `yaml:"length"`  // period during which callers arrive
+	Routers int           `yaml:"routers"` // each caller picks one at random
 	Pool    Pool          `yaml:"pool"`
 	Callers Callers       `yaml:"callers"`
 	Surges  []Surge       `yaml:"surges"`
 	Faults  []Fault       `yaml:"faults"`
 }
 
-// Pool is the upstreams. One of Engine and Plain is given.
+// Pool describes the upstreams. Exactly one of Engine and Plain is set.
 type Pool struct {
 	Upstreams      int     `yaml:"upstreams"`
 	FailureDomains int     `yaml:"failure_domains"`
-	LoadMultiple   float64 `yaml:"load_multiple"` // bound on load as a multiple of the mean; 0: none
-	ReportsLoad    bool    `yaml:"tells_load"`    // with the first byte of each answer
+	LoadMultiple   float64 `yaml:"load_multiple"` // load bound as a multiple of the mean load; 0: none
+	ReportsLoad    bool    `yaml:"tells_load"`    // with the first byte of each response
 	Engine         *Engine `yaml:"engine"`
 	Plain          *Plain  `yaml:"plain"`
 }
 
-// Engine is an upstream that generates tokens for a batch of requests.
+// Engine describes a model engine, which generates tokens for a batch of requests.
 type Engine struct {
-	BatchSize       int           `yaml:"batch"`           // requests at a time; more wait
-	MaxQueue        int           `yaml:"queue"`           // how many may wait; more are refused
-	StepTime        time.Duration `yaml:"step"`            // of one token for each of the batch
-	StepPerSlot     time.Duration `yaml:"step_per_slot"`   // more for each request in the batch
-	StepPerKToken   time.Duration `yaml:"step_per_ktoken"` // more for each thousand tokens of their prompts
-	FirstTokenDelay time.Duration `yaml:"first"`           // before the first token, beside reading
-	PrefillPerMS    float64       `yaml:"prefill_per_ms"`  // tokens read in a millisecond, one prompt at a time
-	CacheTokens     int           `yaml:"memory"`          // tokens of prompts that are kept
-	TransferSetup   time.Duration `yaml:"move_setup"`      // of getting a prompt from another engine
-	TransferPerMS   float64       `yaml:"move_per_ms"`     // tokens got in a millisecond
+	BatchSize       int           `yaml:"batch"`           // requests that run at a time; further ones wait
+	MaxQueue        int           `yaml:"queue"`           // requests that may wait; further ones are rejected
+	StepTime        time.Duration `yaml:"step"`            // time to generate one token for each request of the batch
+	StepPerSlot     time.Duration `yaml:"step_per_slot"`   // added to StepTime for each request of the batch
+	StepPerKToken   time.Duration `yaml:"step_per_ktoken"` // added to StepTime for each thousand prompt tokens of the batch
+	FirstTokenDelay time.Duration `yaml:"first"`           // time to the first token, in addition to the prefill
+	PrefillPerMS    float64       `yaml:"prefill_per_ms"`  // prompt tokens processed per millisecond, one prompt at a time
+	CacheTokens     int           `yaml:"memory"`          // capacity of the prompt cache, in tokens
+	TransferSetup   time.Duration `yaml:"move_setup"`      // fixed time of a prompt transfer from another engine
+	TransferPerMS   float64       `yaml:"move_per_ms"`     // tokens transferred per millisecond
 }
 
-// Plain is an upstream that works on a few requests at a time.
+// Plain describes a plain service, which runs at most Slots requests at a time.
 type Plain struct {
 	Slots       int           `yaml:"slots"`
 	MaxQueue    int           `yaml:"queue"`
-	ServiceTime time.Duration `yaml:"work"` // of a request on average, exponential
+	ServiceTime time.Duration `yaml:"work"` // mean of an exponential distribution
 }
 
-// Callers is who asks.
+// Callers describes the callers and their requests.
 type Callers struct {
 	PerSecond    float64       `yaml:"per_second"`
-	Sessions     int           `yaml:"sessions"`      // among which requests are spread; 0: requests without one
-	Skew         float64       `yaml:"skew"`          // how much more often the first sessions ask: 0 evenly, 1 like a harmonic series
-	PromptTokens int           `yaml:"prompt"`        // tokens of a session on average, exponential
-	PromptsGrow  bool          `yaml:"grows"`         // the next request of a session brings the answers of former ones
-	NewTokens    int           `yaml:"new_tokens"`    // of a request beside those
-	AnswerTokens int           `yaml:"answer_tokens"` // on average, exponential
-	Objective    time.Duration `yaml:"objective"`     // for the first byte
-	Patience     time.Duration `yaml:"patience"`
-	MaxAttempts  int           `yaml:"attempts"` // to how many upstreams a router may send a request
-	MaxTries     int           `yaml:"tries"`    // of a caller that is turned away
+	Sessions     int           `yaml:"sessions"`      // number of sessions that requests belong to; 0: requests have no session
+	Skew         float64       `yaml:"skew"`          // preference for the first sessions: 0 uniform, 1 like a harmonic series
+	PromptTokens int           `yaml:"prompt"`        // initial prompt of a session: mean of an exponential distribution
+	PromptsGrow  bool          `yaml:"grows"`         // a session's prompt includes its former requests and responses
+	NewTokens    int           `yaml:"new_tokens"`    // prompt tokens that each request adds to its session's prompt
+	AnswerTokens int           `yaml:"answer_tokens"` // mean of an exponential distribution
+	Objective    time.Duration `yaml:"objective"`     // for the time to the first byte
+	Patience     time.Duration `yaml:"patience"`      // time after which a caller leaves
+	MaxAttempts  int           `yaml:"attempts"`      // upstreams that a router may send one request to
+	MaxTries     int           `yaml:"tries"`         // how often a caller sends a request that is rejected
 	RetryRatio   float64       `yaml:"retry_ratio"`
 	RetrySlack   float64       `yaml:"retry_slack"`
 }
 
-// Surge is a time with more callers.
+// Surge is a period with a higher arrival rate.
 type Surge struct {
 	At       time.Duration `yaml:"at"`
 	Duration time.Duration `yaml:"for"`
-	Factor   float64       `yaml:"times"`
-	// SingleSession has all of the additional callers ask for one session.
+	Factor   float64       `yaml:"times"` // arrival rate as a multiple of Callers.PerSecond
+	// SingleSession reports whether all additional requests belong to one session.
 	SingleSession bool `yaml:"session"`
 }
 
-// FaultKind is what is wrong with an upstream.
+// FaultKind is the kind of a fault of an upstream.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	Slow   FaultKind = "slow"   // it works Times slower
-	Refuse FaultKind = "refuse" // it turns Part of its requests away
-	Fail   FaultKind = "fail"   // it answers Part of its requests with an error at once
-	Hang   FaultKind = "hang"   // it never answers Part of its requests
-	Crash  FaultKind = "crash"  // it loses what it has, and is back with an empty memory
+	Slow   FaultKind = "slow"   // runs slower by SlowdownFactor
+	Refuse FaultKind = "refuse" // rejects RequestShare of its requests
+	Fail   FaultKind = "fail"   // fails RequestShare of its requests at once
+	Hang   FaultKind = "hang"   // never responds to RequestShare of its requests
+	Crash  FaultKind = "crash"  // loses its requests, rejects RequestShare of new ones, and comes back with an empty prompt cache
 )
 
-// Fault befalls a share of the upstreams.
+// Fault is a fault that a share of the upstreams has for a while.
 type Fault struct {
 	Kind           FaultKind     `yaml:"kind"`
 	At             time.Duration `yaml:"at"`
 	Duration       time.Duration `yaml:"for"`
-	UpstreamShare  float64       `yaml:"share"` // of the upstreams, chosen by the seed
+	UpstreamShare  float64       `yaml:"share"` // of the upstreams, drawn at random with the seed of the run
 	SlowdownFactor float64       `yaml:"times"` // for Slow
 	RequestShare   float64       `yaml:"part"`  // of the requests; 0: all
-	// Rest is what Refuse tells a router with each refusal: for how long the upstream wants
-	// nothing from it. Zero: it says nothing.
+	// Rest, for Refuse, is sent with each rejection: the time during which the router must send
+	// the upstream nothing. Zero: none is sent.
 	Rest time.Duration `yaml:"rest"`
 }
 
-// Validate returns what is wrong with the configuration.
+// Validate returns an error that names the first invalid field, or nil.
 func (c Config) Validate() error {
 	for _, f := range []struct {
 		invalid bool
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// maxDomains is how many failure domains have a letter as their name.
+// maxDomains is the number of letters: failure domains are named region/a to region/z.
 const maxDomains = 26
 
 func (e Engine) valid() bool {
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// scheduleFaults lets the faults of the configuration begin and end.
+// scheduleFaults schedules the beginning and the end of each configured fault.
 func (f *fleet) scheduleFaults() {
 	for _, fault := range f.config.Faults {
 		n := max(1, int(fault.UpstreamShare*float64(len(f.upstreams))+0.5))
@@ -36,14 +36,14 @@
 	case Hang:
 		u.hangShare = share
 	case Crash:
-		u.refuseShare = share // it takes no connection until it is back
+		u.refuseShare = share // rejects requests until the end of the fault
 		if active {
 			u.crash()
 		}
 	}
 }
 
-// secondIndex returns the number of the second in which a caller asked.
+// secondIndex returns the number of whole seconds between the start of the run and an arrival.
 func secondIndex(arrivedAt time.Time) int {
 	return int(arrivedAt.Sub(startTime) / time.Second)
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,14 +1,14 @@
-// Package model plays a pool of upstreams, its routers and its callers in virtual time,
-// so that a change of policy is tried in seconds on pools of any size.
+// Package model simulates a pool of upstreams, its routers and its callers in virtual time,
+// so that a change of policy can be tried in seconds on pools of any size.
 //
-// The decisions are the shipped ones: packages balance (and through it placement, load
-// and outlier), policy and retry. What they meet is modelled: engines with batches,
-// prefill and a bounded memory of prompts, plain services with slots and a queue, and
-// callers with sessions, returns and deadlines. Package experiment reads a Config from a
-// file and compares policies; docs/operators/experiments.md says how far the model agrees
-// with played days.
+// The routers' decisions come from the production code: packages balance (and through it
+// placement, load and outlier), policy and retry. Everything around them is modelled: engines
+// with batches, prefill and a bounded prompt cache, plain services with slots and a queue, and
+// callers with sessions, retries and deadlines. Package experiment reads a Config from a file
+// and compares policies; docs/operators/experiments.md describes how closely the model agrees
+// with test runs of the real processes.
 //
-// A run is decided by its Config and seed. It knows no clock and starts no goroutine.
+// A run depends on its Config and seed only. It reads no clock and starts no goroutine.
 package model
 
 import (
@@ -24,18 +24,19 @@
 )
 
 const (
-	// hopLatency is the time of one way between a caller, a router and an upstream.
+	// hopLatency is the one-way latency between a caller, a router and an upstream.
 	hopLatency = 500 * time.Microsecond
-	// reportInterval is how often routers tell each other what they know.
+	// reportInterval is the period at which routers exchange their reports.
 	reportInterval = 250 * time.Millisecond
-	// sampleInterval is how often the loads of upstreams are looked at.
+	// sampleInterval is the period at which the loads of upstreams are sampled, and at which
+	// attempts check their upstream for a crash.
 	sampleInterval = 100 * time.Millisecond
 )
 
-// startTime is the beginning of virtual time. Any would do.
+// startTime is the beginning of virtual time. Its value is arbitrary.
 var startTime = time.Unix(1_000_000, 0)
 
-// fleet is a run under way.
+// fleet is the state of one simulation run.
 type fleet struct {
 	config    Config
 	policy    policy.Policy
@@ -48,17 +49,18 @@
 	result    *Result
 }
 
-// router is what one router knows.
+// router is the state of one router.
 type router struct {
 	tracker         *balance.Tracker
 	pool            *placement.Pool
 	retryBudget     retry.WindowBudget
 	returnScheduler retry.ReturnScheduler
 	observations    *condition.Observations
-	lastServed      map[uint64]int // upstream that has served a session last
+	lastServed      map[uint64]int // index of the last upstream that served a session, by session
 }
 
-// Simulate runs the configuration with a policy. The same arguments give the same Result.
+// Simulate runs the configuration with a policy and returns the outcome. The same arguments give
+// the same Result.
 func Simulate(c Config, p policy.Policy, seed uint64) *Result {
 	f := &fleet{
 		config: c,
@@ -77,7 +79,7 @@
 	return f.result
 }
 
-// build makes upstreams, routers and sessions.
+// build creates the upstreams, routers and sessions.
 func (f *fleet) build() {
 	domains := f.config.Pool.FailureDomains
 	members := make([]placement.Member, f.config.Pool.Upstreams)
@@ -101,8 +103,9 @@
 	}
 }
 
-// exchangeReports has routers tell each other what they know, through the first of them. What one
-// packs another can read, so that merging it does not fail.
+// exchangeReports merges the reports of all routers into the first router, the parent, and the
+// parent's summary into all others. Merging cannot fail, because the reports come from the
+// same code.
 func (f *fleet) exchangeReports() {
 	now, parent := f.clock.now, f.routers[0].tracker
 	for _, r := range f.routers[1:] {
@@ -114,7 +117,7 @@
 	}
 }
 
-// sampleLoads takes in how unevenly the upstreams are loaded.
+// sampleLoads records the highest and the mean load of the upstreams and how many requests wait.
 func (f *fleet) sampleLoads() {
 	maxLoad, sum, waiting := 0, 0, 0
 	for _, u := range f.upstreams {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// An experiment is compared with the one of last week: the same file and seed must give
-// the same figures.
+// Runs with the same configuration and seed must give the same results, so that they can be
+// compared with runs of another time.
 func TestRunsRepeat(t *testing.T) {
 	for _, c := range []Config{plainConfig(), engineConfig()} {
 		c.Length = 5 * time.Second
@@ -56,13 +56,13 @@
 			t.Errorf("two runs differ: %+v and %+v", a.Sum(), b.Sum())
 		}
 		if reflect.DeepEqual(a.Seconds, Simulate(c, policy.All(), 4).Seconds) {
-			t.Error("another seed gives the same run")
+			t.Error("runs with different seeds are equal")
 		}
 	}
 }
 
-// Whatever befalls the pool, each caller is counted once: in time, late, refused or
-// failed.
+// Whatever faults the pool has, each caller must be counted exactly once: in time, late, refused
+// or failed.
 func TestEachCallerIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := plainConfig()
@@ -89,8 +89,8 @@
 	})
 }
 
-// One plain upstream with one slot is a queue that theory knows: at a load of .5, the
-// mean time from arrival to answer is twice that of the work.
+// One plain upstream with one slot is an M/M/1 queue: at a utilisation of .5, the mean time from
+// arrival to response is twice the service time.
 func TestPlainUpstreamMatchesQueueingTheory(t *testing.T) {
 	c := plainConfig()
 	c.Length, c.Routers = 400*time.Second, 1
@@ -104,8 +104,8 @@
 	}
 }
 
-// A batch of engines works at a step for each token: a lone answer of so many tokens takes
-// what the settings say.
+// A single request on an idle engine must take the prefill time, the delay of the first token, and
+// one step for each token of the response.
 func TestEngineTimesFollowSettings(t *testing.T) {
 	f := &fleet{config: engineConfig(), clock: clock{now: startTime}, result: newResult(engineConfig())}
 	u := newUpstream(f, 0)
@@ -115,19 +115,19 @@
 	j.onDone = func(bool) { done = f.clock.now.Sub(startTime) }
 	u.begin(j)
 	f.clock.run(startTime.Add(time.Minute))
-	wantFirst := 110*time.Millisecond + 12*time.Millisecond // 6600 tokens at 60 a millisecond
+	wantFirst := 110*time.Millisecond + 12*time.Millisecond // 6600 tokens at 60 per millisecond
 	if firstByte != wantFirst {
-		t.Errorf("first token after %v, want %v", firstByte, wantFirst)
+		t.Errorf("time to the first token %v, want %v", firstByte, wantFirst)
 	}
 	if want := wantFirst + 80*(4*time.Millisecond+30*time.Microsecond); done != want {
-		t.Errorf("whole answer after %v, want %v", done, want)
+		t.Errorf("time to the complete response %v, want %v", done, want)
 	}
 	if got := u.cache.cachedTokens(1); got != 6680 {
-		t.Errorf("%d tokens are kept, want 6680", got)
+		t.Errorf("%d tokens are cached, want 6680", got)
 	}
 }
 
-// The memory of an engine holds so many tokens, and forgets who asked longest ago.
+// Beyond its capacity in tokens, the prompt cache must evict the least recently used session.
 func TestPromptCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	m := newPromptCache(100)
 	m.put(1, 40)
@@ -135,12 +135,13 @@
 	m.put(1, 50)
 	m.put(3, 40)
 	if m.cachedTokens(1) != 50 || m.cachedTokens(2) != 0 || m.cachedTokens(3) != 40 || m.tokens != 90 {
-		t.Errorf("held %d, %d, %d of %d", m.cachedTokens(1), m.cachedTokens(2), m.cachedTokens(3), m.tokens)
+		t.Errorf("cached tokens %d, %d, %d, total %d", m.cachedTokens(1), m.cachedTokens(2), m.cachedTokens(3), m.tokens)
 	}
 }
 
-// Without donors, what a session's prompt lacks is read. With them it is moved, where
-// an engine crashes and its sessions go elsewhere.
+// Without donors, an engine must prefill all of a prompt that it has not cached. With donors, a
+// part is transferred from the engine that served the session before, here when a surge sends
+// sessions to other engines.
 func TestDonorsReducePrefill(t *testing.T) {
 	c := engineConfig()
 	c.Surges = []Surge{{At: 8 * time.Second, Duration: 6 * time.Second, Factor: 3}}
@@ -150,12 +151,12 @@
 	}
 	on, off := Simulate(c, policy.All(), 1), Simulate(c, without, 1)
 	if off.TransferredTokens != 0 || on.TransferredTokens == 0 || on.PrefilledTokens >= off.PrefilledTokens {
-		t.Errorf("moved %d, %d without donors; read %d, %d", on.TransferredTokens, off.TransferredTokens, on.PrefilledTokens, off.PrefilledTokens)
+		t.Errorf("transferred %d tokens, %d without donors; prefilled %d, %d", on.TransferredTokens, off.TransferredTokens, on.PrefilledTokens, off.PrefilledTokens)
 	}
 }
 
-// Two fifths of the engines turn half of their requests away while their load says that
-// they have room. Where routers hear of refusals, callers are turned away less often.
+// Two fifths of the engines reject half of their requests while their load shows spare capacity.
+// Routers that count rejections as failures must reject callers less often.
 func TestRefusingUpstreamsAreAvoided(t *testing.T) {
 	c := engineConfig()
 	c.Callers.MaxAttempts = 1
@@ -166,13 +167,13 @@
 	}
 	on, off := Simulate(c, policy.All(), 1).Sum(), Simulate(c, without, 1).Sum()
 	if on.Rejections*2 > off.Rejections {
-		t.Errorf("turned away %d times, %d without outliers", on.Rejections, off.Rejections)
+		t.Errorf("%d rejections, %d without outliers", on.Rejections, off.Rejections)
 	}
 }
 
-// Sixty routers, each with a sliver of the traffic, tell each other loads under a tight
-// bound. Going by a part of that bound, they took most upstreams for full and sent their
-// sessions to the same few: callers of those waited for seconds.
+// Sixty routers, each with a small share of the traffic, report loads to each other under a tight
+// load bound. When they used only a part of that bound, they took most upstreams for full and
+// sent their sessions to the same few, whose callers waited for seconds.
 func TestManyRoutersDoNotRunToTheSameUpstreams(t *testing.T) {
 	c := engineConfig()
 	c.Routers = 60
@@ -185,14 +186,14 @@
 		t.Fatal(err)
 	}
 	shared, unshared := Simulate(c, policy.All(), 1).Sum(), Simulate(c, withoutReports, 1).Sum()
-	t.Logf("told %+v, untold %+v", shared, unshared)
+	t.Logf("with reported loads %+v, without %+v", shared, unshared)
 	if shared.Skew > 1.1*unshared.Skew || shared.Late*50 > shared.Arrived {
-		t.Errorf("skew %.2f with loads told, %.2f without; %d of %d late", shared.Skew, unshared.Skew, shared.Late, shared.Arrived)
+		t.Errorf("skew %.2f with reported loads, %.2f without; %d of %d late", shared.Skew, unshared.Skew, shared.Late, shared.Arrived)
 	}
 }
 
-// Guards against requests of a router at an upstream that has asked it for rest: callers would
-// be turned away once more for each.
+// A router must send no requests to an upstream that has asked for rest. Each of them would cost
+// its caller another rejection.
 func TestRestingUpstreamsGetNoRequests(t *testing.T) {
 	rejections := func(rest time.Duration) (n int) {
 		c := engineConfig()
@@ -204,6 +205,6 @@
 	}
 	plain, rested := rejections(0), rejections(3*time.Second)
 	if rested >= plain {
-		t.Errorf("%d turned away, %d where no rest is asked for", rested, plain)
+		t.Errorf("%d rejections, %d where no rest is asked for", rested, plain)
 	}
 }
--- a/internal/model/overload_test.go
+++ b/internal/model/overload_test.go
@@ -7,9 +7,9 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// overloadConfig is 117 engines with 16 places each behind 68 routers. For seven seconds
-// three and a half times the usual callers come, while two fifths of the engines work five
-// times slower: twice what the pool can do.
+// overloadConfig returns a pool of 117 engines with 16 slots each behind 68 routers. For seven
+// seconds the arrival rate is three and a half times as high, while two fifths of the engines run
+// five times slower: the load is twice the capacity of the pool.
 func overloadConfig() Config {
 	return Config{
 		Length:  24 * time.Second,
@@ -32,11 +32,11 @@
 	}
 }
 
-// In a surge of twice what the pool can do, each request was sent to an engine, waited there
-// behind those before it, and was served late or dropped unrun when its caller's time was
-// over. The slow engines, sent as many as the others, held the longest queues. Where those
-// that cannot be answered in time wait behind all that can, what the pool can do goes to
-// answers in time, and what waits is served when the surge is over.
+// A surge of twice the capacity of the pool. Without estimates, each request waited at an engine
+// behind all earlier ones, and was served late or dropped unrun when its caller's time was over.
+// The slow engines received as many requests as the others and had the longest queues. If
+// requests that would miss the objective are deferred, the pool must serve more in time, and the
+// deferred ones after the surge.
 func TestSurgeBeyondThePoolIsServedInTime(t *testing.T) {
 	without, err := policy.Without("waits")
 	if err != nil {
@@ -47,17 +47,18 @@
 	t.Logf("of %d in time, late, refused, failed: %d %d %d %d; without estimates %d %d %d %d", after.Arrived,
 		after.InTime, after.Late, after.Refused, after.Failed, before.InTime, before.Late, before.Refused, before.Failed)
 	if after.InTime < before.InTime*5/4 {
-		t.Errorf("%d answers in time, %d without estimates", after.InTime, before.InTime)
+		t.Errorf("%d responses in time, %d without estimates", after.InTime, before.InTime)
 	}
-	// A lateWeight answer is worth three tenths of one in time to these callers.
+	// To these callers, a late response is worth three tenths of one in time.
 	const lateWeight = 0.3
 	value := float64(after.InTime) + lateWeight*float64(after.Late)
 	if baseline := float64(before.InTime) + lateWeight*float64(before.Late); value < 1.1*baseline {
-		t.Errorf("answers worth %.0f, %.0f without estimates", value, baseline)
+		t.Errorf("value of responses %.0f, %.0f without estimates", value, baseline)
 	}
 }
 
-// On a calm day no engine has a queue, and nobody is turned away or sent elsewhere.
+// Without overload no engine has a queue, so estimates must not cause rejections or move sessions
+// to other engines.
 func TestEstimatesChangeNothingWithoutOverload(t *testing.T) {
 	c := overloadConfig()
 	c.Surges, c.Faults = nil, nil
@@ -67,12 +68,12 @@
 	}
 	before, after := Simulate(c, without, 1), Simulate(c, policy.All(), 1)
 	if got := after.Sum().Refused; got > 0 {
-		t.Errorf("%d are turned away", got)
+		t.Errorf("%d callers are refused", got)
 	}
 	if a, b := after.Sum().InTime, before.Sum().InTime; a < b*99/100 {
 		t.Errorf("%d in time, %d without estimates", a, b)
 	}
 	if after.TransferredTokens > before.TransferredTokens*11/10 {
-		t.Errorf("%d tokens are moved, %d without estimates", after.TransferredTokens, before.TransferredTokens)
+		t.Errorf("%d tokens transferred, %d without estimates", after.TransferredTokens, before.TransferredTokens)
 	}
 }
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// maxLatency is the longest time to a first byte that a histogram tells from
-	// longer ones, and digits how exactly it does.
+	// maxLatency and significantDigits are the range and the precision of the histogram of
+	// times to the first byte.
 	maxLatency        = 10 * time.Minute
 	significantDigits = 3
 )
 
-// Second is what became of the callers that asked in one second.
+// Second holds the outcomes of the callers that arrived in one second. Each caller is counted in
+// one of InTime, Late, Refused and Failed.
 type Second struct {
 	Arrived    int     `json:"asked"`
-	InTime     int     `json:"in_time"` // begun within the objective, and whole
-	Late       int     `json:"late"`
-	Refused    int     `json:"refused"`     // for good
-	Rejections int     `json:"turned_away"` // told to come back
-	Failed     int     `json:"failed"`      // broken off, or without an answer in time
-	Skew       float64 `json:"skew"`        // most loaded upstream over the mean, on average
-	Queued     float64 `json:"waiting"`     // in the queues of upstreams, on average
+	InTime     int     `json:"in_time"`     // complete responses whose first byte met the objective
+	Late       int     `json:"late"`        // complete responses whose first byte missed the objective
+	Refused    int     `json:"refused"`     // callers that used all their tries
+	Rejections int     `json:"turned_away"` // rejected tries, of which a caller may have several
+	Failed     int     `json:"failed"`      // broken responses, and callers that left
+	Skew       float64 `json:"skew"`        // highest load of an upstream divided by the mean load, averaged
+	Queued     float64 `json:"waiting"`     // requests in the queues of upstreams, averaged
 
 	samples int
 }
 
-// Result is what a run has shown.
+// Result is the outcome of a run.
 type Result struct {
 	Seconds           []Second                `json:"seconds"`
-	FirstByte         *hdrhistogram.Histogram `json:"-"` // times to the first byte, in microseconds
+	FirstByte         *hdrhistogram.Histogram `json:"-"` // time to the first byte, in microseconds
 	CachedTokens      int                     `json:"held_tokens"`
 	TransferredTokens int                     `json:"moved_tokens"`
-	PrefilledTokens   int                     `json:"read_tokens"` // of prompts, that were known to some engine or not
+	PrefilledTokens   int                     `json:"read_tokens"` // prompt tokens that were neither cached nor transferred
 
 	objective time.Duration
 }
@@ -55,9 +56,9 @@
 func (r *Result) recordRefusal(arrivedAt time.Time)   { r.second(arrivedAt).Refused++ }
 func (r *Result) recordFailure(arrivedAt time.Time)   { r.second(arrivedAt).Failed++ }
 
-// recordFirstByte takes in how long a first byte took, and reports whether that was too long.
+// recordFirstByte records a time to the first byte and reports whether it exceeds the objective.
 func (r *Result) recordFirstByte(d time.Duration) (late bool) {
-	// Longer times than the histogram holds do not occur: callers leave before.
+	// Times beyond the range of the histogram do not occur, because callers leave before.
 	_ = r.FirstByte.RecordValue(max(1, d.Microseconds()))
 	return d > r.objective
 }
@@ -88,7 +89,7 @@
 	}
 }
 
-// computeAverages turns sums into averages.
+// computeAverages divides the sums of samples by their number.
 func (r *Result) computeAverages() {
 	for i := range r.Seconds {
 		s := &r.Seconds[i]
@@ -99,7 +100,7 @@
 	}
 }
 
-// Sum returns what became of all callers.
+// Sum returns the totals of all seconds. Skew and Queued are means of the sampled seconds.
 func (r *Result) Sum() Second {
 	var sum Second
 	n := 0
@@ -123,7 +124,8 @@
 	return sum
 }
 
-// Reuse returns which part of the prompts' tokens was found where a request ran.
+// Reuse returns the share of prompt tokens, 0 to 1, that was cached at the upstream that ran the
+// request.
 func (r *Result) Reuse() float64 {
 	all := r.CachedTokens + r.TransferredTokens + r.PrefilledTokens
 	if all == 0 {
--- a/internal/model/upstream.go
+++ b/internal/model/upstream.go
@@ -11,41 +11,41 @@
 	"github.com/parsleyfront/parsleyfront/internal/load"
 )
 
-// tokensPerUpdate is how many tokens an engine generates between two looks at its batch: the
-// step's time is taken to hold that long.
+// tokensPerUpdate is how many tokens an engine generates for a request before the time of a step
+// is computed anew from the batch.
 const tokensPerUpdate = 8
 
-// upstream is an engine or a plain service.
+// upstream is a model engine or a plain service.
 type upstream struct {
 	fleet         *fleet
 	engine        *Engine // nil: a plain service
 	id            load.VM
 	name          string
-	slots         int // requests that it works on at a time
+	slots         int // requests that run at a time
 	maxQueue      int // requests that may wait
-	incarnation   int // how often it has crashed
+	incarnation   int // number of crashes so far
 	running       int
 	queue         []*job
-	prefillEnd    time.Time // when the prompts that are being read have been
-	contextTokens int       // tokens of the prompts in the batch
+	prefillEnd    time.Time // end of the prefill of all running requests
+	contextTokens int       // prompt tokens of the batch
 	cache         promptCache
-	slowdown      float64       // how many times slower it works
-	refuseShare   float64       // part of the requests
-	rest          time.Duration // that it wants of a router with each refusal
+	slowdown      float64       // factor on all processing times
+	refuseShare   float64       // of its requests
+	rest          time.Duration // sent to the router with each rejection; 0: none
 	failShare     float64
 	hangShare     float64
 }
 
-// job is one request at an upstream.
+// job is one attempt at an upstream.
 type job struct {
 	call        *call
-	incarnation int // of the upstream
+	incarnation int // of the upstream at its arrival
 	donor       *upstream
-	// deferred tells that it goes after all jobs for which this is not told.
+	// deferred reports whether the job waits until no other job that is not deferred waits.
 	deferred    bool
-	onFirstByte func()               // its first byte is there
-	onEvent     func()               // an event of its answer is there; nil: nobody wants to know
-	onDone      func(succeeded bool) // its answer has ended
+	onFirstByte func()               // called at the first byte of the response
+	onEvent     func()               // called at each event of the response; may be nil
+	onDone      func(succeeded bool) // called at the end of the response
 }
 
 func newUpstream(f *fleet, i int) *upstream {
@@ -60,12 +60,12 @@
 	return u
 }
 
-// load is the requests at the upstream.
+// load returns the number of running and waiting requests.
 func (u *upstream) load() int { return u.running + len(u.queue) }
 
 func (u *upstream) waiting() int { return len(u.queue) }
 
-// offer hands a request to the upstream, or reports that it is turned away.
+// offer runs or queues a job and reports whether the upstream accepts it.
 func (u *upstream) offer(j *job) bool {
 	random := u.fleet.random
 	if u.refuseShare > 0 && random.Float64() < u.refuseShare {
@@ -76,7 +76,7 @@
 	case u.failShare > 0 && random.Float64() < u.failShare:
 		u.fleet.clock.after(hopLatency, func() { j.onDone(false) })
 	case u.hangShare > 0 && random.Float64() < u.hangShare:
-		// nothing comes back
+		// no response
 	case u.running < u.slots:
 		u.begin(j)
 	case len(u.queue) < u.maxQueue:
@@ -100,13 +100,13 @@
 	})
 }
 
-// scaled returns how long something takes that usually takes d.
+// scaled returns the processing time d with the current slowdown.
 func (u *upstream) scaled(d time.Duration) time.Duration {
 	return time.Duration(u.slowdown * float64(d))
 }
 
-// after lets something happen to a job, unless the upstream has crashed until then or
-// its caller has left.
+// after schedules do for a job. It is skipped if the upstream has crashed by then; if the caller
+// has left, the job's slot is freed instead.
 func (u *upstream) after(j *job, d time.Duration, do func()) {
 	u.fleet.clock.after(d, func() {
 		switch {
@@ -119,8 +119,8 @@
 	})
 }
 
-// prefill has an engine get and prefill what it lacks of a prompt, one prompt at a time, and
-// begin the answer.
+// prefill fetches the part of the prompt that the donor has cached, processes what is still
+// missing, one prompt at a time, and starts the response.
 func (u *upstream) prefill(j *job) {
 	e, c := u.engine, j.call
 	cached := min(u.cache.cachedTokens(c.session.id), c.promptTokens)
@@ -148,7 +148,7 @@
 	})
 }
 
-// generate has an engine generate so many tokens more.
+// generate generates the remaining tokens of a response, then finishes the job.
 func (u *upstream) generate(j *job, tokensLeft int) {
 	if tokensLeft <= 0 {
 		u.cache.put(j.call.session.id, j.call.promptTokens+j.call.newTokens+j.call.answerTokens)
@@ -171,7 +171,7 @@
 	j.onDone(true)
 }
 
-// release frees the place of a job.
+// release frees the slot of a job and starts waiting jobs, deferred ones last.
 func (u *upstream) release(j *job) {
 	u.running--
 	u.contextTokens = max(0, u.contextTokens-j.call.promptTokens)
@@ -185,7 +185,7 @@
 	}
 }
 
-// crash loses all that the upstream has.
+// crash drops all requests and the prompt cache of the upstream.
 func (u *upstream) crash() {
 	u.incarnation++
 	u.running, u.queue, u.contextTokens, u.prefillEnd = 0, nil, 0, time.Time{}
@@ -198,28 +198,28 @@
 	return time.Duration(math.Round(x * float64(time.Millisecond)))
 }
 
-// promptCache is the prompts that an engine keeps, those used last.
+// promptCache holds the prompts of the most recently used sessions, as numbers of tokens.
 type promptCache struct {
 	capacity        int
 	tokens          int
-	tokensBySession *simplelru.LRU[uint64, int] // tokens by session
+	tokensBySession *simplelru.LRU[uint64, int]
 }
 
 func newPromptCache(capacity int) promptCache {
 	tokensBySession, err := simplelru.NewLRU[uint64, int](math.MaxInt, nil)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // fails only for a size below 1
 	}
 	return promptCache{capacity: capacity, tokensBySession: tokensBySession}
 }
 
-// cachedTokens returns how many tokens of a session's prompt are kept.
+// cachedTokens returns how many tokens of a session's prompt are cached.
 func (m *promptCache) cachedTokens(session uint64) int {
 	tokens, _ := m.tokensBySession.Peek(session)
 	return tokens
 }
 
-// put keeps a session's prompt and forgets those used longest ago.
+// put stores a session's prompt and evicts the least recently used ones beyond the capacity.
 func (m *promptCache) put(session uint64, tokens int) {
 	m.tokens += tokens - m.cachedTokens(session)
 	m.tokensBySession.Add(session, tokens)
--- a/internal/openloop/openloop.go
+++ b/internal/openloop/openloop.go
@@ -1,9 +1,9 @@
-// Package openloop plays load against a fleet that runs: requests leave at their times,
-// whether former ones have been answered or not, and nothing slows them down. Times are
-// counted from when a request was due, so that a fleet that stalls shows in them.
+// Package openloop sends open-loop load to a running fleet: requests are sent at their scheduled
+// times, whether earlier ones have been answered or not. Latencies are measured from the
+// scheduled time of a request, so that they include the delay when a fleet stalls.
 //
-// Package benchtool calls it. At most Options.Open requests are open at a time; those
-// that would be more are counted as not sent.
+// Package benchtool uses it. At most Options.MaxOpen requests are open at a time; further ones are
+// counted as not sent.
 package openloop
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/pkg/errors"
 )
 
-// Options is the load.
+// Options describes the load.
 type Options struct {
 	URL       string        `long:"url" value-name:"URL" required:"yes" description:"Where requests are sent"`
 	Method    string        `long:"method" default:"POST" description:"Method of the requests"`
@@ -37,7 +37,7 @@
 	Seed      uint64        `long:"seed" default:"1" description:"Decides times and sessions"`
 }
 
-// Validate returns what is wrong with the options.
+// Validate returns an error that names the first invalid option, or nil.
 func (o Options) Validate() error {
 	switch {
 	case o.PerSecond <= 0 || o.PerSecond > maxPerSecond:
@@ -57,28 +57,27 @@
 }
 
 const (
-	// maxPerSecond bounds what one process sends.
+	// maxPerSecond limits the request rate of one process.
 	maxPerSecond = 20000
-	// maxLatency is the maxLatency time that the histograms tell from longer ones, and digits
-	// how exactly they do.
+	// maxLatency and significantDigits are the range and the precision of the histograms.
 	maxLatency        = 10 * time.Minute
 	significantDigits = 3
 )
 
-// generator is a run under way.
+// generator is the state of one load run.
 type generator struct {
 	options      Options
 	client       *http.Client
 	openRequests chan struct{}
 
 	mu            sync.Mutex
-	statuses      map[int]int // 0: no answer
+	statuses      map[int]int // requests by status; 0: no complete response
 	notSent       int
-	firstByte     *hdrhistogram.Histogram // until the first byte of the body, in microseconds
-	wholeResponse *hdrhistogram.Histogram
+	firstByte     *hdrhistogram.Histogram // time to the first byte of the body, in microseconds
+	wholeResponse *hdrhistogram.Histogram // time to the end of the body, in microseconds
 }
 
-// Run sends the load and writes what became of it.
+// Run sends the load until it is complete or ctx is done, and writes a Report as JSON to out.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	if err := o.Validate(); err != nil {
 		return err
@@ -98,7 +97,7 @@
 	return g.report(out)
 }
 
-// send sends the requests at their times and waits for their ends.
+// send sends the requests at their scheduled times and waits until all have ended.
 func (g *generator) send(ctx context.Context) {
 	random := rand.New(rand.NewPCG(g.options.Seed, 0))
 	due := time.Now()
@@ -130,10 +129,10 @@
 	}
 }
 
-// request sends one request that was due at a time.
+// request sends one request and records its outcome. Latencies are measured from due.
 func (g *generator) request(ctx context.Context, due time.Time, session string) {
 	sessionReplacer := strings.NewReplacer("{session}", session)
-	// The method and the URL have been checked.
+	// Validate has checked the method and the URL, so that this cannot fail.
 	r, _ := http.NewRequestWithContext(ctx, g.options.Method, g.options.URL, strings.NewReader(sessionReplacer.Replace(g.options.Body)))
 	if g.options.Host != "" {
 		r.Host = g.options.Host
@@ -147,7 +146,7 @@
 		g.record(0, 0, 0)
 		return
 	}
-	defer resp.Body.Close() // its end has been read, or it is given up
+	defer resp.Body.Close() // an error does not matter: the body was read to its end or abandoned
 	var firstByte [1]byte
 	_, err = io.ReadFull(resp.Body, firstByte[:])
 	firstByteTime := time.Since(due)
@@ -161,27 +160,27 @@
 	g.record(resp.StatusCode, firstByteTime, time.Since(due))
 }
 
-// record takes in how a request ended. Times of answers other than 2xx are left out.
+// record records the outcome of a request. Latencies count only for 2xx responses.
 func (g *generator) record(status int, firstByte, wholeResponse time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.statuses[status]++
 	if status/100 == 2 {
-		// Longer times than the histograms hold do not occur: the timeout is shorter.
+		// Times beyond the range of the histograms do not occur, because the timeout is shorter.
 		_ = g.firstByte.RecordValue(max(1, firstByte.Microseconds()))
 		_ = g.wholeResponse.RecordValue(max(1, wholeResponse.Microseconds()))
 	}
 }
 
-// Report is what became of the load.
+// Report is the outcome of a load run.
 type Report struct {
-	Statuses      map[string]int `json:"statuses"` // "none": no whole answer
-	NotSent       int            `json:"not_sent"`
+	Statuses      map[string]int `json:"statuses"` // requests by status; "none": no complete response
+	NotSent       int            `json:"not_sent"` // requests beyond Options.MaxOpen
 	FirstByte     Quantiles      `json:"first_byte_ms"`
 	WholeResponse Quantiles      `json:"whole_ms"`
 }
 
-// Quantiles are quantiles, in milliseconds.
+// Quantiles are quantiles and the maximum of a latency, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
--- a/internal/openloop/openloop_test.go
+++ b/internal/openloop/openloop_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// A fleet turns some requests away, breaks some answers off, and answers the rest. Each
-// is counted as what it was, and sessions are named as the options say.
+// A server rejects some requests, breaks off some responses and completes the others. Each request
+// must be counted under its outcome, and {session} be replaced in headers and bodies.
 func TestRequestsAreCountedByOutcome(t *testing.T) {
 	var mu sync.Mutex
 	received, want, sessions := 0, map[string]int{}, map[string]bool{}
@@ -77,7 +77,7 @@
 	}
 }
 
-// A fleet answers nothing until seven requests are there. They leave all the same.
+// The server responds only when seven requests are open. The load must not wait for responses.
 func TestSlowResponsesDoNotDelayRequests(t *testing.T) {
 	release := make(chan struct{})
 	var mu sync.Mutex
@@ -93,12 +93,12 @@
 	}))
 	defer s.Close()
 	if r := runLoad(t, options(s.URL)); r.Statuses["200"] < 7 || r.Statuses["none"] > 0 {
-		t.Errorf("%+v: the load waited for answers", r)
+		t.Errorf("%+v: the load waited for responses", r)
 	}
 }
 
-// The command may have one request open, and the first is answered when all were due.
-// The others are counted as not sent, and none is sent late.
+// With at most one open request and a server that never responds, all later requests must be
+// counted as not sent, and none be sent late.
 func TestRequestsBeyondMaxOpenAreNotSent(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -107,12 +107,12 @@
 	o := options(s.URL)
 	o.MaxOpen, o.Timeout = 1, time.Second
 	if r := runLoad(t, o); r.Statuses["none"] != 1 || r.NotSent == 0 {
-		t.Errorf("%+v, want one request without an answer", r)
+		t.Errorf("%+v, want one request without a response and others not sent", r)
 	}
 }
 
-// A fleet takes 50 ms for each answer. No time in the report is shorter: they are counted
-// from when each request was due, not from when a later one was.
+// The server takes 50 ms for each response. The reported latencies must not be shorter: each is
+// measured from the scheduled time of its own request, not of a later one.
 func TestTimesCountFromWhenEachRequestWasDue(t *testing.T) {
 	const work = 50 * time.Millisecond
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -123,12 +123,12 @@
 	r := runLoad(t, options(s.URL))
 	for _, ms := range []float64{r.FirstByte.P50, r.WholeResponse.P50} {
 		if ms < float64(work.Milliseconds()) {
-			t.Errorf("%+v: shorter than the work", r)
+			t.Errorf("%+v: shorter than the time of the server", r)
 		}
 	}
 }
 
-// Whoever stops the command gets the report of what was sent.
+// A load that is stopped early must still be reported.
 func TestStoppedLoadIsReported(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
@@ -155,7 +155,7 @@
 		o := options("http://localhost")
 		change(&o)
 		if o.Validate() == nil {
-			t.Errorf("%+v is taken", o)
+			t.Errorf("%+v is accepted", o)
 		}
 	}
 	if err := options("http://localhost").Validate(); err != nil {
