--- a/bench/ablation/main.go
+++ b/bench/ablation/main.go
@@ -26,8 +26,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// nothing is the name of the variant with all mechanisms on.
-const nothing = "nothing"
+// baseline is the name of the variant with all mechanisms on.
+const baseline = "nothing"
 
 var (
 	bench      = flag.String("bench", "", "path of the bench's program")
@@ -52,32 +52,32 @@
 	}
 	defer os.RemoveAll(dir)
 	means := make(map[string][]float64) // by variant, a site each
-	for _, off := range append([]string{nothing}, strings.Split(*mechanisms, ",")...) {
-		checkout := filepath.Join(dir, off)
-		if err := prepare(checkout, off); err != nil {
+	for _, disabled := range append([]string{baseline}, strings.Split(*mechanisms, ",")...) {
+		checkout := filepath.Join(dir, disabled)
+		if err := prepareCheckout(checkout, disabled); err != nil {
 			return err
 		}
 		for _, site := range sites {
-			mean, err := play(checkout, site, off)
+			mean, err := meanWorth(checkout, site, disabled)
 			if err != nil {
 				return err
 			}
-			means[off] = append(means[off], mean)
+			means[disabled] = append(means[disabled], mean)
 		}
-		if err := os.CopyFS("journal", newer{os.DirFS(filepath.Join(checkout, "journal"))}); err != nil {
+		if err := os.CopyFS("journal", missingFS{os.DirFS(filepath.Join(checkout, "journal"))}); err != nil {
 			return errors.WithStack(err)
 		}
-		report(off, means)
+		printRow(disabled, means)
 	}
 	return nil
 }
 
-// prepare makes a copy of the checkout in which a mechanism is off.
-func prepare(checkout, off string) error {
+// prepareCheckout makes a copy of the checkout in which a mechanism is off.
+func prepareCheckout(checkout, disabled string) error {
 	if out, err := exec.Command("git", "clone", "--quiet", ".", checkout).CombinedOutput(); err != nil {
 		return errors.Wrapf(err, "copy: %s", out)
 	}
-	if off == nothing {
+	if disabled == baseline {
 		return nil
 	}
 	path := filepath.Join(checkout, "deploy", "system.toml")
@@ -85,33 +85,33 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	const role = "parsleyd entry "
-	changed := strings.Replace(string(text), role, role+"--without "+off+" ", 1)
+	const command = "parsleyd entry "
+	changed := strings.Replace(string(text), command, command+"--without "+disabled+" ", 1)
 	if changed == string(text) {
-		return errors.Errorf("%s does not run %q: nothing would be switched off", path, role)
+		return errors.Errorf("%s does not run %q: nothing would be switched off", path, command)
 	}
 	return errors.WithStack(os.WriteFile(path, []byte(changed), 0o600))
 }
 
-// worth is how the bench tells the figure of a run.
-var worth = regexp.MustCompile(`(?m)^worth ([0-9.]+) = `)
+// worthPattern is how the bench tells the figure of a run.
+var worthPattern = regexp.MustCompile(`(?m)^worth ([0-9.]+) = `)
 
-// play returns the mean worth of a site's days.
-func play(checkout, site, off string) (float64, error) {
+// meanWorth returns the mean worth of a site's days.
+func meanWorth(checkout, site, disabled string) (float64, error) {
 	var (
 		mu      sync.Mutex
 		sum     float64
 		n       int
 		failure error
-		open    sync.WaitGroup
+		wg      sync.WaitGroup
 	)
 	slots := make(chan struct{}, *jobs)
 	for _, day := range strings.Split(*days, ",") {
 		for _, seed := range strings.Split(*seeds, ",") {
 			slots <- struct{}{}
-			open.Go(func() {
+			wg.Go(func() {
 				defer func() { <-slots }()
-				got, err := playDay(checkout, site, day, seed, off)
+				got, err := runDay(checkout, site, day, seed, disabled)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -122,36 +122,36 @@
 			})
 		}
 	}
-	open.Wait()
+	wg.Wait()
 	if n == 0 {
 		return 0, failure
 	}
 	return sum / float64(n), failure
 }
 
-func playDay(checkout, site, day, seed, off string) (float64, error) {
-	args := []string{"run", site, day, "--jobs", "1", "--why", "ablation: without " + off}
+func runDay(checkout, site, day, seed, disabled string) (float64, error) {
+	args := []string{"run", site, day, "--jobs", "1", "--why", "ablation: without " + disabled}
 	if seed != "0" {
 		args = append(args, "--seed", seed)
 	}
 	cmd := exec.Command(*bench, args...)
 	cmd.Dir = checkout
 	out, err := cmd.CombinedOutput()
-	found := worth.FindSubmatch(out)
-	if found == nil {
-		return 0, errors.Errorf("%s of %s without %s gave no figure (%v): %s", day, filepath.Base(site), off, err, out)
+	match := worthPattern.FindSubmatch(out)
+	if match == nil {
+		return 0, errors.Errorf("%s of %s without %s gave no figure (%v): %s", day, filepath.Base(site), disabled, err, out)
 	}
-	return strconv.ParseFloat(string(found[1]), 64)
+	return strconv.ParseFloat(string(match[1]), 64)
 }
 
-// report writes a row of the table.
-func report(off string, means map[string][]float64) {
-	fmt.Printf("| %s |", off)
-	for i, mean := range means[off] {
-		if off == nothing {
+// printRow writes a row of the table.
+func printRow(disabled string, means map[string][]float64) {
+	fmt.Printf("| %s |", disabled)
+	for i, mean := range means[disabled] {
+		if disabled == baseline {
 			fmt.Printf(" %.4f |", mean)
 		} else {
-			fmt.Printf(" %+.4f |", means[nothing][i]-mean)
+			fmt.Printf(" %+.4f |", means[baseline][i]-mean)
 		}
 	}
 	fmt.Println()
--- a/bench/ablation/newer.go
+++ b/bench/ablation/newer.go
@@ -6,11 +6,11 @@
 	"path/filepath"
 )
 
-// newer is a journal as far as this checkout has not got it yet.
-type newer struct{ fs.FS }
+// missingFS is a journal as far as this checkout has not got it yet.
+type missingFS struct{ fs.FS }
 
 // ReadDir implements fs.ReadDirFS.
-func (n newer) ReadDir(name string) ([]fs.DirEntry, error) {
+func (n missingFS) ReadDir(name string) ([]fs.DirEntry, error) {
 	entries, err := fs.ReadDir(n.FS, name)
 	var out []fs.DirEntry
 	for _, e := range entries {
--- a/bench/policy/cache_test.go
+++ b/bench/policy/cache_test.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// timed is something with a virtual time in seconds; queue is a heap of them.
-type timed struct {
+// event is something with a virtual time in seconds; queue is a heap of them.
+type event struct {
 	at   float64
-	do   func()
+	run  func()
 	chat int
 }
-type queue []timed
+type eventQueue []event
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(timed)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	defer func() { *q = (*q)[:last] }()
 	return (*q)[last]
@@ -29,29 +29,29 @@
 type cache struct {
 	capacity, used int
 	prefixes       map[int]*prefix // by chat
-	byUse          queue           // an entry is outdated if the prefix was used again
+	lruQueue       eventQueue      // an entry is outdated if the prefix was used again
 }
 
 type prefix struct {
-	tokens int
-	last   float64 // use
+	tokens  int
+	lastUse float64 // use
 }
 
 // use returns how many tokens of a chat are cached, and caches it up to tokens.
 func (c *cache) use(chat, tokens int, at float64) (cached int) {
 	p := c.prefixes[chat]
 	if p == nil {
-		p = &prefix{last: at}
+		p = &prefix{lastUse: at}
 		c.prefixes[chat] = p
-		heap.Push(&c.byUse, timed{at: at, chat: chat})
+		heap.Push(&c.lruQueue, event{at: at, chat: chat})
 	}
 	cached = p.tokens
 	c.used += max(tokens-cached, 0)
-	p.tokens, p.last = max(tokens, cached), max(at, p.last)
+	p.tokens, p.lastUse = max(tokens, cached), max(at, p.lastUse)
 	for c.used > c.capacity {
-		oldest := heap.Pop(&c.byUse).(timed)
-		if p := c.prefixes[oldest.chat]; p.last > oldest.at {
-			heap.Push(&c.byUse, timed{at: p.last, chat: oldest.chat})
+		oldest := heap.Pop(&c.lruQueue).(event)
+		if p := c.prefixes[oldest.chat]; p.lastUse > oldest.at {
+			heap.Push(&c.lruQueue, event{at: p.lastUse, chat: oldest.chat})
 		} else {
 			c.used -= p.tokens
 			delete(c.prefixes, oldest.chat)
--- a/bench/policy/fleet_test.go
+++ b/bench/policy/fleet_test.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	domains     = 3  // failure domains
-	samples     = 5  // in a message, as in packages router and sidecar
-	sampleField = 10 // bytes of CBOR beside the samples
-	loadFields  = 18 // bytes of CBOR with a sidecar's own load
+	domains          = 3  // failure domains
+	maxSamples       = 5  // in a message, as in packages router and sidecar
+	sampleFieldBytes = 10 // bytes of CBOR beside the samples
+	loadFieldBytes   = 18 // bytes of CBOR with a sidecar's own load
 )
 
 // policy is what a row of the benchmark switches on.
 type policy struct {
-	name       string
-	spread     bool // two random choices, without sessions
-	bound      bool // sidecars refuse what goes over the bound
-	ticket     bool // callers send their tickets back
-	concurrent bool // turns of a chat that run at the same time are told apart
-	relay      bool // messages carry samples
-	skip       bool // routers leave out upstreams that they believe full
-	export     bool // a leaving upstream hands its prefixes on
-	handOver   bool // a joining upstream is handed its sessions' prefixes
+	name             string
+	twoChoices       bool // two random choices, without sessions
+	bound            bool // sidecars refuse what goes over the bound
+	ticket           bool // callers send their tickets back
+	detectConcurrent bool // turns of a chat that run at the same time are told apart
+	relaySamples     bool // messages carry samples
+	skipFull         bool // routers leave out upstreams that they believe full
+	export           bool // a leaving upstream hands its prefixes on
+	handOver         bool // a joining upstream is handed its sessions' prefixes
 }
 
 // upstream is an engine with its sidecar.
@@ -40,8 +40,8 @@
 	state  load.State
 }
 
-// observe notes in a table how the upstream is.
-func (u *upstream) observe(t *load.Table, now time.Time) {
+// reportTo notes in a table how the upstream is.
+func (u *upstream) reportTo(t *load.Table, now time.Time) {
 	t.Observe(now, u.member.VM, load.Report{Load: u.load, State: u.state})
 }
 
@@ -60,9 +60,9 @@
 // fleet is one pool with its routers.
 type fleet struct {
 	policy
-	size
+	scenario
 	rand      *rand.Rand
-	events    queue
+	events    eventQueue
 	seconds   float64 // virtual time
 	now       time.Time
 	upstreams []*upstream
@@ -83,14 +83,14 @@
 	})
 }
 
-// welcome hands the upstream that joined last copies of its sessions' prefixes.
-func (f *fleet) welcome() {
+// handOverPrefixes hands the upstream that joined last copies of its sessions' prefixes.
+func (f *fleet) handOverPrefixes() {
 	v, n := f.newView(0), len(f.upstreams)-1
 	for _, vm := range f.live[:len(f.live)-1] {
 		from := f.upstreams[vm].cache
 		for _, chat := range from.chats() {
 			if v.vms[v.pool.Home(session(chat))] == n {
-				f.upstreams[n].cache.use(chat, from.prefixes[chat].tokens, from.prefixes[chat].last)
+				f.upstreams[n].cache.use(chat, from.prefixes[chat].tokens, from.prefixes[chat].lastUse)
 			}
 		}
 	}
@@ -98,14 +98,14 @@
 
 // leave drains a random upstream.
 func (f *fleet) leave() {
-	at := f.rand.IntN(len(f.live))
-	u := f.upstreams[f.live[at]]
-	f.live = slices.Delete(f.live, at, at+1)
+	index := f.rand.IntN(len(f.live))
+	u := f.upstreams[f.live[index]]
+	f.live = slices.Delete(f.live, index, index+1)
 	u.state = load.Draining
 	v := f.newView(0)
 	for _, chat := range u.cache.chats() {
-		if to := v.vms[v.pool.Home(session(chat))]; f.export {
-			f.upstreams[to].cache.use(chat, u.cache.prefixes[chat].tokens, f.seconds)
+		if successor := v.vms[v.pool.Home(session(chat))]; f.export {
+			f.upstreams[successor].cache.use(chat, u.cache.prefixes[chat].tokens, f.seconds)
 		}
 	}
 }
@@ -130,73 +130,73 @@
 func (f *fleet) request(r *router, c *chat) (vm int) {
 	f.window.requests++
 	q := placement.Query{Session: session(c.id), Ticket: placement.None, TicketAge: math.MaxInt64, Random: f.rand.Uint64()}
-	if f.spread {
+	if f.twoChoices {
 		q.Session = 0
 	}
-	if f.ticket && c.at != placement.None {
-		q.Ticket = r.pool.Index(f.upstreams[c.at].member.VM)
-		if f.concurrent {
-			q.TicketAge = time.Duration((f.seconds - c.ticketed) * float64(time.Second))
+	if f.ticket && c.ticketVM != placement.None {
+		q.Ticket = r.pool.Index(f.upstreams[c.ticketVM].member.VM)
+		if f.detectConcurrent {
+			q.TicketAge = time.Duration((f.seconds - c.ticketTime) * float64(time.Second))
 		}
 	}
 	if f.bound {
-		q.LoadMultiple = f.multiple
+		q.LoadMultiple = f.loadMultiple
 	}
-	beliefs := r.table
-	if !f.skip {
-		beliefs = load.NewTable()
+	reported := r.table
+	if !f.skipFull {
+		reported = load.NewTable()
 	}
 	var out [placement.MaxCandidates]int
-	n := r.pool.Choose(f.now, beliefs, q, &out)
+	n := r.pool.Choose(f.now, reported, q, &out)
 	for _, i := range out[:n] {
 		if f.offer(r, f.upstreams[r.vms[i]]) {
 			return r.vms[i]
 		}
 		f.window.refusals++
 	}
-	f.window.refused++
+	f.window.rejected++
 	return placement.None
 }
 
 // offer is a message to a sidecar and its reply, which tells the load that the
 // request found.
 func (f *fleet) offer(r *router, u *upstream) (admitted bool) {
-	if f.relay {
-		up := r.table.Pack(f.now, samples, u.member.VM)
-		f.window.up += len(up) + sampleField
+	if f.relaySamples {
+		up := r.table.Pack(f.now, maxSamples, u.member.VM)
+		f.window.upBytes += len(up) + sampleFieldBytes
 		_ = u.table.Merge(f.now, up)
 	}
-	u.observe(u.table, f.now)
+	u.reportTo(u.table, f.now)
 	mean, known := u.table.Mean(f.now)
-	admitted = u.state == load.Serving && (!f.bound || u.load < load.Bound(mean, known, f.multiple, 1))
-	f.reply(r, u, !admitted)
+	admitted = u.state == load.Serving && (!f.bound || u.load < load.Bound(mean, known, f.loadMultiple, 1))
+	f.sendReply(r, u, !admitted)
 	if admitted {
 		u.load++
 	}
 	return admitted
 }
 
-// reply is what a sidecar tells a router of loads.
-func (f *fleet) reply(r *router, u *upstream, withSamples bool) {
-	f.window.own += loadFields
-	u.observe(u.table, f.now)
-	if withSamples && f.relay {
-		down := u.table.Pack(f.now, samples, u.member.VM)
-		f.window.down += len(down) + sampleField
+// sendReply is what a sidecar tells a router of loads.
+func (f *fleet) sendReply(r *router, u *upstream, withSamples bool) {
+	f.window.ownLoadBytes += loadFieldBytes
+	u.reportTo(u.table, f.now)
+	if withSamples && f.relaySamples {
+		down := u.table.Pack(f.now, maxSamples, u.member.VM)
+		f.window.downBytes += len(down) + sampleFieldBytes
 		_ = r.table.Merge(f.now, down)
 	}
-	u.observe(r.table, f.now)
+	u.reportTo(r.table, f.now)
 }
 
-// measure notes the skew: the highest load over the mean of those that serve,
+// recordSkew notes the skew: the highest load over the mean of those that serve,
 // and how many requests the highest is over the bound at the true mean.
-func (f *fleet) measure() {
-	top, sum := 0, 0
+func (f *fleet) recordSkew() {
+	highest, sum := 0, 0
 	for _, vm := range f.live {
-		top = max(top, f.upstreams[vm].load)
+		highest = max(highest, f.upstreams[vm].load)
 		sum += f.upstreams[vm].load
 	}
 	mean := float64(max(sum, 1)) / float64(len(f.live))
-	f.window.skews = append(f.window.skews, float64(top)/mean)
-	f.window.over = max(f.window.over, top-load.Bound(mean, len(f.live), f.multiple, 1))
+	f.window.skews = append(f.window.skews, float64(highest)/mean)
+	f.window.overBound = max(f.window.overBound, highest-load.Bound(mean, len(f.live), f.loadMultiple, 1))
 }
--- a/bench/policy/traffic_test.go
+++ b/bench/policy/traffic_test.go
@@ -24,13 +24,13 @@
 	surgeTokens   = 8000 // of each of its chats
 )
 
-// size is a pool with its routers and traffic.
-type size struct {
+// scenario is a pool with its routers and traffic.
+type scenario struct {
 	name                          string
 	routers, upstreams, liveChats int
 	pools                         int // that a router serves
 	cacheTokens                   int // of an upstream
-	multiple                      float64
+	loadMultiple                  float64
 	replaceEvery, restartEvery    float64 // an upstream, a router; in seconds
 	surgeChats                    int
 	surgeRate                     float64    // requests a second
@@ -40,12 +40,12 @@
 // chat is a chat and what its caller remembers.
 type chat struct {
 	id, tokens int
-	at         int     // where its ticket says
-	ticketed   float64 // when
+	ticketVM   int     // where its ticket says
+	ticketTime float64 // when
 }
 
-func newFleet(p policy, s size) *fleet {
-	f := &fleet{policy: p, size: s, rand: rand.New(rand.NewPCG(1, 2))}
+func newFleet(p policy, s scenario) *fleet {
+	f := &fleet{policy: p, scenario: s, rand: rand.New(rand.NewPCG(1, 2))}
 	for range s.upstreams {
 		f.join()
 	}
@@ -53,93 +53,93 @@
 		f.routers = append(f.routers, &router{load.NewTable(), f.newView(i % domains)})
 	}
 	for range s.liveChats {
-		f.startInMidLife(f.routers[0].view)
+		f.startOngoingChat(f.routers[0].view)
 	}
-	f.every(1, f.measure)
+	f.every(1, f.recordSkew)
 	f.every(s.replaceEvery, f.replace)
 	f.every(s.restartEvery, func() { f.routers[f.rand.IntN(s.routers)].table = load.NewTable() })
 	return f
 }
 
-// startInMidLife starts a chat that pauses, its prefix cached at its home.
-func (f *fleet) startInMidLife(v *view) {
+// startOngoingChat starts a chat that pauses, its prefix cached at its home.
+func (f *fleet) startOngoingChat(v *view) {
 	c := &chat{}
-	f.renew(c)
+	f.reset(c)
 	// A chat is more likely to be met in a long pause.
-	whole := f.pause() * math.Exp(pauseSigma*pauseSigma)
-	left := f.rand.Float64() * whole
+	pauseLength := f.randomPause() * math.Exp(pauseSigma*pauseSigma)
+	remaining := f.rand.Float64() * pauseLength
 	if turns := int(f.rand.ExpFloat64() * meanTurns); turns > 0 {
 		c.tokens = firstPrompt + answerTokens + (turns-1)*(laterPrompt+answerTokens)
-		c.at, c.ticketed = v.vms[v.pool.Home(session(c.id))], left-whole
-		f.upstreams[c.at].cache.use(c.id, c.tokens, left-whole)
+		c.ticketVM, c.ticketTime = v.vms[v.pool.Home(session(c.id))], remaining-pauseLength
+		f.upstreams[c.ticketVM].cache.use(c.id, c.tokens, remaining-pauseLength)
 	}
-	f.after(left, func() { f.turn(c) })
+	f.after(remaining, func() { f.turn(c) })
 }
 
-func (f *fleet) renew(c *chat) {
-	*c = chat{id: f.chats, at: placement.None, ticketed: math.Inf(-1)}
+func (f *fleet) reset(c *chat) {
+	*c = chat{id: f.chats, ticketVM: placement.None, ticketTime: math.Inf(-1)}
 	f.chats++
 }
 
-func (f *fleet) pause() float64    { return pauseMedian * math.Exp(pauseSigma*f.rand.NormFloat64()) }
-func (f *fleet) duration() float64 { return answerSeconds * f.rand.ExpFloat64() }
+func (f *fleet) randomPause() float64    { return pauseMedian * math.Exp(pauseSigma*f.rand.NormFloat64()) }
+func (f *fleet) randomDuration() float64 { return answerSeconds * f.rand.ExpFloat64() }
 
-func (f *fleet) after(d float64, do func()) {
-	heap.Push(&f.events, timed{at: f.seconds + d, do: do})
+func (f *fleet) after(d float64, run func()) {
+	heap.Push(&f.events, event{at: f.seconds + d, run: run})
 }
 
-func (f *fleet) every(d float64, do func()) {
-	f.after(d, func() { do(); f.every(d, do) })
+func (f *fleet) every(d float64, run func()) {
+	f.after(d, func() { run(); f.every(d, run) })
 }
 
-func (f *fleet) until(end float64) {
+func (f *fleet) runUntil(end float64) {
 	for f.events[0].at <= end {
-		e := heap.Pop(&f.events).(timed)
+		e := heap.Pop(&f.events).(event)
 		f.seconds, f.now = e.at, time.UnixMilli(1_000_000_000+int64(e.at*1000))
-		e.do()
+		e.run()
 	}
 	f.seconds = end
 }
 
 // turn is a chat's next request; after a pause the chat or a new one goes on.
 func (f *fleet) turn(c *chat) {
-	prompt, took := firstPrompt, f.duration()
+	prompt, duration := firstPrompt, f.randomDuration()
 	if c.tokens > 0 {
 		prompt = c.tokens + laterPrompt
 	}
-	if vm := f.send(c, took); vm != placement.None {
+	if vm := f.send(c, duration); vm != placement.None {
 		cached := f.upstreams[vm].cache.use(c.id, prompt+answerTokens, f.seconds)
 		f.window.reusable += c.tokens
 		f.window.reused += min(cached, c.tokens)
 		c.tokens = prompt + answerTokens
 	}
 	if f.rand.IntN(meanTurns) == 0 {
-		f.renew(c)
+		f.reset(c)
 	}
-	f.after(took+f.pause(), func() { f.turn(c) })
+	f.after(duration+f.randomPause(), func() { f.turn(c) })
 }
 
 // send runs a request that takes some seconds, through some router.
-func (f *fleet) send(c *chat, took float64) (vm int) {
+func (f *fleet) send(c *chat, duration float64) (vm int) {
 	via := f.routers[f.rand.IntN(len(f.routers))]
 	if vm = f.request(via, c); vm != placement.None {
-		c.at, c.ticketed = vm, f.seconds
-		f.after(took, func() {
+		c.ticketVM, c.ticketTime = vm, f.seconds
+		f.after(duration, func() {
 			f.upstreams[vm].load--
-			f.reply(via, f.upstreams[vm], true)
+			f.sendReply(via, f.upstreams[vm], true)
 		})
 	}
 	return vm
 }
 
-// bring has one organisation bring turns of few chats. Their reuse is not counted.
-func (f *fleet) bring(chats []chat, end float64) {
+// surgeTurn has one organisation surgeTurn turns of few chats. Their reuse is not counted.
+func (f *fleet) surgeTurn(chats []chat, end float64) {
 	c := &chats[f.rand.IntN(len(chats))]
-	if vm := f.send(c, f.duration()); vm != placement.None {
+	if vm := f.send(c, f.randomDuration()); vm != placement.None {
 		f.upstreams[vm].cache.use(c.id, surgeTokens, f.seconds)
 	}
 	if next := f.rand.ExpFloat64() / f.surgeRate; f.seconds+next < end {
-		f.after(next, func() { f.bring(chats, end) })
+		f.after(next, func() { f.surgeTurn(chats, end) })
 	}
 }
 
@@ -147,7 +147,7 @@
 func (f *fleet) replace() {
 	f.join()
 	if f.handOver {
-		f.welcome()
+		f.handOverPrefixes()
 	}
 	f.leave()
 	for d := range domains {
--- a/bench/speed/capacity_test.go
+++ b/bench/speed/capacity_test.go
@@ -18,14 +18,14 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// greeter is a sidecar that only introduces itself.
-type greeter struct{}
+// helloHandler is a sidecar that only introduces itself.
+type helloHandler struct{}
 
-func (greeter) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
+func (helloHandler) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
 	return wire.Hello{VM: "vm-1"}, nil
 }
 
-func (greeter) HandleFrame(*wire.Conn, wire.Frame) {}
+func (helloHandler) HandleFrame(*wire.Conn, wire.Frame) {}
 
 var (
 	routerID  = secure.Identity{Role: secure.RoleRouter, VM: "vm-r"}
@@ -37,20 +37,20 @@
 	if dir == "" {
 		return secure.Plain{}
 	}
-	m, err := secure.NewMutualTLS(id, "speed", paths(id, dir))
+	m, err := secure.NewMutualTLS(id, "speed", certPaths(id, dir))
 	if err != nil {
 		panic(err)
 	}
 	return m
 }
 
-func paths(id secure.Identity, dir string) secure.Paths {
+func certPaths(id secure.Identity, dir string) secure.Paths {
 	base := filepath.Join(dir, id.VM)
 	return secure.Paths{Cert: base + ".crt", Key: base + ".key", CA: filepath.Join(dir, "ca")}
 }
 
-// issue writes certificates for both ends.
-func issue(b *testing.B) (dir string) {
+// issueCertificates writes certificates for both ends.
+func issueCertificates(b *testing.B) (dir string) {
 	dir = b.TempDir()
 	write := func(name string, content []byte) {
 		if err := os.WriteFile(name, content, 0o600); err != nil {
@@ -66,7 +66,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		p := paths(id, dir)
+		p := certPaths(id, dir)
 		write(p.Cert, cert)
 		write(p.Key, key)
 		write(p.CA, ca.PEM)
@@ -74,9 +74,9 @@
 	return dir
 }
 
-// greet serves greeters on the first of two words, with the certificates in
+// serveHello serves greeters on the first of two words, with the certificates in
 // the directory that the second one names.
-func greet(args string) {
+func serveHello(args string) {
 	addr, dir, _ := strings.Cut(args, " ")
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -88,7 +88,7 @@
 		if err != nil {
 			panic(err)
 		}
-		wire.NewConn(context.Background(), c, greeter{})
+		wire.NewConn(context.Background(), c, helloHandler{})
 	}
 }
 
@@ -98,20 +98,20 @@
 	for _, n := range []int{100, 1000, 2900} {
 		b.Run(fmt.Sprintf("plain/%d", n), func(b *testing.B) {
 			for range b.N {
-				connections(b, n, "")
+				measureConnections(b, n, "")
 			}
 		})
 		b.Run(fmt.Sprintf("tls/%d", n), func(b *testing.B) {
 			for range b.N {
-				connections(b, n, issue(b))
+				measureConnections(b, n, issueCertificates(b))
 			}
 		})
 	}
 }
 
-func connections(b *testing.B, n int, dir string) {
+func measureConnections(b *testing.B, n int, dir string) {
 	addr := freeAddr(b)
-	pid := runSelf(b, addr, greeterVar+"="+addr+" "+dir)
+	pid := runSelf(b, addr, helloEnv+"="+addr+" "+dir)
 	timing := wire.DefaultTiming()
 	timing.IdleTimeout = time.Hour
 	t := transport(routerID, dir)
@@ -124,17 +124,17 @@
 		return p
 	}
 	defer connect().Close() // what the first one alone takes
-	near, far := inUse(), resident(b, pid)
+	routerBytes, sidecarBytes := memoryInUse(), residentBytes(b, pid)
 	for range n {
 		defer connect().Close()
 	}
-	time.Sleep(settle)
-	b.ReportMetric(float64(inUse()-near)/float64(n), "router-B/conn")
-	b.ReportMetric(float64(resident(b, pid)-far)/float64(n), "sidecar-B/conn")
+	time.Sleep(settleDelay)
+	b.ReportMetric(float64(memoryInUse()-routerBytes)/float64(n), "router-B/conn")
+	b.ReportMetric(float64(residentBytes(b, pid)-sidecarBytes)/float64(n), "sidecar-B/conn")
 }
 
-// inUse returns the heap and the stacks of this process in bytes.
-func inUse() int {
+// memoryInUse returns the heap and the stacks of this process in bytes.
+func memoryInUse() int {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -171,12 +171,12 @@
 		}
 		after := frameBytes(b, f)
 		for frame, n := range after {
-			per, unit := float64(streams), frame+"-B/req"
+			divisor, unit := float64(streams), frame+"-B/req"
 			if frame == "data" {
-				per, unit = streams*tokens, "data-B/token"
+				divisor, unit = streams*tokens, "data-B/token"
 			}
 			if n -= before[frame]; n > 0 {
-				b.ReportMetric(n/per, unit)
+				b.ReportMetric(n/divisor, unit)
 			}
 		}
 		c, err := openIdle(f.url + "/idle")
@@ -192,15 +192,15 @@
 	}
 }
 
-// serveAs turns this process into a part of a benchmark, if it was started as one.
-func serveAs() {
-	if addr := os.Getenv(stubVar); addr != "" {
+// runHelperProcess turns this process into a part of a benchmark, if it was started as one.
+func runHelperProcess() {
+	if addr := os.Getenv(stubEnv); addr != "" {
 		panic(http.ListenAndServe(addr, stub()))
 	}
-	if addrs := os.Getenv(relayVar); addrs != "" {
+	if addrs := os.Getenv(relayEnv); addrs != "" {
 		relay(addrs)
 	}
-	if addr := os.Getenv(greeterVar); addr != "" {
-		greet(addr)
+	if addr := os.Getenv(helloEnv); addr != "" {
+		serveHello(addr)
 	}
 }
--- a/bench/speed/fleet_test.go
+++ b/bench/speed/fleet_test.go
@@ -29,25 +29,25 @@
 )
 
 const (
-	apiKey      = "speed-key"
-	secret      = "1:000102030405060708090a0b0c0d0e0f\n"
-	stubVar     = "SPEED_STUB"    // address; set in the process that is the stub
-	relayVar    = "SPEED_RELAY"   // from and to; set in a process that is a relay
-	greeterVar  = "SPEED_GREETER" // address, directory; set in a process of sidecars that only introduce themselves
-	startWithin = 10 * time.Second
+	apiKey       = "speed-key"
+	tokenSecret  = "1:000102030405060708090a0b0c0d0e0f\n"
+	stubEnv      = "SPEED_STUB"    // address; set in the process that is the stub
+	relayEnv     = "SPEED_RELAY"   // from and to; set in a process that is a relay
+	helloEnv     = "SPEED_GREETER" // address, directory; set in a process of sidecars that only introduce themselves
+	startTimeout = 10 * time.Second
 )
 
 var (
-	inProcess = flag.Bool("inprocess", false, "run router, sidecar and stub in this process")
-	sidecars  = flag.Int("sidecars", 4, "sidecars of a fleet; all have the same stub")
-	procs     = flag.Int("procs", 2, "GOMAXPROCS of each of the other processes")
-	fixedRate = flag.Float64("rate", 0, "unary calls a second to measure latencies at; default: half of what saturates the fleet")
-	before    = flag.String("before", "", "an older parsleyd to measure as well, in turns with this one")
-	daemonBin string
+	inProcess   = flag.Bool("inprocess", false, "run router, sidecar and stub in this process")
+	sidecars    = flag.Int("sidecars", 4, "sidecars of a fleet; all have the same stub")
+	procs       = flag.Int("procs", 2, "GOMAXPROCS of each of the other processes")
+	fixedRate   = flag.Float64("rate", 0, "unary calls a second to measure latencies at; default: half of what saturates the fleet")
+	olderBinary = flag.String("before", "", "an older parsleyd to measure as well, in turns with this one")
+	daemonBin   string
 )
 
 func TestMain(m *testing.M) {
-	serveAs()
+	runHelperProcess()
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "speed")
 	if err != nil {
@@ -82,8 +82,8 @@
 	if !*inProcess {
 		paths = append(paths, path{name: "relays", url: "http://" + startRelay(b, startRelay(b, addr))})
 	}
-	if *before != "" {
-		paths = append(paths, newFleet(b, "before", *before, url))
+	if *olderBinary != "" {
+		paths = append(paths, newFleet(b, "before", *olderBinary, url))
 	}
 	return append(paths, newFleet(b, "fleet", daemonBin, url))
 }
@@ -93,11 +93,11 @@
 	vms := standin.NewVMList()
 	standin.NewObjectAPI().Register(mux)
 	vms.Register(mux)
-	p := httptest.NewServer(mux)
-	b.Cleanup(p.Close)
-	configure(b, p.URL)
+	platform := httptest.NewServer(mux)
+	b.Cleanup(platform.Close)
+	configure(b, platform.URL)
 	secrets := filepath.Join(b.TempDir(), "secrets")
-	if err := os.WriteFile(secrets, []byte(secret), 0o600); err != nil {
+	if err := os.WriteFile(secrets, []byte(tokenSecret), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	router, admin := freeAddr(b), freeAddr(b)
@@ -108,8 +108,8 @@
 		f.sidecarPIDs = append(f.sidecarPIDs, pid)
 		vms.Set(topo.VM{ID: vm, Role: topo.RoleUpstream, Addr: addr, Pool: "bench"})
 	}
-	f.routerPID = parsleyd(b, binary, router, "router", "--insecure-plain", "--listen", router, "--admin-listen", admin, "--vm", "vm-r", "--platform", p.URL, "--token-secrets", secrets)
-	await(b, func() bool {
+	f.routerPID = parsleyd(b, binary, router, "router", "--insecure-plain", "--listen", router, "--admin-listen", admin, "--vm", "vm-r", "--platform", platform.URL, "--token-secrets", secrets)
+	waitFor(b, func() bool {
 		resp, err := http.Get("http://" + router + "/readyz")
 		return err == nil && resp.Body.Close() == nil && resp.StatusCode == http.StatusOK
 	})
@@ -146,17 +146,17 @@
 		server := &http.Server{Addr: addr, Handler: stub()}
 		go func() { _ = server.ListenAndServe() }()
 		b.Cleanup(func() { _ = server.Close() })
-		awaitAddr(b, addr)
+		waitForAddr(b, addr)
 		return
 	}
-	runSelf(b, addr, stubVar+"="+addr)
+	runSelf(b, addr, stubEnv+"="+addr)
 }
 
 // startRelay starts a process that copies between its address, which is
 // returned, and to.
 func startRelay(b *testing.B, to string) string {
 	addr := freeAddr(b)
-	runSelf(b, addr, relayVar+"="+addr+" "+to)
+	runSelf(b, addr, relayEnv+"="+addr+" "+to)
 	return addr
 }
 
@@ -168,20 +168,20 @@
 		panic(err)
 	}
 	for {
-		near, err := l.Accept()
+		downstream, err := l.Accept()
 		if err != nil {
 			panic(err)
 		}
-		far, err := net.Dial("tcp", to)
+		upstream, err := net.Dial("tcp", to)
 		if err != nil {
 			panic(err)
 		}
-		join := func(to, from net.Conn) {
+		forward := func(to, from net.Conn) {
 			_, _ = io.Copy(struct{ io.Writer }{to}, from) // not by splice: through this process
 			_ = to.Close()
 		}
-		go join(near, far)
-		go join(far, near)
+		go forward(downstream, upstream)
+		go forward(upstream, downstream)
 	}
 }
 
@@ -191,20 +191,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return run(b, exec.Command(self), addr, env)
+	return startProcess(b, exec.Command(self), addr, env)
 }
 
 // parsleyd starts a role and returns its process id.
 func parsleyd(b *testing.B, binary, addr string, args ...string) int {
 	if !*inProcess {
-		return run(b, exec.Command(binary, args...), addr)
+		return startProcess(b, exec.Command(binary, args...), addr)
 	}
 	go daemon.Main(args, io.Discard, os.Stderr) // until the benchmark's process ends
-	awaitAddr(b, addr)
+	waitForAddr(b, addr)
 	return os.Getpid()
 }
 
-func run(b *testing.B, cmd *exec.Cmd, addr string, env ...string) int {
+func startProcess(b *testing.B, cmd *exec.Cmd, addr string, env ...string) int {
 	var log bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &log, &log
 	cmd.Env = append(append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", *procs)), env...)
@@ -218,19 +218,19 @@
 			b.Log(log.String())
 		}
 	})
-	awaitAddr(b, addr)
+	waitForAddr(b, addr)
 	return cmd.Process.Pid
 }
 
-func awaitAddr(b *testing.B, addr string) {
-	await(b, func() bool {
+func waitForAddr(b *testing.B, addr string) {
+	waitFor(b, func() bool {
 		c, err := net.Dial("tcp", addr)
 		return err == nil && c.Close() == nil
 	})
 }
 
-func await(b *testing.B, ok func() bool) {
-	for end := time.Now().Add(startWithin); !ok(); time.Sleep(10 * time.Millisecond) {
+func waitFor(b *testing.B, ok func() bool) {
+	for end := time.Now().Add(startTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			b.Fatal("not up in time")
 		}
@@ -249,8 +249,8 @@
 // clockTick is the unit of processor times in /proc, 1/100 s on Linux.
 const clockTick = 10 * time.Millisecond
 
-// cpu returns the processor time that processes have used.
-func cpu(b *testing.B, pids ...int) (used time.Duration) {
+// cpuTime returns the processor time that processes have used.
+func cpuTime(b *testing.B, pids ...int) (used time.Duration) {
 	for _, pid := range pids {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		if err != nil {
@@ -264,8 +264,8 @@
 	return used
 }
 
-// resident returns the resident memory of processes in bytes.
-func resident(b *testing.B, pids ...int) (bytes int) {
+// residentBytes returns the residentBytes memory of processes in bytes.
+func residentBytes(b *testing.B, pids ...int) (total int) {
 	for _, pid := range pids {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 		if err != nil {
@@ -274,9 +274,9 @@
 		for line := range strings.Lines(string(status)) {
 			if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
 				kb, _ := strconv.Atoi(strings.Fields(rest)[0])
-				bytes += kb << 10
+				total += kb << 10
 			}
 		}
 	}
-	return bytes
+	return total
 }
--- a/bench/speed/latency_test.go
+++ b/bench/speed/latency_test.go
@@ -40,31 +40,31 @@
 
 // unary makes one 1 KB call and returns how long it took.
 func unary(b *testing.B, p path) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	resp := call(b, p.url+"/unary")
 	if resp == nil {
 		return 0
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
-	return time.Since(began)
+	return time.Since(start)
 }
 
 // samples is measured durations, from many goroutines.
 type samples struct {
-	mu sync.Mutex
-	d  []time.Duration
+	mu        sync.Mutex
+	durations []time.Duration
 }
 
 func (s *samples) add(d ...time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.d = append(s.d, d...)
+	s.durations = append(s.durations, d...)
 }
 
 func (s *samples) quantile(q float64) time.Duration {
-	slices.Sort(s.d)
-	return s.d[int(q*float64(len(s.d)-1))]
+	slices.Sort(s.durations)
+	return s.durations[int(q*float64(len(s.durations)-1))]
 }
 
 // report reports the quantiles on the direct path and what the others add.
@@ -80,30 +80,30 @@
 	}
 }
 
-// work is what was done on a path and the processor time that it took.
-type work struct {
+// usage is what was done on a path and the processor time that it took.
+type usage struct {
 	calls           int
 	router, sidecar time.Duration
 }
 
 // saturate makes unary calls with many callers for a second.
-func (w *work) saturate(b *testing.B, p path) {
+func (w *usage) saturate(b *testing.B, p path) {
 	const callers = 64
-	router, sidecar := cpu(b, p.routerPID), cpu(b, p.sidecarPIDs...)
-	began := time.Now()
-	var done samples
+	router, sidecar := cpuTime(b, p.routerPID), cpuTime(b, p.sidecarPIDs...)
+	start := time.Now()
+	var latencies samples
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			for time.Since(began) < time.Second {
-				done.add(unary(b, p))
+			for time.Since(start) < time.Second {
+				latencies.add(unary(b, p))
 			}
 		})
 	}
 	wg.Wait()
-	w.calls += len(done.d)
-	w.router += cpu(b, p.routerPID) - router
-	w.sidecar += cpu(b, p.sidecarPIDs...) - sidecar
+	w.calls += len(latencies.durations)
+	w.router += cpuTime(b, p.routerPID) - router
+	w.sidecar += cpuTime(b, p.sidecarPIDs...) - sidecar
 }
 
 // BenchmarkUnary compares 1 KB calls on each path, in turns: first with as many
@@ -112,15 +112,15 @@
 	const turns = 5
 	paths := newPaths(b)
 	rate := 0.0
-	done := make([]work, len(paths))
+	usages := make([]usage, len(paths))
 	for range turns {
 		for i, p := range paths {
 			if p.routerPID != 0 {
-				done[i].saturate(b, p)
+				usages[i].saturate(b, p)
 			}
 		}
 	}
-	for i, w := range done {
+	for i, w := range usages {
 		if w.calls > 0 {
 			b.ReportMetric(float64(w.calls)/w.router.Seconds(), paths[i].name+"-req/s/router-core")
 			b.ReportMetric(float64(w.calls)/w.sidecar.Seconds(), paths[i].name+"-req/s/sidecar-core")
@@ -142,15 +142,15 @@
 
 // atRate runs f at a steady rate for a while, each on its own goroutine, and
 // waits for all of them.
-func atRate(rate float64, lasts time.Duration, f func()) {
+func atRate(rate float64, duration time.Duration, f func()) {
 	var wg sync.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	for i := 0; ; i++ {
 		due := time.Duration(float64(i) / rate * float64(time.Second))
-		if due > lasts {
+		if due > duration {
 			break
 		}
-		time.Sleep(due - time.Since(began))
+		time.Sleep(due - time.Since(start))
 		wg.Go(f)
 	}
 	wg.Wait()
@@ -159,13 +159,13 @@
 // stream reads one stream and returns the time to its first event, the times
 // between events, and how old each event was when it came.
 func stream(b *testing.B, url string) (first time.Duration, gaps, ages []time.Duration) {
-	began := time.Now()
+	start := time.Now()
 	resp := call(b, url)
 	if resp == nil {
 		return 0, nil, nil
 	}
 	defer resp.Body.Close()
-	last := began
+	last := start
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		stamp, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -176,7 +176,7 @@
 		written, _ := strconv.ParseInt(strings.TrimSpace(stamp), 10, 64)
 		ages = append(ages, time.Duration(now.UnixNano()-written))
 		if first == 0 {
-			first = now.Sub(began)
+			first = now.Sub(start)
 		} else {
 			gaps = append(gaps, now.Sub(last))
 		}
@@ -196,10 +196,10 @@
 			var wg sync.WaitGroup
 			for range streams {
 				wg.Go(func() {
-					one, between, old := stream(b, p.url+"/stream?n=100&gap=10ms")
-					first[i].add(one)
-					gaps[i].add(between...)
-					ages[i].add(old...)
+					firstEvent, eventGaps, eventAges := stream(b, p.url+"/stream?n=100&gap=10ms")
+					first[i].add(firstEvent)
+					gaps[i].add(eventGaps...)
+					ages[i].add(eventAges...)
 				})
 			}
 			wg.Wait()
--- a/bench/speed/memory_test.go
+++ b/bench/speed/memory_test.go
@@ -43,17 +43,17 @@
 	for _, n := range []int{1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				idleStreams(b, n)
+				measureIdleStreams(b, n)
 			}
 		})
 	}
 }
 
-func idleStreams(b *testing.B, n int) {
+func measureIdleStreams(b *testing.B, n int) {
 	addr := freeAddr(b)
 	startStub(b, addr)
 	f := newFleet(b, "fleet", daemonBin, "http://"+addr)
-	router, sidecar := resident(b, f.routerPID), resident(b, f.sidecarPIDs...)
+	router, sidecar := residentBytes(b, f.routerPID), residentBytes(b, f.sidecarPIDs...)
 	for range n {
 		c, err := openIdle(f.url + "/idle")
 		if c != nil {
@@ -63,10 +63,10 @@
 			b.Fatal(err)
 		}
 	}
-	time.Sleep(settle)
-	b.ReportMetric(float64(resident(b, f.routerPID)-router)/float64(n), "router-B/stream")
-	b.ReportMetric(float64(resident(b, f.sidecarPIDs...)-sidecar)/float64(n), "sidecar-B/stream")
+	time.Sleep(settleDelay)
+	b.ReportMetric(float64(residentBytes(b, f.routerPID)-router)/float64(n), "router-B/stream")
+	b.ReportMetric(float64(residentBytes(b, f.sidecarPIDs...)-sidecar)/float64(n), "sidecar-B/stream")
 }
 
-// settle is how long the processes are left alone before they are measured.
-const settle = 3 * time.Second
+// settleDelay is how long the processes are left alone before they are measured.
+const settleDelay = 3 * time.Second
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -109,7 +109,7 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-type chatAnswer struct {
+type chatResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
 	Model   string       `json:"model"`
@@ -118,35 +118,35 @@
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
-	defer e.health.enter()()
+	defer e.health.begin()()
 	var req chatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil || len(req.Messages) == 0 {
 		http.Error(w, `{"error":{"message":"bad chat request"}}`, http.StatusBadRequest)
 		return
 	}
-	words := e.answer(req)
-	usage := e.start(r.Header.Get(RunHeader), r.Header.Get(SessionHeader), req, len(words))
+	words := e.generate(req)
+	usage := e.recordRun(r.Header.Get(RunHeader), r.Header.Get(SessionHeader), req, len(words))
 	id := "chatcmpl-" + r.Header.Get(RunHeader)
 	if req.Stream {
 		e.stream(w, r, id, words, usage)
 		return
 	}
 	for range words {
-		if !pause(r, e.config.TokenDelay) {
+		if !sleep(r, e.config.TokenDelay) {
 			return
 		}
 	}
 	text := strings.Join(words, "")
 	stop := "stop"
 	choice := chatChoice{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: &stop}
-	writeJSON(w, chatAnswer{ID: id, Object: "chat.completion", Model: req.Model, Choices: []chatChoice{choice}, Usage: usage})
+	writeJSON(w, chatResponse{ID: id, Object: "chat.completion", Model: req.Model, Choices: []chatChoice{choice}, Usage: usage})
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id string, words []string, usage *chatUsage) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	chunk := chatAnswer{ID: id, Object: "chat.completion.chunk", Model: e.config.Model}
+	chunk := chatResponse{ID: id, Object: "chat.completion.chunk", Model: e.config.Model}
 	for _, word := range words {
-		if !pause(r, e.config.TokenDelay) {
+		if !sleep(r, e.config.TokenDelay) {
 			return
 		}
 		chunk.Choices = []chatChoice{{Delta: &chatMessage{Role: "assistant", Content: word}}}
@@ -165,8 +165,8 @@
 	w.(http.Flusher).Flush()
 }
 
-// pause waits for d. It reports false when the request was cancelled meanwhile.
-func pause(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It reports false when the request was cancelled meanwhile.
+func sleep(r *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return r.Context().Err() == nil
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// answer returns the words of the answer, which follow from the prompt.
-func (e *Engine) answer(req chatRequest) []string {
+// generate returns the words of the generate, which follow from the prompt.
+func (e *Engine) generate(req chatRequest) []string {
 	h := fnv.New64a()
 	for _, m := range req.Messages {
 		fmt.Fprintf(h, "%s\x00%s\x00", m.Role, m.Content)
@@ -191,12 +191,12 @@
 	return words
 }
 
-// start logs the run and works out how much of the prompt was cached.
-func (e *Engine) start(key, session string, req chatRequest, tokens int) *chatUsage {
+// recordRun logs the run and works out how much of the prompt was cached.
+func (e *Engine) recordRun(key, session string, req chatRequest, tokens int) *chatUsage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	last := req.Messages[len(req.Messages)-1].Content
-	e.runs = append(e.runs, Run{Key: key, Text: last})
+	lastMessage := req.Messages[len(req.Messages)-1].Content
+	e.runs = append(e.runs, Run{Key: key, Text: lastMessage})
 	cached, total := 0, 0
 	prefix := ""
 	var prefixes []string
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -17,8 +17,8 @@
 	return health{instance: token.NewNonce().String(), running: new(atomic.Int64)}
 }
 
-// enter counts a request; the result counts its end.
-func (h health) enter() func() {
+// begin counts a request; the result counts its end.
+func (h health) begin() func() {
 	h.running.Add(1)
 	return func() { h.running.Add(-1) }
 }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -12,17 +12,17 @@
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var kept []string
+	var cached []string
 	for _, prefix := range e.sessions[r.URL.Query().Get("session")] {
-		if e.cached(prefix) {
-			kept = append(kept, prefix)
+		if e.isCached(prefix) {
+			cached = append(cached, prefix)
 		}
 	}
-	if len(kept) == 0 {
+	if len(cached) == 0 {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	writeJSON(w, kept)
+	writeJSON(w, cached)
 }
 
 // importCache takes over prefixes that another engine has exported.
@@ -40,7 +40,7 @@
 	e.sessions[r.URL.Query().Get("session")] = prefixes
 }
 
-func (e *Engine) cached(prefix string) bool {
+func (e *Engine) isCached(prefix string) bool {
 	for _, p := range e.cache {
 		if p == prefix {
 			return true
--- a/internal/standin/objectapi.go
+++ b/internal/standin/objectapi.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	maxObject = 1 << 20
-	pageSize  = 500
+	maxObjectBytes = 1 << 20
+	pageSize       = 500
 	// logLength is how many changes a watch can go back.
 	logLength = 10000
 )
@@ -28,14 +28,14 @@
 // errDown is an outage: the store refuses everything.
 var errDown = errors.Wrap(topo.ErrRefused, "the store is down")
 
-// errTooMany is a call over the rate limit.
-var errTooMany = errors.Wrap(topo.ErrRefused, "too many calls")
+// errRateLimited is a call over the rate limit.
+var errRateLimited = errors.Wrap(topo.ErrRefused, "too many calls")
 
 // ObjectAPI is the platform's object API. It implements topo.Store, for
 // tests in the same process, and serves it over HTTP.
 type ObjectAPI struct {
 	mu      sync.Mutex
-	present *objects
+	primary *objects
 	replica *objects // lags behind present
 	log     []change // the latest changes, in order of version
 	era     topo.Era // rises at each Restore; the versions above are revisions within it
@@ -54,8 +54,8 @@
 
 // waiter is a watch that waits for a change of its kinds.
 type waiter struct {
-	kinds []topo.Kind
-	woken chan struct{} // of capacity one
+	kinds  []topo.Kind
+	wakeup chan struct{} // of capacity one
 }
 
 // ObjectCounts are the calls that the API has received.
@@ -70,7 +70,7 @@
 // NewObjectAPI returns an empty ObjectAPI without faults.
 func NewObjectAPI() *ObjectAPI {
 	return &ObjectAPI{
-		present: newObjects(),
+		primary: newObjects(),
 		replica: newObjects(),
 		waiters: make(map[*waiter]struct{}),
 	}
@@ -92,24 +92,24 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	o, ok := a.readable().byRef[ref]
+	o, ok := a.readView().byRef[ref]
 	if !ok {
 		return topo.Object{}, topo.ErrNotFound
 	}
-	return a.inEra(o), nil
+	return a.withEra(o), nil
 }
 
-// inEra returns an object with the version that callers know it by. It needs a.mu held.
-func (a *ObjectAPI) inEra(o topo.Object) topo.Object {
+// withEra returns an object with the version that callers know it by. It needs a.mu held.
+func (a *ObjectAPI) withEra(o topo.Object) topo.Object {
 	o.Version = topo.VersionAt(a.era, o.Version)
 	return o
 }
 
-// pageInEra does so for a page. It needs a.mu held.
-func (a *ObjectAPI) pageInEra(p topo.Page) topo.Page {
+// pageWithEra does so for a page. It needs a.mu held.
+func (a *ObjectAPI) pageWithEra(p topo.Page) topo.Page {
 	p.Version = topo.VersionAt(a.era, p.Version)
 	for i, o := range p.Objects {
-		p.Objects[i] = a.inEra(o)
+		p.Objects[i] = a.withEra(o)
 	}
 	return p
 }
@@ -121,7 +121,7 @@
 func (a *ObjectAPI) Snapshot() ObjectSnapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return ObjectSnapshot{content: a.present.clone()}
+	return ObjectSnapshot{content: a.primary.clone()}
 }
 
 // Restore lets the API come back from a copy, in a new era: what was written since is gone,
@@ -130,7 +130,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.era++
-	a.present, a.replica, a.log = c.content.clone(), c.content.clone(), nil
+	a.primary, a.replica, a.log = c.content.clone(), c.content.clone(), nil
 	for w := range a.waiters {
 		w.wake()
 	}
@@ -150,7 +150,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.pageInEra(a.readable().page(kind, cont)), nil
+	return a.pageWithEra(a.readView().page(kind, cont)), nil
 }
 
 // Put implements topo.Store.
@@ -180,34 +180,34 @@
 	ifVersion = ifVersion.Revision()
 	switch {
 	case a.faults.LoseKind != "" && a.faults.LoseKind != o.Kind:
-	case take(&a.faults.LoseRequests):
+	case consume(&a.faults.LoseRequests):
 		return topo.Object{}, errors.Wrap(topo.ErrUnknown, "connection cut")
-	case take(&a.faults.LateWrites):
+	case consume(&a.faults.LateWrites):
 		time.AfterFunc(a.faults.LateBy.Std(), func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			_, _ = a.commit(o, ifVersion)
 		})
 		return topo.Object{}, errors.Wrap(topo.ErrUnknown, "connection cut")
-	case take(&a.faults.LoseResponses):
+	case consume(&a.faults.LoseResponses):
 		_, _ = a.commit(o, ifVersion)
 		return topo.Object{}, errors.Wrap(topo.ErrUnknown, "connection cut")
 	}
 	o, err := a.commit(o, ifVersion)
-	return a.inEra(o), err
+	return a.withEra(o), err
 }
 
 // commit makes a change if its condition holds. It needs a.mu held.
 func (a *ObjectAPI) commit(o topo.Object, ifVersion topo.Version) (topo.Object, error) {
-	now, exists := a.present.byRef[o.Ref]
+	current, exists := a.primary.byRef[o.Ref]
 	if o.Deleted && !exists {
 		return topo.Object{}, topo.ErrNotFound
 	}
-	if now.Version != ifVersion {
+	if current.Version != ifVersion {
 		return topo.Object{}, topo.ErrConflict
 	}
-	o.Version = a.present.version + 1
-	a.present.apply(o)
+	o.Version = a.primary.version + 1
+	a.primary.apply(o)
 	a.log = append(a.log, change{Object: o, at: time.Now()})
 	if len(a.log) > 2*logLength {
 		a.compact(len(a.log) - logLength)
@@ -229,7 +229,7 @@
 
 func (a *ObjectAPI) compact(n int) {
 	for _, c := range a.log[:n] {
-		a.replica.catchUp(c.Object)
+		a.replica.applyNewer(c.Object)
 	}
 	a.log = slices.Clone(a.log[n:])
 }
@@ -239,12 +239,12 @@
 	if err := a.admit(ctx, false); err != nil {
 		return topo.Page{}, err
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	w := &waiter{kinds: kinds, woken: make(chan struct{}, 1)}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	w := &waiter{kinds: kinds, wakeup: make(chan struct{}, 1)}
 	a.mu.Lock()
 	a.counts.Watches++
-	silent := take(&a.faults.UnresponsiveWatches)
+	unresponsive := consume(&a.faults.UnresponsiveWatches)
 	a.waiters[w] = struct{}{}
 	a.mu.Unlock()
 	defer func() {
@@ -252,27 +252,27 @@
 		defer a.mu.Unlock()
 		delete(a.waiters, w)
 	}()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return topo.Page{}, errors.Wrap(topo.ErrRefused, "no answer")
 	}
-	for over := false; ; {
-		page, err := a.since(since, kinds)
-		if err != nil || over || len(page.Objects) > 0 {
+	for timedOut := false; ; {
+		page, err := a.changesSince(since, kinds)
+		if err != nil || timedOut || len(page.Objects) > 0 {
 			return page, err
 		}
 		select {
-		case <-w.woken:
-		case <-end.C:
-			over = true
+		case <-w.wakeup:
+		case <-timer.C:
+			timedOut = true
 		case <-ctx.Done():
 			return topo.Page{}, errors.Wrap(topo.ErrRefused, "no answer")
 		}
 	}
 }
 
-// since returns the changes of kinds after v.
-func (a *ObjectAPI) since(v topo.Version, kinds []topo.Kind) (topo.Page, error) {
+// changesSince returns the changes of kinds after v.
+func (a *ObjectAPI) changesSince(v topo.Version, kinds []topo.Kind) (topo.Page, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.faults.Down {
@@ -282,25 +282,25 @@
 		return topo.Page{}, topo.ErrCompacted
 	}
 	v = v.Revision()
-	page := topo.Page{Version: a.readable().version}
-	first := a.present.version - topo.Version(len(a.log)) // before the log
-	if v < first {
+	page := topo.Page{Version: a.readView().version}
+	logStart := a.primary.version - topo.Version(len(a.log)) // before the log
+	if v < logStart {
 		return topo.Page{}, topo.ErrCompacted
 	}
-	for _, c := range a.log[min(int(v-first), len(a.log)):] {
+	for _, c := range a.log[min(int(v-logStart), len(a.log)):] {
 		if c.Version <= page.Version && slices.Contains(kinds, c.Kind) {
 			page.Objects = append(page.Objects, c.Object)
 		}
 	}
-	if len(page.Objects) > 0 && take(&a.faults.WatchGaps) {
+	if len(page.Objects) > 0 && consume(&a.faults.WatchGaps) {
 		page.Objects = page.Objects[1:]
 	}
-	return a.pageInEra(page), nil
+	return a.pageWithEra(page), nil
 }
 
 func (w *waiter) wake() {
 	select {
-	case w.woken <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/standin/objectfault.go
+++ b/internal/standin/objectfault.go
@@ -59,8 +59,8 @@
 	return a.faults
 }
 
-// take uses up one of a number of faults.
-func take(n *int) bool {
+// consume uses up one of a number of faults.
+func consume(n *int) bool {
 	if *n == 0 {
 		return false
 	}
@@ -79,19 +79,19 @@
 	} else {
 		a.counts.Reads++
 	}
-	within := limit.take(time.Now(), rate)
-	if f.Down || !within {
+	withinRate := limit.allow(time.Now(), rate)
+	if f.Down || !withinRate {
 		a.counts.Refused++
 	}
 	a.mu.Unlock()
 	switch {
 	case f.Unresponsive:
 		<-ctx.Done()
-		return lost(write)
+		return noResponse(write)
 	case f.Down:
 		return errDown
-	case !within:
-		return errTooMany
+	case !withinRate:
+		return errRateLimited
 	case f.Delay > 0:
 		return wait(ctx, f.Delay.Std(), write)
 	}
@@ -105,50 +105,50 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return lost(write)
+		return noResponse(write)
 	}
 }
 
-// lost is a call that the caller gave up on.
-func lost(write bool) error {
+// noResponse is a call that the caller gave up on.
+func noResponse(write bool) error {
 	if write {
 		return errors.Wrap(topo.ErrUnknown, "no answer")
 	}
 	return errors.Wrap(topo.ErrRefused, "no answer")
 }
 
-// readable returns what the next read sees. It needs a.mu held.
-func (a *ObjectAPI) readable() *objects {
+// readView returns what the next read sees. It needs a.mu held.
+func (a *ObjectAPI) readView() *objects {
 	f := a.faults
 	if f.StaleEvery == 0 || a.counts.Reads%f.StaleEvery != 0 {
-		return a.present
+		return a.primary
 	}
 	until := time.Now().Add(-f.StaleBy.Std())
-	first := a.present.version - topo.Version(len(a.log))
-	for _, c := range a.log[max(0, a.replica.version-first):] {
+	logStart := a.primary.version - topo.Version(len(a.log))
+	for _, c := range a.log[max(0, a.replica.version-logStart):] {
 		if c.at.After(until) {
 			break
 		}
-		a.replica.catchUp(c.Object)
+		a.replica.applyNewer(c.Object)
 	}
 	return a.replica
 }
 
 // bucket limits a rate of calls, with a burst of one second's calls.
 type bucket struct {
-	tokens float64
-	filled time.Time
+	tokens     float64
+	lastRefill time.Time
 }
 
-func (b *bucket) take(now time.Time, rate float64) bool {
+func (b *bucket) allow(now time.Time, rate float64) bool {
 	if rate == 0 {
 		return true
 	}
-	if b.filled.IsZero() {
+	if b.lastRefill.IsZero() {
 		b.tokens = rate
 	}
-	b.tokens = min(rate, b.tokens+rate*now.Sub(b.filled).Seconds())
-	b.filled = now
+	b.tokens = min(rate, b.tokens+rate*now.Sub(b.lastRefill).Seconds())
+	b.lastRefill = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/standin/objecthttp.go
+++ b/internal/standin/objecthttp.go
@@ -40,30 +40,30 @@
 	set(f)
 }
 
-func ref(r *http.Request) topo.Ref {
+func objectRef(r *http.Request) topo.Ref {
 	return topo.Ref{Kind: topo.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
 }
 
-// tell answers with an object. On the wire versions are revisions, and the era stands in a
+// writeObject answers with an object. On the wire versions are revisions, and the era stands in a
 // header.
-func (a *ObjectAPI) tell(w http.ResponseWriter, o topo.Object, err error) {
-	a.tellEra(w, o.Version, err)
+func (a *ObjectAPI) writeObject(w http.ResponseWriter, o topo.Object, err error) {
+	a.setEraHeader(w, o.Version, err)
 	o.Version = o.Version.Revision()
-	reply(w, o, err)
+	writeResult(w, o, err)
 }
 
-// tellPage answers with a page.
-func (a *ObjectAPI) tellPage(w http.ResponseWriter, p topo.Page, err error) {
-	a.tellEra(w, p.Version, err)
+// writePage answers with a page.
+func (a *ObjectAPI) writePage(w http.ResponseWriter, p topo.Page, err error) {
+	a.setEraHeader(w, p.Version, err)
 	p.Version = p.Version.Revision()
 	for i := range p.Objects {
 		p.Objects[i].Version = p.Objects[i].Version.Revision()
 	}
-	reply(w, p, err)
+	writeResult(w, p, err)
 }
 
-// tellEra names the era of an answer: that of its version, if it has one.
-func (a *ObjectAPI) tellEra(w http.ResponseWriter, v topo.Version, err error) {
+// setEraHeader names the era of an answer: that of its version, if it has one.
+func (a *ObjectAPI) setEraHeader(w http.ResponseWriter, v topo.Version, err error) {
 	era := v.Era()
 	if err != nil {
 		era = a.Era()
@@ -71,8 +71,8 @@
 	w.Header().Set(topo.EraHeader, strconv.FormatInt(int64(era), 10))
 }
 
-// heard returns the version that a caller names by its revision.
-func (a *ObjectAPI) heard(revision topo.Version) topo.Version {
+// versionAt returns the version that a caller names by its revision.
+func (a *ObjectAPI) versionAt(revision topo.Version) topo.Version {
 	if revision == 0 {
 		return 0
 	}
@@ -80,35 +80,35 @@
 }
 
 func (a *ObjectAPI) serveGet(w http.ResponseWriter, r *http.Request) {
-	o, err := a.Get(r.Context(), ref(r))
-	a.tell(w, o, err)
+	o, err := a.Get(r.Context(), objectRef(r))
+	a.writeObject(w, o, err)
 }
 
 func (a *ObjectAPI) serveList(w http.ResponseWriter, r *http.Request) {
 	p, err := a.List(r.Context(), topo.Kind(r.PathValue("kind")), r.URL.Query().Get("continue"))
-	a.tellPage(w, p, err)
+	a.writePage(w, p, err)
 }
 
 func (a *ObjectAPI) servePut(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
-	v, ok := condition(r.Header)
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
+	v, ok := parsePrecondition(r.Header)
 	if err != nil || !ok || !json.Valid(body) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	o, err := a.Put(r.Context(), ref(r), body, a.heard(v))
-	a.tell(w, o, err)
+	o, err := a.Put(r.Context(), objectRef(r), body, a.versionAt(v))
+	a.writeObject(w, o, err)
 }
 
 func (a *ObjectAPI) serveDelete(w http.ResponseWriter, r *http.Request) {
-	v, ok := condition(r.Header)
+	v, ok := parsePrecondition(r.Header)
 	if !ok {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	err := a.Delete(r.Context(), ref(r), a.heard(v))
-	a.tellEra(w, topo.VersionAt(a.Era(), 0), err)
-	reply(w, struct{}{}, err)
+	err := a.Delete(r.Context(), objectRef(r), a.versionAt(v))
+	a.setEraHeader(w, topo.VersionAt(a.Era(), 0), err)
+	writeResult(w, struct{}{}, err)
 }
 
 func (a *ObjectAPI) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -119,12 +119,12 @@
 	for _, k := range q["kind"] {
 		kinds = append(kinds, topo.Kind(k))
 	}
-	p, err := a.Watch(r.Context(), kinds, a.heard(topo.Version(since)), time.Duration(waitMS)*time.Millisecond)
-	a.tellPage(w, p, err)
+	p, err := a.Watch(r.Context(), kinds, a.versionAt(topo.Version(since)), time.Duration(waitMS)*time.Millisecond)
+	a.writePage(w, p, err)
 }
 
-// condition reads the version on which a write depends; zero: must not exist.
-func condition(h http.Header) (topo.Version, bool) {
+// parsePrecondition reads the version on which a write depends; zero: must not exist.
+func parsePrecondition(h http.Header) (topo.Version, bool) {
 	if h.Get("If-None-Match") == "*" {
 		return 0, true
 	}
@@ -132,7 +132,7 @@
 	return topo.Version(v), err == nil
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeResult(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		writeJSON(w, v)
@@ -142,7 +142,7 @@
 		w.WriteHeader(http.StatusPreconditionFailed)
 	case errors.Is(err, topo.ErrCompacted):
 		w.WriteHeader(http.StatusGone)
-	case errors.Is(err, errTooMany):
+	case errors.Is(err, errRateLimited):
 		w.WriteHeader(http.StatusTooManyRequests)
 	case errors.Is(err, errDown):
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// catchUp applies a change of the log that was not applied before.
-func (s *objects) catchUp(o topo.Object) {
+// applyNewer applies a change of the log that was not applied before.
+func (s *objects) applyNewer(o topo.Object) {
 	if o.Version > s.version {
 		s.apply(o)
 	}
@@ -54,7 +54,7 @@
 func (s *objects) page(kind topo.Kind, cont string) topo.Page {
 	names, listed := s.names[kind]
 	if !listed {
-		names = s.index(kind)
+		names = s.indexNames(kind)
 	}
 	i, found := slices.BinarySearch(names, cont)
 	if found {
@@ -71,7 +71,7 @@
 	return p
 }
 
-func (s *objects) index(kind topo.Kind) []string {
+func (s *objects) indexNames(kind topo.Kind) []string {
 	names := []string{}
 	for ref := range s.byRef {
 		if ref.Kind == kind {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -22,9 +22,9 @@
 type Orders struct {
 	config OrdersConfig
 
-	mu     sync.Mutex
-	status wire.OrderStatus
-	taken  []wire.Order
+	mu       sync.Mutex
+	status   wire.OrderStatus
+	accepted []wire.Order
 }
 
 // NewOrders returns an Orders.
@@ -35,7 +35,7 @@
 // Register adds the routes to mux.
 func (o *Orders) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Status()) })
-	mux.HandleFunc("POST /orders", o.take)
+	mux.HandleFunc("POST /orders", o.serveOrder)
 	mux.HandleFunc("GET /debug/orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Accepted()) })
 }
 
@@ -50,22 +50,22 @@
 func (o *Orders) Accepted() []wire.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return append([]wire.Order{}, o.taken...)
+	return append([]wire.Order{}, o.accepted...)
 }
 
-func (o *Orders) take(w http.ResponseWriter, r *http.Request) {
+func (o *Orders) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order wire.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	token, _ := strconv.ParseInt(r.Header.Get("X-Fencing-Token"), 10, 64)
-	w.WriteHeader(o.begin(order, wire.FencingToken(token)))
+	w.WriteHeader(o.start(order, wire.FencingToken(token)))
 }
 
-// begin starts an order and returns the status code. An order that is known
+// start starts an order and returns the status code. An order that is known
 // already is not begun again.
-func (o *Orders) begin(order wire.Order, token wire.FencingToken) int {
+func (o *Orders) start(order wire.Order, token wire.FencingToken) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -77,7 +77,7 @@
 		return http.StatusConflict
 	}
 	o.status.ID, o.status.Phase, o.status.Token = order.ID, wire.PhaseRunning, token
-	o.taken = append(o.taken, order)
+	o.accepted = append(o.accepted, order)
 	go o.load(order)
 	return http.StatusAccepted
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -40,7 +40,7 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	defer s.health.enter()()
+	defer s.health.begin()()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
--- a/internal/standin/vmlist.go
+++ b/internal/standin/vmlist.go
@@ -27,7 +27,7 @@
 	mu      sync.Mutex
 	tag     int
 	entries map[string]topo.VM
-	late    []vmChange // not shown yet, the oldest first
+	pending []vmChange // not shown yet, the oldest first
 	faults  VMFaults
 }
 
@@ -73,7 +73,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.at = time.Now()
-	l.late = append(l.late, c)
+	l.pending = append(l.pending, c)
 }
 
 // VMs implements topo.VMList.
@@ -83,7 +83,7 @@
 	if l.faults.Down {
 		return topo.VMs{}, false, errDown
 	}
-	l.show(time.Now().Add(-l.faults.Lag.Std()))
+	l.applyPending(time.Now().Add(-l.faults.Lag.Std()))
 	out := topo.VMs{Tag: strconv.Itoa(l.tag)}
 	if out.Tag == tag {
 		return topo.VMs{}, false, nil
@@ -95,11 +95,11 @@
 	return out, true, nil
 }
 
-// show makes the changes up to a time visible.
-func (l *VMList) show(until time.Time) {
-	for len(l.late) > 0 && !l.late[0].at.After(until) {
-		c := l.late[0]
-		l.late = l.late[1:]
+// applyPending makes the changes up to a time visible.
+func (l *VMList) applyPending(until time.Time) {
+	for len(l.pending) > 0 && !l.pending[0].at.After(until) {
+		c := l.pending[0]
+		l.pending = l.pending[1:]
 		l.tag++
 		if c.vm == nil {
 			delete(l.entries, c.id)
@@ -115,7 +115,7 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	reply(w, vms, err)
+	writeResult(w, vms, err)
 }
 
 func (l *VMList) put(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/weightstore.go
+++ b/internal/standin/weightstore.go
@@ -9,11 +9,11 @@
 // WeightStore serves models at a limited rate. It serves what comes too soon
 // as well, and counts it, so that tests see what a client did.
 type WeightStore struct {
-	every time.Duration
+	interval time.Duration
 
-	mu     sync.Mutex
-	last   time.Time
-	report WeightReport
+	mu       sync.Mutex
+	lastLoad time.Time
+	report   WeightReport
 }
 
 // WeightReport is what a WeightStore has seen.
@@ -24,8 +24,8 @@
 }
 
 // NewWeightStore returns a WeightStore that allows a load in every.
-func NewWeightStore(every time.Duration) *WeightStore {
-	return &WeightStore{every: every}
+func NewWeightStore(interval time.Duration) *WeightStore {
+	return &WeightStore{interval: interval}
 }
 
 // Register adds the store's routes to mux.
@@ -47,10 +47,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.report.Loads > 0 && now.Sub(s.last) < s.every {
+	if s.report.Loads > 0 && now.Sub(s.lastLoad) < s.interval {
 		s.report.Violations++
 	}
-	s.last = now
+	s.lastLoad = now
 	s.report.Loads++
 	s.report.Models = append(s.report.Models, r.PathValue("model")+"/"+r.PathValue("version"))
 	writeJSON(w, s.report.Loads)
