--- a/bench/ablation/main.go
+++ b/bench/ablation/main.go
@@ -1,12 +1,12 @@
-// Command ablation plays days of deployments on the operators' bench, with all mechanisms
-// of package policy and with each switched off in turn, and writes a table of what each
-// is worth: the mean over days and seeds of the figure that the bench calls worth, with
-// all on less with that one off.
+// Command ablation runs simulated days of deployments on the operators' bench, with all
+// mechanisms of package policy enabled and with each one disabled in turn. It prints a table
+// of each mechanism's contribution: the mean over days and seeds of the bench's "worth"
+// figure with all mechanisms enabled, minus the mean with that one disabled.
 //
 //	go run ./bench/ablation -bench BENCH -days trouble-1,scale-1 -seeds 0,1,2 SITE...
 //
-// It plays committed code only, in copies of the checkout, and puts the journal entries
-// of the runs into this one. Seed 0 is the day's own.
+// It runs only committed code, in clones of the current checkout, and copies the journal
+// entries of the runs into the current checkout. Seed 0 stands for the day's own seed.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/policy"
 )
 
-// baseline is the name of the variant with all mechanisms on.
+// baseline is the name of the variant with all mechanisms enabled.
 const baseline = "nothing"
 
 var (
@@ -40,7 +40,7 @@
 func main() {
 	flag.Parse()
 	if err := run(flag.Args()); err != nil {
-		slog.Error("the ablation failed", "error", err)
+		slog.Error("ablation failed", "error", err)
 		os.Exit(1)
 	}
 }
@@ -51,7 +51,7 @@
 		return errors.WithStack(err)
 	}
 	defer os.RemoveAll(dir)
-	means := make(map[string][]float64) // by variant, a site each
+	means := make(map[string][]float64) // by variant; one element per site
 	for _, disabled := range append([]string{baseline}, strings.Split(*mechanisms, ",")...) {
 		checkout := filepath.Join(dir, disabled)
 		if err := prepareCheckout(checkout, disabled); err != nil {
@@ -72,10 +72,11 @@
 	return nil
 }
 
-// prepareCheckout makes a copy of the checkout in which a mechanism is off.
+// prepareCheckout clones the current checkout into the directory checkout and disables a
+// mechanism there.
 func prepareCheckout(checkout, disabled string) error {
 	if out, err := exec.Command("git", "clone", "--quiet", ".", checkout).CombinedOutput(); err != nil {
-		return errors.Wrapf(err, "copy: %s", out)
+		return errors.Wrapf(err, "clone checkout: %s", out)
 	}
 	if disabled == baseline {
 		return nil
@@ -88,15 +89,16 @@
 	const command = "parsleyd entry "
 	changed := strings.Replace(string(text), command, command+"--without "+disabled+" ", 1)
 	if changed == string(text) {
-		return errors.Errorf("%s does not run %q: nothing would be switched off", path, command)
+		return errors.Errorf("%s does not contain %q: the mechanism can not be disabled", path, command)
 	}
 	return errors.WithStack(os.WriteFile(path, []byte(changed), 0o600))
 }
 
-// worthPattern is how the bench tells the figure of a run.
+// worthPattern matches the line of the bench's output with the worth of a run.
 var worthPattern = regexp.MustCompile(`(?m)^worth ([0-9.]+) = `)
 
-// meanWorth returns the mean worth of a site's days.
+// meanWorth runs all days with all seeds on a site and returns the mean worth. If runs
+// fail, it also returns one of their errors.
 func meanWorth(checkout, site, disabled string) (float64, error) {
 	var (
 		mu      sync.Mutex
@@ -129,6 +131,7 @@
 	return sum / float64(n), failure
 }
 
+// runDay runs one day on a site and returns its worth.
 func runDay(checkout, site, day, seed, disabled string) (float64, error) {
 	args := []string{"run", site, day, "--jobs", "1", "--why", "ablation: without " + disabled}
 	if seed != "0" {
@@ -139,12 +142,13 @@
 	out, err := cmd.CombinedOutput()
 	match := worthPattern.FindSubmatch(out)
 	if match == nil {
-		return 0, errors.Errorf("%s of %s without %s gave no figure (%v): %s", day, filepath.Base(site), disabled, err, out)
+		return 0, errors.Errorf("day %s on site %s without %s: output contains no worth (%v): %s", day, filepath.Base(site), disabled, err, out)
 	}
 	return strconv.ParseFloat(string(match[1]), 64)
 }
 
-// printRow writes a row of the table.
+// printRow prints a variant's row of the table: the mean worth per site of the baseline,
+// the loss of worth per site of others.
 func printRow(disabled string, means map[string][]float64) {
 	fmt.Printf("| %s |", disabled)
 	for i, mean := range means[disabled] {
--- a/bench/ablation/newer.go
+++ b/bench/ablation/newer.go
@@ -6,10 +6,11 @@
 	"path/filepath"
 )
 
-// missingFS is a journal as far as this checkout has not got it yet.
+// missingFS is a journal directory without the files that the current checkout's journal
+// already contains.
 type missingFS struct{ fs.FS }
 
-// ReadDir implements fs.ReadDirFS.
+// ReadDir implements fs.ReadDirFS. It returns all directories.
 func (n missingFS) ReadDir(name string) ([]fs.DirEntry, error) {
 	entries, err := fs.ReadDir(n.FS, name)
 	var out []fs.DirEntry
--- a/bench/policy/cache_test.go
+++ b/bench/policy/cache_test.go
@@ -6,12 +6,15 @@
 	"slices"
 )
 
-// event is something with a virtual time in seconds; queue is a heap of them.
+// event is a scheduled function or the last use of a chat's prefix. The time at is
+// virtual, in seconds.
 type event struct {
 	at   float64
 	run  func()
 	chat int
 }
+
+// eventQueue is a heap of events, earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
@@ -24,20 +27,21 @@
 	return (*q)[last]
 }
 
-// cache is an upstream's memory of prompt prefixes: it holds a number of
-// tokens and drops the prefixes that were used longest ago.
+// cache is an upstream's cache of prompt prefixes. Its capacity is in tokens, and it
+// evicts the least recently used prefixes.
 type cache struct {
 	capacity, used int
 	prefixes       map[int]*prefix // by chat
-	lruQueue       eventQueue      // an entry is outdated if the prefix was used again
+	lruQueue       eventQueue      // an entry is outdated if the prefix has been used since
 }
 
 type prefix struct {
 	tokens  int
-	lastUse float64 // use
+	lastUse float64 // virtual time in seconds
 }
 
-// use returns how many tokens of a chat are cached, and caches it up to tokens.
+// use returns how many tokens of a chat are cached, and extends its cached prefix to
+// tokens.
 func (c *cache) use(chat, tokens int, at float64) (cached int) {
 	p := c.prefixes[chat]
 	if p == nil {
@@ -60,5 +64,5 @@
 	return cached
 }
 
-// chats returns the chats that have a prefix here, in a fixed order.
+// chats returns the chats with a cached prefix, in ascending order.
 func (c *cache) chats() []int { return slices.Sorted(maps.Keys(c.prefixes)) }
--- a/bench/policy/fleet_test.go
+++ b/bench/policy/fleet_test.go
@@ -13,22 +13,22 @@
 
 const (
 	domains          = 3  // failure domains
-	maxSamples       = 5  // in a message, as in packages router and sidecar
-	sampleFieldBytes = 10 // bytes of CBOR beside the samples
-	loadFieldBytes   = 18 // bytes of CBOR with a sidecar's own load
+	maxSamples       = 5  // load samples per message, as in packages router and sidecar
+	sampleFieldBytes = 10 // CBOR overhead of the samples, in bytes
+	loadFieldBytes   = 18 // CBOR encoding of a sidecar's own load, in bytes
 )
 
-// policy is what a row of the benchmark switches on.
+// policy lists the mechanisms that a row of the benchmark enables.
 type policy struct {
 	name             string
-	twoChoices       bool // two random choices, without sessions
-	bound            bool // sidecars refuse what goes over the bound
-	ticket           bool // callers send their tickets back
-	detectConcurrent bool // turns of a chat that run at the same time are told apart
-	relaySamples     bool // messages carry samples
-	skipFull         bool // routers leave out upstreams that they believe full
-	export           bool // a leaving upstream hands its prefixes on
-	handOver         bool // a joining upstream is handed its sessions' prefixes
+	twoChoices       bool // choose the better of two random upstreams, ignoring sessions
+	bound            bool // sidecars reject requests over the load bound
+	ticket           bool // callers return their tickets
+	detectConcurrent bool // requests carry the ticket's age, which identifies concurrent turns of a chat
+	relaySamples     bool // messages carry samples of other upstreams' loads
+	skipFull         bool // routers skip upstreams that are full by their reported load
+	export           bool // a leaving upstream exports its prefixes to its successors
+	handOver         bool // a joining upstream receives its sessions' prefixes
 }
 
 // upstream is an engine with its sidecar.
@@ -40,7 +40,7 @@
 	state  load.State
 }
 
-// reportTo notes in a table how the upstream is.
+// reportTo records the upstream's load and state in a table.
 func (u *upstream) reportTo(t *load.Table, now time.Time) {
 	t.Observe(now, u.member.VM, load.Report{Load: u.load, State: u.state})
 }
@@ -50,14 +50,14 @@
 	*view
 }
 
-// view is the list of upstreams as some routers know it.
+// view is the list of upstreams that some routers currently use.
 type view struct {
 	pool *placement.Pool
 	vms  []int // indices into fleet.upstreams
 	ids  []load.VM
 }
 
-// fleet is one pool with its routers.
+// fleet simulates one pool with its routers.
 type fleet struct {
 	policy
 	scenario
@@ -66,12 +66,13 @@
 	seconds   float64 // virtual time
 	now       time.Time
 	upstreams []*upstream
-	live      []int // those that serve
+	live      []int // indices of the upstreams that serve
 	routers   []*router
-	chats     int // so far
+	chats     int // started so far
 	window    window
 }
 
+// join adds an upstream.
 func (f *fleet) join() {
 	n := len(f.upstreams)
 	id := fmt.Sprint("vm-", n)
@@ -83,7 +84,8 @@
 	})
 }
 
-// handOverPrefixes hands the upstream that joined last copies of its sessions' prefixes.
+// handOverPrefixes copies to the latest upstream the cached prefixes of the sessions that
+// have it as their home.
 func (f *fleet) handOverPrefixes() {
 	v, n := f.newView(0), len(f.upstreams)-1
 	for _, vm := range f.live[:len(f.live)-1] {
@@ -96,7 +98,7 @@
 	}
 }
 
-// leave drains a random upstream.
+// leave drains a random upstream and, if the policy says so, exports its prefixes.
 func (f *fleet) leave() {
 	index := f.rand.IntN(len(f.live))
 	u := f.upstreams[f.live[index]]
@@ -110,6 +112,7 @@
 	}
 }
 
+// newView returns the current list of upstreams for routers in a failure domain.
 func (f *fleet) newView(domain int) *view {
 	v := &view{vms: slices.Clone(f.live)}
 	var ms []placement.Member
@@ -120,13 +123,13 @@
 	return v
 }
 
-// session is the hash of a chat.
+// session returns the session hash of a chat.
 func session(chat int) uint64 {
 	return uint64(chat)*0x9e3779b97f4a7c15 | 1
 }
 
-// request offers a turn of a chat to upstreams and returns where it runs, or
-// placement.None.
+// request offers a turn of a chat to candidate upstreams and returns the index of the one
+// that runs it, or placement.None.
 func (f *fleet) request(r *router, c *chat) (vm int) {
 	f.window.requests++
 	q := placement.Query{Session: session(c.id), Ticket: placement.None, TicketAge: math.MaxInt64, Random: f.rand.Uint64()}
@@ -158,8 +161,8 @@
 	return placement.None
 }
 
-// offer is a message to a sidecar and its reply, which tells the load that the
-// request found.
+// offer simulates a request message to a sidecar and its reply, which reports the load
+// before the request, and returns whether the request is admitted.
 func (f *fleet) offer(r *router, u *upstream) (admitted bool) {
 	if f.relaySamples {
 		up := r.table.Pack(f.now, maxSamples, u.member.VM)
@@ -176,7 +179,8 @@
 	return admitted
 }
 
-// sendReply is what a sidecar tells a router of loads.
+// sendReply simulates the loads that a sidecar reports to a router: its own, and samples
+// of others if withSamples is set.
 func (f *fleet) sendReply(r *router, u *upstream, withSamples bool) {
 	f.window.ownLoadBytes += loadFieldBytes
 	u.reportTo(u.table, f.now)
@@ -188,8 +192,9 @@
 	u.reportTo(r.table, f.now)
 }
 
-// recordSkew notes the skew: the highest load over the mean of those that serve,
-// and how many requests the highest is over the bound at the true mean.
+// recordSkew records the skew, which is the highest load divided by the mean load of the
+// serving upstreams, and by how many requests the highest load exceeds the bound at the
+// true mean.
 func (f *fleet) recordSkew() {
 	highest, sum := 0, 0
 	for _, vm := range f.live {
--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -1,6 +1,6 @@
-// Package policy measures the decisions of placement and load against
-// baselines: the shipped packages decide, and a small fake of a pool with its
-// callers runs in virtual time from fixed seeds.
+// Package policy compares the decisions of packages placement and load with baseline
+// policies. The production packages make the decisions; a small simulation of a pool and
+// its callers runs in virtual time from fixed seeds.
 package policy
 
 import (
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// target is one model's share of the letter's target, with an upstream replaced
-// every 20 s. The caches hold 1.5 times an upstream's share of the live chats.
+// target is one model's share of the target fleet, with an upstream replaced every 20 s.
+// Each cache holds 1.5 times an upstream's share of the live chats.
 var target = scenario{
 	name: "target", routers: 330, upstreams: 130, pools: 22, liveChats: 286_000, cacheTokens: 32_000_000,
 	loadMultiple: 1.25, replaceEvery: 20, restartEvery: 60, surgeChats: 24, surgeRate: 190,
 	windows: [4]float64{2600, 600, 300, 100},
 }
 
-// The pools of today. Smaller loads vary more, so they need a larger multiple.
+// Smaller pools. Their loads vary more, so they need a larger load multiple.
 var (
 	twenty = scenario{
 		name: "20_runners", routers: 4, upstreams: 20, pools: 2, liveChats: 8_800, cacheTokens: 7_000_000,
@@ -51,6 +51,7 @@
 	}
 )
 
+// without returns the shipped policy with one mechanism disabled.
 func without(name string, disable func(*policy)) policy {
 	p := shipped
 	p.name += "_without_" + name
@@ -58,15 +59,15 @@
 	return p
 }
 
-// window is what one window of a run has shown.
+// window holds the measurements of one phase of a run.
 type window struct {
 	name                             string
 	seconds                          float64
 	requests, refusals, rejected     int
-	reusable, reused                 int       // tokens of returning chats
-	upBytes, downBytes, ownLoadBytes int       // control bytes
-	skews                            []float64 // each second, sorted
-	overBound                        int       // requests over the bound at the true mean, at worst
+	reusable, reused                 int       // prompt tokens of continued chats: that could be cached, that were
+	upBytes, downBytes, ownLoadBytes int       // control traffic in bytes
+	skews                            []float64 // one per second, sorted
+	overBound                        int       // maximum number of requests over the bound at the true mean
 }
 
 // simulate runs a policy and returns its windows after the warm-up.
@@ -110,8 +111,8 @@
 	}
 }
 
-// BenchmarkPolicy prints a row for each policy and window. Control bytes are
-// those of a router for all its pools, as if all of them were like this one.
+// BenchmarkPolicy reports metrics for each policy and window. Control bytes are those of
+// one router for all its pools, assuming that all pools are like the simulated one.
 func BenchmarkPolicy(b *testing.B) {
 	type row struct {
 		policy
@@ -148,9 +149,10 @@
 	}
 }
 
-// One club's few chats bring a third of the traffic while upstreams are
-// replaced. Others' chats lose their prefixes, upstreams run far above the mean
-// from the first second on, or requests are turned away.
+// A few chats of one organisation generate a third of the traffic while upstreams are
+// replaced. The test guards against three failures: other chats lose their cached
+// prefixes, upstreams run far above the mean load from the first second on, or requests
+// are rejected.
 func TestPolicyHoldsThroughASurge(t *testing.T) {
 	s := scenario{
 		routers: 60, upstreams: 30, pools: 22, liveChats: 66_000, cacheTokens: 32_000_000,
--- a/bench/policy/traffic_test.go
+++ b/bench/policy/traffic_test.go
@@ -10,38 +10,38 @@
 	"github.com/parsleyfront/parsleyfront/internal/placement"
 )
 
-// Traffic, from the letter's figures: 2.1 M tokens a second at 70 ms a token
-// over 7,600 requests a second is 276 tokens and 19.3 s an answer; 6.3 M chats
-// over 22 models that bring 345 requests a second each pause 830 s on average.
+// Traffic parameters, derived from the target fleet: 2.1 M tokens per second at 70 ms per
+// token and 7,600 requests per second give 276 tokens and 19.3 s per response; 6.3 M chats
+// over 22 models with 345 requests per second each pause for 830 s on average.
 const (
-	answerSeconds = 19.3 // mean, exponential
+	answerSeconds = 19.3 // mean; exponentially distributed
 	answerTokens  = 276
-	pauseMedian   = 240.0 // seconds; log-normal, 80% under 15 min, 4% over an hour
+	pauseMedian   = 240.0 // seconds; log-normally distributed, 80% under 15 min, 4% over an hour
 	pauseSigma    = 1.575
 	meanTurns     = 15
 	firstPrompt   = 1500 // tokens
 	laterPrompt   = 300
-	surgeTokens   = 8000 // of each of its chats
+	surgeTokens   = 8000 // per chat of a surge
 )
 
-// scenario is a pool with its routers and traffic.
+// scenario gives the sizes of a pool, its routers and its traffic.
 type scenario struct {
 	name                          string
 	routers, upstreams, liveChats int
-	pools                         int // that a router serves
-	cacheTokens                   int // of an upstream
+	pools                         int // served by each router
+	cacheTokens                   int // cache capacity per upstream
 	loadMultiple                  float64
-	replaceEvery, restartEvery    float64 // an upstream, a router; in seconds
+	replaceEvery, restartEvery    float64 // intervals in seconds, of an upstream's replacement and a router's restart
 	surgeChats                    int
-	surgeRate                     float64    // requests a second
-	windows                       [4]float64 // warm-up, calm, surge and settling, in seconds
+	surgeRate                     float64    // requests per second
+	windows                       [4]float64 // durations of warm-up, calm, surge and settling, in seconds
 }
 
-// chat is a chat and what its caller remembers.
+// chat is a chat with the state that its caller keeps.
 type chat struct {
 	id, tokens int
-	ticketVM   int     // where its ticket says
-	ticketTime float64 // when
+	ticketVM   int     // upstream named by its ticket, or placement.None
+	ticketTime float64 // virtual time of the ticket, in seconds
 }
 
 func newFleet(p policy, s scenario) *fleet {
@@ -61,11 +61,13 @@
 	return f
 }
 
-// startOngoingChat starts a chat that pauses, its prefix cached at its home.
+// startOngoingChat adds a chat that is in a pause between turns. If it has had turns, its
+// prefix is cached at its home upstream.
 func (f *fleet) startOngoingChat(v *view) {
 	c := &chat{}
 	f.reset(c)
-	// A chat is more likely to be met in a long pause.
+	// A random moment is more likely to fall into a long pause, so pauses in progress are
+	// longer on average.
 	pauseLength := f.randomPause() * math.Exp(pauseSigma*pauseSigma)
 	remaining := f.rand.Float64() * pauseLength
 	if turns := int(f.rand.ExpFloat64() * meanTurns); turns > 0 {
@@ -76,6 +78,7 @@
 	f.after(remaining, func() { f.turn(c) })
 }
 
+// reset replaces c by a new chat.
 func (f *fleet) reset(c *chat) {
 	*c = chat{id: f.chats, ticketVM: placement.None, ticketTime: math.Inf(-1)}
 	f.chats++
@@ -84,14 +87,17 @@
 func (f *fleet) randomPause() float64    { return pauseMedian * math.Exp(pauseSigma*f.rand.NormFloat64()) }
 func (f *fleet) randomDuration() float64 { return answerSeconds * f.rand.ExpFloat64() }
 
+// after schedules run in d seconds.
 func (f *fleet) after(d float64, run func()) {
 	heap.Push(&f.events, event{at: f.seconds + d, run: run})
 }
 
+// every schedules run every d seconds.
 func (f *fleet) every(d float64, run func()) {
 	f.after(d, func() { run(); f.every(d, run) })
 }
 
+// runUntil runs the scheduled events up to the virtual time end.
 func (f *fleet) runUntil(end float64) {
 	for f.events[0].at <= end {
 		e := heap.Pop(&f.events).(event)
@@ -101,7 +107,8 @@
 	f.seconds = end
 }
 
-// turn is a chat's next request; after a pause the chat or a new one goes on.
+// turn sends a chat's next request and schedules the turn after it, which belongs to the
+// same chat or to a new one.
 func (f *fleet) turn(c *chat) {
 	prompt, duration := firstPrompt, f.randomDuration()
 	if c.tokens > 0 {
@@ -119,7 +126,8 @@
 	f.after(duration+f.randomPause(), func() { f.turn(c) })
 }
 
-// send runs a request that takes some seconds, through some router.
+// send runs a request with a duration in seconds through a random router. It returns the
+// index of the upstream that runs it, or placement.None.
 func (f *fleet) send(c *chat, duration float64) (vm int) {
 	via := f.routers[f.rand.IntN(len(f.routers))]
 	if vm = f.request(via, c); vm != placement.None {
@@ -132,7 +140,8 @@
 	return vm
 }
 
-// surgeTurn has one organisation surgeTurn turns of few chats. Their reuse is not counted.
+// surgeTurn sends a turn of a random one of chats, which belong to one organisation, and
+// schedules the next before end. Their cache reuse is not counted.
 func (f *fleet) surgeTurn(chats []chat, end float64) {
 	c := &chats[f.rand.IntN(len(chats))]
 	if vm := f.send(c, f.randomDuration()); vm != placement.None {
@@ -143,7 +152,7 @@
 	}
 }
 
-// replace has an upstream join and one leave, which routers learn seconds later.
+// replace adds an upstream and drains another. Routers receive the change 2 to 8 s later.
 func (f *fleet) replace() {
 	f.join()
 	if f.handOver {
--- a/bench/speed/capacity_test.go
+++ b/bench/speed/capacity_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// helloHandler is a sidecar that only introduces itself.
+// helloHandler answers only the handshake of a sidecar.
 type helloHandler struct{}
 
 func (helloHandler) HandleCall(context.Context, *wire.Conn, wire.Method, wire.Params) (any, error) {
@@ -32,7 +32,8 @@
 	sidecarID = secure.Identity{Role: secure.RoleSidecar, VM: "vm-1"}
 )
 
-// transport returns mutual TLS by the files in dir, or none without a dir.
+// transport returns a transport with mutual TLS from the files in dir, or a plain one if
+// dir is empty.
 func transport(id secure.Identity, dir string) secure.Transport {
 	if dir == "" {
 		return secure.Plain{}
@@ -44,12 +45,13 @@
 	return m
 }
 
+// certPaths returns the paths of an identity's certificate files in dir.
 func certPaths(id secure.Identity, dir string) secure.Paths {
 	base := filepath.Join(dir, id.VM)
 	return secure.Paths{Cert: base + ".crt", Key: base + ".key", CA: filepath.Join(dir, "ca")}
 }
 
-// issueCertificates writes certificates for both ends.
+// issueCertificates writes certificates for router and sidecar and returns their directory.
 func issueCertificates(b *testing.B) (dir string) {
 	dir = b.TempDir()
 	write := func(name string, content []byte) {
@@ -74,8 +76,8 @@
 	return dir
 }
 
-// serveHello serves greeters on the first of two words, with the certificates in
-// the directory that the second one names.
+// serveHello accepts connections on an address and answers their handshakes. Its argument
+// is the address, a space and the directory of certificates, which is empty without TLS.
 func serveHello(args string) {
 	addr, dir, _ := strings.Cut(args, " ")
 	l, err := net.Listen("tcp", addr)
@@ -92,8 +94,8 @@
 	}
 }
 
-// BenchmarkConnections measures what an idle connection to a sidecar takes at
-// each end, in bytes, at some numbers of them. The sidecars are one process.
+// BenchmarkConnections measures the memory of an idle connection to a sidecar at each end,
+// in bytes, for several numbers of connections. One process serves all sidecars.
 func BenchmarkConnections(b *testing.B) {
 	for _, n := range []int{100, 1000, 2900} {
 		b.Run(fmt.Sprintf("plain/%d", n), func(b *testing.B) {
@@ -123,7 +125,7 @@
 		}
 		return p
 	}
-	defer connect().Close() // what the first one alone takes
+	defer connect().Close() // excludes the one-time memory of the first connection
 	routerBytes, sidecarBytes := memoryInUse(), residentBytes(b, pid)
 	for range n {
 		defer connect().Close()
@@ -133,7 +135,8 @@
 	b.ReportMetric(float64(residentBytes(b, pid)-sidecarBytes)/float64(n), "sidecar-B/conn")
 }
 
-// memoryInUse returns the heap and the stacks of this process in bytes.
+// memoryInUse returns the size of this process's heap and stacks in bytes, after a garbage
+// collection.
 func memoryInUse() int {
 	runtime.GC()
 	var m runtime.MemStats
@@ -141,7 +144,7 @@
 	return int(m.HeapInuse + m.StackInuse)
 }
 
-// frameBytes returns a router's counters of bytes by frame.
+// frameBytes returns a router's counters of bytes by frame type.
 func frameBytes(b *testing.B, p path) map[string]float64 {
 	resp, err := http.Get("http://" + p.admin + "/debug/vars")
 	if err != nil {
@@ -157,8 +160,8 @@
 	return vars.Bytes
 }
 
-// BenchmarkBytes measures what requests and tokens take on the wire between
-// router and sidecar: streams of tokens, then one that says nothing.
+// BenchmarkBytes measures the bytes on the wire between router and sidecar, first for
+// streams of tokens, then for the heartbeats during an idle stream.
 func BenchmarkBytes(b *testing.B) {
 	const streams, tokens, quiet = 20, 200, 10 * time.Second
 	addr := freeAddr(b)
@@ -192,7 +195,8 @@
 	}
 }
 
-// runHelperProcess turns this process into a part of a benchmark, if it was started as one.
+// runHelperProcess runs a helper of a benchmark and does not return, if the environment
+// selects one.
 func runHelperProcess() {
 	if addr := os.Getenv(stubEnv); addr != "" {
 		panic(http.ListenAndServe(addr, stub()))
--- a/bench/speed/fleet_test.go
+++ b/bench/speed/fleet_test.go
@@ -1,6 +1,6 @@
-// Package speed measures what the fleet adds to a call: callers, a router, a
-// sidecar and a stub upstream, as separate processes, or in this one so that a
-// profile shows all of it. Run it with `make speed`.
+// Package speed measures the overhead that the fleet adds to a call. Callers, a router,
+// sidecars and a stub upstream run as separate processes, or all in the test process so
+// that a profile covers all of them. Run it with `make speed`.
 package speed
 
 import (
@@ -31,9 +31,9 @@
 const (
 	apiKey       = "speed-key"
 	tokenSecret  = "1:000102030405060708090a0b0c0d0e0f\n"
-	stubEnv      = "SPEED_STUB"    // address; set in the process that is the stub
-	relayEnv     = "SPEED_RELAY"   // from and to; set in a process that is a relay
-	helloEnv     = "SPEED_GREETER" // address, directory; set in a process of sidecars that only introduce themselves
+	stubEnv      = "SPEED_STUB"    // address; set in the stub's process
+	relayEnv     = "SPEED_RELAY"   // listen address and target address; set in a relay's process
+	helloEnv     = "SPEED_GREETER" // address and directory of certificates; set in the process of sidecars that answer only the handshake
 	startTimeout = 10 * time.Second
 )
 
@@ -62,18 +62,18 @@
 	os.Exit(code)
 }
 
-// path is a way from the caller to the stub.
+// path is a route from the caller to the stub.
 type path struct {
 	name        string
-	url         string // to which a path of the stub is added
-	admin       string // the router's address for operators
-	routerPID   int    // 0 where there is none; this process's with -inprocess
+	url         string // base URL; the stub's paths are appended
+	admin       string // the router's admin address
+	routerPID   int    // 0 without a router; the test process's ID with -inprocess
 	sidecarPIDs []int
 }
 
-// newPaths starts the stub and the ways to it: directly; through two processes
-// that copy bytes and do nothing else, which shows what the machine adds; and
-// through a fleet of one router and one sidecar.
+// newPaths starts the stub and returns the paths to it: direct; through two processes
+// that only copy bytes, which shows the overhead of the machine; and through a fleet of
+// one router and its sidecars.
 func newPaths(b *testing.B) []path {
 	addr := freeAddr(b)
 	startStub(b, addr)
@@ -88,6 +88,8 @@
 	return append(paths, newFleet(b, "fleet", daemonBin, url))
 }
 
+// newFleet starts a router and sidecars in front of the stub and returns the path through
+// them, after warm-up calls.
 func newFleet(b *testing.B, name, binary, stub string) path {
 	mux := http.NewServeMux()
 	vms := standin.NewVMList()
@@ -113,12 +115,13 @@
 		resp, err := http.Get("http://" + router + "/readyz")
 		return err == nil && resp.Body.Close() == nil && resp.StatusCode == http.StatusOK
 	})
-	for range 200 { // warm up
+	for range 200 { // warm-up calls
 		unary(b, f)
 	}
 	return f
 }
 
+// configure writes the profile and organisation of the benchmarks to the store at url.
 func configure(b *testing.B, url string) {
 	store := topo.NewHTTP(url)
 	put := func(kind topo.Kind, name string, v any) {
@@ -141,6 +144,7 @@
 	})
 }
 
+// startStub starts the stub on addr.
 func startStub(b *testing.B, addr string) {
 	if *inProcess {
 		server := &http.Server{Addr: addr, Handler: stub()}
@@ -152,15 +156,16 @@
 	runSelf(b, addr, stubEnv+"="+addr)
 }
 
-// startRelay starts a process that copies between its address, which is
-// returned, and to.
+// startRelay starts a process that relays connections to the address to, and returns the
+// relay's own address.
 func startRelay(b *testing.B, to string) string {
 	addr := freeAddr(b)
 	runSelf(b, addr, relayEnv+"="+addr+" "+to)
 	return addr
 }
 
-// relay copies between connections to the first address and ones to the second.
+// relay accepts connections on the first of two space-separated addresses and relays each
+// to the second.
 func relay(addrs string) {
 	from, to, _ := strings.Cut(addrs, " ")
 	l, err := net.Listen("tcp", from)
@@ -177,7 +182,7 @@
 			panic(err)
 		}
 		forward := func(to, from net.Conn) {
-			_, _ = io.Copy(struct{ io.Writer }{to}, from) // not by splice: through this process
+			_, _ = io.Copy(struct{ io.Writer }{to}, from) // hides ReadFrom, so that bytes go through this process instead of splice(2)
 			_ = to.Close()
 		}
 		go forward(downstream, upstream)
@@ -185,7 +190,8 @@
 	}
 }
 
-// runSelf starts this program as another process.
+// runSelf starts this program as a helper process that listens on addr, and returns its
+// process ID. The variable env selects the helper.
 func runSelf(b *testing.B, addr, env string) int {
 	self, err := os.Executable()
 	if err != nil {
@@ -194,16 +200,18 @@
 	return startProcess(b, exec.Command(self), addr, env)
 }
 
-// parsleyd starts a role and returns its process id.
+// parsleyd starts a role of parsleyd that listens on addr, and returns its process ID.
 func parsleyd(b *testing.B, binary, addr string, args ...string) int {
 	if !*inProcess {
 		return startProcess(b, exec.Command(binary, args...), addr)
 	}
-	go daemon.Main(args, io.Discard, os.Stderr) // until the benchmark's process ends
+	go daemon.Main(args, io.Discard, os.Stderr) // runs until the test process ends
 	waitForAddr(b, addr)
 	return os.Getpid()
 }
 
+// startProcess starts cmd, waits until it listens on addr and returns its process ID. It
+// kills the process at the end of the benchmark and logs its output on failure.
 func startProcess(b *testing.B, cmd *exec.Cmd, addr string, env ...string) int {
 	var log bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &log, &log
@@ -229,10 +237,11 @@
 	})
 }
 
+// waitFor polls ok until it returns true. It fails the benchmark after startTimeout.
 func waitFor(b *testing.B, ok func() bool) {
 	for end := time.Now().Add(startTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.Fatal("not up in time")
+			b.Fatal("process not ready before the start timeout")
 		}
 	}
 }
@@ -246,10 +255,10 @@
 	return l.Addr().String()
 }
 
-// clockTick is the unit of processor times in /proc, 1/100 s on Linux.
+// clockTick is the unit of CPU times in /proc, 1/100 s on Linux.
 const clockTick = 10 * time.Millisecond
 
-// cpuTime returns the processor time that processes have used.
+// cpuTime returns the total CPU time that processes have used.
 func cpuTime(b *testing.B, pids ...int) (used time.Duration) {
 	for _, pid := range pids {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -264,7 +273,7 @@
 	return used
 }
 
-// residentBytes returns the residentBytes memory of processes in bytes.
+// residentBytes returns the total resident memory of processes in bytes.
 func residentBytes(b *testing.B, pids ...int) (total int) {
 	for _, pid := range pids {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/bench/speed/latency_test.go
+++ b/bench/speed/latency_test.go
@@ -19,6 +19,7 @@
 
 var sessions atomic.Int64
 
+// call sends a POST request with a body of 1 KB. It returns nil if the request fails.
 func call(b *testing.B, url string) *http.Response {
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(make([]byte, unarySize)))
 	if err != nil {
@@ -26,7 +27,7 @@
 		return nil
 	}
 	req.Header.Set("Authorization", "Bearer "+apiKey)
-	req.Header.Set("Parsley-Session", strconv.FormatInt(sessions.Add(1), 10)) // they spread over the sidecars
+	req.Header.Set("Parsley-Session", strconv.FormatInt(sessions.Add(1), 10)) // a new session per call spreads the calls over the sidecars
 	resp, err := client.Do(req)
 	if err != nil {
 		b.Error(err)
@@ -38,7 +39,7 @@
 	return resp
 }
 
-// unary makes one 1 KB call and returns how long it took.
+// unary makes one call with a body of 1 KB and returns its duration.
 func unary(b *testing.B, p path) time.Duration {
 	start := time.Now()
 	resp := call(b, p.url+"/unary")
@@ -50,7 +51,7 @@
 	return time.Since(start)
 }
 
-// samples is measured durations, from many goroutines.
+// samples collects measured durations. It is safe for concurrent use by add.
 type samples struct {
 	mu        sync.Mutex
 	durations []time.Duration
@@ -67,7 +68,8 @@
 	return s.durations[int(q*float64(len(s.durations)-1))]
 }
 
-// report reports the quantiles on the direct path and what the others add.
+// report reports the quantiles on the direct path, and by how much those on other paths
+// exceed them.
 func report(b *testing.B, paths []path, results []samples, what string) {
 	for _, q := range []float64{0.5, 0.99} {
 		direct := results[0].quantile(q)
@@ -80,13 +82,13 @@
 	}
 }
 
-// usage is what was done on a path and the processor time that it took.
+// usage is the number of calls made on a path and the CPU time that they took.
 type usage struct {
 	calls           int
 	router, sidecar time.Duration
 }
 
-// saturate makes unary calls with many callers for a second.
+// saturate makes unary calls from many concurrent callers for a second.
 func (w *usage) saturate(b *testing.B, p path) {
 	const callers = 64
 	router, sidecar := cpuTime(b, p.routerPID), cpuTime(b, p.sidecarPIDs...)
@@ -106,8 +108,8 @@
 	w.sidecar += cpuTime(b, p.sidecarPIDs...) - sidecar
 }
 
-// BenchmarkUnary compares 1 KB calls on each path, in turns: first with as many
-// callers as it takes to saturate the fleet, then at half of that rate.
+// BenchmarkUnary compares calls of 1 KB on all paths, alternating between them: first with
+// enough callers to saturate the fleet, then at half the resulting rate.
 func BenchmarkUnary(b *testing.B) {
 	const turns = 5
 	paths := newPaths(b)
@@ -140,8 +142,8 @@
 	report(b, paths, results, "call")
 }
 
-// atRate runs f at a steady rate for a while, each on its own goroutine, and
-// waits for all of them.
+// atRate runs f at a steady rate per second for a duration, each time in a new goroutine,
+// and waits for all of them.
 func atRate(rate float64, duration time.Duration, f func()) {
 	var wg sync.WaitGroup
 	start := time.Now()
@@ -156,8 +158,8 @@
 	wg.Wait()
 }
 
-// stream reads one stream and returns the time to its first event, the times
-// between events, and how old each event was when it came.
+// stream reads one stream and returns the time to its first event, the times between
+// events, and the age of each event on arrival.
 func stream(b *testing.B, url string) (first time.Duration, gaps, ages []time.Duration) {
 	start := time.Now()
 	resp := call(b, url)
@@ -185,7 +187,7 @@
 	return first, gaps, ages
 }
 
-// BenchmarkStream compares streams on each path, in turns: the time to the
+// BenchmarkStream compares streams on all paths, alternating between them: the time to the
 // first token, the time between tokens, and the age of a token on arrival.
 func BenchmarkStream(b *testing.B) {
 	const streams, turns = 50, 4
--- a/bench/speed/memory_test.go
+++ b/bench/speed/memory_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// openIdle opens a stream that says one thing and then nothing, over a
-// connection of its own and without the memory that an HTTP client would take.
+// openIdle opens a stream that sends one event and then stays idle. It uses a raw
+// connection to avoid the memory overhead of an HTTP client.
 func openIdle(base string) (net.Conn, error) {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return c, err
 }
 
-// BenchmarkIdleStreams measures what an open stream on which nothing is said
-// takes in the router and in the sidecar, in bytes of resident memory.
+// BenchmarkIdleStreams measures the resident memory of an open, idle stream in the router
+// and in the sidecars, in bytes.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, n := range []int{1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -68,5 +68,5 @@
 	b.ReportMetric(float64(residentBytes(b, f.sidecarPIDs...)-sidecar)/float64(n), "sidecar-B/stream")
 }
 
-// settleDelay is how long the processes are left alone before they are measured.
+// settleDelay is the idle time before the memory of processes is measured.
 const settleDelay = 3 * time.Second
--- a/bench/speed/stub_test.go
+++ b/bench/speed/stub_test.go
@@ -11,10 +11,10 @@
 
 const (
 	unarySize = 1 << 10
-	eventSize = 200 // bytes of a token's event
+	eventSize = 200 // bytes of an event, which carries one token
 )
 
-// stub is an upstream that does as it is told by the path.
+// stub returns an upstream whose behaviour is selected by the request path.
 func stub() http.Handler {
 	mux := http.NewServeMux()
 	answer := bytes.Repeat([]byte("a"), unarySize)
@@ -43,7 +43,7 @@
 	return mux
 }
 
-// writeEvent writes an event that says when it was written.
+// writeEvent writes an event that contains its time of writing.
 func writeEvent(w http.ResponseWriter) {
 	_, _ = fmt.Fprintf(w, "data: %-*d\n\n", eventSize-len("data: \n\n"), time.Now().UnixNano())
 	w.(http.Flusher).Flush()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,33 +14,33 @@
 type EngineConfig struct {
 	Model      string
 	TokenDelay time.Duration // between tokens
-	Tokens     int           // in an answer
-	CacheSize  int           // prompt prefixes that are kept
+	Tokens     int           // in a response
+	CacheSize  int           // maximum number of cached prompt prefixes
 }
 
-// Engine is a model engine: it speaks the usual chat protocol, caches prompt
-// prefixes and logs its runs. Its answers follow from the prompt alone, so a
-// test can tell whose answer it has.
+// Engine stands in for a model engine. It implements the common chat completions API,
+// caches prompt prefixes and records its runs. Its responses depend only on the prompt,
+// so that a test can match a response to its request.
 type Engine struct {
 	config EngineConfig
 	mu     sync.Mutex
-	cache  []string // prefixes, the least recently used first
+	cache  []string // prefixes, least recently used first
 	runs   []Run
 
-	sessions map[string][]string // prefixes, by session
+	sessions map[string][]string // prefixes by session
 	health   health
 }
 
 // Run is one request that an engine or service has started.
 type Run struct {
-	Key  string `json:"key"` // of the request, as the sidecar passed it on
+	Key  string `json:"key"` // request key from RunHeader
 	Text string `json:"text"`
 }
 
-// RunHeader carries the request key to upstreams, for their own records.
+// RunHeader carries the request key to upstreams, which may record it.
 const RunHeader = "X-Request-Id"
 
-// NewEngine returns an Engine.
+// NewEngine returns an Engine with an empty cache.
 func NewEngine(c EngineConfig) *Engine {
 	return &Engine{config: c, sessions: make(map[string][]string), health: newHealth()}
 }
@@ -55,7 +55,7 @@
 	mux.HandleFunc("POST /kv/import", e.importCache)
 }
 
-// Runs returns the log of runs.
+// Runs returns the recorded runs, in order.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -165,7 +165,7 @@
 	w.(http.Flusher).Flush()
 }
 
-// sleep waits for d. It reports false when the request was cancelled meanwhile.
+// sleep waits for d. It returns false if the request is cancelled first.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return r.Context().Err() == nil
@@ -178,7 +178,7 @@
 	}
 }
 
-// generate returns the words of the generate, which follow from the prompt.
+// generate returns the words of the response, which depend only on the prompt.
 func (e *Engine) generate(req chatRequest) []string {
 	h := fnv.New64a()
 	for _, m := range req.Messages {
@@ -191,7 +191,8 @@
 	return words
 }
 
-// recordRun logs the run and works out how much of the prompt was cached.
+// recordRun records the run, caches its prefixes and returns its token usage, including
+// how much of the prompt was cached.
 func (e *Engine) recordRun(key, session string, req chatRequest, tokens int) *chatUsage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -216,7 +217,8 @@
 	return u
 }
 
-// touch makes prefix the most recently used and reports whether it was cached.
+// touch makes prefix the most recently used one, adding it if necessary, and reports
+// whether it was cached before. It needs e.mu held.
 func (e *Engine) touch(prefix string) bool {
 	found := false
 	for i, p := range e.cache {
--- a/internal/standin/health.go
+++ b/internal/standin/health.go
@@ -7,7 +7,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/token"
 )
 
-// health is what a stand-in says of itself to its sidecar.
+// health is the state that a stand-in reports to its sidecar's health check.
 type health struct {
 	instance string
 	running  *atomic.Int64
@@ -17,7 +17,7 @@
 	return health{instance: token.NewNonce().String(), running: new(atomic.Int64)}
 }
 
-// begin counts a request; the result counts its end.
+// begin counts a request as running until the returned function is called.
 func (h health) begin() func() {
 	h.running.Add(1)
 	return func() { h.running.Add(-1) }
--- a/internal/standin/kv.go
+++ b/internal/standin/kv.go
@@ -5,10 +5,11 @@
 	"net/http"
 )
 
-// SessionHeader carries the session, by which its cached prefix is exported.
+// SessionHeader carries the session ID. Cached prefixes are exported by session.
 const SessionHeader = "X-Session-Id"
 
-// exportCache hands out the prefixes of a session that are still cached.
+// exportCache writes the prefixes of a session that are still cached, or 404 if there
+// are none.
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,7 +26,7 @@
 	writeJSON(w, cached)
 }
 
-// importCache takes over prefixes that another engine has exported.
+// importCache caches a session's prefixes that another engine has exported.
 func (e *Engine) importCache(w http.ResponseWriter, r *http.Request) {
 	var prefixes []string
 	if err := json.NewDecoder(r.Body).Decode(&prefixes); err != nil {
@@ -40,6 +41,7 @@
 	e.sessions[r.URL.Query().Get("session")] = prefixes
 }
 
+// isCached reports whether prefix is cached. It needs e.mu held.
 func (e *Engine) isCached(prefix string) bool {
 	for _, p := range e.cache {
 		if p == prefix {
--- a/internal/standin/objectapi.go
+++ b/internal/standin/objectapi.go
@@ -1,9 +1,9 @@
-// Package standin holds the small stand-ins that take the place of the outside
-// systems in tests and in dev mode: the platform's object API and VM list, the
-// weight store, a model engine and a plain service.
+// Package standin contains fakes that replace external systems in tests and in dev
+// mode: the platform's object API and VM list, the weight store, a model engine and a
+// plain service.
 //
-// They are fakes at the interfaces, made to be broken: each has its faults,
-// switched on by tests in-process or over HTTP.
+// Faults can be injected into the object API and the VM list, in-process or over HTTP,
+// and an engine can be made to crash.
 package standin
 
 import (
@@ -21,24 +21,24 @@
 const (
 	maxObjectBytes = 1 << 20
 	pageSize       = 500
-	// logLength is how many changes a watch can go back.
+	// logLength is the minimum number of past changes that a watch can start from.
 	logLength = 10000
 )
 
-// errDown is an outage: the store refuses everything.
+// errDown is returned for all calls during an outage.
 var errDown = errors.Wrap(topo.ErrRefused, "the store is down")
 
-// errRateLimited is a call over the rate limit.
+// errRateLimited is returned for a call over the rate limit.
 var errRateLimited = errors.Wrap(topo.ErrRefused, "too many calls")
 
-// ObjectAPI is the platform's object API. It implements topo.Store, for
-// tests in the same process, and serves it over HTTP.
+// ObjectAPI stands in for the platform's object API. It implements topo.Store, for
+// tests in the same process, and serves the API over HTTP.
 type ObjectAPI struct {
 	mu      sync.Mutex
 	primary *objects
-	replica *objects // lags behind present
-	log     []change // the latest changes, in order of version
-	era     topo.Era // rises at each Restore; the versions above are revisions within it
+	replica *objects // lags behind primary
+	log     []change // latest changes, in order of version
+	era     topo.Era // incremented by each Restore; the versions in the fields above are revisions within it
 	waiters map[*waiter]struct{}
 	faults  ObjectFaults
 	reads   bucket
@@ -52,18 +52,18 @@
 	at time.Time
 }
 
-// waiter is a watch that waits for a change of its kinds.
+// waiter is a watch that is blocked until an object of its kinds changes.
 type waiter struct {
 	kinds  []topo.Kind
-	wakeup chan struct{} // of capacity one
+	wakeup chan struct{} // has capacity one
 }
 
-// ObjectCounts are the calls that the API has received.
+// ObjectCounts are counts of the calls that the API has received.
 type ObjectCounts struct {
 	Reads   int `json:"reads"` // watches included
 	Writes  int `json:"writes"`
 	Watches int `json:"watches"`
-	Waiting int `json:"waiting"` // watches now
+	Waiting int `json:"waiting"` // watches that are waiting now
 	Refused int `json:"refused"` // over the rate limit or in an outage
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-// Counts returns the calls so far.
+// Counts returns the counts of calls so far.
 func (a *ObjectAPI) Counts() ObjectCounts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,13 +99,13 @@
 	return a.withEra(o), nil
 }
 
-// withEra returns an object with the version that callers know it by. It needs a.mu held.
+// withEra returns o with the era added to its version. It needs a.mu held.
 func (a *ObjectAPI) withEra(o topo.Object) topo.Object {
 	o.Version = topo.VersionAt(a.era, o.Version)
 	return o
 }
 
-// pageWithEra does so for a page. It needs a.mu held.
+// pageWithEra returns p with the era added to its versions. It needs a.mu held.
 func (a *ObjectAPI) pageWithEra(p topo.Page) topo.Page {
 	p.Version = topo.VersionAt(a.era, p.Version)
 	for i, o := range p.Objects {
@@ -114,18 +114,18 @@
 	return p
 }
 
-// ObjectSnapshot is the content of an ObjectAPI at a moment.
+// ObjectSnapshot is the content of an ObjectAPI at one point in time.
 type ObjectSnapshot struct{ content *objects }
 
-// Snapshot returns a copy of what the API holds.
+// Snapshot returns a copy of the API's current content.
 func (a *ObjectAPI) Snapshot() ObjectSnapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return ObjectSnapshot{content: a.primary.clone()}
 }
 
-// Restore lets the API come back from a copy, in a new era: what was written since is gone,
-// and its revisions are given out again.
+// Restore replaces the content by a snapshot and starts a new era. Later writes are
+// lost, and their revisions are assigned again.
 func (a *ObjectAPI) Restore(c ObjectSnapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,7 +170,7 @@
 	return err
 }
 
-// write makes a conditional change, or loses it or its answer.
+// write makes a conditional change, or loses or delays it according to the faults.
 func (a *ObjectAPI) write(o topo.Object, ifVersion topo.Version) (topo.Object, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,7 +197,8 @@
 	return a.withEra(o), err
 }
 
-// commit makes a change if its condition holds. It needs a.mu held.
+// commit makes a change if the object's current revision is ifVersion, zero for an
+// object that does not exist. It needs a.mu held.
 func (a *ObjectAPI) commit(o topo.Object, ifVersion topo.Version) (topo.Object, error) {
 	current, exists := a.primary.byRef[o.Ref]
 	if o.Deleted && !exists {
@@ -220,13 +221,15 @@
 	return o, nil
 }
 
-// Compact forgets all changes but the last keep. Watches from before them fail.
+// Compact discards all but the last keep changes from the log. Watches that start from
+// an older version fail.
 func (a *ObjectAPI) Compact(keep int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.compact(max(0, len(a.log)-keep))
 }
 
+// compact discards the first n changes from the log. It needs a.mu held.
 func (a *ObjectAPI) compact(n int) {
 	for _, c := range a.log[:n] {
 		a.replica.applyNewer(c.Object)
@@ -271,7 +274,8 @@
 	}
 }
 
-// changesSince returns the changes of kinds after v.
+// changesSince returns the logged changes to objects of kinds after v. It returns
+// topo.ErrCompacted if the log does not reach back to v.
 func (a *ObjectAPI) changesSince(v topo.Version, kinds []topo.Kind) (topo.Page, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -283,7 +287,7 @@
 	}
 	v = v.Revision()
 	page := topo.Page{Version: a.readView().version}
-	logStart := a.primary.version - topo.Version(len(a.log)) // before the log
+	logStart := a.primary.version - topo.Version(len(a.log)) // version before the first logged change
 	if v < logStart {
 		return topo.Page{}, topo.ErrCompacted
 	}
@@ -298,6 +302,7 @@
 	return a.pageWithEra(page), nil
 }
 
+// wake makes the watch check for changes again. It does not block.
 func (w *waiter) wake() {
 	select {
 	case w.wakeup <- struct{}{}:
--- a/internal/standin/objectfault.go
+++ b/internal/standin/objectfault.go
@@ -10,35 +10,35 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// ObjectFaults are what is wrong with an ObjectAPI. Its zero value is nothing.
+// ObjectFaults are the faults injected into an ObjectAPI. The zero value injects none.
 type ObjectFaults struct {
-	// Down refuses all calls, and ends the watches that wait.
+	// Down makes all calls fail, and ends the watches in progress.
 	Down bool `json:"down,omitempty"`
-	// Unresponsive leaves all calls without an answer.
+	// Unresponsive leaves all calls without a response.
 	Unresponsive bool `json:"silent,omitempty"`
-	// Delay passes before a call is served.
+	// Delay is added before each call is served.
 	Delay profile.Duration `json:"delay,omitempty"`
-	// ReadsPerSecond and WritesPerSecond limit the calls; zero is no limit.
+	// ReadsPerSecond and WritesPerSecond limit the rates of calls; zero means no limit.
 	ReadsPerSecond  float64 `json:"reads_per_second,omitempty"`
 	WritesPerSecond float64 `json:"writes_per_second,omitempty"`
 
-	// LoseResponses is how many of the next writes take effect without an answer.
+	// LoseResponses is how many of the next writes take effect without a response.
 	LoseResponses int `json:"lose_answers,omitempty"`
-	// LoseRequests is how many get lost before they take effect.
+	// LoseRequests is how many of the next writes are lost before they take effect.
 	LoseRequests int `json:"lose_requests,omitempty"`
-	// LateWrites is how many get no answer and take effect later, by LateBy.
+	// LateWrites is how many of the next writes get no response and take effect after LateBy.
 	LateWrites int              `json:"late_writes,omitempty"`
 	LateBy     profile.Duration `json:"late_by,omitempty"`
-	// LoseKind restricts these to objects of a kind; empty is all.
+	// LoseKind restricts lost and late writes to objects of one kind; empty means all kinds.
 	LoseKind topo.Kind `json:"lose_kind,omitempty"`
 
-	// StaleEvery lets every n-th read be answered by a replica that lags by StaleBy.
+	// StaleEvery serves every n-th read from a replica that lags by StaleBy; zero serves none.
 	StaleEvery int              `json:"stale_every,omitempty"`
 	StaleBy    profile.Duration `json:"stale_by,omitempty"`
 
-	// WatchGaps is how many of the next watches with changes leave out the first.
+	// WatchGaps is how many of the next watches with changes omit the first change.
 	WatchGaps int `json:"watch_gaps,omitempty"`
-	// UnresponsiveWatches is how many of the next watches get no answer, whatever changes.
+	// UnresponsiveWatches is how many of the next watches get no response, even after changes.
 	UnresponsiveWatches int `json:"silent_watches,omitempty"`
 }
 
@@ -52,14 +52,14 @@
 	}
 }
 
-// Faults returns the faults, with the counts that are left.
+// Faults returns the faults, with the remaining counts.
 func (a *ObjectAPI) Faults() ObjectFaults {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.faults
 }
 
-// consume uses up one of a number of faults.
+// consume decrements a count of faults and reports whether it was above zero.
 func consume(n *int) bool {
 	if *n == 0 {
 		return false
@@ -68,7 +68,7 @@
 	return true
 }
 
-// admit counts a call and lets it wait or fail as the faults want.
+// admit counts a call, and delays it or returns an error according to the faults.
 func (a *ObjectAPI) admit(ctx context.Context, write bool) error {
 	a.mu.Lock()
 	f := a.faults
@@ -98,6 +98,7 @@
 	return nil
 }
 
+// wait waits for d. It returns an error if ctx ends first.
 func wait(ctx context.Context, d time.Duration, write bool) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -109,7 +110,8 @@
 	}
 }
 
-// noResponse is a call that the caller gave up on.
+// noResponse returns the error of a call whose context ended before a response. The
+// outcome of a write is then unknown.
 func noResponse(write bool) error {
 	if write {
 		return errors.Wrap(topo.ErrUnknown, "no answer")
@@ -117,7 +119,8 @@
 	return errors.Wrap(topo.ErrRefused, "no answer")
 }
 
-// readView returns what the next read sees. It needs a.mu held.
+// readView returns the content that serves the current read: that of the primary or of
+// the lagging replica. It needs a.mu held.
 func (a *ObjectAPI) readView() *objects {
 	f := a.faults
 	if f.StaleEvery == 0 || a.counts.Reads%f.StaleEvery != 0 {
@@ -134,12 +137,14 @@
 	return a.replica
 }
 
-// bucket limits a rate of calls, with a burst of one second's calls.
+// bucket is a token bucket for calls. Its burst is one second's worth of calls.
 type bucket struct {
 	tokens     float64
 	lastRefill time.Time
 }
 
+// allow reports whether a call at rate calls per second is within the limit, and counts
+// it if so. A zero rate means no limit.
 func (b *bucket) allow(now time.Time, rate float64) bool {
 	if rate == 0 {
 		return true
--- a/internal/standin/objecthttp.go
+++ b/internal/standin/objecthttp.go
@@ -14,8 +14,8 @@
 )
 
 // Register adds the API's routes to mux. GET and PUT of /faults/objects read
-// and set the faults, POST of /faults/objects/compact forgets old changes, and
-// GET of /debug/objects tells the counts.
+// and set the faults, POST of /faults/objects/compact discards the change log,
+// and GET of /debug/objects returns the call counts.
 func (a *ObjectAPI) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/objects/{kind}/{name}", a.serveGet)
 	mux.HandleFunc("GET /v1/objects/{kind}", a.serveList)
@@ -28,7 +28,8 @@
 	mux.HandleFunc("POST /faults/objects/compact", func(http.ResponseWriter, *http.Request) { a.Compact(0) })
 }
 
-// serveFaults sets faults from the body.
+// serveFaults decodes faults from the request body and passes them to set. Unknown
+// fields are rejected.
 func serveFaults[F any](w http.ResponseWriter, r *http.Request, set func(F)) {
 	var f F
 	d := json.NewDecoder(r.Body)
@@ -44,15 +45,15 @@
 	return topo.Ref{Kind: topo.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
 }
 
-// writeObject answers with an object. On the wire versions are revisions, and the era stands in a
-// header.
+// writeObject writes an object, or the status code of err. On the wire, versions are
+// revisions, and the era is sent in a header.
 func (a *ObjectAPI) writeObject(w http.ResponseWriter, o topo.Object, err error) {
 	a.setEraHeader(w, o.Version, err)
 	o.Version = o.Version.Revision()
 	writeResult(w, o, err)
 }
 
-// writePage answers with a page.
+// writePage writes a page, or the status code of err, in the same form as writeObject.
 func (a *ObjectAPI) writePage(w http.ResponseWriter, p topo.Page, err error) {
 	a.setEraHeader(w, p.Version, err)
 	p.Version = p.Version.Revision()
@@ -62,7 +63,8 @@
 	writeResult(w, p, err)
 }
 
-// setEraHeader names the era of an answer: that of its version, if it has one.
+// setEraHeader sets the era header of a response: the era of v, or the store's current
+// era if err is not nil.
 func (a *ObjectAPI) setEraHeader(w http.ResponseWriter, v topo.Version, err error) {
 	era := v.Era()
 	if err != nil {
@@ -71,7 +73,8 @@
 	w.Header().Set(topo.EraHeader, strconv.FormatInt(int64(era), 10))
 }
 
-// versionAt returns the version that a caller names by its revision.
+// versionAt returns the version for a revision sent by a caller, in the current era.
+// Revision zero is version zero.
 func (a *ObjectAPI) versionAt(revision topo.Version) topo.Version {
 	if revision == 0 {
 		return 0
@@ -123,7 +126,8 @@
 	a.writePage(w, p, err)
 }
 
-// parsePrecondition reads the version on which a write depends; zero: must not exist.
+// parsePrecondition returns the version that a write requires, and whether the headers
+// contain a valid one. Version zero means that the object must not exist.
 func parsePrecondition(h http.Header) (topo.Version, bool) {
 	if h.Get("If-None-Match") == "*" {
 		return 0, true
@@ -132,6 +136,8 @@
 	return topo.Version(v), err == nil
 }
 
+// writeResult writes v as JSON, or the status code of err. It cuts the connection for
+// errors without a status code.
 func writeResult(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
@@ -147,7 +153,7 @@
 	case errors.Is(err, errDown):
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
-		panic(http.ErrAbortHandler) // cuts the connection
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 }
 
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -11,7 +11,7 @@
 type objects struct {
 	version topo.Version
 	byRef   map[topo.Ref]topo.Object
-	names   map[topo.Kind][]string // sorted, of the kinds that were listed
+	names   map[topo.Kind][]string // sorted; only for kinds that have been listed
 }
 
 func newObjects() *objects {
@@ -21,10 +21,12 @@
 	}
 }
 
+// clone returns a copy without the index of names.
 func (s *objects) clone() *objects {
 	return &objects{version: s.version, byRef: maps.Clone(s.byRef), names: make(map[topo.Kind][]string)}
 }
 
+// apply makes the change that o describes, and sets the version to that of o.
 func (s *objects) apply(o topo.Object) {
 	_, existed := s.byRef[o.Ref]
 	s.version = o.Version
@@ -43,14 +45,15 @@
 	}
 }
 
-// applyNewer applies a change of the log that was not applied before.
+// applyNewer applies a logged change if it is newer than the current version.
 func (s *objects) applyNewer(o topo.Object) {
 	if o.Version > s.version {
 		s.apply(o)
 	}
 }
 
-// page returns the objects of a kind whose names come after cont.
+// page returns up to pageSize objects of a kind, in order of name, whose names are
+// greater than cont.
 func (s *objects) page(kind topo.Kind, cont string) topo.Page {
 	names, listed := s.names[kind]
 	if !listed {
@@ -71,6 +74,7 @@
 	return p
 }
 
+// indexNames builds, stores and returns the sorted names of a kind.
 func (s *objects) indexNames(kind topo.Kind) []string {
 	names := []string{}
 	for ref := range s.byRef {
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,15 +10,15 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// OrdersConfig says how a stand-in engine takes orders.
+// OrdersConfig configures how a stand-in engine handles orders.
 type OrdersConfig struct {
-	Loaded             wire.ModelSpec // at the start
-	ChecksFencingToken bool           // refuse an order with an older fencing token than before
-	Weights            string         // URL of the weight store; empty: loads need none
-	LoadDuration       time.Duration  // how long a load takes
+	Loaded             wire.ModelSpec // model loaded initially
+	ChecksFencingToken bool           // reject an order whose fencing token is lower than the last one
+	Weights            string         // URL of the weight store; if empty, loads do not fetch weights
+	LoadDuration       time.Duration  // added to the time of fetching the weights
 }
 
-// Orders is the part of a stand-in engine that takes orders.
+// Orders is the part of a stand-in engine that accepts and runs orders.
 type Orders struct {
 	config OrdersConfig
 
@@ -27,26 +27,26 @@
 	accepted []wire.Order
 }
 
-// NewOrders returns an Orders.
+// NewOrders returns an Orders with the given configuration.
 func NewOrders(c OrdersConfig) *Orders {
 	return &Orders{config: c, status: wire.OrderStatus{Loaded: c.Loaded}}
 }
 
-// Register adds the routes to mux.
+// Register adds the routes for orders to mux.
 func (o *Orders) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Status()) })
 	mux.HandleFunc("POST /orders", o.serveOrder)
 	mux.HandleFunc("GET /debug/orders", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.Accepted()) })
 }
 
-// Status returns the latest order.
+// Status returns the status of the latest order and the loaded model.
 func (o *Orders) Status() wire.OrderStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.status
 }
 
-// Accepted returns the orders that were begun, in order.
+// Accepted returns the orders that were started, oldest first.
 func (o *Orders) Accepted() []wire.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,8 +63,8 @@
 	w.WriteHeader(o.start(order, wire.FencingToken(token)))
 }
 
-// start starts an order and returns the status code. An order that is known
-// already is not begun again.
+// start starts an order and returns the HTTP status code. An order with the ID of the
+// latest one is not started again.
 func (o *Orders) start(order wire.Order, token wire.FencingToken) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,6 +82,7 @@
 	return http.StatusAccepted
 }
 
+// load runs an order and updates the status at its end.
 func (o *Orders) load(order wire.Order) {
 	phase := wire.PhaseDone
 	if o.config.Weights != "" {
--- a/internal/standin/poison.go
+++ b/internal/standin/poison.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// crashDelay is how long an engine works on a request before it crashes.
+// crashDelay is the time from a poisoned request to the crash.
 const crashDelay = 50 * time.Millisecond
 
-// Poisoned returns h as an engine that calls crash a moment after a request
-// whose body contains word. An empty word crashes nothing.
+// Poisoned wraps h and calls crash shortly after it receives a request whose body
+// contains marker. An empty marker disables this.
 func Poisoned(h http.Handler, marker string, crash func()) http.Handler {
 	if marker == "" {
 		return h
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Service is a plain service: it logs each call and answers with what it was asked.
+// Service stands in for a plain service. It records each call and echoes the request in
+// its response.
 type Service struct {
 	name string
 	mu   sync.Mutex
@@ -16,7 +17,7 @@
 	health health
 }
 
-// NewService returns a Service.
+// NewService returns a Service that includes name in its responses.
 func NewService(name string) *Service {
 	return &Service{name: name, health: newHealth()}
 }
@@ -28,7 +29,7 @@
 	mux.HandleFunc("/", s.serve)
 }
 
-// Runs returns the log of calls.
+// Runs returns the recorded calls, in order.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/vmlist.go
+++ b/internal/standin/vmlist.go
@@ -14,24 +14,24 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// VMFaults are what is wrong with a VMList.
+// VMFaults are the faults injected into a VMList. The zero value injects none.
 type VMFaults struct {
-	// Down refuses all readings.
+	// Down makes all reads fail.
 	Down bool `json:"down,omitempty"`
-	// Lag is how late a reading shows a change.
+	// Lag is the delay until reads return a change.
 	Lag profile.Duration `json:"lag,omitempty"`
 }
 
-// VMList is the platform's list of VMs. It implements topo.VMList.
+// VMList stands in for the platform's list of VMs. It implements topo.VMList.
 type VMList struct {
 	mu      sync.Mutex
 	tag     int
 	entries map[string]topo.VM
-	pending []vmChange // not shown yet, the oldest first
+	pending []vmChange // not visible to reads yet, oldest first
 	faults  VMFaults
 }
 
-// vmChange is a change of one entry; without a VM it removes the entry.
+// vmChange is a change of one entry. A nil vm removes the entry.
 type vmChange struct {
 	at time.Time
 	id string
@@ -43,8 +43,8 @@
 	return &VMList{entries: make(map[string]topo.VM)}
 }
 
-// Register adds the list's routes to mux. PUT and DELETE of /v1/vms/{id} are
-// how tests and dev mode change the list, PUT of /faults/vms sets its faults.
+// Register adds the list's routes to mux. Tests and dev mode change the list with PUT
+// and DELETE of /v1/vms/{id}, and set its faults with PUT of /faults/vms.
 func (l *VMList) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/vms", l.get)
 	mux.HandleFunc("PUT /v1/vms/{id}", l.put)
@@ -64,7 +64,7 @@
 	l.change(vmChange{id: vm.ID, vm: &vm})
 }
 
-// Remove takes an entry out.
+// Remove removes an entry.
 func (l *VMList) Remove(id string) {
 	l.change(vmChange{id: id})
 }
@@ -95,7 +95,7 @@
 	return out, true, nil
 }
 
-// applyPending makes the changes up to a time visible.
+// applyPending applies the pending changes made at or before until. It needs l.mu held.
 func (l *VMList) applyPending(until time.Time) {
 	for len(l.pending) > 0 && !l.pending[0].at.After(until) {
 		c := l.pending[0]
--- a/internal/standin/weightstore.go
+++ b/internal/standin/weightstore.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// WeightStore serves models at a limited rate. It serves what comes too soon
-// as well, and counts it, so that tests see what a client did.
+// WeightStore stands in for a rate-limited store of model weights. It also serves
+// loads that exceed the limit, but counts them as violations, so that tests can check
+// a client's pacing.
 type WeightStore struct {
 	interval time.Duration
 
@@ -16,14 +17,14 @@
 	report   WeightReport
 }
 
-// WeightReport is what a WeightStore has seen.
+// WeightReport lists the loads that a WeightStore has served.
 type WeightReport struct {
 	Loads      int      `json:"loads"`
-	Violations int      `json:"violations"` // loads that came too soon after the one before
+	Violations int      `json:"violations"` // loads less than the minimum interval after the previous one
 	Models     []string `json:"models"`     // as model/version, in order
 }
 
-// NewWeightStore returns a WeightStore that allows a load in every.
+// NewWeightStore returns a WeightStore that allows one load per interval.
 func NewWeightStore(interval time.Duration) *WeightStore {
 	return &WeightStore{interval: interval}
 }
@@ -34,7 +35,7 @@
 	mux.HandleFunc("GET /debug/weights", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Report()) })
 }
 
-// Report returns what the store has seen.
+// Report returns a copy of the loads served so far.
 func (s *WeightStore) Report() WeightReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
