--- a/bench/policy/fleet_test.go
+++ b/bench/policy/fleet_test.go
@@ -145,12 +145,12 @@
 	if f.bound {
 		q.LoadMultiple = f.loadMultiple
 	}
-	reported := r.table
+	reportedLoads := r.table
 	if !f.skipFull {
-		reported = load.NewTable()
+		reportedLoads = load.NewTable()
 	}
 	var out [placement.MaxCandidates]int
-	n := r.pool.Choose(f.now, reported, q, &out)
+	n := r.pool.Choose(f.now, reportedLoads, q, &out)
 	for _, i := range out[:n] {
 		if f.offer(r, f.upstreams[r.vms[i]]) {
 			return r.vms[i]
--- a/bench/policy/traffic_test.go
+++ b/bench/policy/traffic_test.go
@@ -14,14 +14,14 @@
 // token and 7,600 requests per second give 276 tokens and 19.3 s per response; 6.3 M chats
 // over 22 models with 345 requests per second each pause for 830 s on average.
 const (
-	answerSeconds = 19.3 // mean; exponentially distributed
-	answerTokens  = 276
-	pauseMedian   = 240.0 // seconds; log-normally distributed, 80% under 15 min, 4% over an hour
-	pauseSigma    = 1.575
-	meanTurns     = 15
-	firstPrompt   = 1500 // tokens
-	laterPrompt   = 300
-	surgeTokens   = 8000 // per chat of a surge
+	responseSeconds = 19.3 // mean; exponentially distributed
+	responseTokens  = 276
+	pauseMedian     = 240.0 // seconds; log-normally distributed, 80% under 15 min, 4% over an hour
+	pauseSigma      = 1.575
+	meanTurns       = 15
+	firstPrompt     = 1500 // tokens
+	laterPrompt     = 300
+	surgeTokens     = 8000 // per chat of a surge
 )
 
 // scenario gives the sizes of a pool, its routers and its traffic.
@@ -71,7 +71,7 @@
 	pauseLength := f.randomPause() * math.Exp(pauseSigma*pauseSigma)
 	remaining := f.rand.Float64() * pauseLength
 	if turns := int(f.rand.ExpFloat64() * meanTurns); turns > 0 {
-		c.tokens = firstPrompt + answerTokens + (turns-1)*(laterPrompt+answerTokens)
+		c.tokens = firstPrompt + responseTokens + (turns-1)*(laterPrompt+responseTokens)
 		c.ticketVM, c.ticketTime = v.vms[v.pool.Home(session(c.id))], remaining-pauseLength
 		f.upstreams[c.ticketVM].cache.use(c.id, c.tokens, remaining-pauseLength)
 	}
@@ -85,7 +85,7 @@
 }
 
 func (f *fleet) randomPause() float64    { return pauseMedian * math.Exp(pauseSigma*f.rand.NormFloat64()) }
-func (f *fleet) randomDuration() float64 { return answerSeconds * f.rand.ExpFloat64() }
+func (f *fleet) randomDuration() float64 { return responseSeconds * f.rand.ExpFloat64() }
 
 // after schedules run in d seconds.
 func (f *fleet) after(d float64, run func()) {
@@ -115,10 +115,10 @@
 		prompt = c.tokens + laterPrompt
 	}
 	if vm := f.send(c, duration); vm != placement.None {
-		cached := f.upstreams[vm].cache.use(c.id, prompt+answerTokens, f.seconds)
+		cached := f.upstreams[vm].cache.use(c.id, prompt+responseTokens, f.seconds)
 		f.window.reusable += c.tokens
 		f.window.reused += min(cached, c.tokens)
-		c.tokens = prompt + answerTokens
+		c.tokens = prompt + responseTokens
 	}
 	if f.rand.IntN(meanTurns) == 0 {
 		f.reset(c)
--- a/bench/speed/stub_test.go
+++ b/bench/speed/stub_test.go
@@ -17,10 +17,10 @@
 // stub returns an upstream whose behaviour is selected by the request path.
 func stub() http.Handler {
 	mux := http.NewServeMux()
-	answer := bytes.Repeat([]byte("a"), unarySize)
+	response := bytes.Repeat([]byte("a"), unarySize)
 	mux.HandleFunc("POST /unary", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		_, _ = w.Write(answer)
+		_, _ = w.Write(response)
 	})
 	mux.HandleFunc("POST /stream", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
