--- a/bench/ablation/main.go
+++ b/bench/ablation/main.go
@@ -89,7 +89,7 @@
 	const command = "parsleyd entry "
 	changed := strings.Replace(string(text), command, command+"--without "+disabled+" ", 1)
 	if changed == string(text) {
-		return errors.Errorf("%s does not contain %q: the mechanism can not be disabled", path, command)
+		return errors.Errorf("%s does not contain %q: the mechanism cannot be disabled", path, command)
 	}
 	return errors.WithStack(os.WriteFile(path, []byte(changed), 0o600))
 }
--- a/internal/standin/objectapi.go
+++ b/internal/standin/objectapi.go
@@ -124,8 +124,8 @@
 	return ObjectSnapshot{content: a.primary.clone()}
 }
 
-// Restore replaces the content by a snapshot and starts a new era. Later writes are
-// lost, and their revisions are assigned again.
+// Restore replaces the content by a snapshot and starts a new era. Writes made after the
+// snapshot are lost, and their revisions are assigned again.
 func (a *ObjectAPI) Restore(c ObjectSnapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/objectfault.go
+++ b/internal/standin/objectfault.go
@@ -59,7 +59,7 @@
 	return a.faults
 }
 
-// consume decrements a count of faults and reports whether it was above zero.
+// consume decrements a count of faults and reports whether it was not zero.
 func consume(n *int) bool {
 	if *n == 0 {
 		return false
--- a/internal/standin/objecthttp.go
+++ b/internal/standin/objecthttp.go
@@ -136,8 +136,8 @@
 	return topo.Version(v), err == nil
 }
 
-// writeResult writes v as JSON, or the status code of err. It cuts the connection for
-// errors without a status code.
+// writeResult writes v as JSON, or the status code of err. It closes the connection
+// without a response for errors that have no status code.
 func writeResult(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
