--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -14,93 +14,93 @@
 
 // settle ends all troubles and waits until each router does as the newest
 // configuration says.
-func (w *world) settle() {
-	w.store.SetOutage(nil)
-	w.store.LoseWriteResponses(0)
-	for c := range int(chanceCount) {
-		w.setChance(c, false)
+func (h *harness) settle() {
+	h.store.SetOutage(nil)
+	h.store.LoseWriteResponses(0)
+	for c := range int(responseFaultCount) {
+		h.setResponseFault(c, false)
 	}
-	for _, r := range w.allRunners() {
-		if r.left.IsZero() {
-			r.proxy.turn(through)
+	for _, r := range h.allRunners() {
+		if r.leftAt.IsZero() {
+			r.proxy.setMode(passThrough)
 		}
 	}
-	for _, e := range w.entries {
-		e.store.turn(through)
+	for _, e := range h.entries {
+		e.store.setMode(passThrough)
 		e.signal(syscall.SIGCONT)
 	}
-	w.settleConfiguration()
-	w.settleRestore()
-	w.settleDrains(w.newestKey())
+	h.settleConfiguration()
+	h.settleRestore()
+	h.settleDrains(h.newestKey())
 	time.Sleep(time.Second) // what was passed on late has run
 }
 
 // settleRestore lets the store come back from a copy in which much is missing, and waits
 // until each router does as the first configuration after that says.
-func (w *world) settleRestore() {
+func (h *harness) settleRestore() {
 	const lostChanges = 30
-	c := w.store.Snapshot()
+	c := h.store.Snapshot()
 	for range lostChanges {
-		w.reconfigure()
+		h.reconfigure()
 	}
-	w.settleConfiguration()
-	lost := w.store.Snapshot()
-	w.store.Restore(c)
-	w.store.RewriteLost(c, lost, "config")
-	w.reconfigure()
-	w.settleConfiguration()
+	h.settleConfiguration()
+	lost := h.store.Snapshot()
+	h.store.Restore(c)
+	h.store.RewriteLost(c, lost, "config")
+	h.reconfigure()
+	h.settleConfiguration()
 }
 
 // settleConfiguration waits until each router does as the newest configuration says.
-func (w *world) settleConfiguration() {
-	newest, key := w.newestVersion(), w.newestKey()
-	revoked := w.revokedKeys()
-	for _, e := range w.entries {
-		w.eventually(e.name+" does as the newest configuration says", func() bool {
-			if newest > 1 && w.askOnce(e, generation(newest), "") != http.StatusOK {
+func (h *harness) settleConfiguration() {
+	newest, key := h.newestVersion(), h.newestKey()
+	revoked := h.revokedKeys()
+	for _, e := range h.entries {
+		h.eventually(e.name+" does as the newest configuration says", func() bool {
+			if newest > 1 && h.requestStatus(e, versionPath(newest), "") != http.StatusOK {
 				return false
 			}
 			for _, k := range revoked {
-				if w.askOnce(e, "/book/1", k) != http.StatusUnauthorized {
+				if h.requestStatus(e, "/book/1", k) != http.StatusUnauthorized {
 					return false
 				}
 			}
-			return w.askOnce(e, "/book/1", key) == http.StatusOK
+			return h.requestStatus(e, "/book/1", key) == http.StatusOK
 		})
 	}
 }
 
 // settleDrains drains each failure domain in turn, after all that has happened to the
 // routers, and waits until each of them keeps out of it and comes back.
-func (w *world) settleDrains(key string) {
-	const asks = 10
+func (h *harness) settleDrains(key string) {
+	const requests = 10
 	for _, zone := range zones {
-		w.store.Remove(drained, zone)
+		h.store.Remove(drainKind, zone)
 	}
 	for _, zone := range zones {
-		w.store.Put(drained, zone, map[string]any{})
-		for _, e := range w.entries {
-			w.eventually(e.name+" keeps out of the drained domain "+zone, func() bool {
-				before := w.runsIn(zone)
-				for range asks {
-					w.askOnce(e, "/book/1", key)
+		h.store.Put(drainKind, zone, map[string]any{})
+		for _, e := range h.entries {
+			h.eventually(e.name+" keeps out of the drained domain "+zone, func() bool {
+				before := h.runsIn(zone)
+				for range requests {
+					h.requestStatus(e, "/book/1", key)
 				}
-				return w.runsIn(zone) == before
+				return h.runsIn(zone) == before
 			})
 		}
-		w.store.Remove(drained, zone)
-		for _, e := range w.entries {
-			w.eventually(e.name+" serves after the domain "+zone+" was taken back", func() bool {
-				return w.askOnce(e, "/book/1", key) == http.StatusOK
+		h.store.Remove(drainKind, zone)
+		for _, e := range h.entries {
+			h.eventually(e.name+" serves after the domain "+zone+" was taken back", func() bool {
+				return h.requestStatus(e, "/book/1", key) == http.StatusOK
 			})
 		}
 	}
 }
 
 // runsIn returns how many requests the runners of a failure domain have got.
-func (w *world) runsIn(zone string) int {
+func (h *harness) runsIn(zone string) int {
 	n := 0
-	for _, r := range w.allRunners() {
+	for _, r := range h.allRunners() {
 		if r.zone() == zone {
 			n += len(r.Runs())
 		}
@@ -108,100 +108,100 @@
 	return n
 }
 
-func (w *world) revokedKeys() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) revokedKeys() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var out []string
-	for k := range w.revoked {
+	for k := range h.revoked {
 		out = append(out, k)
 	}
 	return out
 }
 
-// lateBy is how long after a runner has left a request may still reach it. The
+// leaveTimeout is how long after a runner has left a request may still reach it. The
 // platform's bound is configBound; the rest is for a busy machine and for routers that
 // were cut off from the store.
-const lateBy = 12 * time.Second
+const leaveTimeout = 12 * time.Second
 
 // check holds what callers were told against what runners did.
-func (w *world) check() {
+func (h *harness) check() {
 	runs := make(map[string][]fake.Run)
-	by := make(map[string][]string) // runners, by attempt
-	w.checkWords()
-	told := w.toldLeaving()
-	for _, r := range w.allRunners() {
-		w.checkCold(r)
-		w.checkLeaving(r, told)
-		w.checkRests(r)
+	runnersByAttempt := make(map[string][]string) // runners, by attempt
+	h.checkUnreadSignals()
+	reports := h.leavingReports()
+	for _, r := range h.allRunners() {
+		h.checkCold(r)
+		h.checkLeaving(r, reports)
+		h.checkRests(r)
 		for _, run := range r.Runs() {
 			runs[run.ID] = append(runs[run.ID], run)
-			by[run.ID] = append(by[run.ID], r.ID)
-			w.checkRun(r, run)
+			runnersByAttempt[run.ID] = append(runnersByAttempt[run.ID], r.ID)
+			h.checkRun(r, run)
 		}
 	}
-	w.mu.Lock()
-	calls := append([]*call(nil), w.calls...)
-	w.mu.Unlock()
+	h.mu.Lock()
+	calls := append([]*call(nil), h.calls...)
+	h.mu.Unlock()
 	for _, c := range calls {
-		w.checkCall(c, runs[c.id], by[c.id])
+		h.checkCall(c, runs[c.id], runnersByAttempt[c.id])
 	}
 }
 
 // checkCold looks for a second in which more requests were sent and came to a cold runner
 // than all routers together may send it.
-func (w *world) checkCold(r *runner) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkCold(r *runner) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	runs := r.Runs()
 	for i, last := range runs {
 		from, n := last.At.Add(-time.Second), 0
 		for _, run := range runs[:i+1] {
-			if c := w.sent[run.ID]; c != nil && c.sent.After(from) && run.At.After(from) {
+			if c := h.sent[run.ID]; c != nil && c.sent.After(from) && run.At.After(from) {
 				n++
 			}
 		}
-		if last.At.Before(r.warm) && n > coldMost {
-			w.t.Errorf("%s got %d requests within a second, %v before it was warm", r.ID, n, r.warm.Sub(last.At).Round(time.Millisecond))
+		if last.At.Before(r.coldUntil) && n > maxColdPerSecond {
+			h.t.Errorf("%s got %d requests within a second, %v before it was warm", r.ID, n, r.coldUntil.Sub(last.At).Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-// checkWords looks in the routers' logs for words of the stand-ins that nothing reads, but for
+// checkUnreadSignals looks in the routers' logs for words of the stand-ins that nothing reads, but for
 // times of rest that make no sense and entries that no runner writes.
-func (w *world) checkWords() {
-	for _, e := range w.entries {
+func (h *harness) checkUnreadSignals() {
+	for _, e := range h.entries {
 		text, err := os.ReadFile(filepath.Join(e.dir, "log"))
-		w.must(err)
+		h.must(err)
 		for line := range strings.Lines(string(text)) {
 			unread := strings.Contains(line, "a word came that nothing reads")
 			if unread && !strings.Contains(line, `"word":"Retry-After: `) {
-				w.t.Errorf("%s: %s", e.name, line)
+				h.t.Errorf("%s: %s", e.name, line)
 			}
 		}
 	}
 }
 
-// lifeOf is one process of a router.
-type lifeOf struct {
-	entry *entry
-	life  int
+// routerProcess is one process of a router.
+type routerProcess struct {
+	entry       *entry
+	incarnation int
 }
 
-// told is what a router's process has passed on: an answer of a runner that leaves.
-type told struct {
-	by     lifeOf
-	runner string // its signature
+// leavingReport is what a router's process has passed on: an answer of a runner that leaves.
+type leavingReport struct {
+	process routerProcess
+	runner  string // its signature
 }
 
-// toldLeaving returns when each process has first passed on that a runner leaves.
-func (w *world) toldLeaving() map[told]time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := make(map[told]time.Time)
-	for _, c := range w.calls {
-		key := told{by: lifeOf{c.entry, c.life}, runner: c.signature}
-		if at, known := out[key]; c.leaving && (!known || c.done.Before(at)) {
+// leavingReports returns when each process has first passed on that a runner leaves.
+func (h *harness) leavingReports() map[leavingReport]time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	out := make(map[leavingReport]time.Time)
+	for _, c := range h.calls {
+		key := leavingReport{process: routerProcess{c.entry, c.incarnation}, runner: c.signature}
+		if at, known := out[key]; c.signalsLeaving && (!known || c.done.Before(at)) {
 			out[key] = c.done
 		}
 	}
@@ -211,17 +211,17 @@
 // checkLeaving looks for requests that callers sent after their router had passed on that the
 // runner leaves, and that came to it all the same. A runner that has started again under its
 // id is another one.
-func (w *world) checkLeaving(r *runner, leaving map[told]time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkLeaving(r *runner, reports map[leavingReport]time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, a := range r.Arrivals() {
-		c := w.sent[a.ID]
+		c := h.sent[a.ID]
 		if c == nil || c.entry == nil {
 			continue
 		}
-		at, known := leaving[told{by: lifeOf{c.entry, c.life}, runner: r.ID}]
-		if known && r.leaves() && c.sent.After(at) {
-			w.t.Errorf("%s got %s, sent %v after %s had passed on that it leaves", r.ID, c.id, c.sent.Sub(at).Round(time.Millisecond), c.entry.name)
+		at, known := reports[leavingReport{process: routerProcess{c.entry, c.incarnation}, runner: r.ID}]
+		if known && r.isLeaving() && c.sent.After(at) {
+			h.t.Errorf("%s got %s, sent %v after %s had passed on that it leaves", r.ID, c.id, c.sent.Sub(at).Round(time.Millisecond), c.entry.name)
 		}
 	}
 }
@@ -229,84 +229,84 @@
 const (
 	// restGrace is how long after a runner has asked for rest what was under way may come.
 	restGrace = 500 * time.Millisecond
-	// restMost is how many requests more may come in the time of rest.
-	restMost = 2
+	// maxRestRequests is how many requests more may come in the time of rest.
+	maxRestRequests = 2
 )
 
 // checkRests looks for routers that sent requests to a runner in the time of rest that it had
 // asked of them. Those that stood still, or whose way to it was harmed, may not have heard.
-func (w *world) checkRests(r *runner) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkRests(r *runner) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	arrivals := r.Arrivals()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, asked := range r.asked {
-		of := w.sent[asked.attempt]
-		if of == nil || of.entry == nil || of.entry.stoodIn(asked.span) || r.proxy.harmed(asked.span) {
+	for _, rest := range r.restRequests {
+		attempt := h.sent[rest.attempt]
+		if attempt == nil || attempt.entry == nil || attempt.entry.pausedDuring(rest.span) || r.proxy.impairedDuring(rest.span) {
 			continue
 		}
 		n := 0
 		for _, a := range arrivals {
-			c := w.sent[a.ID]
-			if c != nil && c.entry == of.entry && c.life == of.life && a.At.After(asked.from.Add(restGrace)) && a.At.Before(asked.to) {
+			c := h.sent[a.ID]
+			if c != nil && c.entry == attempt.entry && c.incarnation == attempt.incarnation && a.At.After(rest.from.Add(restGrace)) && a.At.Before(rest.to) {
 				n++
 			}
 		}
-		if n > restMost {
-			w.t.Errorf("%s got %d requests from %s in a rest of %v", r.ID, n, of.entry.name, asked.to.Sub(asked.from))
+		if n > maxRestRequests {
+			h.t.Errorf("%s got %d requests from %s in a rest of %v", r.ID, n, attempt.entry.name, rest.to.Sub(rest.from))
 		}
 	}
 }
 
 // checkRun holds a request that a runner got against the one that was sent.
-func (w *world) checkRun(r *runner, run fake.Run) {
-	w.mu.Lock()
-	c := w.sent[run.ID]
-	w.mu.Unlock()
+func (h *harness) checkRun(r *runner, run fake.Run) {
+	h.mu.Lock()
+	c := h.sent[run.ID]
+	h.mu.Unlock()
 	switch {
 	case c == nil:
-		w.t.Errorf("%s ran %s, which nobody sent", r.ID, run.ID)
+		h.t.Errorf("%s ran %s, which nobody sent", r.ID, run.ID)
 		return
 	case run.Path != c.path || run.Body != c.body:
-		w.t.Errorf("%s ran %s as %s with body %q, sent as %s with %q", r.ID, run.ID, run.Path, run.Body, c.path, c.body)
+		h.t.Errorf("%s ran %s as %s with body %q, sent as %s with %q", r.ID, run.ID, run.Path, run.Body, c.path, c.body)
 	case c.key != "" && run.Organisation != "club", c.key == "" && run.Organisation != "":
-		w.t.Errorf("%s ran %s for organisation %q", r.ID, run.ID, run.Organisation)
+		h.t.Errorf("%s ran %s for organisation %q", r.ID, run.ID, run.Organisation)
 	case run.Header.Get("Authorization") != "":
-		w.t.Errorf("%s was shown the key of %s", r.ID, run.ID)
+		h.t.Errorf("%s was shown the key of %s", r.ID, run.ID)
 	case run.Header.Get("Target-Instance") != r.ID:
-		w.t.Errorf("%s ran %s, which was for %s", r.ID, run.ID, run.Header.Get("Target-Instance"))
+		h.t.Errorf("%s ran %s, which was for %s", r.ID, run.ID, run.Header.Get("Target-Instance"))
 	}
-	if !r.left.IsZero() && run.At.After(r.left.Add(lateBy)) {
-		w.t.Errorf("%s got %s %v after it had left", r.ID, run.ID, run.At.Sub(r.left).Round(time.Millisecond))
+	if !r.leftAt.IsZero() && run.At.After(r.leftAt.Add(leaveTimeout)) {
+		h.t.Errorf("%s got %s %v after it had left", r.ID, run.ID, run.At.Sub(r.leftAt).Round(time.Millisecond))
 	}
 }
 
 // checkCall holds what a caller was told against the runs of its request.
-func (w *world) checkCall(c *call, runs []fake.Run, by []string) {
-	fail := func(what string) {
-		w.t.Helper()
-		w.t.Errorf("%s: %s %s at %s (life %d): status %d, whole %v, run by %v, answer %q", what, c.method, c.path, c.entry.name, c.life, c.status, c.whole, by, c.answer)
+func (h *harness) checkCall(c *call, runs []fake.Run, runners []string) {
+	fail := func(problem string) {
+		h.t.Helper()
+		h.t.Errorf("%s: %s %s at %s (life %d): status %d, whole %v, run by %v, answer %q", problem, c.method, c.path, c.entry.name, c.incarnation, c.status, c.complete, runners, c.responseBody)
 	}
 	if !c.idempotent && len(runs) > 1 {
 		fail("ran more than once")
 	}
-	if len(runs) > c.attempts {
+	if len(runs) > c.maxAttempts {
 		fail("ran too often")
 	}
-	if c.extra {
+	if c.trailingBytes {
 		fail("bytes came behind the answer")
 	}
 	switch {
 	case c.status == 0:
-		if w.planned && len(runs) > 0 {
+		if h.planned && len(runs) > 0 {
 			fail("was passed on and not answered, though all that went on was planned")
 		}
 	case c.status == http.StatusOK:
-		w.checkAnswer(c, by, fail)
+		h.checkResponse(c, runners, fail)
 	case c.status == http.StatusUnauthorized || c.status == http.StatusNotFound:
 		fail("refused though key and route were in force all the time")
-	case promise(c.status):
+	case promisesNotRun(c.status):
 		if len(runs) > 0 {
 			fail("said not to have run")
 		}
@@ -315,8 +315,8 @@
 	}
 }
 
-// promise reports whether a status says that the request has not run and never will.
-func promise(status int) bool {
+// promisesNotRun reports whether a status says that the request has not run and never will.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -324,9 +324,9 @@
 	return false
 }
 
-// checkAnswer checks a success.
-func (w *world) checkAnswer(c *call, by []string, fail func(string)) {
-	want := plainAnswer(c.signature, c.id)
+// checkResponse checks a success.
+func (h *harness) checkResponse(c *call, runners []string, fail func(string)) {
+	want := plainResponse(c.signature, c.id)
 	if c.stream {
 		var b strings.Builder
 		for i := 1; i <= streamEvents; i++ {
@@ -335,13 +335,13 @@
 		want = b.String()
 	}
 	switch {
-	case c.whole && c.answer != want:
+	case c.complete && c.responseBody != want:
 		fail("not the whole answer to this request")
-	case !strings.HasPrefix(want, c.answer):
+	case !strings.HasPrefix(want, c.responseBody):
 		fail("not the beginning of the answer to this request")
-	case !slices.Contains(by, c.signature):
+	case !slices.Contains(runners, c.signature):
 		fail("signed by a runner that did not run it")
-	case w.planned && !c.whole:
+	case h.planned && !c.complete:
 		fail("cut, though all that went on was planned")
 	}
 }
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -25,13 +25,13 @@
 	configBound = 2 * time.Second
 	grace       = 8 * time.Second
 
-	// A runner that starts while callers call is cold for coldFor. It bears coldRate requests
+	// A runner that starts while callers call is cold for coldDuration. It bears coldRate requests
 	// a second meanwhile, from all routers, and operators allow so many times that and more.
-	coldFor     = 2 * time.Second
-	coldRate    = 2
-	coldOverage = 1.5
-	coldSlack   = 2
-	coldMost    = int(coldRate*coldOverage) + coldSlack
+	coldDuration      = 2 * time.Second
+	coldRatePerSecond = 2
+	coldOverage       = 1.5
+	coldSlack         = 2
+	maxColdPerSecond  = int(coldRatePerSecond*coldOverage) + coldSlack
 )
 
 // zones are the failure domains of runners.
@@ -39,38 +39,38 @@
 
 // entry is a router: one process after the other, at the same addresses.
 type entry struct {
-	world *world
-	name  string
-	ip    string
-	dir   string
-	store *proxy
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	paused bool
-	log    *os.File
-	life   int    // number of the process
-	stood  []span // times in which the process stood still
+	harness *harness
+	name    string
+	ip      string
+	dir     string
+	store   *proxy
+
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	paused      bool
+	log         *os.File
+	incarnation int    // number of the process
+	pauses      []span // times in which the process stood still
 }
 
 // span is a time with a beginning and an end.
 type span struct{ from, to time.Time }
 
-// meets reports whether two spans have a moment in common.
-func (s span) meets(other span) bool { return s.from.Before(other.to) && other.from.Before(s.to) }
+// overlaps reports whether two spans have a moment in common.
+func (s span) overlaps(other span) bool { return s.from.Before(other.to) && other.from.Before(s.to) }
 
-func (e *entry) stoodStill(s span) {
+func (e *entry) addPause(s span) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stood = append(e.stood, s)
+	e.pauses = append(e.pauses, s)
 }
 
-// stoodIn reports whether the process has stood still in a time.
-func (e *entry) stoodIn(s span) bool {
+// pausedDuring reports whether the process has stood still in a time.
+func (e *entry) pausedDuring(s span) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.ContainsFunc(e.stood, s.meets)
+	return slices.ContainsFunc(e.pauses, s.overlaps)
 }
 
 func (e *entry) addr() string { return net.JoinHostPort(e.ip, "8080") }
@@ -110,7 +110,7 @@
 	}
 	exited := make(chan struct{})
 	e.cmd, e.exited, e.paused = cmd, exited, false
-	e.life++
+	e.incarnation++
 	go func() {
 		_ = cmd.Wait()
 		close(exited)
@@ -127,8 +127,8 @@
 	}
 }
 
-// ended waits for the end of the process, for a time.
-func (e *entry) ended(within time.Duration) bool {
+// waitExit waits for the end of the process, for a time.
+func (e *entry) waitExit(within time.Duration) bool {
 	e.mu.Lock()
 	exited := e.exited
 	e.mu.Unlock()
@@ -140,10 +140,10 @@
 	}
 }
 
-func (e *entry) lives() int {
+func (e *entry) currentIncarnation() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.incarnation
 }
 
 // ready asks as the balancer does.
@@ -160,33 +160,33 @@
 // runner is a runner behind a proxy. Its entry names the proxy.
 type runner struct {
 	*fake.Runner
-	proxy *proxy
-	born  int64     // its start, in Unix milliseconds
-	left  time.Time // when its entry said that it leaves, or was removed
-	warm  time.Time // until when it is cold
+	proxy     *proxy
+	startedMs int64     // its start, in Unix milliseconds
+	leftAt    time.Time // when its entry said that it leaves, or was removed
+	coldUntil time.Time // until when it is cold
 
-	saysLeaving atomic.Bool // in its answers
+	signalsLeaving atomic.Bool // in its answers
 
-	wants atomic.Pointer[string] // what it says of the rest that it wants while it turns all away
-	mu    sync.Mutex
-	asked []request // for rest
+	restSeconds  atomic.Pointer[string] // what it says of the rest that it wants while it turns all away
+	mu           sync.Mutex
+	restRequests []restRequest // for rest
 }
 
-// leaves reports whether the runner has said in its answers that it leaves.
-func (r *runner) leaves() bool { return r.saysLeaving.Load() }
+// isLeaving reports whether the runner has said in its answers that it isLeaving.
+func (r *runner) isLeaving() bool { return r.signalsLeaving.Load() }
 
-// leavingLine is what a runner that leaves says in all its answers.
-const leavingLine = "Server-Leaving: 1"
+// leavingHeader is what a runner that leaves says in all its answers.
+const leavingHeader = "Server-Leaving: 1"
 
-// request is a runner's request for rest, made in the answer to an attempt.
-type request struct {
+// restRequest is a runner's restRequest for rest, made in the answer to an attempt.
+type restRequest struct {
 	attempt string
 	span
 }
 
-// refuse turns a request away, if the runner wants rest now.
-func (r *runner) refuse(c net.Conn, req *http.Request) bool {
-	seconds := r.wants.Load()
+// rejectWhileResting turns a request away, if the runner wants rest now.
+func (r *runner) rejectWhileResting(c net.Conn, req *http.Request) bool {
+	seconds := r.restSeconds.Load()
 	if seconds == nil {
 		return false
 	}
@@ -198,7 +198,7 @@
 	if d, err := strconv.ParseFloat(*seconds, 64); err == nil && d > 0 {
 		r.mu.Lock()
 		until := now.Add(time.Duration(d * float64(time.Second)))
-		r.asked = append(r.asked, request{attempt: req.Header.Get("Attempt-Id"), span: span{now, until}})
+		r.restRequests = append(r.restRequests, restRequest{attempt: req.Header.Get("Attempt-Id"), span: span{now, until}})
 		r.mu.Unlock()
 	}
 	r.WriteHead(c, req, http.StatusServiceUnavailable, lines...)
@@ -212,16 +212,16 @@
 }
 
 // newRunner starts a runner and enters it in the store.
-func (w *world) newRunner() (*runner, error) {
-	w.mu.Lock()
-	w.born++
-	id := runnerPrefix + strconv.Itoa(w.born)
-	w.mu.Unlock()
-	return w.startRunner(id)
+func (h *harness) newRunner() (*runner, error) {
+	h.mu.Lock()
+	h.runnersStarted++
+	id := runnerPrefix + strconv.Itoa(h.runnersStarted)
+	h.mu.Unlock()
+	return h.startRunner(id)
 }
 
 // startRunner starts a runner under an id that a former one may have had.
-func (w *world) startRunner(id string) (*runner, error) {
+func (h *harness) startRunner(id string) (*runner, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -230,43 +230,43 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &runner{Runner: fake.StartRunner(l, id, p.addr()), proxy: p, born: time.Now().UnixMilli()}
-	r.SetHandler(w.act(r))
-	w.mu.Lock()
-	if len(w.calls) > 0 {
-		r.warm = time.Now().Add(coldFor)
+	r := &runner{Runner: fake.StartRunner(l, id, p.addr()), proxy: p, startedMs: time.Now().UnixMilli()}
+	r.SetHandler(h.handler(r))
+	h.mu.Lock()
+	if len(h.calls) > 0 {
+		r.coldUntil = time.Now().Add(coldDuration)
 	}
-	w.runners = append(w.runners, r)
-	w.mu.Unlock()
-	w.announce(r, "ready")
+	h.runners = append(h.runners, r)
+	h.mu.Unlock()
+	h.writeEntry(r, "ready")
 	return r, nil
 }
 
-func (w *world) announce(r *runner, state string) {
-	w.store.Put("servers", r.ID, map[string]any{
+func (h *harness) writeEntry(r *runner, state string) {
+	h.store.Put("servers", r.ID, map[string]any{
 		"service": "llm", "address": r.proxy.addr(), "zone": r.zone(), "version": "v1",
-		"slots": 16, "state": state, "warmup_left_ms": max(0, time.Until(r.warm).Milliseconds()), "sequence": r.NextSequence(), "born": r.born,
+		"slots": 16, "state": state, "warmup_left_ms": max(0, time.Until(r.coldUntil).Milliseconds()), "sequence": r.NextSequence(), "born": r.startedMs,
 	})
 }
 
-// act answers with what names the attempt, so that an answer that went to another
+// handler answers with what names the attempt, so that an answer that went to another
 // caller shows.
-func (w *world) act(r *runner) fake.Handler {
+func (h *harness) handler(r *runner) fake.Handler {
 	return func(c net.Conn, req *http.Request, body string) fake.HandlerResult {
-		if r.refuse(c, req) {
+		if r.rejectWhileResting(c, req) {
 			return fake.KeepOpen
 		}
 		r.RecordRun(req, body)
 		id := req.Header.Get("Attempt-Id")
-		if w.unlucky(loseAnswer) {
+		if h.drawResponseFault(loseResponse) {
 			return fake.CloseConn
 		}
 		if len(req.URL.Path) < 8 || req.URL.Path[:8] != "/stream/" {
-			time.Sleep(w.work())
-			text := plainAnswer(r.ID, id)
+			time.Sleep(h.randomServiceTime())
+			text := plainResponse(r.ID, id)
 			r.WriteHead(c, req, http.StatusOK, "Content-Length: "+strconv.Itoa(len(text)))
 			fmt.Fprint(c, text)
-			if w.unlucky(extraAnswer) {
+			if h.drawResponseFault(extraResponse) {
 				r.WriteHead(c, req, http.StatusOK, "Content-Length: 5")
 				fmt.Fprint(c, "extra")
 			}
@@ -275,8 +275,8 @@
 		r.WriteHead(c, req, http.StatusOK, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 		begin, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 		for i := begin + 1; i <= streamEvents; i++ {
-			time.Sleep(w.work())
-			if w.unlucky(tearStream) {
+			time.Sleep(h.randomServiceTime())
+			if h.drawResponseFault(truncateStream) {
 				fmt.Fprint(c, "40\r\nid: ")
 				return fake.CloseConn
 			}
@@ -290,7 +290,7 @@
 // streamEvents is how many events a stream has.
 const streamEvents = 6
 
-func plainAnswer(runner, attempt string) string { return runner + " for " + attempt }
+func plainResponse(runner, attempt string) string { return runner + " for " + attempt }
 
 // streamName is what the events of a stream name: the attempt, also where another
 // runner goes on with it.
@@ -318,12 +318,12 @@
 	return r
 }
 
-// write puts the configuration into the store.
-func (w *world) write(c configuration) {
-	w.store.Put("config", "main", map[string]any{
+// writeConfiguration puts the configuration into the store.
+func (h *harness) writeConfiguration(c configuration) {
+	h.store.Put("config", "main", map[string]any{
 		"version": c.version, "routes": c.routes,
 		"services": []map[string]any{{"name": "llm", "health_path": "/health", "max_connections": 200,
-			"warmup_s": coldFor.Seconds(), "warmup_per_s": coldRate}},
+			"warmup_s": coldDuration.Seconds(), "warmup_per_s": coldRatePerSecond}},
 		"tenants": []map[string]any{{"name": "club", "api_keys": c.keys}},
 		"limits":  map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
 	})
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// way is how a proxy treats the bytes that go through it.
-type way int
+// proxyMode is how a proxy treats the bytes that go through it.
+type proxyMode int
 
 const (
-	through  way = iota // at once
-	refused             // connections are reset, those that are open too
-	silent              // nothing goes either way, connections stay open
-	oneWay              // what the server says is lost
-	delayed             // everything comes late
-	wayCount            // number of ways
+	passThrough    proxyMode = iota // at once
+	resetting                       // connections are reset, those that are open too
+	stalled                         // nothing goes either way, connections stay open
+	requestsOnly                    // what the server says is lost
+	delayed                         // everything comes late
+	proxyModeCount                  // number of ways
 )
 
-func (w way) String() string {
+func (w proxyMode) String() string {
 	return [...]string{"through", "refused", "silent", "one-way", "delayed"}[w]
 }
 
-// delay is how late bytes come on a delayed way.
-const delay = 150 * time.Millisecond
+// forwardDelay is how late bytes come on a delayed way.
+const forwardDelay = 150 * time.Millisecond
 
 // proxy stands between a process and a server on loopback.
 type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
-	mu    sync.Mutex
-	way   way
-	moved []span // times in which the way was another than through; the last may have no end
-	open  map[net.Conn]bool
-	turns chan struct{} // closed and replaced at each change of way
+	mu          sync.Mutex
+	mode        proxyMode
+	impairments []span // times in which the way was another than through; the last may have no end
+	open        map[net.Conn]bool
+	modeChanged chan struct{} // closed and replaced at each change of way
 }
 
-func newProxy(to string) (*proxy, error) {
+func newProxy(target string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, open: make(map[net.Conn]bool), turns: make(chan struct{})}
+	p := &proxy{listener: l, target: target, open: make(map[net.Conn]bool), modeChanged: make(chan struct{})}
 	go p.serve()
 	return p, nil
 }
@@ -55,32 +55,32 @@
 	p.resetAll()
 }
 
-// turn changes the way.
-func (p *proxy) turn(w way) {
+// setMode changes the way.
+func (p *proxy) setMode(w proxyMode) {
 	p.mu.Lock()
-	if now := time.Now(); p.way != through {
-		p.moved[len(p.moved)-1].to = now
-	} else if w != through {
-		p.moved = append(p.moved, span{from: now})
+	if now := time.Now(); p.mode != passThrough {
+		p.impairments[len(p.impairments)-1].to = now
+	} else if w != passThrough {
+		p.impairments = append(p.impairments, span{from: now})
 	}
-	p.way = w
-	close(p.turns)
-	p.turns = make(chan struct{})
+	p.mode = w
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 	p.mu.Unlock()
-	if w == refused {
+	if w == resetting {
 		p.resetAll()
 	}
 }
 
-// harmed reports whether the way was another than through in a time.
-func (p *proxy) harmed(s span) bool {
+// impairedDuring reports whether the way was another than through in a time.
+func (p *proxy) impairedDuring(s span) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.moved, func(m span) bool {
+	return slices.ContainsFunc(p.impairments, func(m span) bool {
 		if m.to.IsZero() {
 			m.to = time.Now()
 		}
-		return s.meets(m)
+		return s.overlaps(m)
 	})
 }
 
@@ -103,42 +103,42 @@
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.handle(c)
 	}
 }
 
-func (p *proxy) join(near net.Conn) {
-	if w, _ := p.now(); w == refused {
-		_ = near.(*net.TCPConn).SetLinger(0)
-		_ = near.Close()
+func (p *proxy) handle(client net.Conn) {
+	if w, _ := p.currentMode(); w == resetting {
+		_ = client.(*net.TCPConn).SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	far, err := net.Dial("tcp", p.to)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.(*net.TCPConn).SetLinger(0)
-		_ = near.Close()
+		_ = client.(*net.TCPConn).SetLinger(0)
+		_ = client.Close()
 		return
 	}
 	p.mu.Lock()
-	p.open[near], p.open[far] = true, true
+	p.open[client], p.open[server] = true, true
 	p.mu.Unlock()
-	go p.copy(far, near, false)
-	p.copy(near, far, true)
+	go p.copy(server, client, false)
+	p.copy(client, server, true)
 }
 
-func (p *proxy) now() (way, chan struct{}) {
+func (p *proxy) currentMode() (proxyMode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.way, p.turns
+	return p.mode, p.modeChanged
 }
 
 // copy passes bytes on, as the way is at each moment.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
-	defer p.forget(to, from)
+func (p *proxy) copy(to, from net.Conn, responses bool) {
+	defer p.closePair(to, from)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(to, buf[:n], answers) {
+		if n > 0 && !p.forward(to, buf[:n], responses) {
 			return
 		}
 		if err != nil {
@@ -147,26 +147,26 @@
 	}
 }
 
-// pass writes bytes on when the way lets them, and reports whether the connection
+// forward writes bytes on when the way lets them, and reports whether the connection
 // goes on.
-func (p *proxy) pass(to net.Conn, b []byte, answers bool) bool {
+func (p *proxy) forward(to net.Conn, b []byte, responses bool) bool {
 	for {
-		w, turned := p.now()
+		w, changed := p.currentMode()
 		switch {
-		case w == refused:
+		case w == resetting:
 			return false
-		case w == silent, w == oneWay && answers:
-			<-turned // held back until the way is another one
+		case w == stalled, w == requestsOnly && responses:
+			<-changed // held back until the way is another one
 			continue
 		case w == delayed:
-			time.Sleep(delay)
+			time.Sleep(forwardDelay)
 		}
 		_, err := to.Write(b)
 		return err == nil
 	}
 }
 
-func (p *proxy) forget(a, b net.Conn) {
+func (p *proxy) closePair(a, b net.Conn) {
 	p.mu.Lock()
 	delete(p.open, a)
 	delete(p.open, b)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -21,15 +21,15 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 2, "how many seeds to run")
-	from     = flag.Uint64("from", 4, "the first seed")
-	duration = flag.Duration("for", 4*time.Second, "for how long faults befall the fleet")
-	entries  = flag.Int("entries", 3, "routers")
-	keepLogs = flag.String("logs", "", "folder for the logs of seeds that fail")
+	seeds      = flag.Int("seeds", 2, "how many seeds to run")
+	from       = flag.Uint64("from", 4, "the first seed")
+	duration   = flag.Duration("for", 4*time.Second, "for how long faults befall the fleet")
+	entryCount = flag.Int("entries", 3, "routers")
+	keepLogs   = flag.String("logs", "", "folder for the logs of seeds that fail")
 )
 
-// kept are seeds that have failed once, with what they showed. They run always.
-var kept = []struct {
+// regressionSeeds are seeds that have failed once, with what they showed. They run always.
+var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{}
@@ -59,11 +59,11 @@
 }
 
 func TestSoak(t *testing.T) {
-	list := make([]uint64, 0, *seeds+len(kept))
+	list := make([]uint64, 0, *seeds+len(regressionSeeds))
 	for i := range uint64(*seeds) {
 		list = append(list, *from+i)
 	}
-	for _, k := range kept {
+	for _, k := range regressionSeeds {
 		list = append(list, k.seed)
 	}
 	for _, seed := range list {
@@ -75,18 +75,18 @@
 const plannedEvery = 5
 
 func soak(t *testing.T, seed uint64) {
-	w := newWorld(t, seed, seed%plannedEvery == 0)
-	defer w.close()
-	w.start()
+	h := newHarness(t, seed, seed%plannedEvery == 0)
+	defer h.close()
+	h.start()
 	stop := make(chan struct{})
 	go func() {
 		time.Sleep(*duration)
 		close(stop)
 	}()
-	w.callers(stop)
-	w.probers(stop)
-	w.befall(stop)
-	w.settle()
-	w.check()
-	t.Logf("seed %d: %s", seed, w.summary())
+	h.callers(stop)
+	h.probers(stop)
+	h.injectFaults(stop)
+	h.settle()
+	h.check()
+	t.Logf("seed %d: %s", seed, h.summary())
 }
