--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// call is one attempt of a caller.
+// call is one request of a caller and the response to it.
 type call struct {
 	id, method, path, key, body string
 	idempotent                  bool
-	maxAttempts                 int // runners to which it may be sent
+	maxAttempts                 int // limit of the runners that it may be sent to
 	stream                      bool
 	entry                       *entry
 	incarnation                 int
 	sent, done                  time.Time
 
-	status         int // zero: the connection ended without an answer
+	status         int // zero: the connection ended without a response
 	signature      string
 	responseBody   string
 	complete       bool
-	trailingBytes  bool // bytes came behind the answer
-	signalsLeaving bool // it says that its runner leaves
+	trailingBytes  bool // bytes followed the response
+	signalsLeaving bool // the response announces that its runner leaves
 }
 
 const (
 	callerCount = 6
-	// callTimeout is what a caller waits for an answer.
+	// callTimeout is how long a caller waits for a response.
 	callTimeout = 6 * time.Second
 )
 
@@ -52,7 +52,7 @@
 
 func (l *clientConn) close() { _ = l.conn.Close() }
 
-// send makes a call and reports whether the connection goes on.
+// send sends a call, records the response in it, and reports whether the connection can be reused.
 func (l *clientConn) send(c *call) bool {
 	c.entry, c.incarnation, c.sent = l.entry, l.incarnation, time.Now()
 	defer func() { c.done = time.Now() }()
@@ -82,7 +82,7 @@
 	return c.complete && !resp.Close
 }
 
-// newCall returns a call with an id of its own and enters it.
+// newCall returns a call with a unique id and registers it as sent.
 func (h *harness) newCall(method, path, key string) *call {
 	c := &call{id: "attempt-" + strconv.FormatInt(h.nextAttempt.Add(1), 10), method: method, path: path, key: key, maxAttempts: 1}
 	if method == http.MethodPost {
@@ -107,8 +107,8 @@
 	return h.config.keys[len(h.config.keys)-1]
 }
 
-// randomCall returns a call of a random kind. Callers use the oldest key, which has been
-// in force from the start and is never taken away.
+// randomCall returns a call of a random kind. Callers use the oldest key, which is in force from
+// the start and never revoked.
 func (h *harness) randomCall() *call {
 	switch h.intN(4) {
 	case 0:
@@ -128,8 +128,8 @@
 	}
 }
 
-// callers ask until stop. They keep their connections until the process is gone or
-// says that it closes them.
+// callers sends random calls, from several callers at a time, until stop is closed. They reuse
+// their connections until the router closes them or announces in a response that it will.
 func (h *harness) callers(stop <-chan struct{}) {
 	for range callerCount {
 		h.running.Go(func() {
@@ -157,7 +157,7 @@
 	}
 }
 
-// pickEntry returns a router that is ready, as the balancer would, or any.
+// pickEntry returns a random router, a ready one if a few tries find one, as the balancer would.
 func (h *harness) pickEntry() *entry {
 	e := h.entries[h.intN(len(h.entries))]
 	for range h.entries {
@@ -178,11 +178,11 @@
 	}
 }
 
-// versionPath returns the path that version v of the configuration has added.
+// versionPath returns the path of the route that version v of the configuration added.
 func versionPath(v int) string { return fmt.Sprintf("/g%d/", v) }
 
-// probers ask each router which configuration it has in force, and fail the test if
-// one goes back while its process lives.
+// probers requests, from each router, routes and keys that show which configuration is in force
+// there, until stop is closed. The test fails if a process returns to an older configuration.
 func (h *harness) probers(stop <-chan struct{}) {
 	for _, e := range h.entries {
 		h.running.Go(func() {
@@ -195,13 +195,13 @@
 	}
 }
 
-// prober is what one router has shown to have in force.
+// prober records which configuration one router has shown to have in force.
 type prober struct {
 	harness     *harness
 	entry       *entry
 	incarnation int
-	version     int             // the newest that was seen; zero: none
-	refused     map[string]bool // keys that were refused
+	version     int             // the newest seen in force; zero: none
+	refused     map[string]bool // revoked keys that the router has rejected
 }
 
 func (p *prober) probe() {
@@ -209,7 +209,7 @@
 		p.incarnation, p.version, p.refused = current, 0, make(map[string]bool)
 	}
 	if p.version > 0 && p.requestStatus(versionPath(p.version), "") == http.StatusNotFound && p.entry.currentIncarnation() == p.incarnation {
-		p.harness.t.Errorf("%s refuses a route of version %d, which it had in force", p.entry.name, p.version)
+		p.harness.t.Errorf("%s rejects a route of version %d, which it had in force", p.entry.name, p.version)
 	}
 	newest := p.harness.newestVersion()
 	for v := newest; v > max(p.version, 1); v-- {
@@ -224,8 +224,8 @@
 	p.probeRevokedKey()
 }
 
-// probeRevokedKey asks with a key that was taken away, once the router has shown to know
-// that: before, it may refuse the key as one that it does not know yet.
+// probeRevokedKey sends a request with a revoked key once the router has shown the version that
+// revoked it. Before that, the router may reject the key because it has not learnt of it yet.
 func (p *prober) probeRevokedKey() {
 	key, version := p.harness.anyRevokedKey()
 	if key == "" || p.version < version {
@@ -237,11 +237,11 @@
 	case status == http.StatusUnauthorized:
 		p.refused[key] = true
 	case status == http.StatusOK && p.refused[key]:
-		p.harness.t.Errorf("%s takes key %s, which it had refused", p.entry.name, key)
+		p.harness.t.Errorf("%s accepts key %s, which it had rejected", p.entry.name, key)
 	}
 }
 
-// requestStatus returns the status of a call over a connection of its own; zero: none.
+// requestStatus returns the status of a call over a connection of its own; zero: no response.
 func (p *prober) requestStatus(path, key string) int {
 	return p.harness.requestStatus(p.entry, path, key)
 }
@@ -266,7 +266,7 @@
 	return h.config.version
 }
 
-// anyRevokedKey returns a key that was taken away, and the version that did.
+// anyRevokedKey returns a revoked key and the version that revoked it.
 func (h *harness) anyRevokedKey() (string, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -12,8 +12,7 @@
 	"github.com/parsleyfront/parsleyfront/platform/fake"
 )
 
-// settle ends all troubles and waits until each router does as the newest
-// configuration says.
+// settle ends all faults and waits until every router applies the newest configuration.
 func (h *harness) settle() {
 	h.store.SetOutage(nil)
 	h.store.LoseWriteResponses(0)
@@ -32,11 +31,11 @@
 	h.settleConfiguration()
 	h.settleRestore()
 	h.settleDrains(h.newestKey())
-	time.Sleep(time.Second) // what was passed on late has run
+	time.Sleep(time.Second) // delayed requests have run by then
 }
 
-// settleRestore lets the store come back from a copy in which much is missing, and waits
-// until each router does as the first configuration after that says.
+// settleRestore restores the store from a copy that lacks many changes, and waits until every
+// router applies the first configuration written after that.
 func (h *harness) settleRestore() {
 	const lostChanges = 30
 	c := h.store.Snapshot()
@@ -51,12 +50,12 @@
 	h.settleConfiguration()
 }
 
-// settleConfiguration waits until each router does as the newest configuration says.
+// settleConfiguration waits until every router applies the newest configuration.
 func (h *harness) settleConfiguration() {
 	newest, key := h.newestVersion(), h.newestKey()
 	revoked := h.revokedKeys()
 	for _, e := range h.entries {
-		h.eventually(e.name+" does as the newest configuration says", func() bool {
+		h.eventually(e.name+" applies the newest configuration", func() bool {
 			if newest > 1 && h.requestStatus(e, versionPath(newest), "") != http.StatusOK {
 				return false
 			}
@@ -70,8 +69,8 @@
 	}
 }
 
-// settleDrains drains each failure domain in turn, after all that has happened to the
-// routers, and waits until each of them keeps out of it and comes back.
+// settleDrains drains each failure domain in turn, once all faults are over, and waits until every
+// router sends nothing to it, and serves again when the drain is revoked.
 func (h *harness) settleDrains(key string) {
 	const requests = 10
 	for _, zone := range zones {
@@ -80,7 +79,7 @@
 	for _, zone := range zones {
 		h.store.Put(drainKind, zone, map[string]any{})
 		for _, e := range h.entries {
-			h.eventually(e.name+" keeps out of the drained domain "+zone, func() bool {
+			h.eventually(e.name+" sends nothing to the drained domain "+zone, func() bool {
 				before := h.runsIn(zone)
 				for range requests {
 					h.requestStatus(e, "/book/1", key)
@@ -90,14 +89,14 @@
 		}
 		h.store.Remove(drainKind, zone)
 		for _, e := range h.entries {
-			h.eventually(e.name+" serves after the domain "+zone+" was taken back", func() bool {
+			h.eventually(e.name+" serves after the drain of domain "+zone+" was revoked", func() bool {
 				return h.requestStatus(e, "/book/1", key) == http.StatusOK
 			})
 		}
 	}
 }
 
-// runsIn returns how many requests the runners of a failure domain have got.
+// runsIn returns the number of requests that the runners of a failure domain have run.
 func (h *harness) runsIn(zone string) int {
 	n := 0
 	for _, r := range h.allRunners() {
@@ -118,15 +117,15 @@
 	return out
 }
 
-// leaveTimeout is how long after a runner has left a request may still reach it. The
-// platform's bound is configBound; the rest is for a busy machine and for routers that
-// were cut off from the store.
+// leaveTimeout is how long after a runner has left a request may still reach it. The platform's
+// bound is configBound; the rest allows for a busy machine and for routers that were cut off from
+// the store.
 const leaveTimeout = 12 * time.Second
 
-// check holds what callers were told against what runners did.
+// check compares what callers received with what runners ran.
 func (h *harness) check() {
 	runs := make(map[string][]fake.Run)
-	runnersByAttempt := make(map[string][]string) // runners, by attempt
+	runnersByAttempt := make(map[string][]string) // ids of runners, by attempt
 	h.checkUnreadSignals()
 	reports := h.leavingReports()
 	for _, r := range h.allRunners() {
@@ -147,7 +146,7 @@
 	}
 }
 
-// checkCold looks for a second in which more requests were sent and came to a cold runner
+// checkCold checks that no second has more requests, both sent and received in it, at a cold runner
 // than all routers together may send it.
 func (h *harness) checkCold(r *runner) {
 	h.mu.Lock()
@@ -161,14 +160,14 @@
 			}
 		}
 		if last.At.Before(r.coldUntil) && n > maxColdPerSecond {
-			h.t.Errorf("%s got %d requests within a second, %v before it was warm", r.ID, n, r.coldUntil.Sub(last.At).Round(time.Millisecond))
+			h.t.Errorf("%s got %d requests within a second, %v before its warm-up ended", r.ID, n, r.coldUntil.Sub(last.At).Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-// checkUnreadSignals looks in the routers' logs for words of the stand-ins that nothing reads, but for
-// times of rest that make no sense and entries that no runner writes.
+// checkUnreadSignals checks the routers' logs for signals of the fakes that no router reads.
+// Invalid Retry-After values are expected there.
 func (h *harness) checkUnreadSignals() {
 	for _, e := range h.entries {
 		text, err := os.ReadFile(filepath.Join(e.dir, "log"))
@@ -182,19 +181,21 @@
 	}
 }
 
-// routerProcess is one process of a router.
+// routerProcess identifies one process of a router.
 type routerProcess struct {
 	entry       *entry
 	incarnation int
 }
 
-// leavingReport is what a router's process has passed on: an answer of a runner that leaves.
+// leavingReport identifies a response, forwarded by a router's process, that announces that its
+// runner leaves.
 type leavingReport struct {
 	process routerProcess
-	runner  string // its signature
+	runner  string // from Response-Signature
 }
 
-// leavingReports returns when each process has first passed on that a runner leaves.
+// leavingReports returns when each process first forwarded a response announcing that a runner
+// leaves.
 func (h *harness) leavingReports() map[leavingReport]time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -208,9 +209,9 @@
 	return out
 }
 
-// checkLeaving looks for requests that callers sent after their router had passed on that the
-// runner leaves, and that came to it all the same. A runner that has started again under its
-// id is another one.
+// checkLeaving checks that a runner gets no request that a caller sent after its router had
+// forwarded a response announcing that the runner leaves. A runner restarted under the same id is
+// another runner.
 func (h *harness) checkLeaving(r *runner, reports map[leavingReport]time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -221,20 +222,21 @@
 		}
 		at, known := reports[leavingReport{process: routerProcess{c.entry, c.incarnation}, runner: r.ID}]
 		if known && r.isLeaving() && c.sent.After(at) {
-			h.t.Errorf("%s got %s, sent %v after %s had passed on that it leaves", r.ID, c.id, c.sent.Sub(at).Round(time.Millisecond), c.entry.name)
+			h.t.Errorf("%s got %s, sent %v after %s had forwarded that it leaves", r.ID, c.id, c.sent.Sub(at).Round(time.Millisecond), c.entry.name)
 		}
 	}
 }
 
 const (
-	// restGrace is how long after a runner has asked for rest what was under way may come.
+	// restGrace is how long after a runner's request for rest requests in flight may still arrive.
 	restGrace = 500 * time.Millisecond
-	// maxRestRequests is how many requests more may come in the time of rest.
+	// maxRestRequests is how many more requests one router may send during the rest.
 	maxRestRequests = 2
 )
 
-// checkRests looks for routers that sent requests to a runner in the time of rest that it had
-// asked of them. Those that stood still, or whose way to it was harmed, may not have heard.
+// checkRests checks that a router sends at most maxRestRequests requests to a runner during the
+// rest that the runner asked of it. Routers that were paused or whose connection to the runner was
+// impaired are exempt: they may not have received the response.
 func (h *harness) checkRests(r *runner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,64 +256,64 @@
 			}
 		}
 		if n > maxRestRequests {
-			h.t.Errorf("%s got %d requests from %s in a rest of %v", r.ID, n, attempt.entry.name, rest.to.Sub(rest.from))
+			h.t.Errorf("%s got %d requests from %s during a rest of %v", r.ID, n, attempt.entry.name, rest.to.Sub(rest.from))
 		}
 	}
 }
 
-// checkRun holds a request that a runner got against the one that was sent.
+// checkRun compares a request that a runner ran with the one that was sent.
 func (h *harness) checkRun(r *runner, run fake.Run) {
 	h.mu.Lock()
 	c := h.sent[run.ID]
 	h.mu.Unlock()
 	switch {
 	case c == nil:
-		h.t.Errorf("%s ran %s, which nobody sent", r.ID, run.ID)
+		h.t.Errorf("%s ran %s, which no caller sent", r.ID, run.ID)
 		return
 	case run.Path != c.path || run.Body != c.body:
 		h.t.Errorf("%s ran %s as %s with body %q, sent as %s with %q", r.ID, run.ID, run.Path, run.Body, c.path, c.body)
 	case c.key != "" && run.Organisation != "club", c.key == "" && run.Organisation != "":
 		h.t.Errorf("%s ran %s for organisation %q", r.ID, run.ID, run.Organisation)
 	case run.Header.Get("Authorization") != "":
-		h.t.Errorf("%s was shown the key of %s", r.ID, run.ID)
+		h.t.Errorf("%s received the API key of %s", r.ID, run.ID)
 	case run.Header.Get("Target-Instance") != r.ID:
-		h.t.Errorf("%s ran %s, which was for %s", r.ID, run.ID, run.Header.Get("Target-Instance"))
+		h.t.Errorf("%s ran %s, which was addressed to %s", r.ID, run.ID, run.Header.Get("Target-Instance"))
 	}
 	if !r.leftAt.IsZero() && run.At.After(r.leftAt.Add(leaveTimeout)) {
 		h.t.Errorf("%s got %s %v after it had left", r.ID, run.ID, run.At.Sub(r.leftAt).Round(time.Millisecond))
 	}
 }
 
-// checkCall holds what a caller was told against the runs of its request.
+// checkCall compares the response that a caller received with the runs of its request.
 func (h *harness) checkCall(c *call, runs []fake.Run, runners []string) {
 	fail := func(problem string) {
 		h.t.Helper()
-		h.t.Errorf("%s: %s %s at %s (life %d): status %d, whole %v, run by %v, answer %q", problem, c.method, c.path, c.entry.name, c.incarnation, c.status, c.complete, runners, c.responseBody)
+		h.t.Errorf("%s: %s %s at %s (process %d): status %d, complete %v, run by %v, response %q", problem, c.method, c.path, c.entry.name, c.incarnation, c.status, c.complete, runners, c.responseBody)
 	}
 	if !c.idempotent && len(runs) > 1 {
 		fail("ran more than once")
 	}
 	if len(runs) > c.maxAttempts {
-		fail("ran too often")
+		fail("ran more often than its attempts allow")
 	}
 	if c.trailingBytes {
-		fail("bytes came behind the answer")
+		fail("bytes after the end of the response")
 	}
 	switch {
 	case c.status == 0:
 		if h.planned && len(runs) > 0 {
-			fail("was passed on and not answered, though all that went on was planned")
+			fail("ran without a response, though all operations were planned")
 		}
 	case c.status == http.StatusOK:
 		h.checkResponse(c, runners, fail)
 	case c.status == http.StatusUnauthorized || c.status == http.StatusNotFound:
-		fail("refused though key and route were in force all the time")
+		fail("rejected, though its key and route were in force all the time")
 	case promisesNotRun(c.status):
 		if len(runs) > 0 {
-			fail("said not to have run")
+			fail("ran, though the status says that it did not")
 		}
 	case c.signature != "":
-		fail("a failure with a runner's signature that no runner gave")
+		fail("error response with a runner's signature")
 	}
 }
 
@@ -324,7 +326,7 @@
 	return false
 }
 
-// checkResponse checks a success.
+// checkResponse checks the response to a call that succeeded.
 func (h *harness) checkResponse(c *call, runners []string, fail func(string)) {
 	want := plainResponse(c.signature, c.id)
 	if c.stream {
@@ -336,12 +338,12 @@
 	}
 	switch {
 	case c.complete && c.responseBody != want:
-		fail("not the whole answer to this request")
+		fail("response differs from the one to this request")
 	case !strings.HasPrefix(want, c.responseBody):
-		fail("not the beginning of the answer to this request")
+		fail("incomplete response is no prefix of the one to this request")
 	case !slices.Contains(runners, c.signature):
-		fail("signed by a runner that did not run it")
+		fail("signed by a runner that did not run the request")
 	case h.planned && !c.complete:
-		fail("cut, though all that went on was planned")
+		fail("truncated, though all operations were planned")
 	}
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// fault befalls the fleet for some time and is over when it returns.
+// fault is a kind of disturbance of the fleet. Its inject function returns when the disturbance is
+// over.
 type fault struct {
 	name    string
 	planned bool
@@ -40,8 +41,8 @@
 	{"answers of runners", false, (*harness).injectResponseFault},
 }
 
-// injectFaults lets troubles injectFaults the fleet until stop, several at a time, and waits for
-// the last to be over.
+// injectFaults injects random faults, several at a time, until stop is closed, and waits until the
+// last is over.
 func (h *harness) injectFaults(stop <-chan struct{}) {
 	var active sync.WaitGroup
 	for !isStopped(stop) {
@@ -66,7 +67,7 @@
 		case len(c.keys) < 3:
 			key := fmt.Sprint("key-", c.version)
 			c.keys = append(c.keys, key)
-		default: // the first is the callers'
+		default: // the first key stays: callers use it
 			h.revoked[c.keys[1]] = c.version
 			c.keys = slices.Delete(c.keys, 1, 2)
 		}
@@ -80,7 +81,7 @@
 	}
 }
 
-// drainRunner lets a runner drainRunner as planned, if enough are left.
+// drainRunner lets a runner leave as planned, if more than two are live.
 func (h *harness) drainRunner() {
 	live := h.liveRunners()
 	if len(live) <= 2 {
@@ -93,8 +94,8 @@
 	h.store.Remove("servers", r.ID)
 }
 
-// drainRunnerByHeader lets a runner leave whose answers tell it first. Its entry goes on saying that
-// it is ready, as late heartbeats do, and says otherwise later.
+// drainRunnerByHeader lets a runner leave that announces it in its responses first. Its entry still
+// says that it is ready, as a late heartbeat would, and is updated later.
 func (h *harness) drainRunnerByHeader() {
 	live := h.liveRunners()
 	if len(live) <= 2 {
@@ -112,11 +113,11 @@
 	h.store.Remove("servers", r.ID)
 }
 
-// restValues are what runners that turn requests away say of the rest that they want, in seconds.
-// The last three make no sense.
+// restValues are the Retry-After values, in seconds, of runners that reject requests. The last
+// three are invalid.
 var restValues = []string{"0.6", "1", "1.7", "3", "", "-1", "soon"}
 
-// restRunner lets a runner turn all requests away for a moment, and want restRunner.
+// restRunner lets a runner reject all requests for a short time and ask for rest by Retry-After.
 func (h *harness) restRunner() {
 	live := h.liveRunners()
 	if len(live) <= 2 {
@@ -137,10 +138,10 @@
 	}
 }
 
-// drainKind is the platform's kind of orders to empty a failure domain.
+// drainKind is the kind of the platform's orders to drain a failure domain.
 const drainKind = "evacuations"
 
-// drainDomain orders that the runners of a failure domain get nothing, and takes that back.
+// drainDomain orders the drain of a failure domain and revokes the order.
 func (h *harness) drainDomain() {
 	zone := zones[h.intN(len(zones))]
 	h.store.Put(drainKind, zone, map[string]any{})
@@ -159,7 +160,7 @@
 
 func (h *harness) randomEntry() *entry { return h.entries[h.intN(len(h.entries))] }
 
-// stopRouter stops a router as planned and starts it again.
+// stopRouter stops a router by SIGTERM and starts it again.
 func (h *harness) stopRouter() {
 	if !h.restartMu.TryLock() {
 		return
@@ -178,7 +179,7 @@
 	h.eventually(e.name+" is ready after a planned stop", e.ready)
 }
 
-// checkError is must for goroutines that are not the test's own.
+// checkError is must for goroutines other than the test's own, which may not call Fatal.
 func (h *harness) checkError(err error) {
 	if err != nil {
 		h.t.Error(err)
@@ -213,7 +214,7 @@
 	e.addPause(span{began, time.Now()})
 }
 
-// cutStore turns the way from one router to the store.
+// cutStore impairs the connection from one router to the store.
 func (h *harness) cutStore() {
 	e := h.randomEntry()
 	e.store.setMode(proxyMode(1 + h.intN(int(proxyModeCount)-1)))
@@ -221,7 +222,7 @@
 	e.store.setMode(passThrough)
 }
 
-// refuseStore lets the store refuse everybody.
+// refuseStore lets the store reject all requests.
 func (h *harness) refuseStore() {
 	status := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[h.intN(2)]
 	h.store.SetOutage(func(string) int { return status })
@@ -229,12 +230,12 @@
 	h.store.SetOutage(nil)
 }
 
-// entryExpiry is after how long without a heartbeat the store drops a runner's entry.
+// entryExpiry is how long after the last heartbeat the store drops a runner's entry.
 const entryExpiry = 3600 * time.Millisecond
 
-// restoreStore lets the store go away for a moment and come back from a copy that is up to
-// two seconds old. Its writers find out one after the other, and the entries of runners that
-// are gone lapse again.
+// restoreStore makes the store unavailable for a short time and restores it from a copy that is up
+// to two seconds old. Its writers repeat their lost changes one after the other, and the restored
+// entries of runners that are gone expire again.
 func (h *harness) restoreStore() {
 	if !h.restoreMu.TryLock() {
 		return
@@ -266,7 +267,7 @@
 	r.proxy.setMode(passThrough)
 }
 
-// crashRunner ends a runner without a word. Its entry lapses later.
+// crashRunner ends a runner without notice. Its entry is removed later.
 func (h *harness) crashRunner() {
 	live := h.liveRunners()
 	if len(live) <= 2 {
@@ -281,8 +282,8 @@
 	h.addRunner()
 }
 
-// restartRunner ends a runner without a word and starts it again under its id. The
-// store may do a heartbeat of its former life after the first of the present one.
+// restartRunner ends a runner without notice and starts it again under its id. The store may apply
+// a heartbeat of the former incarnation after the first of the present one.
 func (h *harness) restartRunner() {
 	live := h.liveRunners()
 	if len(live) <= 2 {
@@ -306,7 +307,7 @@
 	}
 }
 
-// rewriteEntry writes the entry of a runner anew, unless it has left meanwhile.
+// rewriteEntry writes the entry of a runner again, unless the runner has left meanwhile.
 func (h *harness) rewriteEntry(r *runner) {
 	h.mu.Lock()
 	left := !r.leftAt.IsZero()
@@ -316,8 +317,8 @@
 	}
 }
 
-// writeForeignEntries writes what no runner writes among their entries, and for a
-// while in place of one of theirs.
+// writeForeignEntries writes invalid or incomplete entries among those of the runners, and for a
+// short time in place of one of them.
 func (h *harness) writeForeignEntries() {
 	specs := []any{"?", 7, map[string]any{}, map[string]any{"service": "llm", "address": "127.0.0.1:9", "state": "ready"}}
 	spec := specs[h.intN(len(specs))]
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -21,12 +21,13 @@
 const (
 	runnersAtStart = 4
 	runnerPrefix   = "runner-"
-	// configBound and grace are what the platform's settings say.
+	// configBound and grace are bounds that the settings from the platform contain.
 	configBound = 2 * time.Second
 	grace       = 8 * time.Second
 
-	// A runner that starts while callers call is cold for coldDuration. It bears coldRate requests
-	// a second meanwhile, from all routers, and operators allow so many times that and more.
+	// A runner that starts while callers send requests is cold for coldDuration. During that time
+	// all routers together may send it coldRatePerSecond requests a second, times coldOverage, plus
+	// coldSlack.
 	coldDuration      = 2 * time.Second
 	coldRatePerSecond = 2
 	coldOverage       = 1.5
@@ -37,7 +38,7 @@
 // zones are the failure domains of runners.
 var zones = []string{"a", "b"}
 
-// entry is a router: one process after the other, at the same addresses.
+// entry is a router: a sequence of processes that serve at the same addresses.
 type entry struct {
 	harness *harness
 	name    string
@@ -50,14 +51,14 @@
 	exited      chan struct{}
 	paused      bool
 	log         *os.File
-	incarnation int    // number of the process
-	pauses      []span // times in which the process stood still
+	incarnation int    // number of the current process, counted from 1
+	pauses      []span // periods in which the process was stopped by SIGSTOP
 }
 
-// span is a time with a beginning and an end.
+// span is a period of time.
 type span struct{ from, to time.Time }
 
-// overlaps reports whether two spans have a moment in common.
+// overlaps reports whether the two spans overlap.
 func (s span) overlaps(other span) bool { return s.from.Before(other.to) && other.from.Before(s.to) }
 
 func (e *entry) addPause(s span) {
@@ -66,7 +67,7 @@
 	e.pauses = append(e.pauses, s)
 }
 
-// pausedDuring reports whether the process has stood still in a time.
+// pausedDuring reports whether the process was paused at any time in a span.
 func (e *entry) pausedDuring(s span) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +76,7 @@
 
 func (e *entry) addr() string { return net.JoinHostPort(e.ip, "8080") }
 
-// settings writes the file that the platform gives a process.
+// settings writes the boot settings file that the platform provides for a process.
 func (e *entry) settings(loadMultiple float64) error {
 	text := fmt.Sprintf(`node: %q
 ip: %q
@@ -98,7 +99,7 @@
 
 func (e *entry) settingsPath() string { return filepath.Join(e.dir, "local.yaml") }
 
-// start starts a process.
+// start starts a new process of the router.
 func (e *entry) start() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// signal sends a signal to the process, which the soak has started itself.
+// signal sends a signal to the current process, which this test has started.
 func (e *entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// waitExit waits for the end of the process, for a time.
+// waitExit waits for the process to exit, up to a timeout, and reports whether it did.
 func (e *entry) waitExit(within time.Duration) bool {
 	e.mu.Lock()
 	exited := e.exited
@@ -146,7 +147,7 @@
 	return e.incarnation
 }
 
-// ready asks as the balancer does.
+// ready reports whether the router passes the balancer's readiness check.
 func (e *entry) ready() bool {
 	c := http.Client{Timeout: 300 * time.Millisecond}
 	resp, err := c.Get("http://" + net.JoinHostPort(e.ip, "8081") + "/v1/ready")
@@ -157,34 +158,34 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// runner is a runner behind a proxy. Its entry names the proxy.
+// runner is a fake runner behind a proxy. Its entry in the store has the address of the proxy.
 type runner struct {
 	*fake.Runner
 	proxy     *proxy
-	startedMs int64     // its start, in Unix milliseconds
-	leftAt    time.Time // when its entry said that it leaves, or was removed
-	coldUntil time.Time // until when it is cold
+	startedMs int64     // start time, in Unix milliseconds
+	leftAt    time.Time // when its entry announced that it leaves, or was removed; zero: it has not left
+	coldUntil time.Time // end of its warm-up; zero: never cold
 
-	signalsLeaving atomic.Bool // in its answers
+	signalsLeaving atomic.Bool // whether its responses announce that it leaves
 
-	restSeconds  atomic.Pointer[string] // what it says of the rest that it wants while it turns all away
+	restSeconds  atomic.Pointer[string] // Retry-After value with which it rejects all requests; nil: it accepts them
 	mu           sync.Mutex
-	restRequests []restRequest // for rest
+	restRequests []restRequest
 }
 
-// isLeaving reports whether the runner has said in its answers that it isLeaving.
+// isLeaving reports whether the runner has announced in its responses that it leaves.
 func (r *runner) isLeaving() bool { return r.signalsLeaving.Load() }
 
-// leavingHeader is what a runner that leaves says in all its answers.
+// leavingHeader is the header line in all responses of a runner that leaves.
 const leavingHeader = "Server-Leaving: 1"
 
-// restRequest is a runner's restRequest for rest, made in the answer to an attempt.
+// restRequest is a runner's request for a pause, made by Retry-After in its response to an attempt.
 type restRequest struct {
 	attempt string
 	span
 }
 
-// rejectWhileResting turns a request away, if the runner wants rest now.
+// rejectWhileResting rejects a request if the runner is resting, and reports whether it did.
 func (r *runner) rejectWhileResting(c net.Conn, req *http.Request) bool {
 	seconds := r.restSeconds.Load()
 	if seconds == nil {
@@ -205,13 +206,14 @@
 	return true
 }
 
-// zone returns the failure domain of a runner. One that starts again stays in its own.
+// zone returns the failure domain of a runner, which depends on its id only. A restarted runner
+// stays in its failure domain.
 func (r *runner) zone() string {
 	number, _ := strconv.Atoi(strings.TrimPrefix(r.ID, runnerPrefix))
 	return zones[number%len(zones)]
 }
 
-// newRunner starts a runner and enters it in the store.
+// newRunner starts a runner with a new id and writes its entry to the store.
 func (h *harness) newRunner() (*runner, error) {
 	h.mu.Lock()
 	h.runnersStarted++
@@ -220,7 +222,7 @@
 	return h.startRunner(id)
 }
 
-// startRunner starts a runner under an id that a former one may have had.
+// startRunner starts a runner under an id that an earlier runner may have had.
 func (h *harness) startRunner(id string) (*runner, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -249,8 +251,8 @@
 	})
 }
 
-// handler answers with what names the attempt, so that an answer that went to another
-// caller shows.
+// handler returns the behaviour of a runner. Its responses contain the id of the attempt, so that a
+// response delivered to the wrong caller is detected.
 func (h *harness) handler(r *runner) fake.Handler {
 	return func(c net.Conn, req *http.Request, body string) fake.HandlerResult {
 		if r.rejectWhileResting(c, req) {
@@ -287,20 +289,20 @@
 	}
 }
 
-// streamEvents is how many events a stream has.
+// streamEvents is the number of events in a stream.
 const streamEvents = 6
 
 func plainResponse(runner, attempt string) string { return runner + " for " + attempt }
 
-// streamName is what the events of a stream name: the attempt, also where another
-// runner goes on with it.
+// streamName returns the name in the events of a stream: the id of the attempt, which stays the
+// same when another runner resumes the stream.
 func streamName(r *http.Request) string { return r.Header.Get("Attempt-Id") }
 
 func streamEvent(name string, i int) string {
 	return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", i, name, i)
 }
 
-// configuration is what the operator writes.
+// configuration is the configuration that the operator writes.
 type configuration struct {
 	version int
 	routes  []map[string]any
@@ -318,7 +320,7 @@
 	return r
 }
 
-// writeConfiguration puts the configuration into the store.
+// writeConfiguration writes a configuration to the store.
 func (h *harness) writeConfiguration(c configuration) {
 	h.store.Put("config", "main", map[string]any{
 		"version": c.version, "routes": c.routes,
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// proxyMode is how a proxy treats the bytes that go through it.
+// proxyMode is how a proxy treats the bytes that it forwards.
 type proxyMode int
 
 const (
-	passThrough    proxyMode = iota // at once
-	resetting                       // connections are reset, those that are open too
-	stalled                         // nothing goes either way, connections stay open
-	requestsOnly                    // what the server says is lost
-	delayed                         // everything comes late
-	proxyModeCount                  // number of ways
+	passThrough    proxyMode = iota // forwards at once
+	resetting                       // resets new and open connections
+	stalled                         // withholds bytes in both directions until the mode changes
+	requestsOnly                    // withholds bytes from the server until the mode changes
+	delayed                         // forwards after forwardDelay
+	proxyModeCount                  // number of modes
 )
 
 func (w proxyMode) String() string {
 	return [...]string{"through", "refused", "silent", "one-way", "delayed"}[w]
 }
 
-// forwardDelay is how late bytes come on a delayed way.
+// forwardDelay is the delay of bytes in mode delayed.
 const forwardDelay = 150 * time.Millisecond
 
-// proxy stands between a process and a server on loopback.
+// proxy forwards connections between a process and a server on loopback.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu          sync.Mutex
 	mode        proxyMode
-	impairments []span // times in which the way was another than through; the last may have no end
+	impairments []span // periods in modes other than passThrough; the last may be open-ended
 	open        map[net.Conn]bool
-	modeChanged chan struct{} // closed and replaced at each change of way
+	modeChanged chan struct{} // closed and replaced at each change of mode
 }
 
 func newProxy(target string) (*proxy, error) {
@@ -55,7 +55,7 @@
 	p.resetAll()
 }
 
-// setMode changes the way.
+// setMode changes the mode, also of open connections.
 func (p *proxy) setMode(w proxyMode) {
 	p.mu.Lock()
 	if now := time.Now(); p.mode != passThrough {
@@ -72,7 +72,7 @@
 	}
 }
 
-// impairedDuring reports whether the way was another than through in a time.
+// impairedDuring reports whether the mode was other than passThrough at any time in a span.
 func (p *proxy) impairedDuring(s span) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	})
 }
 
-// resetAll resets the connections that are open.
+// resetAll resets the open connections.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +132,8 @@
 	return p.mode, p.modeChanged
 }
 
-// copy passes bytes on, as the way is at each moment.
+// copy forwards bytes of one direction, each according to the mode at that moment. The flag
+// responses says that the bytes come from the server.
 func (p *proxy) copy(to, from net.Conn, responses bool) {
 	defer p.closePair(to, from)
 	buf := make([]byte, 16<<10)
@@ -147,8 +148,7 @@
 	}
 }
 
-// forward writes bytes on when the way lets them, and reports whether the connection
-// goes on.
+// forward writes bytes when the mode permits it, and reports whether the connection continues.
 func (p *proxy) forward(to net.Conn, b []byte, responses bool) bool {
 	for {
 		w, changed := p.currentMode()
@@ -156,7 +156,7 @@
 		case w == resetting:
 			return false
 		case w == stalled, w == requestsOnly && responses:
-			<-changed // held back until the way is another one
+			<-changed // withheld until the mode changes
 			continue
 		case w == delayed:
 			time.Sleep(forwardDelay)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,13 +1,13 @@
-// Package soak runs the shipped daemon as separate processes on loopback, before
-// stand-ins of the platform's store and runners, lets faults befall them in a random
-// order that a seed sets, and checks what callers and runners see.
+// Package soak runs the shipped daemon as separate processes on loopback, against fakes of
+// the platform's store and runners. It injects faults in a random order set by a seed, and
+// checks what callers and runners observe.
 //
 //	go test ./test/soak                              # what CI runs: two short seeds
-//	go test ./test/soak -seeds 50 -from 1 -for 20s   # by hand
-//	go test ./test/soak -seeds 1 -from 17 -v         # one seed again
+//	go test ./test/soak -seeds 50 -from 1 -for 20s   # a longer run by hand
+//	go test ./test/soak -seeds 1 -from 17 -v         # repeat one seed
 //
-// Every fifth seed has planned work only (stops, reloads, configurations, runners that
-// leave), in which nothing that was asked may be left without an answer.
+// Every fifth seed has planned operations only (stops, reloads, configuration changes, runners
+// that leave). In these, every request must get a complete response.
 package soak
 
 import (
@@ -21,20 +21,21 @@
 )
 
 var (
-	seeds      = flag.Int("seeds", 2, "how many seeds to run")
+	seeds      = flag.Int("seeds", 2, "number of seeds to run")
 	from       = flag.Uint64("from", 4, "the first seed")
-	duration   = flag.Duration("for", 4*time.Second, "for how long faults befall the fleet")
-	entryCount = flag.Int("entries", 3, "routers")
+	duration   = flag.Duration("for", 4*time.Second, "how long faults are injected")
+	entryCount = flag.Int("entries", 3, "number of routers")
 	keepLogs   = flag.String("logs", "", "folder for the logs of seeds that fail")
 )
 
-// regressionSeeds are seeds that have failed once, with what they showed. They run always.
+// regressionSeeds holds seeds that have failed, with the cause. They run in addition to the seeds
+// from the flags.
 var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{}
 
-// daemonPath is the daemon, built once.
+// daemonPath is the path of the daemon, which TestMain builds once.
 var daemonPath string
 
 func TestMain(m *testing.M) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// plannedEvery is how many seeds one with planned work only comes in.
+// plannedEvery is the interval of seeds that have planned operations only.
 const plannedEvery = 5
 
 func soak(t *testing.T, seed uint64) {
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -19,7 +19,7 @@
 
 const callerHost = "app.example"
 
-// responseFault is a trouble of single answers of runners, while it is switched on.
+// responseFault is a kind of fault that affects random responses of runners while it is enabled.
 type responseFault int
 
 const (
@@ -29,14 +29,14 @@
 	responseFaultCount
 )
 
-// responsesPerFault is how many answers such a trouble hits one of.
+// responsesPerFault is the mean number of responses for each one that an enabled fault affects.
 const responsesPerFault = 8
 
-// harness is the fleet, its surroundings and what was seen of them.
+// harness is the fleet under test with its fakes and callers, and a record of what they observed.
 type harness struct {
 	t       *testing.T
 	seed    uint64
-	planned bool // planned work only
+	planned bool // planned operations only
 	dir     string
 
 	store   *fake.Store
@@ -49,15 +49,15 @@
 	runnersStarted int
 	responseFaults [responseFaultCount]bool
 	config         configuration
-	revoked        map[string]int // keys that were taken away, by the version that did
+	revoked        map[string]int // version that revoked a key, by key
 	sent           map[string]*call
 	calls          []*call
-	faultCounts    map[string]int // that befell the fleet, by kind
+	faultCounts    map[string]int // injected faults, by name
 
 	running     sync.WaitGroup // callers and probers
-	nextAttempt atomic.Int64   // number of the next attempt
-	restartMu   sync.Mutex     // one router at a time is stopped as planned
-	restoreMu   sync.Mutex     // one return of the store at a time
+	nextAttempt atomic.Int64   // number of the newest attempt
+	restartMu   sync.Mutex     // serialises stops and kills of routers
+	restoreMu   sync.Mutex     // serialises restores of the store
 }
 
 func newHarness(t *testing.T, seed uint64, planned bool) *harness {
@@ -72,7 +72,7 @@
 	}
 }
 
-// start starts store, runners and routers, and waits for the routers to be ready.
+// start starts the store, runners and routers, and waits until the routers are ready.
 func (h *harness) start() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	h.must(err)
@@ -97,8 +97,8 @@
 	})
 }
 
-// address returns where a router listens. Two runs of the soak at a time have addresses
-// of their own: with the same ones, callers of one reach routers of the other.
+// address returns the IP address of a router. It depends on the process id and the seed: with equal
+// addresses, callers of one soak run would reach routers of another that runs at the same time.
 func (h *harness) address(index int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid%200, (uint64(pid/200)+h.seed)%250, index+1)
@@ -124,8 +124,7 @@
 	return e.start()
 }
 
-// close ends the processes that the soak has started, and keeps their logs if a check
-// has failed.
+// close kills the processes of the fleet, and copies their logs if a check has failed.
 func (h *harness) close() {
 	for _, e := range h.entries {
 		e.signal(syscall.SIGKILL)
@@ -156,8 +155,8 @@
 	}
 }
 
-// eventuallyTimeout is how long something that must come in the end is waited for. It is far
-// beyond what the platform's bounds ask, so that a busy machine does not fail a run.
+// eventuallyTimeout limits how long a condition may take to hold. It is far beyond the platform's
+// bounds, so that a busy machine does not fail a run.
 const eventuallyTimeout = 40 * time.Second
 
 func (h *harness) eventually(condition string, f func() bool) {
@@ -167,27 +166,27 @@
 			return
 		}
 	}
-	h.t.Errorf("after %v it is not so that %s", eventuallyTimeout, condition)
+	h.t.Errorf("condition does not hold after %v: %s", eventuallyTimeout, condition)
 }
 
-// intN draws a number below n.
+// intN returns a random number in [0,n).
 func (h *harness) intN(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.random.IntN(n)
 }
 
-// randomDuration draws a time.
+// randomDuration returns a random duration in [least,most).
 func (h *harness) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(h.intN(int(most-least)))
 }
 
-// randomServiceTime is how long a runner takes for an answer or an event.
+// randomServiceTime returns how long a runner takes for a response or an event.
 func (h *harness) randomServiceTime() time.Duration {
 	return h.randomDuration(2*time.Millisecond, 40*time.Millisecond)
 }
 
-// drawResponseFault reports whether a trouble of single answers hits this one.
+// drawResponseFault reports whether a fault affects the current response.
 func (h *harness) drawResponseFault(c responseFault) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,14 +199,14 @@
 	return slices.Clone(h.runners)
 }
 
-// liveRunners returns those that have not left.
+// liveRunners returns the runners that have not left.
 func (h *harness) liveRunners() []*runner {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(h.runners), func(r *runner) bool { return !r.leftAt.IsZero() })
 }
 
-// updateConfiguration writes the next configuration.
+// updateConfiguration writes the next version of the configuration, as edited by f.
 func (h *harness) updateConfiguration(f func(c *configuration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
