--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -38,26 +38,26 @@
 `
 )
 
-// ended is a command that has ended.
-type ended struct {
+// commandResult is a command that has commandResult.
+type commandResult struct {
 	code   ctl.Code
 	out    string
 	errOut string
 }
 
-// run runs parsleyctl against a platform.
-func run(platformURL string, args ...string) ended {
+// runCtl runs parsleyctl against a platform.
+func runCtl(platformURL string, args ...string) commandResult {
 	GinkgoHelper()
 	cmd := exec.Command(ctlPath, args...)
 	cmd.Env = append(os.Environ(), "PARSLEYCTL_PLATFORM="+platformURL, "PARSLEYCTL_AUTHOR=ann")
 	session, err := gexec.Start(cmd, GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
-	session.Wait(2 * startWithin)
-	return ended{ctl.Code(session.ExitCode()), string(session.Out.Contents()), string(session.Err.Contents())}
+	session.Wait(2 * waitTimeout)
+	return commandResult{ctl.Code(session.ExitCode()), string(session.Out.Contents()), string(session.Err.Contents())}
 }
 
-// write writes a file for parsleyctl.
-func write(text string) string {
+// writeFile writes a file for parsleyctl.
+func writeFile(text string) string {
 	GinkgoHelper()
 	name := filepath.Join(GinkgoT().TempDir(), "objects.yaml")
 	Expect(os.WriteFile(name, []byte(text), 0o600)).To(Succeed())
@@ -70,7 +70,7 @@
 	GinkgoHelper()
 	addr := freeAddr()
 	id := fmt.Sprintf("entry-%d", len(f.routers))
-	f.list(topo.VM{ID: id, Role: topo.RoleRouter, AdminAddr: addr})
+	f.registerVM(topo.VM{ID: id, Role: topo.RoleRouter, AdminAddr: addr})
 	f.addRouter("--admin-listen", addr)
 	return id
 }
@@ -93,14 +93,14 @@
 	return server
 }
 
-// loseAnswer lets a write take effect and breaks the connection.
-func loseAnswer(r *http.Request, proxy http.Handler) {
+// loseResponse lets a write take effect and breaks the connection.
+func loseResponse(r *http.Request, proxy http.Handler) {
 	proxy.ServeHTTP(httptest.NewRecorder(), r)
 	panic(http.ErrAbortHandler)
 }
 
-// faults breaks the platform's object API.
-func (f *fleet) faults(faults standin.ObjectFaults) {
+// setObjectFaults breaks the platform's object API.
+func (f *fleet) setObjectFaults(faults standin.ObjectFaults) {
 	GinkgoHelper()
 	b, err := json.Marshal(faults)
 	Expect(err).NotTo(HaveOccurred())
@@ -135,21 +135,21 @@
 		f.addUpstream("engine", "notes")
 		f.addListedRouter()
 		router := f.addListedRouter()
-		file := write(notesPool + sharedProfile)
-		Expect(run(f.platformURL, "validate", file).code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "diff", file).code).To(Equal(ctl.ExitDiffers))
+		file := writeFile(notesPool + sharedProfile)
+		Expect(runCtl(f.platformURL, "validate", file).code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "diff", file).code).To(Equal(ctl.ExitDiffers))
 
-		first := run(f.platformURL, "apply", "--wait", "-m", "new", file)
+		first := runCtl(f.platformURL, "apply", "--wait", "-m", "new", file)
 		Expect(first.code).To(Equal(ctl.ExitOK), first.errOut)
 		Expect(first.out).To(ContainSubstring("in force at 2 of 2 routers"))
-		Expect(run(f.platformURL, "diff", file).code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "diff", file).code).To(Equal(ctl.ExitOK))
 
-		longer := write(strings.Replace(sharedProfile, "30s", "40s", 1))
-		Expect(run(f.platformURL, "apply", "--wait", longer).code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "rollback", "--wait", "profile/shared").code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "get", "profile/shared").out).To(ContainSubstring("deadline: 30s"))
+		longer := writeFile(strings.Replace(sharedProfile, "30s", "40s", 1))
+		Expect(runCtl(f.platformURL, "apply", "--wait", longer).code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "rollback", "--wait", "profile/shared").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "get", "profile/shared").out).To(ContainSubstring("deadline: 30s"))
 
-		history := run(f.platformURL, "history", "profile/shared", "-o", "json")
+		history := runCtl(f.platformURL, "history", "profile/shared", "-o", "json")
 		var h struct {
 			Changes []struct{ Author, Reason, Diff string }
 		}
@@ -159,22 +159,22 @@
 		Expect(h.Changes[0].Diff).To(ContainSubstring("-deadline: 40s\n+deadline: 30s"))
 		Expect(h.Changes[2].Author).To(Equal("ann"))
 
-		Expect(run(f.platformURL, "drain", "vm-0", "--wait").code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "list", "drain").out).To(ContainSubstring("vm-0"))
-		Expect(run(f.platformURL, "status", "--upstreams").out).To(MatchRegexp(`vm-0 +notes +` + testDomain + ` +draining`))
-		Expect(run(f.platformURL, "undrain", "vm-0", "--wait").code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "drain", "vm-9").code).To(Equal(ctl.ExitNotFound))
+		Expect(runCtl(f.platformURL, "drain", "vm-0", "--wait").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "list", "drain").out).To(ContainSubstring("vm-0"))
+		Expect(runCtl(f.platformURL, "status", "--upstreams").out).To(MatchRegexp(`vm-0 +notes +` + testDomain + ` +draining`))
+		Expect(runCtl(f.platformURL, "undrain", "vm-0", "--wait").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "drain", "vm-9").code).To(Equal(ctl.ExitNotFound))
 
-		Expect(run(f.platformURL, "drain", "--failure-domain", testDomain, "--wait", "-m", "works on the power").code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "list", "domain-drain").out).To(ContainSubstring(testDomain))
-		Expect(run(f.platformURL, "status", "--upstreams").out).To(MatchRegexp(`vm-0 +notes +` + testDomain + ` +draining`))
-		Expect(run(f.platformURL, "undrain", "--failure-domain", testDomain, "--wait").code).To(Equal(ctl.ExitOK))
-		Expect(run(f.platformURL, "drain", "--failure-domain", "nowhere").code).To(Equal(ctl.ExitNotFound))
-		Expect(run(f.platformURL, "drain").code).To(Equal(ctl.ExitUsage))
+		Expect(runCtl(f.platformURL, "drain", "--failure-domain", testDomain, "--wait", "-m", "works on the power").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "list", "domain-drain").out).To(ContainSubstring(testDomain))
+		Expect(runCtl(f.platformURL, "status", "--upstreams").out).To(MatchRegexp(`vm-0 +notes +` + testDomain + ` +draining`))
+		Expect(runCtl(f.platformURL, "undrain", "--failure-domain", testDomain, "--wait").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "drain", "--failure-domain", "nowhere").code).To(Equal(ctl.ExitNotFound))
+		Expect(runCtl(f.platformURL, "drain").code).To(Equal(ctl.ExitUsage))
 
-		Eventually(func() string { return run(f.platformURL, "status").out }, startWithin).
+		Eventually(func() string { return runCtl(f.platformURL, "status").out }, waitTimeout).
 			Should(And(MatchRegexp(router+` .* serving`), Not(ContainSubstring("behind")), Not(ContainSubstring("no answer"))))
-		explained := run(f.platformURL, "explain", "--organisation", "club", "--model", model, "--session", "s")
+		explained := runCtl(f.platformURL, "explain", "--organisation", "club", "--model", model, "--session", "s")
 		Expect(explained.out).To(MatchRegexp(`1 +vm-0 .* ranks high for the session`))
 	})
 
@@ -182,12 +182,12 @@
 	// waits for a change must not be told that it is in force there.
 	It("names the router that does not confirm a change", func() {
 		f.addListedRouter()
-		f.list(topo.VM{ID: "entry-9", Role: topo.RoleRouter, AdminAddr: freeAddr()})
-		got := run(f.platformURL, "apply", "--wait", "--wait-timeout", "4s", write(notesPool+sharedProfile))
+		f.registerVM(topo.VM{ID: "entry-9", Role: topo.RoleRouter, AdminAddr: freeAddr()})
+		got := runCtl(f.platformURL, "apply", "--wait", "--wait-timeout", "4s", writeFile(notesPool+sharedProfile))
 		Expect(got.code).To(Equal(ctl.ExitNotInForce))
 		Expect(got.out).To(ContainSubstring("in force at 1 of 2 routers"))
 		Expect(got.out).To(ContainSubstring("pending: entry-9 did not answer"))
-		Expect(run(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitOK))
+		Expect(runCtl(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitOK))
 	})
 
 	// A request was running when its upstream crashed. Whoever is called for the
@@ -195,12 +195,12 @@
 	It("names a request that may crash upstreams", func() {
 		vm := f.addUpstream("engine", "notes", "--token-delay", "60ms")
 		f.addListedRouter()
-		answer := open("http://"+f.routers[0].addr+"/v1/chat/completions", "who lost the ball")
-		Expect(run(f.platformURL, "status").out).NotTo(ContainSubstring("QUARANTINED"))
-		vm.upstream.session.Kill().Wait(startWithin)
-		_, err := answer.rest()
+		answer := openStream("http://"+f.routers[0].addr+"/v1/chat/completions", "who lost the ball")
+		Expect(runCtl(f.platformURL, "status").out).NotTo(ContainSubstring("QUARANTINED"))
+		vm.upstream.session.Kill().Wait(waitTimeout)
+		_, err := answer.readRest()
 		Expect(err).To(HaveOccurred())
-		Eventually(func() string { return run(f.platformURL, "status").out }, startWithin).
+		Eventually(func() string { return runCtl(f.platformURL, "status").out }, waitTimeout).
 			Should(MatchRegexp(`(?s)QUARANTINED REQUEST.*[0-9a-f]{16} +suspect +1 `))
 	})
 
@@ -209,12 +209,12 @@
 	// there until the router gives the watch up by itself.
 	It("does not wait for a watch that has gone silent", func() {
 		f.addListedRouter()
-		file := write(notesPool + sharedProfile)
-		f.faults(standin.ObjectFaults{UnresponsiveWatches: 1})
-		Expect(run(f.platformURL, "apply", file).code).To(Equal(ctl.ExitOK))
-		Eventually(func() int { return f.objectFaults().UnresponsiveWatches }, startWithin).Should(BeZero())
-		longer := write(strings.Replace(sharedProfile, "30s", "40s", 1))
-		got := run(f.platformURL, "apply", "--wait", "--wait-timeout", "20s", longer)
+		file := writeFile(notesPool + sharedProfile)
+		f.setObjectFaults(standin.ObjectFaults{UnresponsiveWatches: 1})
+		Expect(runCtl(f.platformURL, "apply", file).code).To(Equal(ctl.ExitOK))
+		Eventually(func() int { return f.objectFaults().UnresponsiveWatches }, waitTimeout).Should(BeZero())
+		longer := writeFile(strings.Replace(sharedProfile, "30s", "40s", 1))
+		got := runCtl(f.platformURL, "apply", "--wait", "--wait-timeout", "20s", longer)
 		Expect(got.code).To(Equal(ctl.ExitOK), got.out)
 	})
 
@@ -225,29 +225,29 @@
 		var lost atomic.Bool
 		p := platformProxy(f.platformURL, topo.KindPool, func(w http.ResponseWriter, r *http.Request, proxy http.Handler) {
 			if lost.CompareAndSwap(false, true) {
-				loseAnswer(r, proxy)
+				loseResponse(r, proxy)
 			}
 			proxy.ServeHTTP(w, r)
 		})
-		got := run(p.URL, "apply", write(notesPool))
+		got := runCtl(p.URL, "apply", writeFile(notesPool))
 		Expect(got.code).To(Equal(ctl.ExitOK), got.errOut)
 		Expect(got.out).To(ContainSubstring("created"))
-		Expect(run(f.platformURL, "history", "pool/notes", "-o", "yaml").out).NotTo(ContainSubstring("parent"))
+		Expect(runCtl(f.platformURL, "history", "pool/notes", "-o", "yaml").out).NotTo(ContainSubstring("parent"))
 	})
 
 	It("says that it does not know when the store is down after a lost answer", func() {
 		p := platformProxy(f.platformURL, topo.KindPool, func(_ http.ResponseWriter, r *http.Request, proxy http.Handler) {
-			defer f.faults(standin.ObjectFaults{Down: true})
-			loseAnswer(r, proxy)
+			defer f.setObjectFaults(standin.ObjectFaults{Down: true})
+			loseResponse(r, proxy)
 		})
-		got := run(p.URL, "--timeout", "4s", "apply", write(notesPool+sharedProfile))
+		got := runCtl(p.URL, "--timeout", "4s", "apply", writeFile(notesPool+sharedProfile))
 		Expect(got.code).To(Equal(ctl.ExitUnknown))
 		Expect(got.out).To(MatchRegexp(`pool/notes +unknown`))
 		Expect(got.out).To(MatchRegexp(`profile/shared +skipped`))
 		Expect(got.errOut).To(ContainSubstring("advice: look for change"))
 
-		f.faults(standin.ObjectFaults{})
-		again := run(f.platformURL, "apply", write(notesPool+sharedProfile))
+		f.setObjectFaults(standin.ObjectFaults{})
+		again := runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile))
 		Expect(again.code).To(Equal(ctl.ExitOK))
 		Expect(again.out).To(And(MatchRegexp(`pool/notes +unchanged`), MatchRegexp(`profile/shared +created`)))
 	})
@@ -258,49 +258,49 @@
 		p := platformProxy(f.platformURL, topo.KindProfile, func(w http.ResponseWriter, _ *http.Request, _ http.Handler) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
-		got := run(p.URL, "--timeout", "3s", "apply", write(notesPool+sharedProfile))
+		got := runCtl(p.URL, "--timeout", "3s", "apply", writeFile(notesPool+sharedProfile))
 		Expect(got.code).To(Equal(ctl.ExitPartial))
 		Expect(got.out).To(And(MatchRegexp(`pool/notes +created`), MatchRegexp(`profile/shared +failed`)))
-		Expect(run(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitNotFound))
+		Expect(runCtl(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitNotFound))
 	})
 
 	// Two operators edit the same profile. Whoever applies second would undo
 	// the other's change without a word, and neither would know.
 	It("lets one of two racing operators win and shows both changes to the other", func() {
-		Expect(run(f.platformURL, "apply", write(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
-		base := run(f.platformURL, "get", "profile/shared").out
-		faster := write(strings.Replace(base, "30s", "40s", 1))
-		slower := write(strings.Replace(base, "retry_budget: 0.1", "retry_budget: 0.2", 1))
-		Expect(run(f.platformURL, "apply", faster).code).To(Equal(ctl.ExitOK))
-		got := run(f.platformURL, "apply", slower)
+		Expect(runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
+		base := runCtl(f.platformURL, "get", "profile/shared").out
+		faster := writeFile(strings.Replace(base, "30s", "40s", 1))
+		slower := writeFile(strings.Replace(base, "retry_budget: 0.1", "retry_budget: 0.2", 1))
+		Expect(runCtl(f.platformURL, "apply", faster).code).To(Equal(ctl.ExitOK))
+		got := runCtl(f.platformURL, "apply", slower)
 		Expect(got.code).To(Equal(ctl.ExitConflict))
 		Expect(got.errOut).To(And(ContainSubstring("+deadline: 40s"), ContainSubstring("+retry_budget: 0.2")))
-		now := run(f.platformURL, "get", "profile/shared").out
+		now := runCtl(f.platformURL, "get", "profile/shared").out
 		Expect(now).To(And(ContainSubstring("deadline: 40s"), ContainSubstring("retry_budget: 0.1")))
 	})
 
 	// The same at the same moment, from several machines: some read before the
 	// winner's write and lose at the store, others after and lose by the change id.
 	It("lets exactly one of many simultaneous changes win", func() {
-		Expect(run(f.platformURL, "apply", write(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
-		base := run(f.platformURL, "get", "profile/shared").out
+		Expect(runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
+		base := runCtl(f.platformURL, "get", "profile/shared").out
 		const racers = 8
 		codes := make(chan ctl.Code, racers)
 		for i := range racers {
-			file := write(strings.Replace(base, "30s", fmt.Sprintf("%ds", 31+i), 1))
+			file := writeFile(strings.Replace(base, "30s", fmt.Sprintf("%ds", 31+i), 1))
 			go func() {
 				defer GinkgoRecover()
-				codes <- run(f.platformURL, "apply", file).code
+				codes <- runCtl(f.platformURL, "apply", file).code
 			}()
 		}
 		count := make(map[ctl.Code]int)
 		for range racers {
 			var code ctl.Code
-			Eventually(codes, 2*startWithin).Should(Receive(&code))
+			Eventually(codes, 2*waitTimeout).Should(Receive(&code))
 			count[code]++
 		}
 		Expect(count).To(Equal(map[ctl.Code]int{ctl.ExitOK: 1, ctl.ExitConflict: racers - 1}))
-		history := run(f.platformURL, "history", "profile/shared", "-o", "yaml").out
+		history := runCtl(f.platformURL, "history", "profile/shared", "-o", "yaml").out
 		Expect(strings.Count(history, "- id:")).To(Equal(2))
 	})
 
@@ -308,17 +308,17 @@
 	// An apply that breaks off in the middle leaves half of it in force.
 	It("applies many objects within the platform's rate", func() {
 		f.addListedRouter()
-		f.faults(standin.ObjectFaults{WritesPerSecond: 10})
-		got := run(f.platformURL, "apply", "--wait", "../examples/atlas", "../examples/thamel")
+		f.setObjectFaults(standin.ObjectFaults{WritesPerSecond: 10})
+		got := runCtl(f.platformURL, "apply", "--wait", "../examples/atlas", "../examples/thamel")
 		Expect(got.code).To(Equal(ctl.ExitOK), got.errOut)
 		Expect(strings.Count(got.out, " created ")).To(Equal(34))
 	})
 
 	It("writes nothing when a file has a mistake", func() {
-		got := run(f.platformURL, "apply", write(notesPool+sharedProfile+"loadmultiple: 2\n"))
+		got := runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile+"loadmultiple: 2\n"))
 		Expect(got.code).To(Equal(ctl.ExitInvalid))
 		Expect(got.errOut).To(ContainSubstring("objects.yaml:11:1: profile/shared: loadmultiple: unknown field: write load_multiple"))
-		Expect(run(f.platformURL, "get", "pool/notes").code).To(Equal(ctl.ExitNotFound))
-		Expect(run(f.platformURL, "apply", write("")).code).To(Equal(ctl.ExitInvalid))
+		Expect(runCtl(f.platformURL, "get", "pool/notes").code).To(Equal(ctl.ExitNotFound))
+		Expect(runCtl(f.platformURL, "apply", writeFile("")).code).To(Equal(ctl.ExitInvalid))
 	})
 })
--- a/test/failing_test.go
+++ b/test/failing_test.go
@@ -43,7 +43,7 @@
 	// Calls that are tried again and again, at one upstream after the other,
 	// would make of a bad minute one from which the service does not recover.
 	It("gets no more than a tenth on top of what callers send", func() {
-		const callers, each = 10, 30
+		const callers, callsPerCaller = 10, 30
 		var attempts atomic.Int64
 		f := serviceFleet(3, profile.Profile{Idempotent: true, RetryBudget: 0.1, Deadline: profile.Duration(10 * time.Second)},
 			func(http.ResponseWriter, *http.Request) {
@@ -55,7 +55,7 @@
 		for c := range callers {
 			wg.Go(func() {
 				defer GinkgoRecover()
-				for i := range each {
+				for i := range callsPerCaller {
 					url := fmt.Sprintf("http://%s/services/search/rooms/%d-%d", routers[i%2].addr, c, i)
 					got := send(http.MethodGet, url, "hostel-key", nil, nil)
 					Expect(got.status).To(BeNumerically(">=", http.StatusInternalServerError))
@@ -63,7 +63,7 @@
 			})
 		}
 		wg.Wait()
-		Expect(attempts.Load()).To(BeNumerically("<=", callers*each*11/10))
+		Expect(attempts.Load()).To(BeNumerically("<=", callers*callsPerCaller*11/10))
 		Expect(attempts.Load()).To(BeNumerically(">", 0))
 	})
 
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -18,18 +18,18 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// caller is a caller in the middle of an answer.
-type caller struct {
-	resp *http.Response
-	got  []byte
+// responseReader is a responseReader in the middle of an answer.
+type responseReader struct {
+	resp     *http.Response
+	received []byte
 }
 
-func ask(streamed bool, text string) chat {
+func newChat(streamed bool, text string) chat {
 	return chat{Model: model, Stream: streamed, Messages: []message{{"user", text}}}
 }
 
-// begin sends a chat and returns when the answer's head has come.
-func begin(router *process, c chat, header http.Header) (*caller, error) {
+// startChat sends a chat and returns when the answer's head has come.
+func startChat(router *process, c chat, header http.Header) (*responseReader, error) {
 	GinkgoHelper()
 	body, err := json.Marshal(c)
 	Expect(err).NotTo(HaveOccurred())
@@ -43,19 +43,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &caller{resp: resp}, nil
+	return &responseReader{resp: resp}, nil
 }
 
 func chatURL(router *process) string {
 	return "http://" + router.addr + "/v1/chat/completions"
 }
 
-// reads takes at least n more bytes of the answer, or all that come before an error.
-func (c *caller) reads(n int) error {
+// read takes at least n more bytes of the answer, or all that come before an error.
+func (c *responseReader) read(n int) error {
 	buf := make([]byte, 4096)
-	for end := len(c.got) + n; len(c.got) < end; {
+	for end := len(c.received) + n; len(c.received) < end; {
 		k, err := c.resp.Body.Read(buf)
-		c.got = append(c.got, buf[:k]...)
+		c.received = append(c.received, buf[:k]...)
 		if err != nil {
 			return err
 		}
@@ -63,35 +63,35 @@
 	return nil
 }
 
-// all is more than any answer.
-const all = 1 << 30
+// untilEnd is more than any answer.
+const untilEnd = 1 << 30
 
-// streams begins a streamed chat and reads the start of its answer.
-func streams(router *process, text string) *caller {
+// startStream begins a streamed chat and reads the start of its answer.
+func startStream(router *process, text string) *responseReader {
 	GinkgoHelper()
-	c, err := begin(router, ask(true, text), nil)
+	c, err := startChat(router, newChat(true, text), nil)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(c.resp.StatusCode).To(Equal(http.StatusOK))
-	Expect(c.reads(1000)).To(Succeed())
+	Expect(c.read(1000)).To(Succeed())
 	return c
 }
 
-func (c *caller) id() string {
+func (c *responseReader) id() string {
 	return c.resp.Header.Get("Parsley-Request-Id")
 }
 
-// fetch asks a router for the answer to an earlier request from an offset on.
-func fetch(router *process, id string, offset int) reply {
+// fetchResponse asks a router for the answer to an earlier request from an offset on.
+func fetchResponse(router *process, id string, offset int) response {
 	GinkgoHelper()
 	return send(http.MethodGet, "http://"+router.addr+"/v1/requests/"+id+"?offset="+strconv.Itoa(offset), apiKey, nil, nil)
 }
 
-var word = regexp.MustCompile(`"content":"w[0-9a-f]+-(\d+) "`)
+var tokenPattern = regexp.MustCompile(`"content":"w[0-9a-f]+-(\d+) "`)
 
-// beWhole matches a streamed answer with all its tokens, each once and in order.
-func beWhole(tokens int) OmegaMatcher {
+// beCompleteStream matches a streamed answer with all its tokens, each once and in order.
+func beCompleteStream(tokens int) OmegaMatcher {
 	return WithTransform(func(answer []byte) error {
-		found := word.FindAllSubmatch(answer, -1)
+		found := tokenPattern.FindAllSubmatch(answer, -1)
 		for i, f := range found {
 			if string(f[1]) != strconv.Itoa(i) {
 				return fmt.Errorf("token %s in place %d", f[1], i)
@@ -104,8 +104,8 @@
 	}, Succeed())
 }
 
-// vmFaults breaks the list of VMs.
-func (f *fleet) vmFaults(faults standin.VMFaults) {
+// setVMFaults breaks the list of VMs.
+func (f *fleet) setVMFaults(faults standin.VMFaults) {
 	GinkgoHelper()
 	Expect(send(http.MethodPut, f.platformURL+"/faults/vms", "", faults, nil).status).To(Equal(http.StatusOK))
 }
@@ -120,8 +120,8 @@
 	return n
 }
 
-// other returns the one upstream besides vm.
-func (f *fleet) other(vm *upstreamVM) *upstreamVM {
+// otherUpstream returns the one upstream besides vm.
+func (f *fleet) otherUpstream(vm *upstreamVM) *upstreamVM {
 	GinkgoHelper()
 	Expect(f.upstreams).To(HaveLen(2))
 	if f.upstreams[0] == vm {
@@ -132,21 +132,21 @@
 
 var _ = Describe("an answer under way", func() {
 	const tokens = 150
-	pace := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(tokens)}
+	slowSettings := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(tokens)}
 
 	// A coach reads halftime notes when the router is killed: the stream breaks
 	// off. The coach's program asks another router for the rest, from the byte
 	// at which it was. Without the sidecar's buffer it would have to ask anew.
 	It("goes on at another router when its own is killed", func() {
 		f := newFleet()
-		vm := f.addUpstream("engine", "notes", pace...)
+		vm := f.addUpstream("engine", "notes", slowSettings...)
 		one, two := f.addRouter(), f.addRouter()
-		c := streams(one, "halftime notes")
+		c := startStream(one, "halftime notes")
 		one.session.Kill()
-		Expect(c.reads(all)).NotTo(Succeed())
-		rest := fetch(two, c.id(), len(c.got))
-		Expect(append(c.got, rest.body...)).To(beWhole(tokens))
-		Expect(string(c.got) + rest.body).To(Equal(fetch(two, c.id(), 0).body))
+		Expect(c.read(untilEnd)).NotTo(Succeed())
+		rest := fetchResponse(two, c.id(), len(c.received))
+		Expect(append(c.received, rest.body...)).To(beCompleteStream(tokens))
+		Expect(string(c.received) + rest.body).To(Equal(fetchResponse(two, c.id(), 0).body))
 		Expect(vm.runs()).To(HaveLen(1))
 	})
 
@@ -154,36 +154,36 @@
 	// of the connection: it breaks, or nothing fails and nothing comes. New
 	// connections work. Notes that stop for good, or that run a second time and
 	// start over, are what a coach would see.
-	DescribeTable("is whole and ran once when its connection", func(lose func(*middle)) {
+	DescribeTable("is whole and ran once when its connection", func(lose func(*tcpProxy)) {
 		f := newFleet()
-		vm := f.addUpstream("engine", "notes", pace...)
-		m := newMiddle(vm.sidecar.addr)
-		f.list(topo.VM{ID: vm.id, Role: topo.RoleUpstream, Addr: m.addr, Pool: "notes"})
-		c := streams(f.addRouter(), "notes")
+		vm := f.addUpstream("engine", "notes", slowSettings...)
+		m := newTCPProxy(vm.sidecar.addr)
+		f.registerVM(topo.VM{ID: vm.id, Role: topo.RoleUpstream, Addr: m.addr, Pool: "notes"})
+		c := startStream(f.addRouter(), "notes")
 		lose(m)
-		Expect(c.reads(all)).To(MatchError("EOF"))
-		Expect(c.got).To(beWhole(tokens))
+		Expect(c.read(untilEnd)).To(MatchError("EOF"))
+		Expect(c.received).To(beCompleteStream(tokens))
 		Expect(vm.runs()).To(HaveLen(1))
 		Expect(m.connections()).To(Equal(2), "the rest came over a new connection")
 	},
-		Entry("is cut", (*middle).cut),
-		Entry("goes silent", (*middle).silence),
+		Entry("is cut", (*tcpProxy).cut),
+		Entry("goes silent", (*tcpProxy).blackhole),
 	)
 
 	// The VM of an upstream freezes for some seconds in the middle of an answer
 	// and then goes on as if nothing had been.
 	It("is whole and ran once when its sidecar freezes and thaws", func() {
 		f := newFleet()
-		f.addUpstream("engine", "notes", pace...)
-		f.addUpstream("engine", "notes", pace...)
+		f.addUpstream("engine", "notes", slowSettings...)
+		f.addUpstream("engine", "notes", slowSettings...)
 		admin := freeAddr()
-		c := streams(f.addRouter("--admin-listen", admin), "notes")
-		vm := f.busy()
+		c := startStream(f.addRouter("--admin-listen", admin), "notes")
+		vm := f.busyUpstream()
 		vm.sidecar.session.Signal(syscall.SIGSTOP)
-		Eventually(func() float64 { return counter(admin, "wire_silent_connections_total") }, startWithin).Should(BeEquivalentTo(1))
+		Eventually(func() float64 { return counter(admin, "wire_silent_connections_total") }, waitTimeout).Should(BeEquivalentTo(1))
 		vm.sidecar.session.Signal(syscall.SIGCONT)
-		Expect(c.reads(all)).To(MatchError("EOF"))
-		Expect(c.got).To(beWhole(tokens))
+		Expect(c.read(untilEnd)).To(MatchError("EOF"))
+		Expect(c.received).To(beCompleteStream(tokens))
 		Expect(f.runs()).To(Equal(1))
 	})
 
@@ -192,18 +192,18 @@
 	// other upstream must not begin what has been begun here.
 	DescribeTable("breaks off with the truth when", func(kill func(*upstreamVM)) {
 		f := newFleet()
-		f.addUpstream("engine", "notes", pace...)
-		f.addUpstream("engine", "notes", pace...)
-		c := streams(f.addRouter(), "notes")
-		vm := f.busy()
+		f.addUpstream("engine", "notes", slowSettings...)
+		f.addUpstream("engine", "notes", slowSettings...)
+		c := startStream(f.addRouter(), "notes")
+		vm := f.busyUpstream()
 		kill(vm)
-		Expect(c.reads(all)).NotTo(MatchError("EOF"))
-		Expect(c.got).NotTo(beWhole(tokens))
-		Expect(string(c.got)).To(ContainSubstring(`"verdict":"ran"`))
-		Expect(f.other(vm).runs()).To(BeEmpty())
+		Expect(c.read(untilEnd)).NotTo(MatchError("EOF"))
+		Expect(c.received).NotTo(beCompleteStream(tokens))
+		Expect(string(c.received)).To(ContainSubstring(`"verdict":"ran"`))
+		Expect(f.otherUpstream(vm).runs()).To(BeEmpty())
 	},
-		Entry("its sidecar is killed", func(vm *upstreamVM) { vm.sidecar.session.Kill().Wait(startWithin) }),
-		Entry("its upstream is killed", func(vm *upstreamVM) { vm.upstream.session.Kill().Wait(startWithin) }),
+		Entry("its sidecar is killed", func(vm *upstreamVM) { vm.sidecar.session.Kill().Wait(waitTimeout) }),
+		Entry("its upstream is killed", func(vm *upstreamVM) { vm.upstream.session.Kill().Wait(waitTimeout) }),
 	)
 
 	// A request that may not run twice has been sent, and not a byte has come
@@ -213,16 +213,16 @@
 		f.addUpstream("engine", "notes", "--token-delay", "1h")
 		f.addUpstream("engine", "notes", "--token-delay", "1h")
 		r := f.addRouter()
-		answered := make(chan reply, 1)
+		answered := make(chan response, 1)
 		go func() {
 			defer GinkgoRecover()
-			answered <- send(http.MethodPost, chatURL(r), apiKey, ask(false, "tag this clip"), nil)
+			answered <- send(http.MethodPost, chatURL(r), apiKey, newChat(false, "tag this clip"), nil)
 		}()
-		Eventually(f.runs, startWithin).Should(Equal(1))
-		vm := f.busy()
-		vm.sidecar.session.Kill().Wait(startWithin)
-		var got reply
-		Eventually(answered, startWithin).Should(Receive(&got))
+		Eventually(f.runs, waitTimeout).Should(Equal(1))
+		vm := f.busyUpstream()
+		vm.sidecar.session.Kill().Wait(waitTimeout)
+		var got response
+		Eventually(answered, waitTimeout).Should(Receive(&got))
 		Expect(got.header.Get("Parsley-Verdict")).To(Equal("may-have-run"))
 		Expect(got.status).To(Equal(http.StatusBadGateway))
 		Expect(f.runs()).To(Equal(1))
@@ -232,39 +232,39 @@
 	// while it is still writing. New chats must go elsewhere within seconds, also
 	// those that carry a ticket for it, and the answer under way must not be cut.
 	It("is not cut when its VM leaves by a list that lags", func() {
-		const long = 400
+		const longTokens = 400
 		f := newFleet()
-		slow := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(long)}
-		f.addUpstream("engine", "notes", slow...)
-		f.addUpstream("engine", "notes", slow...)
+		longSettings := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(longTokens)}
+		f.addUpstream("engine", "notes", longSettings...)
+		f.addUpstream("engine", "notes", longSettings...)
 		r := f.addRouter()
-		c := streams(r, "full match breakdown")
-		leaver := f.busy()
-		f.vmFaults(standin.VMFaults{Lag: profile.Duration(time.Second)})
-		f.list(topo.VM{ID: leaver.id, Role: topo.RoleUpstream, Addr: leaver.sidecar.addr, Pool: "notes", Leaving: true})
+		c := startStream(r, "full match breakdown")
+		leaving := f.busyUpstream()
+		f.setVMFaults(standin.VMFaults{Lag: profile.Duration(time.Second)})
+		f.registerVM(topo.VM{ID: leaving.id, Role: topo.RoleUpstream, Addr: leaving.sidecar.addr, Pool: "notes", Leaving: true})
 
 		ticket := http.Header{"Parsley-Ticket": {c.resp.Header.Get("Parsley-Ticket")}}
-		another := func() int {
-			next, err := begin(r, ask(true, "full match breakdown"), ticket)
+		runsAfterNextChat := func() int {
+			next, err := startChat(r, newChat(true, "full match breakdown"), ticket)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(next.resp.StatusCode).To(Equal(http.StatusOK))
 			Expect(send(http.MethodDelete, "http://"+r.addr+"/v1/requests/"+next.id(), apiKey, nil, nil).status).To(Equal(http.StatusOK))
 			Expect(next.resp.Body.Close()).To(Succeed())
-			return len(leaver.runs())
+			return len(leaving.runs())
 		}
-		before := another()
+		before := runsAfterNextChat()
 		Eventually(func() bool {
-			now := another()
+			now := runsAfterNextChat()
 			same := now == before
 			before = now
 			return same
 		}, 4*time.Second).Should(BeTrue(), "no new work within a few seconds")
-		Expect(send(http.MethodDelete, f.platformURL+"/v1/vms/"+leaver.id, "", nil, nil).status).To(Equal(http.StatusOK))
+		Expect(send(http.MethodDelete, f.platformURL+"/v1/vms/"+leaving.id, "", nil, nil).status).To(Equal(http.StatusOK))
 		for range 5 {
-			Expect(another()).To(Equal(before))
+			Expect(runsAfterNextChat()).To(Equal(before))
 		}
-		Expect(c.reads(all)).To(MatchError("EOF"))
-		Expect(c.got).To(beWhole(long))
+		Expect(c.read(untilEnd)).To(MatchError("EOF"))
+		Expect(c.received).To(beCompleteStream(longTokens))
 	})
 })
 
@@ -283,10 +283,10 @@
 	// Chats, calls of services and requests under the fleet's own keys must go
 	// on. Only a caller's own key, which has to be claimed in the store, is turned
 	// away, truly as not run, and it is said when to come back.
-	serves := func(r, other *process) {
+	expectServing := func(r, other *process) {
 		GinkgoHelper()
 		url := chatURL(r)
-		Expect(send(http.MethodPost, url, apiKey, ask(true, "notes"), nil).body).To(HaveSuffix("data: [DONE]\n\n"))
+		Expect(send(http.MethodPost, url, apiKey, newChat(true, "notes"), nil).body).To(HaveSuffix("data: [DONE]\n\n"))
 		Expect(send(http.MethodPost, "http://"+r.addr+"/services/clips/tags", apiKey, "tag", nil).status).To(Equal(http.StatusOK))
 
 		minted := send(http.MethodPost, "http://"+r.addr+"/v1/keys", apiKey, map[string]string{"profile": "chat"}, nil)
@@ -294,42 +294,42 @@
 		Expect(json.Unmarshal([]byte(minted.body), &keys)).To(Succeed())
 		Expect(keys.Keys).To(HaveLen(1))
 		before := len(vm.runs())
-		once := send(http.MethodPost, url, apiKey, ask(false, "book"), http.Header{"Idempotency-Key": keys.Keys})
-		twice := send(http.MethodPost, chatURL(other), apiKey, ask(false, "book"), http.Header{"Idempotency-Key": keys.Keys})
+		once := send(http.MethodPost, url, apiKey, newChat(false, "book"), http.Header{"Idempotency-Key": keys.Keys})
+		twice := send(http.MethodPost, chatURL(other), apiKey, newChat(false, "book"), http.Header{"Idempotency-Key": keys.Keys})
 		Expect(once.status).To(Equal(http.StatusOK))
 		Expect(twice.body).To(Equal(once.body))
 		Expect(vm.runs()).To(HaveLen(before + 1))
 
-		own := send(http.MethodPost, url, apiKey, ask(false, "pay"), http.Header{"Idempotency-Key": {"mine"}})
-		Expect(own.status).To(Equal(http.StatusServiceUnavailable))
-		Expect(own.header.Get("Parsley-Verdict")).To(Equal("not-run"))
-		Expect(own.header.Get("Parsley-Reason")).To(Equal("store-down"))
-		Expect(own.header.Get("Retry-After")).NotTo(BeEmpty())
+		callerKeyed := send(http.MethodPost, url, apiKey, newChat(false, "pay"), http.Header{"Idempotency-Key": {"mine"}})
+		Expect(callerKeyed.status).To(Equal(http.StatusServiceUnavailable))
+		Expect(callerKeyed.header.Get("Parsley-Verdict")).To(Equal("not-run"))
+		Expect(callerKeyed.header.Get("Parsley-Reason")).To(Equal("store-down"))
+		Expect(callerKeyed.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(vm.runs()).To(HaveLen(before + 1))
 	}
 
 	It("is not noticed by callers of routers that know their configuration", func() {
 		one, two := f.addRouter(), f.addRouter()
-		f.faults(standin.ObjectFaults{Down: true})
-		serves(one, two)
+		f.setObjectFaults(standin.ObjectFaults{Down: true})
+		expectServing(one, two)
 	})
 
 	// The platform's list of VMs is down as well.
 	It("is not noticed either when no part of the platform answers", func() {
 		one, two := f.addRouter(), f.addRouter()
-		f.faults(standin.ObjectFaults{Unresponsive: true})
-		f.vmFaults(standin.VMFaults{Down: true})
-		serves(one, two)
+		f.setObjectFaults(standin.ObjectFaults{Unresponsive: true})
+		f.setVMFaults(standin.VMFaults{Down: true})
+		expectServing(one, two)
 	})
 
 	// All routers are replaced while the store is down. A new one has its
 	// configuration from the sidecars, or it would turn every caller away.
 	It("is not noticed by callers of a router that starts in it", func() {
 		former := f.addRouter()
-		Expect(send(http.MethodPost, chatURL(former), apiKey, ask(false, "notes"), nil).status).To(Equal(http.StatusOK))
-		f.faults(standin.ObjectFaults{Down: true})
-		former.session.Kill().Wait(startWithin)
+		Expect(send(http.MethodPost, chatURL(former), apiKey, newChat(false, "notes"), nil).status).To(Equal(http.StatusOK))
+		f.setObjectFaults(standin.ObjectFaults{Down: true})
+		former.session.Kill().Wait(waitTimeout)
 		r := f.addRouter()
-		serves(r, r)
+		expectServing(r, r)
 	})
 })
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -28,7 +28,7 @@
 	apiKey      = "club-key"
 	model       = "notes-7b"
 	tokenSecret = "1:000102030405060708090a0b0c0d0e0f"
-	startWithin = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 // fleet is a set of processes: a platform, upstreams with their sidecars, and
@@ -59,14 +59,14 @@
 	GinkgoHelper()
 	session, err := gexec.Start(exec.Command(program, args...), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(func() { session.Kill().Wait(startWithin) })
+	DeferCleanup(func() { session.Kill().Wait(waitTimeout) })
 	Eventually(func() error {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = c.Close()
 		}
 		return err
-	}, startWithin, 20*time.Millisecond).Should(Succeed())
+	}, waitTimeout, 20*time.Millisecond).Should(Succeed())
 	return &process{addr: addr, session: session}
 }
 
@@ -140,13 +140,13 @@
 	sidecarAddr := freeAddr()
 	vm.admin = freeAddr()
 	args := []string{"sidecar", "--listen", sidecarAddr, "--upstream", url, "--admin-listen", vm.admin, "--platform", f.platformURL}
-	args = append(args, f.trust.flags(secure.Identity{Role: secure.RoleSidecar, VM: vm.id})...)
+	args = append(args, f.trust.identityFlags(secure.Identity{Role: secure.RoleSidecar, VM: vm.id})...)
 	vm.sidecar = start(daemonPath, sidecarAddr, args...)
-	f.list(topo.VM{ID: vm.id, Role: topo.RoleUpstream, Addr: sidecarAddr, Pool: pool, FailureDomain: testDomain})
+	f.registerVM(topo.VM{ID: vm.id, Role: topo.RoleUpstream, Addr: sidecarAddr, Pool: pool, FailureDomain: testDomain})
 	f.upstreams = append(f.upstreams, vm)
 }
 
-func (f *fleet) list(vm topo.VM) {
+func (f *fleet) registerVM(vm topo.VM) {
 	GinkgoHelper()
 	b, err := json.Marshal(vm)
 	Expect(err).NotTo(HaveOccurred())
@@ -171,7 +171,7 @@
 	addr := freeAddr()
 	args := []string{"router", "--listen", addr, "--platform", f.platformURL, "--token-secrets", f.trust.secrets}
 	id := secure.Identity{Role: secure.RoleRouter, VM: fmt.Sprintf("entry-%d", len(f.routers))}
-	args = append(args, f.trust.flags(id)...)
+	args = append(args, f.trust.identityFlags(id)...)
 	r := start(daemonPath, addr, append(args, settings...)...)
 	f.routers = append(f.routers, r)
 	return r
@@ -186,17 +186,17 @@
 			return 0, err
 		}
 		return resp.StatusCode, resp.Body.Close()
-	}, startWithin, 20*time.Millisecond).Should(Equal(http.StatusOK))
+	}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
-// reply is a whole answer as its caller saw it.
-type reply struct {
+// response is a whole answer as its caller saw it.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func send(method, url, key string, body any, header http.Header) reply {
+func send(method, url, key string, body any, header http.Header) response {
 	GinkgoHelper()
 	b, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -211,7 +211,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(text)}
 }
 
 // runs returns the log of an upstream.
--- a/test/leak_test.go
+++ b/test/leak_test.go
@@ -21,41 +21,41 @@
 		upstream := f.addUpstream("engine", "notes")
 		admin := freeAddr()
 		token := f.trust.dir + "/admin-token"
-		replace(token, []byte("operators-only\n"))
+		replaceFile(token, []byte("operators-only\n"))
 		r := f.addRouter("--admin-listen", admin, "--admin-token-file", token, "--log-level", "debug")
 		url := "http://" + r.addr + "/v1/chat/completions"
 		body := chat{Model: model, Messages: []message{{"user", "the injured striker"}}}
 
-		good := send(http.MethodPost, url, apiKey, body, nil)
-		Expect(good.status).To(Equal(http.StatusOK))
-		id, ticket := good.header.Get("Parsley-Request-Id"), good.header.Get("Parsley-Ticket")
+		ok := send(http.MethodPost, url, apiKey, body, nil)
+		Expect(ok.status).To(Equal(http.StatusOK))
+		id, ticket := ok.header.Get("Parsley-Request-Id"), ok.header.Get("Parsley-Ticket")
 		forged := strings.Repeat("A", 90)
-		problems := []reply{
+		problems := []response{
 			send(http.MethodPost, url, "a-stolen-key", body, nil),
 			send(http.MethodPost, url, apiKey, body, http.Header{"Idempotency-Key": {id}, "Parsley-Ticket": {forged}, "Parsley-Profile": {"none"}}),
 			send(http.MethodPost, url, apiKey, body, http.Header{"Traceparent": {"a-stolen-key"}, "Parsley-Ticket": {ticket}}),
 			send(http.MethodGet, "http://"+r.addr+"/v1/requests/"+forged, apiKey, nil, nil),
 			send(http.MethodGet, "http://"+admin+"/debug/vars", "a-stolen-key", nil, nil),
 		}
-		upstream.upstream.session.Kill().Wait(startWithin) // so that errors are told, too
+		upstream.upstream.session.Kill().Wait(waitTimeout) // so that errors are told, too
 		problems = append(problems, send(http.MethodPost, url, apiKey, body, nil))
 		Expect(problems[len(problems)-1].status).NotTo(Equal(http.StatusOK))
 
-		said := vars(admin, "operators-only") + vars(upstream.admin, "")
+		output := vars(admin, "operators-only") + vars(upstream.admin, "")
 		for _, p := range problems {
-			said += p.body
+			output += p.body
 		}
 		for _, s := range []*gexec.Session{r.session, upstream.sidecar.session} {
-			said += string(s.Out.Contents()) + string(s.Err.Contents())
+			output += string(s.Out.Contents()) + string(s.Err.Contents())
 		}
-		Expect(said).To(ContainSubstring("memstats"))
+		Expect(output).To(ContainSubstring("memstats"))
 		for _, secret := range []string{apiKey, "a-stolen-key", "operators-only", "000102030405", "striker", forged, id, ticket} {
-			Expect(said).NotTo(ContainSubstring(secret))
+			Expect(output).NotTo(ContainSubstring(secret))
 		}
 		key, err := os.ReadFile(f.trust.dir + "/router-entry-0.key")
 		Expect(err).NotTo(HaveOccurred())
 		for line := range strings.Lines(string(key)) {
-			Expect(said).NotTo(ContainSubstring(strings.TrimSpace(line)))
+			Expect(output).NotTo(ContainSubstring(strings.TrimSpace(line)))
 		}
 	})
 })
--- a/test/leave_test.go
+++ b/test/leave_test.go
@@ -11,8 +11,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// busy returns the upstream that has run something.
-func (f *fleet) busy() *upstreamVM {
+// busyUpstream returns the upstream that has run something.
+func (f *fleet) busyUpstream() *upstreamVM {
 	GinkgoHelper()
 	for _, vm := range f.upstreams {
 		if len(vm.runs()) > 0 {
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("an upstream", func() {
-	slow := []string{"--token-delay", "60ms"}
+	slowSettings := []string{"--token-delay", "60ms"}
 	first := chat{Model: model, Stream: true, Messages: []message{{"user", "who lost the ball"}}}
 
 	// A coach reads an answer when the VM of its engine is to be replaced. The
@@ -33,17 +33,17 @@
 	It("that leaves cuts no answer and hands its cached prefixes on", func() {
 		f := newFleet()
 		for range 3 {
-			f.addUpstream("engine", "notes", slow...)
+			f.addUpstream("engine", "notes", slowSettings...)
 		}
 		r := f.addRouter()
 		url := "http://" + r.addr + "/v1/chat/completions"
-		answer := open(url, first.Messages[0].Content)
-		leaving := f.busy()
+		answer := openStream(url, first.Messages[0].Content)
+		leaving := f.busyUpstream()
 		leaving.sidecar.session.Signal(syscall.SIGTERM)
-		text, err := answer.rest()
+		text, err := answer.readRest()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(HaveSuffix("data: [DONE]\n\n"))
-		Eventually(leaving.sidecar.session, startWithin).Should(gexec.Exit(0))
+		Eventually(leaving.sidecar.session, waitTimeout).Should(gexec.Exit(0))
 
 		second := first
 		second.Messages = append(second.Messages, message{"assistant", "the left back"}, message{"user", "and then"})
@@ -58,22 +58,22 @@
 	// has not run, as long as the engine is away, and run when it is back.
 	It("that crashes is told from one that is busy, and comes back", func() {
 		f := newFleet()
-		vm := f.addUpstream("engine", "notes", slow...)
+		vm := f.addUpstream("engine", "notes", slowSettings...)
 		r := f.addRouter()
 		url := "http://" + r.addr + "/v1/chat/completions"
-		answer := open(url, first.Messages[0].Content)
-		vm.upstream.session.Kill().Wait(startWithin)
-		_, err := answer.rest()
+		answer := openStream(url, first.Messages[0].Content)
+		vm.upstream.session.Kill().Wait(waitTimeout)
+		_, err := answer.readRest()
 		Expect(err).To(HaveOccurred())
 
-		refused := send(http.MethodPost, url, apiKey, chat{Model: model, Messages: []message{{"user", "another"}}}, nil)
-		Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
-		Expect(refused.header.Get("Parsley-Verdict")).To(Equal(verdict.NotRun.String()))
-		Expect(refused.header.Get("Retry-After")).NotTo(BeEmpty())
+		rejected := send(http.MethodPost, url, apiKey, chat{Model: model, Messages: []message{{"user", "another"}}}, nil)
+		Expect(rejected.status).To(Equal(http.StatusServiceUnavailable))
+		Expect(rejected.header.Get("Parsley-Verdict")).To(Equal(verdict.NotRun.String()))
+		Expect(rejected.header.Get("Retry-After")).NotTo(BeEmpty())
 
 		start(standinPath, vm.upstream.addr, "--kind", "engine", "--listen", vm.upstream.addr, "--name", model)
 		Eventually(func() int {
 			return send(http.MethodPost, url, apiKey, chat{Model: model, Messages: []message{{"user", "another"}}}, nil).status
-		}, startWithin).Should(Equal(http.StatusOK))
+		}, waitTimeout).Should(Equal(http.StatusOK))
 	})
 })
--- a/test/middle_test.go
+++ b/test/middle_test.go
@@ -9,68 +9,68 @@
 	. "github.com/onsi/gomega"
 )
 
-// middle is what stands between routers and a sidecar. It passes bytes on until
+// tcpProxy is what stands between routers and a sidecar. It passes bytes on until
 // it is told to lose track of the connections that are open; new ones work.
-type middle struct {
+type tcpProxy struct {
 	addr   string
 	target string
 
-	mu    sync.Mutex
-	conns []*crossing
-	all   int // connections so far
+	mu       sync.Mutex
+	conns    []*proxiedConn
+	accepted int // connections so far
 }
 
-// crossing is one connection through a middle.
-type crossing struct {
-	near, far net.Conn
-	silent    chan struct{} // closed: bytes are swallowed from now on
+// proxiedConn is one connection through a middle.
+type proxiedConn struct {
+	client, server net.Conn
+	blackholed     chan struct{} // closed: bytes are swallowed from now on
 }
 
-// newMiddle starts a middle before target.
-func newMiddle(target string) *middle {
+// newTCPProxy starts a middle before target.
+func newTCPProxy(target string) *tcpProxy {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	m := &middle{addr: l.Addr().String(), target: target}
+	m := &tcpProxy{addr: l.Addr().String(), target: target}
 	DeferCleanup(func() {
 		_ = l.Close()
 		m.cut()
 	})
 	go func() {
 		for {
-			near, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
 				return
 			}
-			m.open(near)
+			m.handle(client)
 		}
 	}()
 	return m
 }
 
-func (m *middle) open(near net.Conn) {
-	far, err := net.Dial("tcp", m.target)
+func (m *tcpProxy) handle(client net.Conn) {
+	server, err := net.Dial("tcp", m.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &crossing{near: near, far: far, silent: make(chan struct{})}
+	c := &proxiedConn{client: client, server: server, blackholed: make(chan struct{})}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns = append(m.conns, c)
-	m.all++
-	go c.pass(far, near)
-	go c.pass(near, far)
+	m.accepted++
+	go c.forward(server, client)
+	go c.forward(client, server)
 }
 
-// pass copies from one side to the other. In silence it goes on reading, so
+// forward copies from one side to the other. In silence it goes on reading, so
 // that neither side can tell by its own writes, and says nothing of the end.
-func (c *crossing) pass(to, from net.Conn) {
+func (c *proxiedConn) forward(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		select {
-		case <-c.silent:
+		case <-c.blackholed:
 			_, _ = io.Copy(io.Discard, from)
 			return
 		default:
@@ -85,8 +85,8 @@
 	}
 }
 
-// take returns the open connections, which are forgotten.
-func (m *middle) take() []*crossing {
+// takeConns returns the open connections, which are forgotten.
+func (m *tcpProxy) takeConns() []*proxiedConn {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	conns := m.conns
@@ -94,23 +94,23 @@
 	return conns
 }
 
-// silence swallows what the open connections carry from now on.
-func (m *middle) silence() {
-	for _, c := range m.take() {
-		close(c.silent)
+// blackhole swallows what the open connections carry from now on.
+func (m *tcpProxy) blackhole() {
+	for _, c := range m.takeConns() {
+		close(c.blackholed)
 	}
 }
 
 // cut breaks the open connections.
-func (m *middle) cut() {
-	for _, c := range m.take() {
-		_, _ = c.near.Close(), c.far.Close()
+func (m *tcpProxy) cut() {
+	for _, c := range m.takeConns() {
+		_, _ = c.client.Close(), c.server.Close()
 	}
 }
 
 // connections returns how many connections there have been.
-func (m *middle) connections() int {
+func (m *tcpProxy) connections() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.all
+	return m.accepted
 }
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -23,8 +23,8 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// reported reads a stand-in's report.
-func reported[T any](url string) T {
+// getJSON reads a stand-in's report.
+func getJSON[T any](url string) T {
 	GinkgoHelper()
 	resp, err := http.Get(url)
 	Expect(err).NotTo(HaveOccurred())
@@ -34,9 +34,9 @@
 	return v
 }
 
-// holder returns the VM of the router that holds the controller's lease, and
+// leaseHolder returns the VM of the router that holds the controller's lease, and
 // its fencing token.
-func (f *fleet) holder() (string, wire.FencingToken) {
+func (f *fleet) leaseHolder() (string, wire.FencingToken) {
 	o, err := f.store.Get(context.Background(), topo.Ref{Kind: topo.KindLease, Name: controller.LeaseName})
 	if err != nil {
 		return "", 0
@@ -47,14 +47,14 @@
 	return vm, lease.TokenOf(r, o.Version)
 }
 
-// order gives an order to a sidecar as a router would.
-func (f *fleet) order(vm *upstreamVM, o wire.Order) wire.OrderStatus {
+// sendOrder gives an sendOrder to a sidecar as a router would.
+func (f *fleet) sendOrder(vm *upstreamVM, o wire.Order) wire.OrderStatus {
 	GinkgoHelper()
 	id := secure.Identity{Role: secure.RoleRouter, VM: "entry-9"}
-	as, err := secure.NewMutualTLS(id, trustDomain, f.trust.issue(id))
+	client, err := secure.NewMutualTLS(id, trustDomain, f.trust.issue(id))
 	Expect(err).NotTo(HaveOccurred())
 	peer := wire.NewPeer(wire.PeerConfig{Dial: func(ctx context.Context) (net.Conn, error) {
-		return as.Dial(ctx, vm.id, vm.sidecar.addr)
+		return client.Dial(ctx, vm.id, vm.sidecar.addr)
 	}})
 	defer peer.Close()
 	var status wire.OrderStatus
@@ -81,21 +81,21 @@
 		}
 		for i := range 3 {
 			r := f.addRouter("--lease-ttl", "2s", "--weight-load-interval", "1s")
-			f.list(topo.VM{ID: fmt.Sprintf("entry-%d", i), Role: topo.RoleRouter, Addr: r.addr})
+			f.registerVM(topo.VM{ID: fmt.Sprintf("entry-%d", i), Role: topo.RoleRouter, Addr: r.addr})
 		}
-		Eventually(func() string { vm, _ := f.holder(); return vm }, startWithin, 50*time.Millisecond).ShouldNot(BeEmpty())
+		Eventually(func() string { vm, _ := f.leaseHolder(); return vm }, waitTimeout, 50*time.Millisecond).ShouldNot(BeEmpty())
 		f.put(topo.Ref{Kind: topo.KindPool, Name: "notes"},
 			profile.Pool{Name: "notes", Model: model, Version: "2", Role: profile.EngineMixed, MaxUnavailable: 0.25})
 
-		taken := func() int {
+		ordersTaken := func() int {
 			n := 0
 			for _, vm := range f.upstreams {
-				n += len(reported[[]wire.Order]("http://" + vm.upstream.addr + "/debug/orders"))
+				n += len(getJSON[[]wire.Order]("http://" + vm.upstream.addr + "/debug/orders"))
 			}
 			return n
 		}
-		Eventually(taken, startWithin, 20*time.Millisecond).Should(BeNumerically(">=", 1))
-		frozenVM, oldToken := f.holder()
+		Eventually(ordersTaken, waitTimeout, 20*time.Millisecond).Should(BeNumerically(">=", 1))
+		frozenVM, oldToken := f.leaseHolder()
 		var frozen *process
 		for i, r := range f.routers {
 			if fmt.Sprintf("entry-%d", i) == frozenVM {
@@ -103,27 +103,27 @@
 			}
 		}
 		frozen.session.Signal(syscall.SIGSTOP)
-		Eventually(func() wire.FencingToken { _, t := f.holder(); return t }, startWithin, 50*time.Millisecond).Should(BeNumerically(">", oldToken))
-		Eventually(taken, startWithin, 50*time.Millisecond).Should(Equal(len(f.upstreams)))
+		Eventually(func() wire.FencingToken { _, t := f.leaseHolder(); return t }, waitTimeout, 50*time.Millisecond).Should(BeNumerically(">", oldToken))
+		Eventually(ordersTaken, waitTimeout, 50*time.Millisecond).Should(Equal(len(f.upstreams)))
 		frozen.session.Signal(syscall.SIGCONT)
 
 		for i, vm := range f.upstreams {
 			old := wire.Order{ID: "old", Token: oldToken, Action: wire.OrderPrepare, Want: wire.ModelSpec{Model: model, Version: "1"}}
-			status := f.order(vm, old)
+			status := f.sendOrder(vm, old)
 			Expect(status.Error).NotTo(BeNil(), "engine %d took an old order", i)
 			Expect(status.Error.Reason).To(Equal(verdict.ReasonFenced))
 		}
 		Eventually(func() []string {
 			var versions []string
 			for _, vm := range f.upstreams {
-				versions = append(versions, reported[wire.OrderStatus]("http://"+vm.upstream.addr+"/orders").Loaded.Version)
+				versions = append(versions, getJSON[wire.OrderStatus]("http://"+vm.upstream.addr+"/orders").Loaded.Version)
 			}
 			return versions
-		}, startWithin, 50*time.Millisecond).Should(HaveEach("2"))
+		}, waitTimeout, 50*time.Millisecond).Should(HaveEach("2"))
 		for _, vm := range f.upstreams {
-			Expect(reported[[]wire.Order]("http://" + vm.upstream.addr + "/debug/orders")).To(HaveLen(1))
+			Expect(getJSON[[]wire.Order]("http://" + vm.upstream.addr + "/debug/orders")).To(HaveLen(1))
 		}
-		report := reported[standin.WeightReport]("http://" + weightsAddr + "/debug/weights")
+		report := getJSON[standin.WeightReport]("http://" + weightsAddr + "/debug/weights")
 		Expect(report.Loads).To(Equal(len(f.upstreams)))
 		Expect(report.Violations).To(BeZero())
 	})
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -20,13 +20,13 @@
 	lines *bufio.Reader
 }
 
-// open begins a streamed chat and returns when its first line has come.
-func open(url, text string) *stream {
+// openStream begins a streamed chat and returns when its first line has come.
+func openStream(url, text string) *stream {
 	GinkgoHelper()
-	return openWith(http.DefaultClient, url, text)
+	return openStreamWith(http.DefaultClient, url, text)
 }
 
-func openWith(client *http.Client, url, text string) *stream {
+func openStreamWith(client *http.Client, url, text string) *stream {
 	GinkgoHelper()
 	body, err := json.Marshal(chat{Model: model, Stream: true, Messages: []message{{"user", text}}})
 	Expect(err).NotTo(HaveOccurred())
@@ -42,17 +42,17 @@
 	return s
 }
 
-// rest reads the answer to its end.
-func (s *stream) rest() (string, error) {
+// readRest reads the answer to its end.
+func (s *stream) readRest() (string, error) {
 	defer s.resp.Body.Close()
 	b, err := io.ReadAll(s.lines)
 	return string(b), err
 }
 
-// visit is one request that the balancer sent while the router was leaving.
-type visit struct {
-	status int
-	closes bool // the answer asks for its connection to be closed
+// visitResult is one request that the balancer sent while the router was leaving.
+type visitResult struct {
+	status  int
+	closing bool // the answer asks for its connection to be closed
 }
 
 // balancer sends requests and keeps connections, as balancers do.
@@ -61,19 +61,19 @@
 	url    string
 }
 
-func (b balancer) visit() (visit, error) {
+func (b balancer) visit() (visitResult, error) {
 	req, err := http.NewRequest(http.MethodGet, b.url, nil)
 	if err != nil {
-		return visit{}, err
+		return visitResult{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+apiKey)
 	resp, err := b.client.Do(req)
 	if err != nil {
-		return visit{}, err
+		return visitResult{}, err
 	}
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
-	return visit{resp.StatusCode, resp.Close}, err
+	return visitResult{resp.StatusCode, resp.Close}, err
 }
 
 var _ = Describe("a planned stop of a router", func() {
@@ -90,10 +90,10 @@
 		url := "http://" + r.addr + "/v1/chat/completions"
 		var streams []*stream
 		for _, text := range []string{"who lost the ball", "and then", "the second half"} {
-			streams = append(streams, open(url, text))
+			streams = append(streams, openStream(url, text))
 		}
-		sends := balancer{client: &http.Client{Transport: &http.Transport{}}, url: "http://" + r.addr + "/services/clips/clip"}
-		Expect(sends.visit()).To(Equal(visit{http.StatusOK, false}))
+		lb := balancer{client: &http.Client{Transport: &http.Transport{}}, url: "http://" + r.addr + "/services/clips/clip"}
+		Expect(lb.visit()).To(Equal(visitResult{http.StatusOK, false}))
 		r.session.Signal(syscall.SIGTERM)
 
 		Eventually(func() (int, error) {
@@ -102,21 +102,21 @@
 				return 0, err
 			}
 			return resp.StatusCode, resp.Body.Close()
-		}, startWithin).Should(Equal(http.StatusServiceUnavailable), "readiness fails while the listener is open")
-		live := send(http.MethodGet, "http://"+r.addr+"/livez", apiKey, nil, nil)
-		Expect(live.status).To(Equal(http.StatusOK), "a router that is leaving is not to be killed")
+		}, waitTimeout).Should(Equal(http.StatusServiceUnavailable), "readiness fails while the listener is open")
+		liveness := send(http.MethodGet, "http://"+r.addr+"/livez", apiKey, nil, nil)
+		Expect(liveness.status).To(Equal(http.StatusOK), "a router that is leaving is not to be killed")
 
 		for range 20 {
-			Expect(sends.visit()).To(Equal(visit{status: http.StatusOK, closes: true}))
+			Expect(lb.visit()).To(Equal(visitResult{status: http.StatusOK, closing: true}))
 		}
 		for _, s := range streams {
-			answer, err := s.rest()
+			answer, err := s.readRest()
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer).To(HaveSuffix("data: [DONE]\n\n"))
 		}
-		_, err := sends.visit()
+		_, err := lb.visit()
 		Expect(err).To(MatchError(syscall.ECONNREFUSED), "the streams ended after the listener closed")
-		Eventually(r.session, startWithin).Should(gexec.Exit(0))
+		Eventually(r.session, waitTimeout).Should(gexec.Exit(0))
 	})
 
 	// An operator who has sent SIGTERM by mistake to a router with a long
@@ -125,13 +125,13 @@
 		f := newFleet()
 		f.addUpstream("engine", "notes", "--token-delay", "100ms", "--tokens", "3000")
 		r := f.addRouter("--drain-delay", "1h")
-		answer := open("http://"+r.addr+"/v1/chat/completions", "who lost the ball")
+		answer := openStream("http://"+r.addr+"/v1/chat/completions", "who lost the ball")
 		r.session.Signal(syscall.SIGTERM)
-		Eventually(r.session.Err, startWithin).Should(gbytes.Say("leaving: readiness fails"))
+		Eventually(r.session.Err, waitTimeout).Should(gbytes.Say("leaving: readiness fails"))
 		r.session.Signal(syscall.SIGTERM)
-		Eventually(r.session, startWithin).Should(gexec.Exit())
+		Eventually(r.session, waitTimeout).Should(gexec.Exit())
 		Expect(r.session.ExitCode()).NotTo(BeZero())
-		_, err := answer.rest()
+		_, err := answer.readRest()
 		Expect(err).To(HaveOccurred(), "a cut answer must not look whole")
 	})
 })
@@ -144,10 +144,10 @@
 		f := newFleet()
 		vm := f.addUpstream("engine", "notes")
 		waitReady(vm.admin)
-		vm.upstream.session.Kill().Wait(startWithin)
+		vm.upstream.session.Kill().Wait(waitTimeout)
 		Eventually(func() int {
 			return send(http.MethodGet, "http://"+vm.admin+"/readyz", "", nil, nil).status
-		}, startWithin).Should(Equal(http.StatusServiceUnavailable))
+		}, waitTimeout).Should(Equal(http.StatusServiceUnavailable))
 		Expect(send(http.MethodGet, "http://"+vm.admin+"/livez", "", nil, nil).status).To(Equal(http.StatusOK))
 	})
 })
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -14,19 +14,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// hop is one span that a process has exported.
-type hop struct {
+// exportedSpan is one span that a process has exported.
+type exportedSpan struct {
 	trace, id, parent string
 }
 
-// traces is a collector of spans.
-type traces struct {
+// spanCollector is a collector of spans.
+type spanCollector struct {
 	mu    sync.Mutex
-	spans map[string]hop // by name
+	spans map[string]exportedSpan // by name
 }
 
 // ServeHTTP takes spans by OTLP over HTTP.
-func (t *traces) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (t *spanCollector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var export collector.ExportTraceServiceRequest
 	b, err := io.ReadAll(r.Body)
 	if err != nil || proto.Unmarshal(b, &export) != nil {
@@ -38,16 +38,16 @@
 	for _, resource := range export.ResourceSpans {
 		for _, scope := range resource.ScopeSpans {
 			for _, s := range scope.Spans {
-				t.spans[s.Name] = hop{hex.EncodeToString(s.TraceId), hex.EncodeToString(s.SpanId), hex.EncodeToString(s.ParentSpanId)}
+				t.spans[s.Name] = exportedSpan{hex.EncodeToString(s.TraceId), hex.EncodeToString(s.SpanId), hex.EncodeToString(s.ParentSpanId)}
 			}
 		}
 	}
 }
 
-func (t *traces) hops() map[string]hop {
+func (t *spanCollector) snapshot() map[string]exportedSpan {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]hop)
+	out := make(map[string]exportedSpan)
 	for name, h := range t.spans {
 		out[name] = h
 	}
@@ -56,8 +56,8 @@
 
 var _ = Describe("traces", func() {
 	It("hold a span for each hop of a caller's trace", func() {
-		out := &traces{spans: make(map[string]hop)}
-		server := httptest.NewServer(out)
+		spans := &spanCollector{spans: make(map[string]exportedSpan)}
+		server := httptest.NewServer(spans)
 		DeferCleanup(server.Close)
 		GinkgoT().Setenv("PARSLEYD_TRACE_ENDPOINT", server.URL+"/v1/traces")
 		GinkgoT().Setenv("PARSLEYD_TRACE_RATIO", "0") // the caller decides
@@ -73,18 +73,18 @@
 
 		names := []string{"caller", "router", "sidecar", "upstream"}
 		Eventually(func() []string {
-			var have []string
-			for name := range out.hops() {
-				have = append(have, name)
+			var exported []string
+			for name := range spans.snapshot() {
+				exported = append(exported, name)
 			}
-			return have
-		}, startWithin).Should(ConsistOf(names))
-		before := parent
+			return exported
+		}, waitTimeout).Should(ConsistOf(names))
+		expectedParent := parent
 		for _, name := range names {
-			h := out.hops()[name]
+			h := spans.snapshot()[name]
 			Expect(h.trace).To(Equal(trace))
-			Expect(h.parent).To(Equal(before), "parent of "+name)
-			before = h.id
+			Expect(h.parent).To(Equal(expectedParent), "parent of "+name)
+			expectedParent = h.id
 		}
 	})
 })
