--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -38,14 +38,14 @@
 `
 )
 
-// commandResult is a command that has commandResult.
+// commandResult is the exit code and output of a command.
 type commandResult struct {
 	code   ctl.Code
 	out    string
 	errOut string
 }
 
-// runCtl runs parsleyctl against a platform.
+// runCtl runs parsleyctl against a platform and waits for its exit.
 func runCtl(platformURL string, args ...string) commandResult {
 	GinkgoHelper()
 	cmd := exec.Command(ctlPath, args...)
@@ -56,7 +56,7 @@
 	return commandResult{ctl.Code(session.ExitCode()), string(session.Out.Contents()), string(session.Err.Contents())}
 }
 
-// writeFile writes a file for parsleyctl.
+// writeFile writes objects.yaml for parsleyctl and returns its path.
 func writeFile(text string) string {
 	GinkgoHelper()
 	name := filepath.Join(GinkgoT().TempDir(), "objects.yaml")
@@ -64,8 +64,7 @@
 	return name
 }
 
-// addListedRouter starts a router with an API for operators and lists its VM.
-// It returns the VM's id.
+// addListedRouter starts a router with an admin API and registers its VM. It returns the VM's id.
 func (f *fleet) addListedRouter() string {
 	GinkgoHelper()
 	addr := freeAddr()
@@ -75,8 +74,8 @@
 	return id
 }
 
-// platformProxy stands before the platform. serve answers a write of an object
-// of kind; all else is passed on.
+// platformProxy starts a proxy to the platform. serve handles writes of objects of kind; all other
+// requests are forwarded.
 func platformProxy(platformURL string, kind topo.Kind, serve func(http.ResponseWriter, *http.Request, http.Handler)) *httptest.Server {
 	GinkgoHelper()
 	target, err := url.Parse(platformURL)
@@ -93,13 +92,13 @@
 	return server
 }
 
-// loseResponse lets a write take effect and breaks the connection.
+// loseResponse lets a write take effect and closes the connection without a response.
 func loseResponse(r *http.Request, proxy http.Handler) {
 	proxy.ServeHTTP(httptest.NewRecorder(), r)
 	panic(http.ErrAbortHandler)
 }
 
-// setObjectFaults breaks the platform's object API.
+// setObjectFaults injects faults into the platform's object API.
 func (f *fleet) setObjectFaults(faults standin.ObjectFaults) {
 	GinkgoHelper()
 	b, err := json.Marshal(faults)
@@ -131,7 +130,7 @@
 		f = newFleet()
 	})
 
-	It("brings a change into force and back, and tells of it", func() {
+	It("applies and rolls back a change, and shows its history", func() {
 		f.addUpstream("engine", "notes")
 		f.addListedRouter()
 		router := f.addListedRouter()
@@ -178,8 +177,8 @@
 		Expect(explained.out).To(MatchRegexp(`1 +vm-0 .* ranks high for the session`))
 	})
 
-	// A router has died and the list of VMs still shows it. An operator who
-	// waits for a change must not be told that it is in force there.
+	// A router has died and the list of VMs still contains it. An operator who waits for a change
+	// must not see it reported as in force there.
 	It("names the router that does not confirm a change", func() {
 		f.addListedRouter()
 		f.registerVM(topo.VM{ID: "entry-9", Role: topo.RoleRouter, AdminAddr: freeAddr()})
@@ -190,8 +189,8 @@
 		Expect(runCtl(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitOK))
 	})
 
-	// A request was running when its upstream crashed. Whoever is called for the
-	// upstream has to learn that a request may have done it.
+	// A request was running when its upstream crashed. The operator must see that this request may
+	// have caused the crash.
 	It("names a request that may crash upstreams", func() {
 		vm := f.addUpstream("engine", "notes", "--token-delay", "60ms")
 		f.addListedRouter()
@@ -204,10 +203,9 @@
 			Should(MatchRegexp(`(?s)QUARANTINED REQUEST.*[0-9a-f]{16} +suspect +1 `))
 	})
 
-	// The connection on which a router waits for changes has gone silent: nothing
-	// fails and nothing arrives. An operator who waits for a change would sit
-	// there until the router gives the watch up by itself.
-	It("does not wait for a watch that has gone silent", func() {
+	// The connection on which a router watches for changes is stalled: no error, no data. An
+	// operator who waits for a change must not have to wait until the router gives up the watch.
+	It("does not wait for a stalled watch", func() {
 		f.addListedRouter()
 		file := writeFile(notesPool + sharedProfile)
 		f.setObjectFaults(standin.ObjectFaults{UnresponsiveWatches: 1})
@@ -218,10 +216,10 @@
 		Expect(got.code).To(Equal(ctl.ExitOK), got.out)
 	})
 
-	// The store commits the change and its answer is lost. Told "failed", the
-	// operator would make it again on top of another's; told "done" without
-	// knowing, they would go home while it is not.
-	It("resolves a lost answer", func() {
+	// The store commits the change and its response is lost. Reported as failed, the change might
+	// be repeated on top of another operator's. Reported as applied without a check, it might not
+	// be in force.
+	It("finds out whether a change was committed when the response is lost", func() {
 		var lost atomic.Bool
 		p := platformProxy(f.platformURL, topo.KindPool, func(w http.ResponseWriter, r *http.Request, proxy http.Handler) {
 			if lost.CompareAndSwap(false, true) {
@@ -235,7 +233,7 @@
 		Expect(runCtl(f.platformURL, "history", "pool/notes", "-o", "yaml").out).NotTo(ContainSubstring("parent"))
 	})
 
-	It("says that it does not know when the store is down after a lost answer", func() {
+	It("reports an unknown outcome when the store goes down after a lost response", func() {
 		p := platformProxy(f.platformURL, topo.KindPool, func(_ http.ResponseWriter, r *http.Request, proxy http.Handler) {
 			defer f.setObjectFaults(standin.ObjectFaults{Down: true})
 			loseResponse(r, proxy)
@@ -252,9 +250,9 @@
 		Expect(again.out).To(And(MatchRegexp(`pool/notes +unchanged`), MatchRegexp(`profile/shared +created`)))
 	})
 
-	// The platform stops serving between two objects. An operator who is told
-	// "failed" believes that nothing has changed.
-	It("says which objects were changed when an apply breaks off", func() {
+	// The platform fails between two objects. An operator who sees only "failed" would assume that
+	// nothing has changed.
+	It("reports which objects were changed when an apply fails midway", func() {
 		p := platformProxy(f.platformURL, topo.KindProfile, func(w http.ResponseWriter, _ *http.Request, _ http.Handler) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
@@ -264,9 +262,9 @@
 		Expect(runCtl(f.platformURL, "get", "profile/shared").code).To(Equal(ctl.ExitNotFound))
 	})
 
-	// Two operators edit the same profile. Whoever applies second would undo
-	// the other's change without a word, and neither would know.
-	It("lets one of two racing operators win and shows both changes to the other", func() {
+	// Two operators edit the same profile. Without a check of the base version, the second to apply
+	// would silently undo the change of the first.
+	It("accepts one of two concurrent edits and shows both to the other operator", func() {
 		Expect(runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
 		base := runCtl(f.platformURL, "get", "profile/shared").out
 		faster := writeFile(strings.Replace(base, "30s", "40s", 1))
@@ -279,9 +277,9 @@
 		Expect(now).To(And(ContainSubstring("deadline: 40s"), ContainSubstring("retry_budget: 0.1")))
 	})
 
-	// The same at the same moment, from several machines: some read before the
-	// winner's write and lose at the store, others after and lose by the change id.
-	It("lets exactly one of many simultaneous changes win", func() {
+	// The same edits at the same time, from several machines: some read before the winner's write
+	// and fail at the store, others read after it and fail by the change id.
+	It("accepts exactly one of many simultaneous changes", func() {
 		Expect(runCtl(f.platformURL, "apply", writeFile(notesPool+sharedProfile)).code).To(Equal(ctl.ExitOK))
 		base := runCtl(f.platformURL, "get", "profile/shared").out
 		const racers = 8
@@ -304,8 +302,8 @@
 		Expect(strings.Count(history, "- id:")).To(Equal(2))
 	})
 
-	// A whole deployment is applied while the platform serves few writes a second.
-	// An apply that breaks off in the middle leaves half of it in force.
+	// A deployment is applied while the platform accepts few writes a second. An apply that failed
+	// midway would leave half of it in force.
 	It("applies many objects within the platform's rate", func() {
 		f.addListedRouter()
 		f.setObjectFaults(standin.ObjectFaults{WritesPerSecond: 10})
--- a/test/failing_test.go
+++ b/test/failing_test.go
@@ -17,7 +17,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// serviceFleet starts a fleet whose plain service is h, at so many upstreams.
+// serviceFleet starts a fleet with a plain service that h serves, at the given number of upstreams.
 func serviceFleet(upstreams int, p profile.Profile, h http.HandlerFunc) *fleet {
 	GinkgoHelper()
 	f := newFleet()
@@ -39,10 +39,9 @@
 }
 
 var _ = Describe("a service that fails", func() {
-	// Every upstream of the room search breaks off each call. Guests search on.
-	// Calls that are tried again and again, at one upstream after the other,
-	// would make of a bad minute one from which the service does not recover.
-	It("gets no more than a tenth on top of what callers send", func() {
+	// Every upstream of a service aborts each call, and callers continue to send. Unlimited retries
+	// at one upstream after the other would keep the service overloaded and prevent its recovery.
+	It("gets at most a tenth more calls by retries", func() {
 		const callers, callsPerCaller = 10, 30
 		var attempts atomic.Int64
 		f := serviceFleet(3, profile.Profile{Idempotent: true, RetryBudget: 0.1, Deadline: profile.Duration(10 * time.Second)},
@@ -67,14 +66,13 @@
 		Expect(attempts.Load()).To(BeNumerically(">", 0))
 	})
 
-	// The login check's service takes calls and says nothing. The bench must not
-	// freeze with it: there is an answer at the deadline, a true one, and the call
-	// does not hold the service any longer.
-	It("holds no call past its deadline when it freezes", func() {
+	// A service accepts calls and never responds. The caller must get a response at the deadline,
+	// with the verdict may-have-run, and the call must be cancelled at the service.
+	It("holds no call beyond its deadline when it hangs", func() {
 		released := make(chan struct{}, 10)
 		f := serviceFleet(2, profile.Profile{Idempotent: true, RetryBudget: 0.1, Deadline: profile.Duration(time.Second)},
 			func(_ http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // a server hears of the end only after that
+				_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after that
 				<-r.Context().Done()
 				released <- struct{}{}
 			})
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -18,7 +18,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/topo"
 )
 
-// responseReader is a responseReader in the middle of an answer.
+// responseReader reads a response in parts and keeps what it has read.
 type responseReader struct {
 	resp     *http.Response
 	received []byte
@@ -28,7 +28,7 @@
 	return chat{Model: model, Stream: streamed, Messages: []message{{"user", text}}}
 }
 
-// startChat sends a chat and returns when the answer's head has come.
+// startChat sends a chat and returns when the headers of the response have arrived.
 func startChat(router *process, c chat, header http.Header) (*responseReader, error) {
 	GinkgoHelper()
 	body, err := json.Marshal(c)
@@ -50,7 +50,7 @@
 	return "http://" + router.addr + "/v1/chat/completions"
 }
 
-// read takes at least n more bytes of the answer, or all that come before an error.
+// read reads at least n more bytes of the response, or all up to an error, which it returns.
 func (c *responseReader) read(n int) error {
 	buf := make([]byte, 4096)
 	for end := len(c.received) + n; len(c.received) < end; {
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// untilEnd is more than any answer.
+// untilEnd is a length beyond that of any response.
 const untilEnd = 1 << 30
 
-// startStream begins a streamed chat and reads the start of its answer.
+// startStream sends a streamed chat and reads the first 1000 bytes of the response.
 func startStream(router *process, text string) *responseReader {
 	GinkgoHelper()
 	c, err := startChat(router, newChat(true, text), nil)
@@ -80,7 +80,7 @@
 	return c.resp.Header.Get("Parsley-Request-Id")
 }
 
-// fetchResponse asks a router for the answer to an earlier request from an offset on.
+// fetchResponse requests from a router the response to an earlier request, from an offset on.
 func fetchResponse(router *process, id string, offset int) response {
 	GinkgoHelper()
 	return send(http.MethodGet, "http://"+router.addr+"/v1/requests/"+id+"?offset="+strconv.Itoa(offset), apiKey, nil, nil)
@@ -88,13 +88,13 @@
 
 var tokenPattern = regexp.MustCompile(`"content":"w[0-9a-f]+-(\d+) "`)
 
-// beCompleteStream matches a streamed answer with all its tokens, each once and in order.
+// beCompleteStream matches a streamed response that has all its tokens, each once and in order.
 func beCompleteStream(tokens int) OmegaMatcher {
 	return WithTransform(func(answer []byte) error {
 		found := tokenPattern.FindAllSubmatch(answer, -1)
 		for i, f := range found {
 			if string(f[1]) != strconv.Itoa(i) {
-				return fmt.Errorf("token %s in place %d", f[1], i)
+				return fmt.Errorf("token %s at position %d", f[1], i)
 			}
 		}
 		if len(found) != tokens || !bytes.HasSuffix(answer, []byte("data: [DONE]\n\n")) {
@@ -104,13 +104,13 @@
 	}, Succeed())
 }
 
-// setVMFaults breaks the list of VMs.
+// setVMFaults injects faults into the list of VMs.
 func (f *fleet) setVMFaults(faults standin.VMFaults) {
 	GinkgoHelper()
 	Expect(send(http.MethodPut, f.platformURL+"/faults/vms", "", faults, nil).status).To(Equal(http.StatusOK))
 }
 
-// runs returns how often all upstreams have run something.
+// runs returns the number of requests that all upstreams have run.
 func (f *fleet) runs() int {
 	GinkgoHelper()
 	n := 0
@@ -120,7 +120,7 @@
 	return n
 }
 
-// otherUpstream returns the one upstream besides vm.
+// otherUpstream returns the upstream other than vm in a fleet of two.
 func (f *fleet) otherUpstream(vm *upstreamVM) *upstreamVM {
 	GinkgoHelper()
 	Expect(f.upstreams).To(HaveLen(2))
@@ -130,14 +130,14 @@
 	return f.upstreams[0]
 }
 
-var _ = Describe("an answer under way", func() {
+var _ = Describe("a response in flight", func() {
 	const tokens = 150
 	slowSettings := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(tokens)}
 
-	// A coach reads halftime notes when the router is killed: the stream breaks
-	// off. The coach's program asks another router for the rest, from the byte
-	// at which it was. Without the sidecar's buffer it would have to ask anew.
-	It("goes on at another router when its own is killed", func() {
+	// A router is killed during a streamed response. The caller requests the rest from another
+	// router, from the offset that it has reached. Without the sidecar's buffer it would have to
+	// send the request again.
+	It("continues at another router when its own is killed", func() {
 		f := newFleet()
 		vm := f.addUpstream("engine", "notes", slowSettings...)
 		one, two := f.addRouter(), f.addRouter()
@@ -150,11 +150,10 @@
 		Expect(vm.runs()).To(HaveLen(1))
 	})
 
-	// A coach reads notes when something between router and sidecar loses track
-	// of the connection: it breaks, or nothing fails and nothing comes. New
-	// connections work. Notes that stop for good, or that run a second time and
-	// start over, are what a coach would see.
-	DescribeTable("is whole and ran once when its connection", func(lose func(*tcpProxy)) {
+	// The connection between router and sidecar fails during a response: it breaks, or bytes are
+	// lost without an error. New connections work. Without recovery, the response would stall for
+	// good, or run a second time and start over.
+	DescribeTable("is complete and ran once when its connection", func(lose func(*tcpProxy)) {
 		f := newFleet()
 		vm := f.addUpstream("engine", "notes", slowSettings...)
 		m := newTCPProxy(vm.sidecar.addr)
@@ -164,15 +163,14 @@
 		Expect(c.read(untilEnd)).To(MatchError("EOF"))
 		Expect(c.received).To(beCompleteStream(tokens))
 		Expect(vm.runs()).To(HaveLen(1))
-		Expect(m.connections()).To(Equal(2), "the rest came over a new connection")
+		Expect(m.connections()).To(Equal(2), "the rest must arrive over a new connection")
 	},
 		Entry("is cut", (*tcpProxy).cut),
-		Entry("goes silent", (*tcpProxy).blackhole),
+		Entry("stalls", (*tcpProxy).blackhole),
 	)
 
-	// The VM of an upstream freezes for some seconds in the middle of an answer
-	// and then goes on as if nothing had been.
-	It("is whole and ran once when its sidecar freezes and thaws", func() {
+	// The sidecar of an upstream freezes for some seconds during a response and then continues.
+	It("is complete and ran once when its sidecar freezes and continues", func() {
 		f := newFleet()
 		f.addUpstream("engine", "notes", slowSettings...)
 		f.addUpstream("engine", "notes", slowSettings...)
@@ -187,10 +185,9 @@
 		Expect(f.runs()).To(Equal(1))
 	})
 
-	// A sidecar or its upstream dies in the middle of an answer. The caller has a
-	// part of it: a regular end would pass the part off as the whole, and the
-	// other upstream must not begin what has been begun here.
-	DescribeTable("breaks off with the truth when", func(kill func(*upstreamVM)) {
+	// A sidecar or its upstream dies during a response. The caller has a part of it: with a regular
+	// end, the part would look complete. The other upstream must not run the request again.
+	DescribeTable("ends with an error that says it ran when", func(kill func(*upstreamVM)) {
 		f := newFleet()
 		f.addUpstream("engine", "notes", slowSettings...)
 		f.addUpstream("engine", "notes", slowSettings...)
@@ -206,8 +203,8 @@
 		Entry("its upstream is killed", func(vm *upstreamVM) { vm.upstream.session.Kill().Wait(waitTimeout) }),
 	)
 
-	// A request that may not run twice has been sent, and not a byte has come
-	// back, when the sidecar dies. Told "not run", the caller would send it anew.
+	// A request that may not run twice has been sent, and no byte has come back, when the sidecar
+	// dies. If the verdict were not-run, the caller would send it again.
 	It("may have run when its sidecar is killed before the first byte", func() {
 		f := newFleet()
 		f.addUpstream("engine", "notes", "--token-delay", "1h")
@@ -228,10 +225,10 @@
 		Expect(f.runs()).To(Equal(1))
 	})
 
-	// The list of VMs shows late that an upstream is leaving, and then drops it
-	// while it is still writing. New chats must go elsewhere within seconds, also
-	// those that carry a ticket for it, and the answer under way must not be cut.
-	It("is not cut when its VM leaves by a list that lags", func() {
+	// The list of VMs shows late that an upstream is leaving, and drops it while it still responds.
+	// New chats must go elsewhere within seconds, also those with a ticket for it, and the response
+	// in flight must not be cut.
+	It("is not cut when its VM leaves and the list of VMs lags", func() {
 		const longTokens = 400
 		f := newFleet()
 		longSettings := []string{"--token-delay", "10ms", "--tokens", strconv.Itoa(longTokens)}
@@ -258,7 +255,7 @@
 			same := now == before
 			before = now
 			return same
-		}, 4*time.Second).Should(BeTrue(), "no new work within a few seconds")
+		}, 4*time.Second).Should(BeTrue(), "new chats must go elsewhere within a few seconds")
 		Expect(send(http.MethodDelete, f.platformURL+"/v1/vms/"+leaving.id, "", nil, nil).status).To(Equal(http.StatusOK))
 		for range 5 {
 			Expect(runsAfterNextChat()).To(Equal(before))
@@ -280,9 +277,9 @@
 		f.addUpstream("service", "clips")
 	})
 
-	// Chats, calls of services and requests under the fleet's own keys must go
-	// on. Only a caller's own key, which has to be claimed in the store, is turned
-	// away, truly as not run, and it is said when to come back.
+	// Chats, service calls and requests under keys that the fleet issued must succeed. Only a
+	// request under a caller's own key, which has to be claimed in the store, is rejected, as not
+	// run and with a Retry-After.
 	expectServing := func(r, other *process) {
 		GinkgoHelper()
 		url := chatURL(r)
@@ -308,23 +305,23 @@
 		Expect(vm.runs()).To(HaveLen(before + 1))
 	}
 
-	It("is not noticed by callers of routers that know their configuration", func() {
+	It("does not affect callers of routers that have their configuration", func() {
 		one, two := f.addRouter(), f.addRouter()
 		f.setObjectFaults(standin.ObjectFaults{Down: true})
 		expectServing(one, two)
 	})
 
 	// The platform's list of VMs is down as well.
-	It("is not noticed either when no part of the platform answers", func() {
+	It("does not affect callers when no part of the platform responds", func() {
 		one, two := f.addRouter(), f.addRouter()
 		f.setObjectFaults(standin.ObjectFaults{Unresponsive: true})
 		f.setVMFaults(standin.VMFaults{Down: true})
 		expectServing(one, two)
 	})
 
-	// All routers are replaced while the store is down. A new one has its
-	// configuration from the sidecars, or it would turn every caller away.
-	It("is not noticed by callers of a router that starts in it", func() {
+	// All routers are replaced while the store is down. A new one gets its configuration from the
+	// sidecars; without it, it would reject every caller.
+	It("does not affect callers of a router that starts during the outage", func() {
 		former := f.addRouter()
 		Expect(send(http.MethodPost, chatURL(former), apiKey, newChat(false, "notes"), nil).status).To(Equal(http.StatusOK))
 		f.setObjectFaults(standin.ObjectFaults{Down: true})
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -31,8 +31,7 @@
 	waitTimeout = 20 * time.Second
 )
 
-// fleet is a set of processes: a platform, upstreams with their sidecars, and
-// routers.
+// fleet is a set of processes: a fake platform, upstreams with their sidecars, and routers.
 type fleet struct {
 	trust       *trust
 	platformURL string
@@ -41,7 +40,7 @@
 	routers     []*process
 }
 
-// process is a running program and the address that it serves.
+// process is a running program and the address that it listens on.
 type process struct {
 	addr    string
 	session *gexec.Session
@@ -52,7 +51,7 @@
 	id       string
 	upstream *process
 	sidecar  *process
-	admin    string // the sidecar's address for operators
+	admin    string // the sidecar's admin address
 }
 
 func start(program, addr string, args ...string) *process {
@@ -83,20 +82,20 @@
 	return ""
 }
 
-// Ports of the processes under test lie below those that the kernel gives to connections. One
-// of the latter that is free now may be taken by any connection before its process listens:
-// "address already in use", and whoever waits for the process waits in vain.
+// Ports of the processes under test lie below the ephemeral range of the kernel. A free port in
+// that range may be taken by any outgoing connection before the process listens on it; the process
+// then fails with "address already in use", and the test times out.
 const firstPort, portCount = 21000, 11000
 
-// nextPort is the port that is tried next, no port twice. It begins with the process's id, so
-// that two runs at a time begin elsewhere.
+// nextPort counts the ports that have been tried; each is tried once. It starts at a value derived
+// from the process id, so that two concurrent runs start at different ports.
 var nextPort = func() *atomic.Int64 {
 	var n atomic.Int64
 	n.Store(int64(os.Getpid()) * 131)
 	return &n
 }()
 
-// newFleet starts a platform with one chat profile and one organisation.
+// newFleet starts a fake platform with a chat profile, a service profile and one organisation.
 func newFleet() *fleet {
 	GinkgoHelper()
 	addr := freeAddr()
@@ -121,8 +120,8 @@
 	Expect(result.Outcome).To(Equal(change.Applied))
 }
 
-// addUpstream starts an upstream of a kind, with more settings, and its
-// sidecar, and lists the VM.
+// addUpstream starts a fake upstream of a kind with additional flags, and its sidecar, and
+// registers the VM.
 func (f *fleet) addUpstream(kind, pool string, settings ...string) *upstreamVM {
 	GinkgoHelper()
 	vm := &upstreamVM{id: fmt.Sprintf("vm-%d", len(f.upstreams))}
@@ -133,8 +132,7 @@
 	return vm
 }
 
-// addSidecar starts the sidecar of an upstream that is served at a URL, and
-// lists the VM.
+// addSidecar starts the sidecar of an upstream at a URL, and registers the VM.
 func (f *fleet) addSidecar(vm *upstreamVM, pool, url string) {
 	GinkgoHelper()
 	sidecarAddr := freeAddr()
@@ -157,7 +155,7 @@
 	Expect(resp.Body.Close()).To(Succeed())
 }
 
-// addRouter starts a router, with more settings, and waits until it is ready.
+// addRouter starts a router with additional flags and waits until it is ready.
 func (f *fleet) addRouter(settings ...string) *process {
 	GinkgoHelper()
 	r := f.startRouter(settings...)
@@ -165,7 +163,7 @@
 	return r
 }
 
-// startRouter starts a router, with more settings.
+// startRouter starts a router with additional flags and waits until it listens.
 func (f *fleet) startRouter(settings ...string) *process {
 	GinkgoHelper()
 	addr := freeAddr()
@@ -177,7 +175,7 @@
 	return r
 }
 
-// waitReady waits until the process that has its health at addr is ready.
+// waitReady waits until the process with health endpoints at addr is ready.
 func waitReady(addr string) {
 	GinkgoHelper()
 	Eventually(func() (int, error) {
@@ -189,7 +187,7 @@
 	}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
-// response is a whole answer as its caller saw it.
+// response is a complete response as its caller received it.
 type response struct {
 	status int
 	header http.Header
@@ -214,7 +212,7 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(text)}
 }
 
-// runs returns the log of an upstream.
+// runs returns the requests that the upstream has run.
 func (vm *upstreamVM) runs() []standin.Run {
 	GinkgoHelper()
 	resp, err := http.Get("http://" + vm.upstream.addr + "/debug/runs")
--- a/test/leak_test.go
+++ b/test/leak_test.go
@@ -11,12 +11,11 @@
 	"github.com/onsi/gomega/gexec"
 )
 
-var _ = Describe("what the processes say about themselves", func() {
-	// Counters and logs are read by more people than may act for a club, and
-	// are pasted into tickets. Whoever finds an API key there acts as the club;
-	// with a request's id, its answer can be fetched; with a token secret, all
-	// of this for everyone.
-	It("holds no key, no secret and no request id", func() {
+var _ = Describe("logs and counters", func() {
+	// Counters and logs are read by more people than may act for an organisation, and are pasted
+	// into tickets. With an API key, a reader could act as the organisation; with a request id,
+	// fetch its response; with a token secret, do both for everyone.
+	It("contain no key, no secret and no request id", func() {
 		f := newFleet()
 		upstream := f.addUpstream("engine", "notes")
 		admin := freeAddr()
@@ -26,9 +25,9 @@
 		url := "http://" + r.addr + "/v1/chat/completions"
 		body := chat{Model: model, Messages: []message{{"user", "the injured striker"}}}
 
-		ok := send(http.MethodPost, url, apiKey, body, nil)
-		Expect(ok.status).To(Equal(http.StatusOK))
-		id, ticket := ok.header.Get("Parsley-Request-Id"), ok.header.Get("Parsley-Ticket")
+		success := send(http.MethodPost, url, apiKey, body, nil)
+		Expect(success.status).To(Equal(http.StatusOK))
+		id, ticket := success.header.Get("Parsley-Request-Id"), success.header.Get("Parsley-Ticket")
 		forged := strings.Repeat("A", 90)
 		problems := []response{
 			send(http.MethodPost, url, "a-stolen-key", body, nil),
@@ -37,7 +36,7 @@
 			send(http.MethodGet, "http://"+r.addr+"/v1/requests/"+forged, apiKey, nil, nil),
 			send(http.MethodGet, "http://"+admin+"/debug/vars", "a-stolen-key", nil, nil),
 		}
-		upstream.upstream.session.Kill().Wait(waitTimeout) // so that errors are told, too
+		upstream.upstream.session.Kill().Wait(waitTimeout) // so that errors are logged, too
 		problems = append(problems, send(http.MethodPost, url, apiKey, body, nil))
 		Expect(problems[len(problems)-1].status).NotTo(Equal(http.StatusOK))
 
@@ -60,7 +59,7 @@
 	})
 })
 
-// vars reads the page of counters.
+// vars returns the page of counters at an admin address.
 func vars(admin, token string) string {
 	GinkgoHelper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+admin+"/debug/vars", nil)
--- a/test/leave_test.go
+++ b/test/leave_test.go
@@ -11,7 +11,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/verdict"
 )
 
-// busyUpstream returns the upstream that has run something.
+// busyUpstream returns the first upstream that has run a request.
 func (f *fleet) busyUpstream() *upstreamVM {
 	GinkgoHelper()
 	for _, vm := range f.upstreams {
@@ -27,10 +27,10 @@
 	slowSettings := []string{"--token-delay", "60ms"}
 	first := chat{Model: model, Stream: true, Messages: []message{{"user", "who lost the ball"}}}
 
-	// A coach reads an answer when the VM of its engine is to be replaced. The
-	// sidecar is told to stop; a sidecar that ended at once would cut the answer,
-	// and the coach's next question would find no cached prompt anywhere.
-	It("that leaves cuts no answer and hands its cached prefixes on", func() {
+	// A response is in flight when the VM of its engine is to be replaced and the sidecar receives
+	// SIGTERM. If the sidecar exited at once, the response would be cut, and the next request of
+	// the session would find no cached prefix.
+	It("that leaves cuts no response and transfers its cached prefixes", func() {
 		f := newFleet()
 		for range 3 {
 			f.addUpstream("engine", "notes", slowSettings...)
@@ -53,10 +53,10 @@
 		Expect(leaving.runs()).To(HaveLen(1))
 	})
 
-	// An engine's process is killed while a coach reads. The coach must be told
-	// that the answer is not whole; the next request must hear at once that it
-	// has not run, as long as the engine is away, and run when it is back.
-	It("that crashes is told from one that is busy, and comes back", func() {
+	// An engine's process is killed during a response. Its caller must see that the response is
+	// incomplete. The next request must be rejected at once as not run while the engine is down,
+	// and run when it is back.
+	It("that crashes is reported as down, and serves again when it is back", func() {
 		f := newFleet()
 		vm := f.addUpstream("engine", "notes", slowSettings...)
 		r := f.addRouter()
--- a/test/middle_test.go
+++ b/test/middle_test.go
@@ -9,24 +9,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// tcpProxy is what stands between routers and a sidecar. It passes bytes on until
-// it is told to lose track of the connections that are open; new ones work.
+// tcpProxy forwards connections between routers and a sidecar. Its open connections can be cut or
+// blackholed; new ones work.
 type tcpProxy struct {
 	addr   string
 	target string
 
 	mu       sync.Mutex
 	conns    []*proxiedConn
-	accepted int // connections so far
+	accepted int // number of connections so far
 }
 
-// proxiedConn is one connection through a middle.
+// proxiedConn is one connection through a tcpProxy.
 type proxiedConn struct {
 	client, server net.Conn
-	blackholed     chan struct{} // closed: bytes are swallowed from now on
+	blackholed     chan struct{} // closed: bytes are discarded from now on
 }
 
-// newTCPProxy starts a middle before target.
+// newTCPProxy starts a proxy to target.
 func newTCPProxy(target string) *tcpProxy {
 	GinkgoHelper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,8 +63,9 @@
 	go c.forward(client, server)
 }
 
-// forward copies from one side to the other. In silence it goes on reading, so
-// that neither side can tell by its own writes, and says nothing of the end.
+// forward copies from one side to the other. When the connection is blackholed, it keeps reading,
+// so that neither side can detect it by its own writes, and does not close the other side at the
+// end.
 func (c *proxiedConn) forward(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -85,7 +86,7 @@
 	}
 }
 
-// takeConns returns the open connections, which are forgotten.
+// takeConns returns the open connections and removes them from the proxy.
 func (m *tcpProxy) takeConns() []*proxiedConn {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,21 +95,21 @@
 	return conns
 }
 
-// blackhole swallows what the open connections carry from now on.
+// blackhole discards all bytes on the open connections from now on.
 func (m *tcpProxy) blackhole() {
 	for _, c := range m.takeConns() {
 		close(c.blackholed)
 	}
 }
 
-// cut breaks the open connections.
+// cut closes the open connections.
 func (m *tcpProxy) cut() {
 	for _, c := range m.takeConns() {
 		_, _ = c.client.Close(), c.server.Close()
 	}
 }
 
-// connections returns how many connections there have been.
+// connections returns the number of connections accepted so far.
 func (m *tcpProxy) connections() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -23,7 +23,7 @@
 	"github.com/parsleyfront/parsleyfront/internal/wire"
 )
 
-// getJSON reads a stand-in's report.
+// getJSON requests a URL and decodes the JSON response.
 func getJSON[T any](url string) T {
 	GinkgoHelper()
 	resp, err := http.Get(url)
@@ -34,8 +34,8 @@
 	return v
 }
 
-// leaseHolder returns the VM of the router that holds the controller's lease, and
-// its fencing token.
+// leaseHolder returns the VM of the router that holds the controller's lease, and its fencing
+// token; zero values: nobody holds it.
 func (f *fleet) leaseHolder() (string, wire.FencingToken) {
 	o, err := f.store.Get(context.Background(), topo.Ref{Kind: topo.KindLease, Name: controller.LeaseName})
 	if err != nil {
@@ -47,7 +47,7 @@
 	return vm, lease.TokenOf(r, o.Version)
 }
 
-// sendOrder gives an sendOrder to a sidecar as a router would.
+// sendOrder sends an order to a sidecar as a router would.
 func (f *fleet) sendOrder(vm *upstreamVM, o wire.Order) wire.OrderStatus {
 	GinkgoHelper()
 	id := secure.Identity{Role: secure.RoleRouter, VM: "entry-9"}
@@ -63,12 +63,12 @@
 }
 
 var _ = Describe("orders", func() {
-	// A new model version is being rolled out when the router that gives the
-	// orders freezes. Another takes the lease and goes on. The first wakes up
-	// believing that it still holds the lease. If its orders were taken, engines
-	// would load twice, or the old version again, and the weight store would be
-	// asked beyond its rate. Two of the four engines ignore fencing tokens.
-	It("are taken from the holder of the lease alone", func() {
+	// A new model version is being rolled out when the router that gives the orders freezes.
+	// Another router takes the lease and continues. The first one then wakes up and still assumes
+	// that it holds the lease. If its orders were accepted, engines would load twice or go back to
+	// the old version, and the weight store would be used beyond its rate limit. Two of the four
+	// engines ignore fencing tokens.
+	It("are accepted only from the holder of the lease", func() {
 		weightsAddr := freeAddr()
 		start(standinPath, weightsAddr, "--kind", "weights", "--listen", weightsAddr, "--load-every", "900ms")
 		f := newFleet()
@@ -110,7 +110,7 @@
 		for i, vm := range f.upstreams {
 			old := wire.Order{ID: "old", Token: oldToken, Action: wire.OrderPrepare, Want: wire.ModelSpec{Model: model, Version: "1"}}
 			status := f.sendOrder(vm, old)
-			Expect(status.Error).NotTo(BeNil(), "engine %d took an old order", i)
+			Expect(status.Error).NotTo(BeNil(), "engine %d accepted an order with an old token", i)
 			Expect(status.Error.Reason).To(Equal(verdict.ReasonFenced))
 		}
 		Eventually(func() []string {
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -21,7 +21,7 @@
 	Messages []message `json:"messages"`
 }
 
-var _ = Describe("the whole path", func() {
+var _ = Describe("the request path", func() {
 	It("serves a returning chat from its cached prefix", func() {
 		f := newFleet()
 		for range 3 {
@@ -49,7 +49,7 @@
 		Expect(three.body).To(ContainSubstring(`"cached_tokens":9`))
 	})
 
-	It("routes calls of a plain service", func() {
+	It("routes calls to a plain service", func() {
 		f := newFleet()
 		vm := f.addUpstream("service", "clips")
 		r := f.addRouter()
@@ -59,7 +59,7 @@
 		Expect(vm.runs()).To(HaveLen(1))
 	})
 
-	It("refuses a caller whom it does not know", func() {
+	It("rejects an unknown caller", func() {
 		f := newFleet()
 		f.addUpstream("engine", "notes")
 		r := f.addRouter()
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -17,11 +17,11 @@
 const (
 	poisonPrompt         = "offside-trap"
 	bystanders           = 6
-	maxWaves             = 40 // until the chat is quarantined
-	wavesAfterQuarantine = 3  // after that
+	maxWaves             = 40 // limit of waves until the chat is quarantined
+	wavesAfterQuarantine = 3  // waves sent after that
 )
 
-// outcome is what the caller of a chat was outcome.
+// outcome is what the caller of a chat received.
 type outcome struct {
 	status          int
 	verdict, reason string
@@ -40,8 +40,7 @@
 	return outcome{resp.StatusCode, resp.Header.Get("Parsley-Verdict"), resp.Header.Get("Parsley-Reason")}
 }
 
-// restartCrashed starts upstreams anew whose process has ended, and returns how
-// many those were.
+// restartCrashed restarts the upstreams whose process has exited, and returns their number.
 func (f *fleet) restartCrashed(settings ...string) int {
 	GinkgoHelper()
 	crashed := 0
@@ -57,11 +56,11 @@
 }
 
 var _ = Describe("a chat that crashes engines", func() {
-	// A coach's chat crashes the engine that runs it. The app sends it again at
-	// once, three times through three entry VMs, wave after wave, while six other
-	// chats run. Unless the fleet learns, each wave takes up to three engines,
-	// and the six are cut off or refused for good.
-	It("costs two engines, and no other chat is refused for it", func() {
+	// A chat crashes the engine that runs it. The caller repeats it at once, three times through
+	// three routers, wave after wave, while six other chats run. Without quarantine across the
+	// fleet, each wave crashes up to three engines, and the six other chats are cut off or rejected
+	// for good.
+	It("crashes two engines, and no other chat is quarantined", func() {
 		settings := []string{"--poison", poisonPrompt, "--tokens", "20", "--token-delay", "10ms"}
 		f := newFleet()
 		for range 4 {
@@ -72,9 +71,9 @@
 		}
 		crashes := 0
 		var last outcome
-		wavesQuarantined := 0 // waves since
+		wavesQuarantined := 0 // waves since the quarantine
 		for wave := 0; wavesQuarantined < wavesAfterQuarantine; wave++ {
-			Expect(wave).To(BeNumerically("<", maxWaves), "still told %+v", last)
+			Expect(wave).To(BeNumerically("<", maxWaves), "not quarantined, last outcome %+v", last)
 			var wg sync.WaitGroup
 			replies := make([]outcome, bystanders)
 			for i := range bystanders {
@@ -82,7 +81,7 @@
 			}
 			copies := 3
 			if wave == 0 {
-				copies = 1 // later ones come after an answer
+				copies = 1 // later waves follow a response
 			}
 			for i := range copies {
 				wg.Go(func() {
@@ -99,17 +98,17 @@
 				}
 			}
 			crashes += f.restartCrashed(settings...)
-			GinkgoWriter.Printf("wave %d: %+v, %d engines lost, others %+v\n", wave, last, crashes, replies)
+			GinkgoWriter.Printf("wave %d: %+v, %d engines crashed, others %+v\n", wave, last, crashes, replies)
 			switch last.reason {
 			case "quarantined":
 				wavesQuarantined++
 			case "suspect":
-				time.Sleep(time.Second) // as Retry-After says
+				time.Sleep(time.Second) // the Retry-After of a suspect
 			}
 		}
 		Expect(crashes).To(Equal(2))
 		Expect(last).To(Equal(outcome{http.StatusUnprocessableEntity, "not-run", "quarantined"}))
-		// A router that starts now knows of it before any copy arrives.
+		// A router that starts now learns of the conviction before any copy of the chat arrives.
 		admin := freeAddr()
 		f.addRouter("--admin-listen", admin)
 		Eventually(func() []string {
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -168,7 +168,7 @@
 
 	signalsLeaving atomic.Bool // whether its responses announce that it leaves
 
-	restSeconds  atomic.Pointer[string] // Retry-After value with which it rejects all requests; nil: it accepts them
+	restSeconds  atomic.Pointer[string] // Retry-After value of its rejections; nil: accepts
 	mu           sync.Mutex
 	restRequests []restRequest
 }
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -14,13 +14,13 @@
 	"github.com/onsi/gomega/gexec"
 )
 
-// stream is a chat whose answer arrives bit by bit.
+// stream is the streamed response to a chat.
 type stream struct {
 	resp  *http.Response
 	lines *bufio.Reader
 }
 
-// openStream begins a streamed chat and returns when its first line has come.
+// openStream sends a streamed chat and returns when the first line of the response has arrived.
 func openStream(url, text string) *stream {
 	GinkgoHelper()
 	return openStreamWith(http.DefaultClient, url, text)
@@ -42,20 +42,20 @@
 	return s
 }
 
-// readRest reads the answer to its end.
+// readRest reads the response to its end.
 func (s *stream) readRest() (string, error) {
 	defer s.resp.Body.Close()
 	b, err := io.ReadAll(s.lines)
 	return string(b), err
 }
 
-// visitResult is one request that the balancer sent while the router was leaving.
+// visitResult is the result of one request from the balancer.
 type visitResult struct {
 	status  int
-	closing bool // the answer asks for its connection to be closed
+	closing bool // the response announces that the connection closes
 }
 
-// balancer sends requests and keeps connections, as balancers do.
+// balancer sends requests and reuses connections, as load balancers do.
 type balancer struct {
 	client *http.Client
 	url    string
@@ -77,13 +77,13 @@
 }
 
 var _ = Describe("a planned stop of a router", func() {
-	// A router is replaced during a match. Its balancer looks at readiness now
-	// and then and sends until it has seen it fail. Were the listener closed at
-	// once, coaches would see refused connections and halftime notes that break
-	// off; were kept connections closed, requests that cross with the closing.
+	// A router is replaced under traffic. Its balancer polls readiness and sends requests until it
+	// has seen it fail. If the listener closed at once, callers would see refused connections and
+	// truncated streams. If idle connections were closed, requests sent at the same moment would
+	// fail.
 	It("cuts no stream while the balancer still sends", func() {
 		f := newFleet()
-		// The streams go on after the delay, which begins when the router leaves.
+		// The streams last longer than the drain delay, which begins when the router starts to leave.
 		f.addUpstream("engine", "notes", "--token-delay", "20ms", "--tokens", "250")
 		f.addUpstream("service", "clips")
 		r := f.addRouter("--drain-delay", "3s")
@@ -104,7 +104,7 @@
 			return resp.StatusCode, resp.Body.Close()
 		}, waitTimeout).Should(Equal(http.StatusServiceUnavailable), "readiness fails while the listener is open")
 		liveness := send(http.MethodGet, "http://"+r.addr+"/livez", apiKey, nil, nil)
-		Expect(liveness.status).To(Equal(http.StatusOK), "a router that is leaving is not to be killed")
+		Expect(liveness.status).To(Equal(http.StatusOK), "a router that is leaving must stay live")
 
 		for range 20 {
 			Expect(lb.visit()).To(Equal(visitResult{status: http.StatusOK, closing: true}))
@@ -115,13 +115,13 @@
 			Expect(answer).To(HaveSuffix("data: [DONE]\n\n"))
 		}
 		_, err := lb.visit()
-		Expect(err).To(MatchError(syscall.ECONNREFUSED), "the streams ended after the listener closed")
+		Expect(err).To(MatchError(syscall.ECONNREFUSED), "the listener must close before the streams end")
 		Eventually(r.session, waitTimeout).Should(gexec.Exit(0))
 	})
 
-	// An operator who has sent SIGTERM by mistake to a router with a long
-	// answer in flight, or cannot wait, must not need kill -9.
-	It("ends at once on a second signal", func() {
+	// An operator who has sent SIGTERM by mistake to a router with a long response in flight, or
+	// cannot wait, must not need SIGKILL.
+	It("exits at once on a second signal", func() {
 		f := newFleet()
 		f.addUpstream("engine", "notes", "--token-delay", "100ms", "--tokens", "3000")
 		r := f.addRouter("--drain-delay", "1h")
@@ -132,14 +132,13 @@
 		Eventually(r.session, waitTimeout).Should(gexec.Exit())
 		Expect(r.session.ExitCode()).NotTo(BeZero())
 		_, err := answer.readRest()
-		Expect(err).To(HaveOccurred(), "a cut answer must not look whole")
+		Expect(err).To(HaveOccurred(), "a truncated response must not look complete")
 	})
 })
 
 var _ = Describe("a sidecar whose upstream is down", func() {
-	// The upstream's process ends at night. What watches the sidecar must see
-	// that nothing is served there, and must not restart the sidecar for it:
-	// with the sidecar would go what it knows of the requests that ran.
+	// The upstream's process exits. Probes of the sidecar must see that it cannot serve, and must
+	// not restart it: a restart would lose the sidecar's record of the requests that ran.
 	It("is live and not ready", func() {
 		f := newFleet()
 		vm := f.addUpstream("engine", "notes")
--- a/test/suite_test.go
+++ b/test/suite_test.go
@@ -9,12 +9,12 @@
 	"github.com/onsi/gomega/gexec"
 )
 
-var daemonPath, standinPath, ctlPath string // of the built programs
+var daemonPath, standinPath, ctlPath string // paths of the built programs
 
 func TestWholePath(t *testing.T) {
 	RegisterFailHandler(Fail)
 	suite, reporter := GinkgoConfiguration()
-	suite.RandomSeed = 1 // the same order, hence the same verdict, each run
+	suite.RandomSeed = 1 // the same order of specs in each run
 	RunSpecs(t, "whole path", suite, reporter)
 }
 
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -14,18 +14,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// exportedSpan is one span that a process has exported.
+// exportedSpan holds the ids of a span that a process has exported, in hexadecimal.
 type exportedSpan struct {
 	trace, id, parent string
 }
 
-// spanCollector is a collector of spans.
+// spanCollector collects exported spans.
 type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string]exportedSpan // by name
 }
 
-// ServeHTTP takes spans by OTLP over HTTP.
+// ServeHTTP accepts spans by OTLP over HTTP.
 func (t *spanCollector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var export collector.ExportTraceServiceRequest
 	b, err := io.ReadAll(r.Body)
@@ -55,12 +55,12 @@
 }
 
 var _ = Describe("traces", func() {
-	It("hold a span for each hop of a caller's trace", func() {
+	It("contain a span for each hop of a caller's trace", func() {
 		spans := &spanCollector{spans: make(map[string]exportedSpan)}
 		server := httptest.NewServer(spans)
 		DeferCleanup(server.Close)
 		GinkgoT().Setenv("PARSLEYD_TRACE_ENDPOINT", server.URL+"/v1/traces")
-		GinkgoT().Setenv("PARSLEYD_TRACE_RATIO", "0") // the caller decides
+		GinkgoT().Setenv("PARSLEYD_TRACE_RATIO", "0") // only traces that the caller has sampled
 		f := newFleet()
 		f.addUpstream("engine", "notes")
 		r := f.addRouter()
--- a/test/trust_test.go
+++ b/test/trust_test.go
@@ -23,15 +23,15 @@
 
 const trustDomain = "fleet.test"
 
-// reloadInterval is how often the processes look at their files.
+// reloadInterval is how often the processes check their files for changes.
 const reloadInterval = "50ms"
 
-// trust is the files by which the processes of a fleet know each other.
+// trust holds the files with which the processes of a fleet authenticate each other.
 type trust struct {
 	dir     string
 	ca      *securetest.CA
-	bundle  []byte // of authorities
-	secrets string // file of the token secrets
+	bundle  []byte // certificates of the trusted authorities
+	secrets string // path of the file with token secrets
 }
 
 func newTrust() *trust {
@@ -51,14 +51,14 @@
 	return ca
 }
 
-// replaceFile writes a file in one step, as a careful deploy tool does.
+// replaceFile replaces the content of a file atomically.
 func replaceFile(path string, b []byte) {
 	GinkgoHelper()
 	Expect(os.WriteFile(path+".new", b, 0o600)).To(Succeed())
 	Expect(os.Rename(path+".new", path)).To(Succeed())
 }
 
-// issue writes the certificate, key and authorities of a process.
+// issue writes the certificate, key and trusted authorities of a process.
 func (t *trust) issue(id secure.Identity) secure.Paths {
 	GinkgoHelper()
 	cert, key, err := t.ca.Issue(id.URI(trustDomain))
@@ -71,7 +71,7 @@
 	return p
 }
 
-// identityFlags returns the settings of a process that is to be id.
+// identityFlags returns the flags for a process with identity id.
 func (t *trust) identityFlags(id secure.Identity) []string {
 	GinkgoHelper()
 	p := t.issue(id)
@@ -82,11 +82,10 @@
 }
 
 var _ = Describe("trust in the fleet", func() {
-	// At night the authority of the fleet is replaced: first every process
-	// gets a bundle with both authorities, then a certificate of the new one,
-	// then a bundle without the old one; and the token secret is replaced.
-	// Chats go on meanwhile: none may be refused, and a request that its caller
-	// sends again under its key from before must be known, or it would run twice.
+	// The fleet's certificate authority is replaced: every process gets first a bundle with both
+	// authorities, then a certificate of the new one, then a bundle without the old one. After that
+	// the token secret is replaced. No chat may be rejected meanwhile, and a request repeated under
+	// its key from before must be recognised, or it would run twice.
 	It("rotates certificates and secrets under traffic", func() {
 		f := newFleet()
 		upstream := f.addUpstream("engine", "notes")
@@ -115,7 +114,7 @@
 					f.trust.issue(id)
 				}
 			})
-			// A router that starts in the middle of it connects anew.
+			// A router that starts during the rotation has to open new connections.
 			joined := f.addRouter()
 			Expect(send(http.MethodPost, "http://"+joined.addr+"/v1/chat/completions", apiKey, firstChat, nil).status).To(Equal(http.StatusOK))
 			joined.session.Kill().Wait(waitTimeout) // its certificate is not renewed
@@ -131,14 +130,14 @@
 		for _, p := range []*process{r, other} {
 			repeated := send(http.MethodPost, "http://"+p.addr+"/v1/chat/completions", apiKey, firstChat, retryHeader)
 			Expect(repeated.status).To(Equal(http.StatusOK))
-			Expect(repeated.body).To(Equal(first.body), "the answer from before, not a second run")
+			Expect(repeated.body).To(Equal(first.body), "the stored response, not that of a second run")
 		}
 		Expect(counter(upstream.admin, "secure_refused_peers_total")).To(BeZero())
 	})
 
-	// The certificate that callers see is renewed while a chat is under way:
-	// callers that connect anew see the new one, and the chat goes on.
-	It("serves callers over TLS and renews its certificate under them", func() {
+	// The certificate for callers is renewed while a chat is in flight: new connections get the new
+	// one, and the chat continues.
+	It("serves callers over TLS and renews its certificate without cutting streams", func() {
 		f := newFleet()
 		f.addUpstream("engine", "notes", "--token-delay", "20ms", "--tokens", "100")
 		dir, admin := f.trust.dir, freeAddr()
@@ -175,9 +174,8 @@
 		Expect(text).To(HaveSuffix("data: [DONE]\n\n"))
 	})
 
-	// Someone gets hold of the sidecars' addresses, and a certificate of
-	// another authority. The sidecar must run nothing for it, and a caller of
-	// that router must be told that nothing ran.
+	// A router knows the sidecars' addresses but has a certificate of another authority. The
+	// sidecar must run nothing for it, and the router must report to its caller that nothing ran.
 	It("lets a router without the right certificate run nothing", func() {
 		f := newFleet()
 		upstream := f.addUpstream("engine", "notes")
@@ -191,8 +189,8 @@
 		Expect(upstream.runs()).To(BeEmpty())
 	})
 
-	// A mistake in the settings at night costs one restart, not one for each,
-	// and what an operator pastes into a ticket holds no secret.
+	// All mistakes in the settings are reported at once, so that they cost one restart and not one
+	// each. The output, which operators may paste into tickets, contains no secret.
 	It("names every mistake and prints no secret", func() {
 		runDaemon := func(args ...string) *gexec.Session {
 			session, err := gexec.Start(exec.Command(daemonPath, args...), GinkgoWriter, GinkgoWriter)
@@ -215,7 +213,7 @@
 	})
 })
 
-// waitReload changes files and waits until the processes have taken them.
+// waitReload calls change, which replaces files, and waits until the processes have reloaded them.
 func waitReload(admins []string, change func()) {
 	GinkgoHelper()
 	const name = "secure_reloads_total"
@@ -229,7 +227,8 @@
 	}
 }
 
-// sendChatsUntil sends chats, one after the other, until stop is closed.
+// sendChatsUntil sends chats one after the other until stop is closed, and returns the first
+// failure.
 func sendChatsUntil(stop <-chan struct{}, url string, body chat) error {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -258,7 +257,7 @@
 	}
 }
 
-// counter reads a counter of a process at its address for operators.
+// counter returns the value of a process's counter, read from its admin address.
 func counter(admin, name string) float64 {
 	GinkgoHelper()
 	resp, err := http.Get("http://" + admin + "/debug/vars")
