--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -24,7 +24,7 @@
 	seeds      = flag.Int("seeds", 2, "number of seeds to run")
 	from       = flag.Uint64("from", 4, "the first seed")
 	duration   = flag.Duration("for", 4*time.Second, "how long faults are injected")
-	entryCount = flag.Int("entries", 3, "number of routers")
+	entryCount = flag.Int("entries", 3, "routers")
 	keepLogs   = flag.String("logs", "", "folder for the logs of seeds that fail")
 )
 
