--- a/test/ctl_test.go
+++ b/test/ctl_test.go
@@ -194,10 +194,10 @@
 	It("names a request that may crash upstreams", func() {
 		vm := f.addUpstream("engine", "notes", "--token-delay", "60ms")
 		f.addListedRouter()
-		answer := openStream("http://"+f.routers[0].addr+"/v1/chat/completions", "who lost the ball")
+		chatStream := openStream("http://"+f.routers[0].addr+"/v1/chat/completions", "who lost the ball")
 		Expect(runCtl(f.platformURL, "status").out).NotTo(ContainSubstring("QUARANTINED"))
 		vm.upstream.session.Kill().Wait(waitTimeout)
-		_, err := answer.readRest()
+		_, err := chatStream.readRest()
 		Expect(err).To(HaveOccurred())
 		Eventually(func() string { return runCtl(f.platformURL, "status").out }, waitTimeout).
 			Should(MatchRegexp(`(?s)QUARANTINED REQUEST.*[0-9a-f]{16} +suspect +1 `))
--- a/test/failure_test.go
+++ b/test/failure_test.go
@@ -90,15 +90,15 @@
 
 // beCompleteStream matches a streamed response that has all its tokens, each once and in order.
 func beCompleteStream(tokens int) OmegaMatcher {
-	return WithTransform(func(answer []byte) error {
-		found := tokenPattern.FindAllSubmatch(answer, -1)
+	return WithTransform(func(body []byte) error {
+		found := tokenPattern.FindAllSubmatch(body, -1)
 		for i, f := range found {
 			if string(f[1]) != strconv.Itoa(i) {
 				return fmt.Errorf("token %s at position %d", f[1], i)
 			}
 		}
-		if len(found) != tokens || !bytes.HasSuffix(answer, []byte("data: [DONE]\n\n")) {
-			return fmt.Errorf("%d tokens, ending in %q", len(found), answer[max(0, len(answer)-40):])
+		if len(found) != tokens || !bytes.HasSuffix(body, []byte("data: [DONE]\n\n")) {
+			return fmt.Errorf("%d tokens, ending in %q", len(found), body[max(0, len(body)-40):])
 		}
 		return nil
 	}, Succeed())
@@ -210,16 +210,16 @@
 		f.addUpstream("engine", "notes", "--token-delay", "1h")
 		f.addUpstream("engine", "notes", "--token-delay", "1h")
 		r := f.addRouter()
-		answered := make(chan response, 1)
+		responses := make(chan response, 1)
 		go func() {
 			defer GinkgoRecover()
-			answered <- send(http.MethodPost, chatURL(r), apiKey, newChat(false, "tag this clip"), nil)
+			responses <- send(http.MethodPost, chatURL(r), apiKey, newChat(false, "tag this clip"), nil)
 		}()
 		Eventually(f.runs, waitTimeout).Should(Equal(1))
 		vm := f.busyUpstream()
 		vm.sidecar.session.Kill().Wait(waitTimeout)
 		var got response
-		Eventually(answered, waitTimeout).Should(Receive(&got))
+		Eventually(responses, waitTimeout).Should(Receive(&got))
 		Expect(got.header.Get("Parsley-Verdict")).To(Equal("may-have-run"))
 		Expect(got.status).To(Equal(http.StatusBadGateway))
 		Expect(f.runs()).To(Equal(1))
--- a/test/leave_test.go
+++ b/test/leave_test.go
@@ -37,17 +37,17 @@
 		}
 		r := f.addRouter()
 		url := "http://" + r.addr + "/v1/chat/completions"
-		answer := openStream(url, first.Messages[0].Content)
+		chatStream := openStream(url, first.Messages[0].Content)
 		leaving := f.busyUpstream()
 		leaving.sidecar.session.Signal(syscall.SIGTERM)
-		text, err := answer.readRest()
+		text, err := chatStream.readRest()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(HaveSuffix("data: [DONE]\n\n"))
 		Eventually(leaving.sidecar.session, waitTimeout).Should(gexec.Exit(0))
 
 		second := first
 		second.Messages = append(second.Messages, message{"assistant", "the left back"}, message{"user", "and then"})
-		two := send(http.MethodPost, url, apiKey, second, http.Header{"Parsley-Ticket": {answer.resp.Header.Get("Parsley-Ticket")}})
+		two := send(http.MethodPost, url, apiKey, second, http.Header{"Parsley-Ticket": {chatStream.resp.Header.Get("Parsley-Ticket")}})
 		Expect(two.status).To(Equal(http.StatusOK))
 		Expect(two.body).To(ContainSubstring(`"cached_tokens":4`))
 		Expect(leaving.runs()).To(HaveLen(1))
@@ -61,9 +61,9 @@
 		vm := f.addUpstream("engine", "notes", slowSettings...)
 		r := f.addRouter()
 		url := "http://" + r.addr + "/v1/chat/completions"
-		answer := openStream(url, first.Messages[0].Content)
+		chatStream := openStream(url, first.Messages[0].Content)
 		vm.upstream.session.Kill().Wait(waitTimeout)
-		_, err := answer.readRest()
+		_, err := chatStream.readRest()
 		Expect(err).To(HaveOccurred())
 
 		rejected := send(http.MethodPost, url, apiKey, chat{Model: model, Messages: []message{{"user", "another"}}}, nil)
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -201,12 +201,12 @@
 	entry       *entry
 	incarnation int
 	version     int             // the newest seen in force; zero: none
-	refused     map[string]bool // revoked keys that the router has rejected
+	rejected    map[string]bool // revoked keys that the router has rejected
 }
 
 func (p *prober) probe() {
 	if current := p.entry.currentIncarnation(); current != p.incarnation {
-		p.incarnation, p.version, p.refused = current, 0, make(map[string]bool)
+		p.incarnation, p.version, p.rejected = current, 0, make(map[string]bool)
 	}
 	if p.version > 0 && p.requestStatus(versionPath(p.version), "") == http.StatusNotFound && p.entry.currentIncarnation() == p.incarnation {
 		p.harness.t.Errorf("%s rejects a route of version %d, which it had in force", p.entry.name, p.version)
@@ -235,8 +235,8 @@
 	switch {
 	case p.entry.currentIncarnation() != p.incarnation:
 	case status == http.StatusUnauthorized:
-		p.refused[key] = true
-	case status == http.StatusOK && p.refused[key]:
+		p.rejected[key] = true
+	case status == http.StatusOK && p.rejected[key]:
 		p.harness.t.Errorf("%s accepts key %s, which it had rejected", p.entry.name, key)
 	}
 }
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -29,7 +29,7 @@
 	{"router is killed", false, (*harness).killRouter},
 	{"router stands still", false, (*harness).pauseRouter},
 	{"store is away for a router", false, (*harness).cutStore},
-	{"store refuses", false, (*harness).refuseStore},
+	{"store refuses", false, (*harness).rejectAtStore},
 	{"answers of the store are lost", false, (*harness).loseStoreResponses},
 	{"store comes back from an older copy", false, (*harness).restoreStore},
 	{"store forgets its history", false, func(h *harness) { h.store.Compact() }},
@@ -222,8 +222,8 @@
 	e.store.setMode(passThrough)
 }
 
-// refuseStore lets the store reject all requests.
-func (h *harness) refuseStore() {
+// rejectAtStore lets the store reject all requests.
+func (h *harness) rejectAtStore() {
 	status := []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[h.intN(2)]
 	h.store.SetOutage(func(string) int { return status })
 	time.Sleep(h.randomDuration(200*time.Millisecond, 2*time.Second))
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -19,8 +19,8 @@
 	proxyModeCount                  // number of modes
 )
 
-func (w proxyMode) String() string {
-	return [...]string{"through", "refused", "silent", "one-way", "delayed"}[w]
+func (m proxyMode) String() string {
+	return [...]string{"through", "refused", "silent", "one-way", "delayed"}[m]
 }
 
 // forwardDelay is the delay of bytes in mode delayed.
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -110,9 +110,9 @@
 			Expect(lb.visit()).To(Equal(visitResult{status: http.StatusOK, closing: true}))
 		}
 		for _, s := range streams {
-			answer, err := s.readRest()
+			rest, err := s.readRest()
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer).To(HaveSuffix("data: [DONE]\n\n"))
+			Expect(rest).To(HaveSuffix("data: [DONE]\n\n"))
 		}
 		_, err := lb.visit()
 		Expect(err).To(MatchError(syscall.ECONNREFUSED), "the listener must close before the streams end")
@@ -125,13 +125,13 @@
 		f := newFleet()
 		f.addUpstream("engine", "notes", "--token-delay", "100ms", "--tokens", "3000")
 		r := f.addRouter("--drain-delay", "1h")
-		answer := openStream("http://"+r.addr+"/v1/chat/completions", "who lost the ball")
+		chatStream := openStream("http://"+r.addr+"/v1/chat/completions", "who lost the ball")
 		r.session.Signal(syscall.SIGTERM)
 		Eventually(r.session.Err, waitTimeout).Should(gbytes.Say("leaving: readiness fails"))
 		r.session.Signal(syscall.SIGTERM)
 		Eventually(r.session, waitTimeout).Should(gexec.Exit())
 		Expect(r.session.ExitCode()).NotTo(BeZero())
-		_, err := answer.readRest()
+		_, err := chatStream.readRest()
 		Expect(err).To(HaveOccurred(), "a truncated response must not look complete")
 	})
 })
--- a/test/trust_test.go
+++ b/test/trust_test.go
@@ -165,11 +165,11 @@
 		}
 		Expect(servedCert().Equal(first)).To(BeTrue())
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}, ForceAttemptHTTP2: true}}
-		answer := openStreamWith(client, "https://"+r.addr+"/v1/chat/completions", "who lost the ball")
+		chatStream := openStreamWith(client, "https://"+r.addr+"/v1/chat/completions", "who lost the ball")
 		var second *x509.Certificate
 		waitReload([]string{admin}, func() { second = renew() })
 		Expect(servedCert().Equal(second)).To(BeTrue())
-		text, err := answer.readRest()
+		text, err := chatStream.readRest()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(HaveSuffix("data: [DONE]\n\n"))
 	})
