--- a/internal/topo/http.go
+++ b/internal/topo/http.go
@@ -25,7 +25,7 @@
 
 	// maxValueBytes is the largest value that the platform stores in one object, in bytes.
 	maxValueBytes = 1 << 20
-	// maxObjectResponseBytes and maxPageAnswer bound the bodies of responses, in bytes.
+	// maxObjectResponseBytes and maxPageResponseBytes bound the bodies of responses, in bytes.
 	maxObjectResponseBytes = maxValueBytes + 64<<10
 	maxPageResponseBytes   = 64 << 20
 )
